--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -286,7 +286,7 @@
 }
 
 /// How often the process notes that it runs: several times within the shortest stop that
-/// counts as one ([`fieldhook_topology::belief`]).
+/// counts as one ([`fieldhook_topology::freshness`]).
 const RUN_PERIOD: Duration = Duration::from_millis(250);
 
 async fn watch_stops(daemon: Rc<Daemon>) {
--- a/crates/gateway/src/places.rs
+++ b/crates/gateway/src/places.rs
@@ -4,8 +4,8 @@
 use crate::settings::GatewaySettings;
 use fieldhook_ledger::layout::Layout;
 use fieldhook_ledger::message::EvacuationNews;
-use fieldhook_topology::belief::Belief;
 use fieldhook_topology::evacuation::{State, Zones};
+use fieldhook_topology::freshness::Freshness;
 use fieldhook_topology::place::Rule;
 use fieldhook_topology::region::Set;
 use fieldhook_topology::zone::Map;
@@ -25,7 +25,7 @@
     /// Regions that the configuration in force names as homes.
     home_regions: RefCell<BTreeSet<Rc<str>>>,
     evacuations: RefCell<Zones>,
-    belief: RefCell<Belief>,
+    belief: RefCell<Freshness>,
     all_evacuated: Cell<bool>,
     started: Instant,
 }
@@ -39,7 +39,7 @@
             layout: Layout::new(settings.partitions, &settings.zones),
             home_regions: RefCell::default(),
             evacuations: RefCell::default(),
-            belief: RefCell::new(Belief::new(settings.bounds.evacuation_ms)),
+            belief: RefCell::new(Freshness::new(settings.bounds.evacuation_ms)),
             all_evacuated: Cell::new(false),
             started: Instant::now(),
         }
@@ -137,7 +137,7 @@
     /// The process runs, and what it knows was the newest `age_ms` ago.
     pub fn ran(&self, age_ms: u64) {
         let now_ms = self.now_ms();
-        if self.belief.borrow_mut().ran(now_ms, age_ms) {
+        if self.belief.borrow_mut().record_run(now_ms, age_ms) {
             tracing::warn!(
                 event = "process_was_stopped",
                 age_ms,
@@ -148,14 +148,14 @@
 
     /// Others were heard who know no more.
     pub fn settle(&self) {
-        self.belief.borrow_mut().settle();
+        self.belief.borrow_mut().accept_unconfirmed();
     }
 
     /// Whether what is known is too old to send anything by it.
     pub fn is_doubtful(&self, age_ms: u64, is_isolated: bool) -> bool {
         let now_ms = self.now_ms();
         let belief = self.belief.borrow();
-        belief.is_doubtful(now_ms, age_ms, is_isolated)
+        belief.is_stale(now_ms, age_ms, is_isolated)
     }
 
     /// All that is known of evacuations, for daemons that cannot read it themselves.
--- a/crates/topology/src/belief.rs
+++ b/crates/topology/src/freshness.rs
@@ -11,13 +11,13 @@
 
 /// What a daemon may believe of its own knowledge.
 #[derive(Clone, Debug)]
-pub struct Belief {
+pub struct Freshness {
     limit_ms: u64,
     last_run_ms: u64,
     woken_ms: Option<u64>,
 }
 
-impl Belief {
+impl Freshness {
     /// What was last confirmed longer than `limit_ms` ago is too old after a stop.
     pub fn new(limit_ms: u64) -> Self {
         Self {
@@ -29,7 +29,7 @@
 
     /// The process runs, and what it knows was the newest `age_ms` ago. True if it has been
     /// stopped before.
-    pub fn ran(&mut self, now_ms: u64, age_ms: u64) -> bool {
+    pub fn record_run(&mut self, now_ms: u64, age_ms: u64) -> bool {
         let was_stopped = now_ms.saturating_sub(self.last_run_ms) > STOPPED_MS;
         self.last_run_ms = now_ms;
         if was_stopped {
@@ -41,13 +41,13 @@
     }
 
     /// Others were heard who know no more: nobody can tell for now.
-    pub fn settle(&mut self) {
+    pub fn accept_unconfirmed(&mut self) {
         self.woken_ms = None;
     }
 
     /// Whether nothing may be sent before what is known is confirmed. `is_isolated` says that
     /// neither the log nor another daemon answers.
-    pub fn is_doubtful(&self, now_ms: u64, age_ms: u64, is_isolated: bool) -> bool {
+    pub fn is_stale(&self, now_ms: u64, age_ms: u64, is_isolated: bool) -> bool {
         let is_old = age_ms > self.limit_ms;
         let stopped_now = now_ms.saturating_sub(self.last_run_ms) > STOPPED_MS;
         is_old && (is_isolated || stopped_now || self.woken_ms.is_some())
--- a/crates/topology/src/lib.rs
+++ b/crates/topology/src/lib.rs
@@ -4,11 +4,11 @@
 //! - [`zone`]: zones, the regions that they belong to, and how far two zones are apart.
 //! - [`region`]: sets of regions that data may stay in.
 //! - [`evacuation`]: zones whose servers get nothing for now.
-//! - [`belief`]: whether what is known of them is recent enough to act on.
+//! - [`freshness`]: whether what is known of them is recent enough to act on.
 //! - [`place`]: which places may serve a request or hold its data, and in which order.
 
-pub mod belief;
 pub mod evacuation;
+pub mod freshness;
 pub mod place;
 pub mod region;
 pub mod zone;
--- a/crates/topology/tests/belief.rs
+++ b/crates/topology/tests/freshness.rs
@@ -1,41 +1,41 @@
 //! When a daemon may act on what it knows of the operator's word.
 
-use fieldhook_topology::belief::Belief;
+use fieldhook_topology::freshness::Freshness;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 const LIMIT_MS: u64 = 5_000;
 
 #[test]
 fn after_a_stop_old_knowledge_waits_for_its_confirmation() {
-    let mut belief = Belief::new(LIMIT_MS);
+    let mut belief = Freshness::new(LIMIT_MS);
     for now_ms in (0..20_000).step_by(250) {
-        assert!(!belief.ran(now_ms, now_ms));
-        assert!(!belief.is_doubtful(now_ms, now_ms, false), "an outage");
+        assert!(!belief.record_run(now_ms, now_ms));
+        assert!(!belief.is_stale(now_ms, now_ms, false), "an outage");
     }
     // Seen by who runs before the task that notes it.
-    assert!(belief.is_doubtful(22_000, 6_000, false));
-    assert!(!belief.is_doubtful(22_000, 4_000, false), "recent enough");
-    assert!(belief.ran(22_000, 6_000));
-    assert!(belief.is_doubtful(22_100, 6_100, false));
+    assert!(belief.is_stale(22_000, 6_000, false));
+    assert!(!belief.is_stale(22_000, 4_000, false), "recent enough");
+    assert!(belief.record_run(22_000, 6_000));
+    assert!(belief.is_stale(22_100, 6_100, false));
     // An answer from before the stop.
-    belief.ran(22_250, 2_000);
-    assert!(belief.is_doubtful(26_000, 5_750, false));
+    belief.record_run(22_250, 2_000);
+    assert!(belief.is_stale(26_000, 5_750, false));
     // One from behind it.
-    belief.ran(22_500, 100);
+    belief.record_run(22_500, 100);
     for now_ms in (22_750..40_000).step_by(250) {
-        belief.ran(now_ms, now_ms - 22_400);
-        assert!(!belief.is_doubtful(now_ms, now_ms - 22_400, false));
+        belief.record_run(now_ms, now_ms - 22_400);
+        assert!(!belief.is_stale(now_ms, now_ms - 22_400, false));
     }
 }
 
 #[test]
 fn what_nobody_can_tell_is_no_cause_for_doubt() {
-    let mut belief = Belief::new(LIMIT_MS);
-    belief.ran(10_000, 10_000);
-    assert!(belief.is_doubtful(10_100, 10_100, false));
-    belief.settle();
-    assert!(!belief.is_doubtful(10_100, 10_100, false));
-    assert!(belief.is_doubtful(10_100, 10_100, true), "isolated");
+    let mut belief = Freshness::new(LIMIT_MS);
+    belief.record_run(10_000, 10_000);
+    assert!(belief.is_stale(10_100, 10_100, false));
+    belief.accept_unconfirmed();
+    assert!(!belief.is_stale(10_100, 10_100, false));
+    assert!(belief.is_stale(10_100, 10_100, true), "isolated");
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -81,25 +81,25 @@
 }
 
 fn doubts_like_the_oracle(events: Vec<Event>) -> bool {
-    let mut belief = Belief::new(LIMIT_MS);
+    let mut belief = Freshness::new(LIMIT_MS);
     let mut oracle = Oracle::default();
-    belief.ran(0, 0);
+    belief.record_run(0, 0);
     events.into_iter().all(|event| {
         match event {
             Event::Runs(number) => {
                 oracle.now_ms += u64::from(number) * 3;
-                belief.ran(oracle.now_ms, oracle.age_ms());
+                belief.record_run(oracle.now_ms, oracle.age_ms());
             }
             Event::Stops(number) => {
                 oracle.now_ms += 1_001 + u64::from(number) * 30;
                 oracle.stopped_until_ms = Some(oracle.now_ms);
                 // Whoever looks first after the stop sees it, too.
-                if belief.is_doubtful(oracle.now_ms, oracle.age_ms(), false)
+                if belief.is_stale(oracle.now_ms, oracle.age_ms(), false)
                     != oracle.is_doubtful(false)
                 {
                     return false;
                 }
-                belief.ran(oracle.now_ms, oracle.age_ms());
+                belief.record_run(oracle.now_ms, oracle.age_ms());
             }
             Event::Confirmed(number) => {
                 let at_ms = oracle.now_ms.saturating_sub(u64::from(number) * 20);
@@ -107,15 +107,15 @@
                 if oracle.stopped_until_ms.is_some_and(|until| at_ms >= until) {
                     oracle.stopped_until_ms = None;
                 }
-                belief.ran(oracle.now_ms, oracle.age_ms());
+                belief.record_run(oracle.now_ms, oracle.age_ms());
             }
             Event::Settled => {
                 oracle.stopped_until_ms = None;
-                belief.settle();
+                belief.accept_unconfirmed();
             }
         }
         [true, false].into_iter().all(|is_isolated| {
-            let doubtful = belief.is_doubtful(oracle.now_ms, oracle.age_ms(), is_isolated);
+            let doubtful = belief.is_stale(oracle.now_ms, oracle.age_ms(), is_isolated);
             doubtful == oracle.is_doubtful(is_isolated)
         })
     })
