--- a/crates/gateway/src/places.rs
+++ b/crates/gateway/src/places.rs
@@ -4,7 +4,7 @@
 use crate::settings::GatewaySettings;
 use fieldhook_ledger::layout::Layout;
 use fieldhook_ledger::message::EvacuationNews;
-use fieldhook_topology::evacuation::{State, Zones};
+use fieldhook_topology::evacuation::{Evacuations, State};
 use fieldhook_topology::freshness::Freshness;
 use fieldhook_topology::place::Rule;
 use fieldhook_topology::region::Set;
@@ -24,7 +24,7 @@
     pub layout: Layout,
     /// Regions that the configuration in force names as homes.
     home_regions: RefCell<BTreeSet<Rc<str>>>,
-    evacuations: RefCell<Zones>,
+    evacuations: RefCell<Evacuations>,
     belief: RefCell<Freshness>,
     all_evacuated: Cell<bool>,
     started: Instant,
@@ -94,7 +94,7 @@
         let is_change = self
             .evacuations
             .borrow_mut()
-            .take(zone, state, revision, now_ms);
+            .apply(zone, state, revision, now_ms);
         if is_change {
             tracing::info!(event = "zone_evacuation", zone, ?state, revision, source);
             self.note_all_evacuated();
@@ -108,7 +108,7 @@
         let opened = self
             .evacuations
             .borrow_mut()
-            .retain_listed(listed, end, now_ms);
+            .apply_listing(listed, end, now_ms);
         for zone in opened {
             tracing::info!(event = "zone_evacuation", zone = &*zone, state = ?State::Open,
                 revision = end, source = "listing");
--- a/crates/topology/src/evacuation.rs
+++ b/crates/topology/src/evacuation.rs
@@ -1,4 +1,4 @@
-//! Zones whose servers get nothing for now, by the operator's word.
+//! Evacuations whose servers get nothing for now, by the operator's word.
 //!
 //! The operator's records are followed like the configuration. A read may be stale, a
 //! listing may come from before a record, and a daemon that the log refuses learns from
@@ -32,15 +32,15 @@
 
 /// What is known of all zones.
 #[derive(Clone, Debug, Default)]
-pub struct Zones {
+pub struct Evacuations {
     records: BTreeMap<Rc<str>, Record>,
     /// All that the topic held before this offset is known.
     listed_to: u64,
 }
 
-impl Zones {
+impl Evacuations {
     /// Takes in a record. True if it changes whether the zone is evacuated.
-    pub fn take(&mut self, zone: &str, state: State, revision: u64, now_ms: u64) -> bool {
+    pub fn apply(&mut self, zone: &str, state: State, revision: u64, now_ms: u64) -> bool {
         let known = self.records.get(zone);
         let is_stale = known.is_some_and(|known| known.revision >= revision);
         if is_stale || revision < self.listed_to {
@@ -65,7 +65,7 @@
     /// Takes in which zones a listing names as evacuated that was read where the topic ended
     /// at `end`; a zone that it does not name was opened before that. Returns the zones that
     /// this opens.
-    pub fn retain_listed(&mut self, listed: &[&str], end: u64, now_ms: u64) -> Vec<Rc<str>> {
+    pub fn apply_listing(&mut self, listed: &[&str], end: u64, now_ms: u64) -> Vec<Rc<str>> {
         let Some(newest) = end.checked_sub(1) else {
             return Vec::new();
         };
@@ -76,7 +76,7 @@
             .collect();
         let opened = missing
             .into_iter()
-            .filter(|zone| self.take(zone, State::Open, newest, now_ms))
+            .filter(|zone| self.apply(zone, State::Open, newest, now_ms))
             .collect();
         self.listed_to = self.listed_to.max(end);
         opened
@@ -99,7 +99,7 @@
         (record.state == State::Open).then_some(record.since_ms)
     }
 
-    /// Zones that are evacuated.
+    /// Evacuations that are evacuated.
     pub fn evacuated(&self) -> impl Iterator<Item = &Record> {
         self.records()
             .filter(|record| record.state == State::Evacuated)
--- a/crates/topology/src/place.rs
+++ b/crates/topology/src/place.rs
@@ -1,6 +1,6 @@
 //! Which places may serve a request or hold its data, and in which order.
 
-use crate::evacuation::Zones;
+use crate::evacuation::Evacuations;
 use crate::region::Set;
 use crate::zone::{Distance, Map};
 use std::fmt;
@@ -28,8 +28,8 @@
 pub struct Rule<'a> {
     /// The zones of the deployment.
     pub map: &'a Map,
-    /// Zones that are evacuated.
-    pub evacuations: &'a Zones,
+    /// Evacuations that are evacuated.
+    pub evacuations: &'a Evacuations,
     /// Regions that its route and its tenant allow, both together.
     pub homes: &'a Set,
     /// Zone that it is served from.
--- a/crates/topology/tests/places.rs
+++ b/crates/topology/tests/places.rs
@@ -1,6 +1,6 @@
 //! Places: distances, sets of regions, evacuations by revision.
 
-use fieldhook_topology::evacuation::{State, Zones};
+use fieldhook_topology::evacuation::{Evacuations, State};
 use fieldhook_topology::place::{Denial, Rule};
 use fieldhook_topology::region::Set;
 use fieldhook_topology::zone::{Distance, Map};
@@ -41,8 +41,8 @@
 fn a_closed_zone_serves_nothing_and_keeps_what_it_has() {
     let map = map();
     let homes = Set::of(["a"]);
-    let mut evacuations = Zones::default();
-    assert!(evacuations.take("a2", State::Evacuated, 5, 100));
+    let mut evacuations = Evacuations::default();
+    assert!(evacuations.apply("a2", State::Evacuated, 5, 100));
     let rule = Rule {
         map: &map,
         evacuations: &evacuations,
@@ -57,14 +57,14 @@
 
 #[test]
 fn a_stale_listing_opens_nothing() {
-    let mut zones = Zones::default();
-    zones.take("z", State::Evacuated, 10, 0);
-    assert!(zones.retain_listed(&[], 10, 1).is_empty());
+    let mut zones = Evacuations::default();
+    zones.apply("z", State::Evacuated, 10, 0);
+    assert!(zones.apply_listing(&[], 10, 1).is_empty());
     assert!(zones.is_evacuated("z"));
-    assert_eq!(zones.retain_listed(&[], 12, 2).len(), 1);
+    assert_eq!(zones.apply_listing(&[], 12, 2).len(), 1);
     assert!(!zones.is_evacuated("z"));
     assert!(
-        !zones.take("z", State::Evacuated, 10, 3),
+        !zones.apply("z", State::Evacuated, 10, 3),
         "an old read closes nothing again"
     );
     assert_eq!(zones.opened_since_ms("z"), Some(2));
@@ -109,14 +109,14 @@
         let told = topic[..end].iter().rev().find(|(name, _)| *name == zone);
         told.map_or(State::Open, |(_, state)| *state)
     };
-    let mut zones = Zones::default();
+    let mut zones = Evacuations::default();
     let mut heard: BTreeMap<&str, usize> = BTreeMap::new();
     for (now, item) in news.iter().enumerate() {
         match item {
             News::Record(number) => {
                 let offset = usize::from(*number) % topic.len();
                 let (zone, state) = topic[offset];
-                zones.take(zone, state, offset as u64, now as u64);
+                zones.apply(zone, state, offset as u64, now as u64);
                 let known = heard.entry(zone).or_default();
                 *known = (*known).max(offset + 1);
             }
@@ -129,9 +129,9 @@
                 for zone in &listed {
                     let offset = topic[..end].iter().rposition(|(name, _)| name == zone);
                     let offset = offset.expect("it was evacuated") as u64;
-                    zones.take(zone, State::Evacuated, offset, now as u64);
+                    zones.apply(zone, State::Evacuated, offset, now as u64);
                 }
-                zones.retain_listed(&listed, end as u64, now as u64);
+                zones.apply_listing(&listed, end as u64, now as u64);
                 for zone in ZONES {
                     let known = heard.entry(zone).or_default();
                     *known = (*known).max(end);
