--- a/crates/gateway/src/ledger/assigner.rs
+++ b/crates/gateway/src/ledger/assigner.rs
@@ -129,7 +129,7 @@
         let arc = Arc::of(home, count);
         let homes = homes(placement);
         let servers = self.places.with_rule(&homes, &placement.zone, |rule| {
-            let is_usable = |server: &ServerEntry| rule.serve(&server.zone).is_ok();
+            let is_usable = |server: &ServerEntry| rule.serving_distance(&server.zone).is_ok();
             let from = |arc| Draw {
                 zone: &placement.zone,
                 arc,
@@ -160,7 +160,7 @@
     fn keep_allowed(&self, engines: &mut Vec<Engine<'_>>, placement: &Placement) {
         let homes = homes(placement);
         self.places.with_rule(&homes, &placement.zone, |rule| {
-            engines.retain_mut(|engine| match rule.serve(engine.zone) {
+            engines.retain_mut(|engine| match rule.serving_distance(engine.zone) {
                 Ok(distance) => {
                     engine.distance = distance;
                     true
--- a/crates/gateway/src/places.rs
+++ b/crates/gateway/src/places.rs
@@ -6,9 +6,9 @@
 use fieldhook_ledger::message::EvacuationNews;
 use fieldhook_topology::evacuation::{Evacuations, State};
 use fieldhook_topology::freshness::Freshness;
-use fieldhook_topology::place::Rule;
 use fieldhook_topology::region::Set;
 use fieldhook_topology::zone::Map;
+use fieldhook_topology::zone_rule::ZoneRule;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -66,13 +66,18 @@
 
     /// Decides by the rule of a request whose data may stay in `homes` and that comes through
     /// `from`.
-    pub fn with_rule<T>(&self, homes: &Set, from: &str, decide: impl FnOnce(&Rule<'_>) -> T) -> T {
+    pub fn with_rule<T>(
+        &self,
+        homes: &Set,
+        from: &str,
+        decide: impl FnOnce(&ZoneRule<'_>) -> T,
+    ) -> T {
         let evacuations = self.evacuations.borrow();
-        decide(&Rule {
+        decide(&ZoneRule {
             map: &self.map,
             evacuations: &evacuations,
-            homes,
-            from,
+            allowed_regions: homes,
+            from_zone: from,
         })
     }
 
--- a/crates/gateway/src/serve/choice.rs
+++ b/crates/gateway/src/serve/choice.rs
@@ -29,7 +29,7 @@
         number: prefix_hash(drawn_by),
     };
     let servers = daemon.places.with_rule(homes, zone, |rule| {
-        let may_serve = |server: &ServerEntry| rule.serve(&server.zone).is_ok();
+        let may_serve = |server: &ServerEntry| rule.serving_distance(&server.zone).is_ok();
         let is_usable =
             |server: &ServerEntry| may_serve(server) && !tried.servers.contains(&server.id);
         let drawn = draw(serving, &servers, &is_usable).servers;
--- a/crates/gateway/src/serve/cold.rs
+++ b/crates/gateway/src/serve/cold.rs
@@ -74,7 +74,7 @@
             let may_serve = |id: &str| {
                 let server = directory.entry(id).filter(|server| !server.draining);
                 server.is_some_and(|server| {
-                    server.service == service && rule.serve(&server.zone).is_ok()
+                    server.service == service && rule.serving_distance(&server.zone).is_ok()
                 })
             };
             let waits = denied
--- a/crates/gateway/src/serve/homes.rs
+++ b/crates/gateway/src/serve/homes.rs
@@ -4,8 +4,8 @@
 use super::answer::OwnAnswer;
 use super::request::RequestContext;
 use crate::daemon::Daemon;
-use fieldhook_topology::place::Denial;
 use fieldhook_topology::region::Set;
+use fieldhook_topology::zone_rule::Denial;
 use fieldhook_traffic::config::Route;
 use fieldhook_traffic::homes;
 use fieldhook_traffic::tenants::Tenant;
@@ -86,9 +86,13 @@
     let zone = &daemon.settings.zone;
     let denials: Vec<Denial> = daemon.places.with_rule(&homes, zone, |rule| {
         let zones = directory.zones_of(service);
-        zones.filter_map(|zone| rule.serve(zone).err()).collect()
+        zones
+            .filter_map(|zone| rule.serving_distance(zone).err())
+            .collect()
     });
-    let not_home = denials.iter().filter(|denial| **denial == Denial::NotHome);
+    let not_home = denials
+        .iter()
+        .filter(|denial| **denial == Denial::RegionNotAllowed);
     let not_home = not_home.count();
     if denials.is_empty() {
         return;
--- a/crates/gateway/src/serve/open.rs
+++ b/crates/gateway/src/serve/open.rs
@@ -4,7 +4,7 @@
 use super::attempt::DispatchFailure;
 use super::homes;
 use super::request::RequestContext;
-use fieldhook_topology::place::Denial;
+use fieldhook_topology::zone_rule::Denial;
 use fieldhook_traffic::attempt::AttemptFailure;
 use fieldhook_traffic::directory::ServerEntry;
 use std::time::Duration;
@@ -73,7 +73,7 @@
 fn may_hold(context: &RequestContext, server: &ServerEntry) -> bool {
     let places = &context.daemon.places;
     let homes = homes::now(context);
-    places.with_rule(&homes, &server.zone, |rule| rule.may_hold(&server.zone))
+    places.with_rule(&homes, &server.zone, |rule| rule.may_store(&server.zone))
 }
 
 /// Why no server was found: all that could serve the request may stand in evacuated zones.
@@ -87,7 +87,9 @@
     let homes = homes::now(context);
     let denials: Result<Vec<Denial>, ()> = daemon.places.with_rule(&homes, zone, |rule| {
         let zones = directory.zones_of(service);
-        zones.map(|zone| rule.serve(zone).err().ok_or(())).collect()
+        zones
+            .map(|zone| rule.serving_distance(zone).err().ok_or(()))
+            .collect()
     });
     match denials {
         Ok(denials) if denials.contains(&Denial::Evacuated) => DispatchFailure::Evacuated,
--- a/crates/topology/src/lib.rs
+++ b/crates/topology/src/lib.rs
@@ -5,10 +5,10 @@
 //! - [`region`]: sets of regions that data may stay in.
 //! - [`evacuation`]: zones whose servers get nothing for now.
 //! - [`freshness`]: whether what is known of them is recent enough to act on.
-//! - [`place`]: which places may serve a request or hold its data, and in which order.
+//! - [`zone_rule`]: which places may serve a request or hold its data, and in which order.
 
 pub mod evacuation;
 pub mod freshness;
-pub mod place;
 pub mod region;
 pub mod zone;
+pub mod zone_rule;
--- a/crates/topology/tests/places.rs
+++ b/crates/topology/tests/zones.rs
@@ -1,9 +1,9 @@
 //! Places: distances, sets of regions, evacuations by revision.
 
 use fieldhook_topology::evacuation::{Evacuations, State};
-use fieldhook_topology::place::{Denial, Rule};
 use fieldhook_topology::region::Set;
 use fieldhook_topology::zone::{Distance, Map};
+use fieldhook_topology::zone_rule::{Denial, ZoneRule};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeMap;
 
@@ -43,16 +43,16 @@
     let homes = Set::of(["a"]);
     let mut evacuations = Evacuations::default();
     assert!(evacuations.apply("a2", State::Evacuated, 5, 100));
-    let rule = Rule {
+    let rule = ZoneRule {
         map: &map,
         evacuations: &evacuations,
-        homes: &homes,
-        from: "a1",
+        allowed_regions: &homes,
+        from_zone: "a1",
     };
-    assert_eq!(rule.serve("a1"), Ok(Distance::SameZone));
-    assert_eq!(rule.serve("a2"), Err(Denial::Evacuated));
-    assert_eq!(rule.serve("b1"), Err(Denial::NotHome));
-    assert!(rule.may_hold("a2") && !rule.may_hold("b1"));
+    assert_eq!(rule.serving_distance("a1"), Ok(Distance::SameZone));
+    assert_eq!(rule.serving_distance("a2"), Err(Denial::Evacuated));
+    assert_eq!(rule.serving_distance("b1"), Err(Denial::RegionNotAllowed));
+    assert!(rule.may_store("a2") && !rule.may_store("b1"));
 }
 
 #[test]
