--- a/crates/gateway/src/ledger/assigner.rs
+++ b/crates/gateway/src/ledger/assigner.rs
@@ -5,7 +5,7 @@
 use crate::upstream::pool::Pools;
 use fieldhook_ledger::message::{CloseTurn, OpenTurn, Placement};
 use fieldhook_ledger::partition_of;
-use fieldhook_topology::region::Set;
+use fieldhook_topology::region::RegionSet;
 use fieldhook_topology::zone::Distance;
 use fieldhook_traffic::assignment::{Engine, Settings, Table, Turn};
 use fieldhook_traffic::candidates::{Draw, WEIGHED_WHOLE, draw};
@@ -220,10 +220,12 @@
     }
 }
 
-fn homes(placement: &Placement) -> Set {
+fn homes(placement: &Placement) -> RegionSet {
     match &placement.regions {
-        Some(regions) => Set::Only(regions.iter().map(|region| Rc::from(&**region)).collect()),
-        None => Set::All,
+        Some(regions) => {
+            RegionSet::Only(regions.iter().map(|region| Rc::from(&**region)).collect())
+        }
+        None => RegionSet::All,
     }
 }
 
--- a/crates/gateway/src/ledger/client.rs
+++ b/crates/gateway/src/ledger/client.rs
@@ -9,7 +9,7 @@
 };
 use fieldhook_log::contact::Contact;
 use fieldhook_log::reach::Reach;
-use fieldhook_topology::region::Set;
+use fieldhook_topology::region::RegionSet;
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
 use std::cell::{Cell, RefCell};
@@ -299,7 +299,7 @@
     }
 
     /// The home partition that keeps the contents of a program, where homes bind these.
-    pub fn keeper(&self, program: &str, homes: &Set) -> Option<u32> {
+    pub fn keeper(&self, program: &str, homes: &RegionSet) -> Option<u32> {
         self.owner.places.layout.keeper(program, homes)
     }
 
--- a/crates/gateway/src/places.rs
+++ b/crates/gateway/src/places.rs
@@ -6,7 +6,7 @@
 use fieldhook_ledger::message::EvacuationNews;
 use fieldhook_topology::evacuation::{Evacuations, State};
 use fieldhook_topology::freshness::Freshness;
-use fieldhook_topology::region::Set;
+use fieldhook_topology::region::RegionSet;
 use fieldhook_topology::zone::Map;
 use fieldhook_topology::zone_rule::ZoneRule;
 use std::cell::{Cell, RefCell};
@@ -68,7 +68,7 @@
     /// `from`.
     pub fn with_rule<T>(
         &self,
-        homes: &Set,
+        homes: &RegionSet,
         from: &str,
         decide: impl FnOnce(&ZoneRule<'_>) -> T,
     ) -> T {
--- a/crates/gateway/src/serve/choice.rs
+++ b/crates/gateway/src/serve/choice.rs
@@ -2,7 +2,7 @@
 
 use super::attempt::Tried;
 use super::request::RequestContext;
-use fieldhook_topology::region::Set;
+use fieldhook_topology::region::RegionSet;
 use fieldhook_traffic::assignment::prefix_hash;
 use fieldhook_traffic::balance::{self, Candidate, Request};
 use fieldhook_traffic::candidates::{Draw, draw};
@@ -11,7 +11,7 @@
 
 /// Chooses among servers that the request was not sent to, and that its places allow. Cold
 /// ones that have no place now are passed over.
-pub fn choose(context: &RequestContext, homes: &Set, tried: &Tried) -> Option<ServerEntry> {
+pub fn choose(context: &RequestContext, homes: &RegionSet, tried: &Tried) -> Option<ServerEntry> {
     let daemon = &context.daemon;
     let directory = daemon.directory.borrow();
     let serving = directory.serving(context.service()?)?;
--- a/crates/gateway/src/serve/homes.rs
+++ b/crates/gateway/src/serve/homes.rs
@@ -4,7 +4,7 @@
 use super::answer::OwnAnswer;
 use super::request::RequestContext;
 use crate::daemon::Daemon;
-use fieldhook_topology::region::Set;
+use fieldhook_topology::region::RegionSet;
 use fieldhook_topology::zone_rule::Denial;
 use fieldhook_traffic::config::Route;
 use fieldhook_traffic::homes;
@@ -20,7 +20,7 @@
     id: &str,
     route: &Route,
     tenant: Option<&Tenant>,
-) -> Result<Set, OwnAnswer> {
+) -> Result<RegionSet, OwnAnswer> {
     let homes = homes::of(route, tenant);
     if daemon.places.layout.has_home(&homes) {
         return Ok(homes);
@@ -44,7 +44,7 @@
 
 /// The homes of a request by the configuration in force now. A route or tenant that is gone
 /// by now binds as it did.
-pub fn now(context: &RequestContext) -> Set {
+pub fn now(context: &RequestContext) -> RegionSet {
     let Some(table) = context.daemon.routes.borrow().clone() else {
         return context.homes.clone();
     };
--- a/crates/gateway/src/serve/opening.rs
+++ b/crates/gateway/src/serve/opening.rs
@@ -8,7 +8,7 @@
 use bytes::BytesMut;
 use fieldhook_ledger::message::{OpenTurn, Placement};
 use fieldhook_log::reach::Reach;
-use fieldhook_topology::region::Set;
+use fieldhook_topology::region::RegionSet;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -86,7 +86,7 @@
 }
 
 /// What is asked of the owner.
-fn request(context: &RequestContext, homes: &Set) -> Result<OpenTurn, TurnRefusal> {
+fn request(context: &RequestContext, homes: &RegionSet) -> Result<OpenTurn, TurnRefusal> {
     let route = &context.entry.route;
     let meta = &context.meta;
     let program = meta.program.clone().unwrap_or_default();
@@ -122,7 +122,7 @@
 }
 
 /// What the owner needs to assign an engine.
-fn placement(context: &RequestContext, homes: &Set) -> Option<Placement> {
+fn placement(context: &RequestContext, homes: &RegionSet) -> Option<Placement> {
     let meta = &context.meta;
     let beginning = meta.prefix.as_ref().or(meta.program.as_ref())?;
     Some(Placement {
@@ -134,7 +134,7 @@
 }
 
 /// Names of the regions that it may run in, where they are bounded.
-fn region_names(homes: &Set) -> Option<Vec<String>> {
+fn region_names(homes: &RegionSet) -> Option<Vec<String>> {
     let names = homes.names()?;
     Some(names.map(|region| region.to_string()).collect())
 }
--- a/crates/gateway/src/serve/record.rs
+++ b/crates/gateway/src/serve/record.rs
@@ -4,7 +4,7 @@
 use super::request::RequestContext;
 use super::turn::{LARGEST_KEPT, Turn};
 use fieldhook_ledger::message::{CloseTurn, TurnContent};
-use fieldhook_topology::region::Set;
+use fieldhook_topology::region::RegionSet;
 use futures_util::future::{join, join_all};
 use tokio::time::Instant;
 
@@ -119,7 +119,7 @@
     /// Sees to it that what was said is kept where homes allow it now: they may have been
     /// narrowed since the turn began. What it went on from goes along. False where no region
     /// is allowed any more.
-    fn stay_home(&mut self, homes: &Set) -> bool {
+    fn stay_home(&mut self, homes: &RegionSet) -> bool {
         let layout = &self.ledger.owner.places.layout;
         let program = &self.request.program;
         let kept_at = self.request.keeper;
--- a/crates/gateway/src/serve/request.rs
+++ b/crates/gateway/src/serve/request.rs
@@ -52,7 +52,7 @@
     /// Tenant that it belonged to when it came.
     pub tenant: Option<Rc<Tenant>>,
     /// Regions that it may be served in and its data kept in: its route's and its tenant's.
-    pub homes: region::Set,
+    pub homes: region::RegionSet,
     /// Version of the configuration that said so.
     pub version: u64,
     /// Method as it came.
--- a/crates/gateway/tests/gateway/homes.rs
+++ b/crates/gateway/tests/gateway/homes.rs
@@ -5,7 +5,7 @@
 use fieldhook_gateway::ledger::owner::OWNERS_TOPIC;
 use fieldhook_log::api::{Append, LogStore, Partition};
 use fieldhook_log::ownership::Ownership;
-use fieldhook_topology::region::Set;
+use fieldhook_topology::region::RegionSet;
 use fieldhook_topology::zone::Map;
 use fieldhook_traffic::config::TrafficConfig;
 use std::net::SocketAddr;
@@ -37,7 +37,7 @@
 fn chat_in(version: u64, regions: &[&str]) -> TrafficConfig {
     let mut config = config(version);
     let chat = config.routes.iter_mut().find(|route| route.name == "chat");
-    chat.expect("a route").homes = Set::of(regions.iter().copied());
+    chat.expect("a route").homes = RegionSet::from_names(regions.iter().copied());
     config
 }
 
@@ -112,7 +112,7 @@
 
     /// The gateway that owns the home partition of program `p` in region a.
     fn keeper(&self) -> &'static str {
-        let homes = Set::of(["a"]);
+        let homes = RegionSet::from_names(["a"]);
         let ledger = &self.at("b1").daemon.ledger;
         let partition = ledger.keeper("p", &homes).expect("a home partition");
         // By the claim that b1 knows: a former owner without the log still believes in its own.
@@ -200,7 +200,10 @@
 async fn lose_keeper(fleet: &Fleet) -> SocketAddr {
     let gone = SocketAddr::from(([127, 0, 0, 1], 9));
     let gateway = fleet.at("b1");
-    let keeper = gateway.daemon.ledger.keeper("p", &Set::of(["a"]));
+    let keeper = gateway
+        .daemon
+        .ledger
+        .keeper("p", &RegionSet::from_names(["a"]));
     let record = Ownership::claim_record(keeper.expect("a home partition"), gone, 77);
     let append = Append {
         partition: Partition {
@@ -258,7 +261,9 @@
             assert_eq!(turn(fleet.at("b1"), name, None).await, (503, true));
         }
         let ledger = &fleet.at("b2").daemon.ledger;
-        let keeper = ledger.keeper("p", &Set::of(["a"])).expect("a partition");
+        let keeper = ledger
+            .keeper("p", &RegionSet::from_names(["a"]))
+            .expect("a partition");
         let claim = ledger.owner.claims.claim(keeper).expect("a claim");
         assert_eq!(claim.address, Some(gone));
         assert!(fleet.keepers("t1-said").is_empty());
@@ -282,7 +287,7 @@
             }
             let mut narrowed = config(2);
             for route in &mut narrowed.routes {
-                route.homes = Set::of(["a"]);
+                route.homes = RegionSet::from_names(["a"]);
             }
             fleet.publish(narrowed).await;
             (fleet.at_a.count(), fleet.at_b.count())
@@ -359,7 +364,7 @@
         let lines = Lines::start();
         let mut first = config(1);
         for route in &mut first.routes {
-            route.homes = Set::of(["c"]);
+            route.homes = RegionSet::from_names(["c"]);
         }
         let fleet = Fleet::start(first, &["a1", "b1"]).await;
         let fields = "Request: r1\r\n";
@@ -501,7 +506,7 @@
         let fleet = Fleet::start_now(chat_in(1, &["a"]), &["a1", "b1"], 4).await;
         let b = fleet.at("b1");
         let ledger = &b.daemon.ledger;
-        let homes = Set::of(["a"]);
+        let homes = RegionSet::from_names(["a"]);
         let names: Vec<String> = (0..12).map(|number| format!("p{number}")).collect();
         let mut keepers: Vec<_> = names.iter().map(|p| ledger.keeper(p, &homes)).collect();
         keepers.sort();
@@ -539,12 +544,12 @@
     run(async {
         let lines = Lines::start();
         let mut red = tenant("red", "k1");
-        red.homes = Set::of(["b"]);
+        red.homes = RegionSet::from_names(["b"]);
         let mut blue = tenant("blue", "k2");
-        blue.homes = Set::of(["a", "b"]);
+        blue.homes = RegionSet::from_names(["a", "b"]);
         let mut first = config_of(1, vec![red, blue]);
         for route in &mut first.routes {
-            route.homes = Set::of(["a"]);
+            route.homes = RegionSet::from_names(["a"]);
         }
         let fleet = Fleet::start(first, &["a1", "b1"]).await;
         for path in ["/safe/1", "/unsafe/1", "/chat/1"] {
--- a/crates/gateway/tests/gateway/reserved_at_home.rs
+++ b/crates/gateway/tests/gateway/reserved_at_home.rs
@@ -15,7 +15,7 @@
 use fieldhook_ledger::partition_of;
 use fieldhook_ledger::record::Record;
 use fieldhook_log::api::Partition as Place;
-use fieldhook_topology::region::Set;
+use fieldhook_topology::region::RegionSet;
 use fieldhook_topology::zone::Map;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::sleep;
@@ -68,7 +68,7 @@
 }
 
 /// Runs a turn of ten tokens and loses all daemons at the end of its answer.
-async fn next_turn_after_a_loss(homes: Set) -> OpenOutcome {
+async fn next_turn_after_a_loss(homes: RegionSet) -> OpenOutcome {
     let world = World::new().await;
     world.partitions.set(FREE);
     *world.zones.borrow_mut() = Map::new([("a1", "a"), ("b1", "b")]);
@@ -98,7 +98,7 @@
 #[test]
 fn a_whole_turn_is_counted_by_its_tokens_after_a_loss() {
     run(async {
-        let next = next_turn_after_a_loss(Set::All).await;
+        let next = next_turn_after_a_loss(RegionSet::All).await;
         assert!(is_opened(&next), "{next:?}");
     });
 }
@@ -106,7 +106,7 @@
 #[test]
 fn a_whole_turn_that_is_kept_in_its_homes_is_counted_by_its_tokens_after_a_loss() {
     run(async {
-        let next = next_turn_after_a_loss(Set::of(["a"])).await;
+        let next = next_turn_after_a_loss(RegionSet::from_names(["a"])).await;
         assert!(is_opened(&next), "{next:?}");
     });
 }
--- a/crates/ledger/src/layout.rs
+++ b/crates/ledger/src/layout.rs
@@ -7,7 +7,7 @@
 //! docs/design/homes.md tells what was weighed.
 
 use crate::partition_of;
-use fieldhook_topology::region::Set;
+use fieldhook_topology::region::RegionSet;
 use fieldhook_topology::zone::Map;
 use std::rc::Rc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -80,7 +80,7 @@
     }
 
     /// Whether contents of a program may be kept in a partition.
-    pub fn may_keep(&self, partition: u32, homes: &Set) -> bool {
+    pub fn may_keep(&self, partition: u32, homes: &RegionSet) -> bool {
         match self.region(partition) {
             Some(region) => homes.contains(Some(region)),
             None => homes.is_all(),
@@ -88,7 +88,7 @@
     }
 
     /// Whether some region of the deployment is allowed.
-    pub fn has_home(&self, homes: &Set) -> bool {
+    pub fn has_home(&self, homes: &RegionSet) -> bool {
         homes.is_all() || self.allowed(homes).next().is_some()
     }
 
@@ -104,7 +104,7 @@
     /// Of the allowed regions the one of the greatest weight is taken, and weights depend on
     /// the program and the region alone: when a region leaves the set, only its own programs
     /// move; when one joins, only those move that it takes.
-    pub fn keeper(&self, program: &str, homes: &Set) -> Option<u32> {
+    pub fn keeper(&self, program: &str, homes: &RegionSet) -> Option<u32> {
         if homes.is_all() {
             return None;
         }
@@ -119,7 +119,7 @@
         Some(first + partition_of(program, self.per_region))
     }
 
-    fn allowed<'a>(&'a self, homes: &'a Set) -> impl Iterator<Item = (usize, &'a Rc<str>)> {
+    fn allowed<'a>(&'a self, homes: &'a RegionSet) -> impl Iterator<Item = (usize, &'a Rc<str>)> {
         let regions = self.regions.iter().enumerate();
         regions.filter(|(_, name)| homes.contains(Some(name)))
     }
--- a/crates/ledger/tests/layout.rs
+++ b/crates/ledger/tests/layout.rs
@@ -2,7 +2,7 @@
 
 use fieldhook_ledger::layout::Layout;
 use fieldhook_ledger::partition_of;
-use fieldhook_topology::region::Set;
+use fieldhook_topology::region::RegionSet;
 use fieldhook_topology::zone::Map;
 use quickcheck::{Gen, QuickCheck};
 
@@ -24,15 +24,15 @@
 }
 
 /// A subset of the names, by the bits of a number; some may not be regions of the map.
-fn homes(bits: u8) -> Set {
+fn homes(bits: u8) -> RegionSet {
     let chosen = NAMES
         .iter()
         .enumerate()
         .filter(|(index, _)| bits & (1 << index) != 0);
     let names: Vec<&str> = chosen.map(|(_, name)| *name).collect();
     match names.is_empty() {
-        true => Set::of(["nowhere"]),
-        false => Set::of(names),
+        true => RegionSet::from_names(["nowhere"]),
+        false => RegionSet::from_names(names),
     }
 }
 
@@ -91,9 +91,9 @@
     let layout = Layout::new(8, &map(3));
     for number in 0..PROGRAMS {
         let program = format!("p{number}");
-        assert_eq!(layout.keeper(&program, &Set::All), None);
+        assert_eq!(layout.keeper(&program, &RegionSet::All), None);
         assert_eq!(layout.order(&program), partition_of(&program, 8));
-        assert!(layout.may_keep(layout.order(&program), &Set::All));
+        assert!(layout.may_keep(layout.order(&program), &RegionSet::All));
         assert!(!layout.may_keep(layout.order(&program), &homes(1)));
     }
     assert_eq!(Layout::new(8, &Map::default()).count(), 8);
@@ -119,7 +119,7 @@
 #[test]
 fn programs_spread_over_all_allowed_regions() {
     let layout = Layout::new(8, &map(4));
-    let homes = Set::of(["ash", "elm"]);
+    let homes = RegionSet::from_names(["ash", "elm"]);
     for region in ["ash", "elm"] {
         let kept = (0..PROGRAMS).filter(|number| {
             let partition = layout.keeper(&format!("p{number}"), &homes);
--- a/crates/topology/src/region.rs
+++ b/crates/topology/src/region.rs
@@ -6,7 +6,7 @@
 
 /// Regions that requests may be served in and their data kept in.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub enum Set {
+pub enum RegionSet {
     /// Any region.
     #[default]
     All,
@@ -14,9 +14,9 @@
     Only(BTreeSet<Rc<str>>),
 }
 
-impl Set {
+impl RegionSet {
     /// The set of these regions; an empty list binds nothing.
-    pub fn of<'a>(regions: impl IntoIterator<Item = &'a str>) -> Self {
+    pub fn from_names<'a>(regions: impl IntoIterator<Item = &'a str>) -> Self {
         let regions: BTreeSet<Rc<str>> = regions.into_iter().map(Rc::from).collect();
         match regions.is_empty() {
             true => Self::All,
@@ -25,7 +25,7 @@
     }
 
     /// What both sets hold: a route's and a tenant's bind together.
-    pub fn and(&self, other: &Self) -> Self {
+    pub fn intersection(&self, other: &Self) -> Self {
         match (self, other) {
             (Self::All, set) | (set, Self::All) => set.clone(),
             (Self::Only(left), Self::Only(right)) => {
@@ -44,7 +44,7 @@
         matches!(self, Self::Only(regions) if regions.is_empty())
     }
 
-    /// Whether a region belongs to it; one that was not told belongs to [`Set::All`] alone.
+    /// Whether a region belongs to it; one that was not told belongs to [`RegionSet::All`] alone.
     pub fn contains(&self, region: Option<&str>) -> bool {
         match self {
             Self::All => true,
@@ -61,7 +61,7 @@
     }
 }
 
-impl fmt::Display for Set {
+impl fmt::Display for RegionSet {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::All => write!(formatter, "all"),
--- a/crates/topology/src/zone_rule.rs
+++ b/crates/topology/src/zone_rule.rs
@@ -1,7 +1,7 @@
 //! Which places may serve a request or hold its data, and in which order.
 
 use crate::evacuation::Evacuations;
-use crate::region::Set;
+use crate::region::RegionSet;
 use crate::zone::{Distance, Map};
 use std::fmt;
 
@@ -33,7 +33,7 @@
     /// Evacuations that are evacuated.
     pub evacuations: &'a Evacuations,
     /// Regions that its route and its tenant allow, both together.
-    pub allowed_regions: &'a Set,
+    pub allowed_regions: &'a RegionSet,
     /// Zone that it is served from.
     pub from_zone: &'a str,
 }
--- a/crates/topology/tests/zones.rs
+++ b/crates/topology/tests/zones.rs
@@ -1,7 +1,7 @@
 //! Places: distances, sets of regions, evacuations by revision.
 
 use fieldhook_topology::evacuation::{Evacuations, State};
-use fieldhook_topology::region::Set;
+use fieldhook_topology::region::RegionSet;
 use fieldhook_topology::zone::{Distance, Map};
 use fieldhook_topology::zone_rule::{Denial, ZoneRule};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -26,21 +26,21 @@
 
 #[test]
 fn sets_of_regions_bind_together() {
-    let both = Set::of(["a", "b"]);
-    let one = Set::of(["b", "c"]);
-    assert_eq!(both.and(&one), Set::of(["b"]));
-    assert_eq!(both.and(&Set::All), both);
-    assert!(Set::of([]).is_all());
-    let none = Set::of(["a"]).and(&Set::of(["b"]));
+    let both = RegionSet::from_names(["a", "b"]);
+    let one = RegionSet::from_names(["b", "c"]);
+    assert_eq!(both.intersection(&one), RegionSet::from_names(["b"]));
+    assert_eq!(both.intersection(&RegionSet::All), both);
+    assert!(RegionSet::from_names([]).is_all());
+    let none = RegionSet::from_names(["a"]).intersection(&RegionSet::from_names(["b"]));
     assert!(none.is_empty() && !none.contains(Some("a")) && !none.contains(None));
-    assert!(Set::All.contains(None));
+    assert!(RegionSet::All.contains(None));
     assert!(!both.contains(None));
 }
 
 #[test]
 fn a_closed_zone_serves_nothing_and_keeps_what_it_has() {
     let map = map();
-    let homes = Set::of(["a"]);
+    let homes = RegionSet::from_names(["a"]);
     let mut evacuations = Evacuations::default();
     assert!(evacuations.apply("a2", State::Evacuated, 5, 100));
     let rule = ZoneRule {
--- a/crates/traffic/src/homes.rs
+++ b/crates/traffic/src/homes.rs
@@ -3,16 +3,16 @@
 
 use crate::config::{Route, TrafficConfig};
 use crate::tenants::Tenant;
-use fieldhook_topology::region::Set;
+use fieldhook_topology::region::RegionSet;
 use fieldhook_topology::zone::Map;
 use std::collections::BTreeSet;
 use std::fmt;
 use std::rc::Rc;
 
 /// The regions that a request may be served in and its data kept in.
-pub fn of(route: &Route, tenant: Option<&Tenant>) -> Set {
+pub fn of(route: &Route, tenant: Option<&Tenant>) -> RegionSet {
     match tenant {
-        Some(tenant) => route.homes.and(&tenant.homes),
+        Some(tenant) => route.homes.intersection(&tenant.homes),
         None => route.homes.clone(),
     }
 }
@@ -57,7 +57,7 @@
 pub fn regions(config: &TrafficConfig) -> BTreeSet<Rc<str>> {
     let routes = config.routes.iter().map(|route| &route.homes);
     let tenants = config.tenants.iter().flatten().map(|tenant| &tenant.homes);
-    let named = routes.chain(tenants).filter_map(Set::names).flatten();
+    let named = routes.chain(tenants).filter_map(RegionSet::names).flatten();
     named.cloned().collect()
 }
 
@@ -102,7 +102,10 @@
     !tenant.homes.is_all()
 }
 
-fn unknown<'a>(homes: &'a Set, known: &'a BTreeSet<Rc<str>>) -> impl Iterator<Item = Fault> + 'a {
+fn unknown<'a>(
+    homes: &'a RegionSet,
+    known: &'a BTreeSet<Rc<str>>,
+) -> impl Iterator<Item = Fault> + 'a {
     let names = homes.names().into_iter().flatten();
     names
         .filter(|name| !known.contains(*name))
--- a/crates/traffic/tests/homes.rs
+++ b/crates/traffic/tests/homes.rs
@@ -1,13 +1,13 @@
 //! Homes of routes and tenants, both together, and what is wrong with them.
 
-use fieldhook_topology::region::Set;
+use fieldhook_topology::region::RegionSet;
 use fieldhook_topology::zone::Map;
 use fieldhook_traffic::config::{Route, RouteKind, TrafficConfig};
 use fieldhook_traffic::homes::{self, Fault};
 use fieldhook_traffic::tenants::Tenant;
 use std::rc::Rc;
 
-fn route(name: &str, homes: Set) -> Route {
+fn route(name: &str, homes: RegionSet) -> Route {
     Route {
         name: name.to_owned(),
         host: "test.example".to_owned(),
@@ -25,7 +25,7 @@
     }
 }
 
-fn tenant(name: &str, homes: Set) -> Tenant {
+fn tenant(name: &str, homes: RegionSet) -> Tenant {
     Tenant {
         name: Rc::from(name),
         keys: Vec::new(),
@@ -40,23 +40,26 @@
     let map = Map::new([("a1", "a"), ("b1", "b")]);
     let config = TrafficConfig {
         routes: vec![
-            route("anywhere", Set::All),
-            route("north", Set::of(["a"])),
-            route("typo", Set::of(["b", "bb"])),
+            route("anywhere", RegionSet::All),
+            route("north", RegionSet::from_names(["a"])),
+            route("typo", RegionSet::from_names(["b", "bb"])),
         ],
         tenants: Some(vec![
-            tenant("free", Set::All),
-            tenant("red", Set::of(["b"])),
-            tenant("lost", Set::of(["x"])),
+            tenant("free", RegionSet::All),
+            tenant("red", RegionSet::from_names(["b"])),
+            tenant("lost", RegionSet::from_names(["x"])),
         ]),
         ..TrafficConfig::default()
     };
     let tenants = config.tenants.as_deref().expect("tenants");
     assert_eq!(
         homes::of(&config.routes[0], Some(&tenants[1])),
-        Set::of(["b"])
+        RegionSet::from_names(["b"])
+    );
+    assert_eq!(
+        homes::of(&config.routes[1], None),
+        RegionSet::from_names(["a"])
     );
-    assert_eq!(homes::of(&config.routes[1], None), Set::of(["a"]));
     assert!(homes::of(&config.routes[1], Some(&tenants[1])).is_empty());
     let regions: Vec<Rc<str>> = homes::regions(&config).into_iter().collect();
     assert_eq!(regions, ["a", "b", "bb", "x"].map(Rc::from));
@@ -82,8 +85,8 @@
 #[test]
 fn no_homes_are_no_fault() {
     let config = TrafficConfig {
-        routes: vec![route("anywhere", Set::All)],
-        tenants: Some(vec![tenant("free", Set::All)]),
+        routes: vec![route("anywhere", RegionSet::All)],
+        tenants: Some(vec![tenant("free", RegionSet::All)]),
         ..TrafficConfig::default()
     };
     assert!(homes::problems(&config, &Map::default()).is_empty());
