--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,7 +1,7 @@
 //! What a daemon is told at its start.
 
 use fieldhook_log::patience::Capacity;
-use fieldhook_topology::zone::Map;
+use fieldhook_topology::zone::ZoneMap;
 use std::net::SocketAddr;
 
 /// How limits of tenants are judged, as the operator's sheet says.
@@ -112,7 +112,7 @@
     /// Zone that it stands in.
     pub zone: String,
     /// The zones of the deployment with their regions.
-    pub zones: Map,
+    pub zones: ZoneMap,
     /// What the sheet bounds.
     pub bounds: Bounds,
     /// Where clients connect.
--- a/crates/gateway/tests/gateway/homes.rs
+++ b/crates/gateway/tests/gateway/homes.rs
@@ -6,7 +6,7 @@
 use fieldhook_log::api::{Append, LogStore, Partition};
 use fieldhook_log::ownership::Ownership;
 use fieldhook_topology::region::RegionSet;
-use fieldhook_topology::zone::Map;
+use fieldhook_topology::zone::ZoneMap;
 use fieldhook_traffic::config::TrafficConfig;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,8 +23,8 @@
     Act::Events(vec!["one".to_owned()], None)
 }
 
-fn map() -> Map {
-    Map::new([
+fn map() -> ZoneMap {
+    ZoneMap::new([
         ("a1", "a"),
         ("a2", "a"),
         ("b1", "b"),
--- a/crates/gateway/tests/gateway/reserved_at_home.rs
+++ b/crates/gateway/tests/gateway/reserved_at_home.rs
@@ -16,7 +16,7 @@
 use fieldhook_ledger::record::Record;
 use fieldhook_log::api::Partition as Place;
 use fieldhook_topology::region::RegionSet;
-use fieldhook_topology::zone::Map;
+use fieldhook_topology::zone::ZoneMap;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::sleep;
 
@@ -71,7 +71,7 @@
 async fn next_turn_after_a_loss(homes: RegionSet) -> OpenOutcome {
     let world = World::new().await;
     world.partitions.set(FREE);
-    *world.zones.borrow_mut() = Map::new([("a1", "a"), ("b1", "b")]);
+    *world.zones.borrow_mut() = ZoneMap::new([("a1", "a"), ("b1", "b")]);
     let mut first = config(1);
     for route in &mut first.routes {
         route.homes = homes.clone();
--- a/crates/gateway/tests/gateway/support/world.rs
+++ b/crates/gateway/tests/gateway/support/world.rs
@@ -17,7 +17,7 @@
 use fieldhook_log::ownership::Ownership;
 use fieldhook_log::patience::Capacity;
 use fieldhook_topology::region;
-use fieldhook_topology::zone::Map;
+use fieldhook_topology::zone::ZoneMap;
 use fieldhook_traffic::config::{
     Limits, Route, RouteKind, Service, TrafficConfig, WeightedService,
 };
@@ -58,7 +58,7 @@
     /// Taken by the gateways that start from then on.
     pub revocation_ms: Cell<Option<u64>>,
     /// The same.
-    pub zones: RefCell<Map>,
+    pub zones: RefCell<ZoneMap>,
     /// The same.
     pub bounds: Cell<Bounds>,
     /// The same.
--- a/crates/ledger/src/layout.rs
+++ b/crates/ledger/src/layout.rs
@@ -8,7 +8,7 @@
 
 use crate::partition_of;
 use fieldhook_topology::region::RegionSet;
-use fieldhook_topology::zone::Map;
+use fieldhook_topology::zone::ZoneMap;
 use std::rc::Rc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -35,7 +35,7 @@
 
 impl Layout {
     /// The layout of topics of so many partitions over the regions of a map.
-    pub fn new(partitions: u32, map: &Map) -> Self {
+    pub fn new(partitions: u32, map: &ZoneMap) -> Self {
         let free = partitions.max(1);
         Self {
             free,
--- a/crates/ledger/tests/layout.rs
+++ b/crates/ledger/tests/layout.rs
@@ -3,13 +3,13 @@
 use fieldhook_ledger::layout::Layout;
 use fieldhook_ledger::partition_of;
 use fieldhook_topology::region::RegionSet;
-use fieldhook_topology::zone::Map;
+use fieldhook_topology::zone::ZoneMap;
 use quickcheck::{Gen, QuickCheck};
 
 const NAMES: [&str; 6] = ["ash", "birch", "cedar", "elm", "fir", "oak"];
 const PROGRAMS: u32 = 300;
 
-fn map(regions: usize) -> Map {
+fn map(regions: usize) -> ZoneMap {
     let zones: Vec<(String, &str)> = NAMES
         .iter()
         .take(regions)
@@ -20,7 +20,7 @@
             ]
         })
         .collect();
-    Map::new(zones.iter().map(|(zone, region)| (zone.as_str(), *region)))
+    ZoneMap::new(zones.iter().map(|(zone, region)| (zone.as_str(), *region)))
 }
 
 /// A subset of the names, by the bits of a number; some may not be regions of the map.
@@ -96,7 +96,7 @@
         assert!(layout.may_keep(layout.order(&program), &RegionSet::All));
         assert!(!layout.may_keep(layout.order(&program), &homes(1)));
     }
-    assert_eq!(Layout::new(8, &Map::default()).count(), 8);
+    assert_eq!(Layout::new(8, &ZoneMap::default()).count(), 8);
 }
 
 #[test]
--- a/crates/topology/src/zone.rs
+++ b/crates/topology/src/zone.rs
@@ -16,11 +16,11 @@
 
 /// The zones of a deployment, as the settings tell them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Map {
+pub struct ZoneMap {
     regions: BTreeMap<Rc<str>, Rc<str>>,
 }
 
-impl Map {
+impl ZoneMap {
     /// A map of pairs of a zone and its region.
     pub fn new<'a>(pairs: impl IntoIterator<Item = (&'a str, &'a str)>) -> Self {
         let pairs = pairs.into_iter();
--- a/crates/topology/src/zone_rule.rs
+++ b/crates/topology/src/zone_rule.rs
@@ -2,7 +2,7 @@
 
 use crate::evacuation::Evacuations;
 use crate::region::RegionSet;
-use crate::zone::{Distance, Map};
+use crate::zone::{Distance, ZoneMap};
 use std::fmt;
 
 /// Why a place may not serve a request.
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ZoneRule<'a> {
     /// The zones of the deployment.
-    pub map: &'a Map,
+    pub map: &'a ZoneMap,
     /// Evacuations that are evacuated.
     pub evacuations: &'a Evacuations,
     /// Regions that its route and its tenant allow, both together.
--- a/crates/topology/tests/zones.rs
+++ b/crates/topology/tests/zones.rs
@@ -2,13 +2,13 @@
 
 use fieldhook_topology::evacuation::{Evacuations, State};
 use fieldhook_topology::region::RegionSet;
-use fieldhook_topology::zone::{Distance, Map};
+use fieldhook_topology::zone::{Distance, ZoneMap};
 use fieldhook_topology::zone_rule::{Denial, ZoneRule};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeMap;
 
-fn map() -> Map {
-    Map::new([("a1", "a"), ("a2", "a"), ("b1", "b")])
+fn map() -> ZoneMap {
+    ZoneMap::new([("a1", "a"), ("a2", "a"), ("b1", "b")])
 }
 
 #[test]
@@ -20,7 +20,7 @@
     assert_eq!(map.distance("a1", "unknown"), Distance::OtherRegion);
     assert!(Distance::SameZone < Distance::SameRegion);
     assert!(Distance::SameRegion < Distance::OtherRegion);
-    let untold = Map::default();
+    let untold = ZoneMap::default();
     assert_eq!(untold.distance("x", "y"), Distance::SameRegion);
 }
 
--- a/crates/traffic/src/homes.rs
+++ b/crates/traffic/src/homes.rs
@@ -4,7 +4,7 @@
 use crate::config::{Route, TrafficConfig};
 use crate::tenants::Tenant;
 use fieldhook_topology::region::RegionSet;
-use fieldhook_topology::zone::Map;
+use fieldhook_topology::zone::ZoneMap;
 use std::collections::BTreeSet;
 use std::fmt;
 use std::rc::Rc;
@@ -62,7 +62,7 @@
 }
 
 /// What is wrong with the homes of a configuration in a deployment.
-pub fn problems(config: &TrafficConfig, map: &Map) -> Vec<Problem> {
+pub fn problems(config: &TrafficConfig, map: &ZoneMap) -> Vec<Problem> {
     let known: BTreeSet<Rc<str>> = map.regions().into_iter().collect();
     let routes: Vec<&Route> = config.routes.iter().filter(bounded_route).collect();
     let tenants: Vec<&Tenant> = config.tenants.iter().flatten().filter(bounded).collect();
--- a/crates/traffic/tests/homes.rs
+++ b/crates/traffic/tests/homes.rs
@@ -1,7 +1,7 @@
 //! Homes of routes and tenants, both together, and what is wrong with them.
 
 use fieldhook_topology::region::RegionSet;
-use fieldhook_topology::zone::Map;
+use fieldhook_topology::zone::ZoneMap;
 use fieldhook_traffic::config::{Route, RouteKind, TrafficConfig};
 use fieldhook_traffic::homes::{self, Fault};
 use fieldhook_traffic::tenants::Tenant;
@@ -37,7 +37,7 @@
 
 #[test]
 fn both_bind_and_each_fault_names_whose_it_is() {
-    let map = Map::new([("a1", "a"), ("b1", "b")]);
+    let map = ZoneMap::new([("a1", "a"), ("b1", "b")]);
     let config = TrafficConfig {
         routes: vec![
             route("anywhere", RegionSet::All),
@@ -89,6 +89,6 @@
         tenants: Some(vec![tenant("free", RegionSet::All)]),
         ..TrafficConfig::default()
     };
-    assert!(homes::problems(&config, &Map::default()).is_empty());
+    assert!(homes::problems(&config, &ZoneMap::default()).is_empty());
     assert!(homes::regions(&config).is_empty());
 }
