--- a/crates/gateway/src/serve/retry.rs
+++ b/crates/gateway/src/serve/retry.rs
@@ -6,7 +6,7 @@
 use super::cold;
 use super::homes;
 use super::request::{RETRY_LATER_MS, RETRY_SOON_MS, RequestContext};
-use fieldhook_traffic::attempt::{Attempts, NextStep, Time};
+use fieldhook_traffic::attempt::{Attempts, NextStep, TimeLeft};
 use fieldhook_traffic::tenants::Denial;
 use std::time::Duration;
 use tokio::time::sleep;
@@ -40,7 +40,7 @@
     /// How long the next attempt is waited for, where another could follow it.
     pub fn patience(&self, context: &RequestContext) -> Option<Duration> {
         let route = &context.entry.route;
-        if !self.counted.allow_another(route.kind, route.max_attempts) {
+        if !self.counted.allows_another(route.kind, route.max_attempts) {
             return None;
         }
         let left = Duration::from_millis(context.left_ms());
@@ -73,7 +73,7 @@
             }
             DispatchFailure::Cold { .. } => {
                 self.counted
-                    .without_server(route.kind, route.max_attempts, time)
+                    .on_no_server(route.kind, route.max_attempts, time)
             }
             DispatchFailure::Evacuated | DispatchFailure::Uncertain => {
                 return Err(self.not_now(failure));
@@ -85,12 +85,12 @@
             }
             DispatchFailure::NoServer => {
                 self.counted
-                    .without_server(route.kind, route.max_attempts, time)
+                    .on_no_server(route.kind, route.max_attempts, time)
             }
             DispatchFailure::Attempt(failure) => {
                 self.tried.note(failure);
                 self.counted
-                    .after(route.kind, route.max_attempts, failure, time)
+                    .on_failure(route.kind, route.max_attempts, failure, time)
             }
         };
         match next {
@@ -187,10 +187,10 @@
     }
 }
 
-fn time_of(context: &RequestContext) -> Time {
+fn time_of(context: &RequestContext) -> TimeLeft {
     let allowed = context.deadline - context.started;
-    Time {
-        for_attempt: context.left_ms() > LEAST_TIME_MS,
-        for_wait: context.started.elapsed() < allowed / WAIT_DIVISOR,
+    TimeLeft {
+        enough_for_attempt: context.left_ms() > LEAST_TIME_MS,
+        enough_for_wait: context.started.elapsed() < allowed / WAIT_DIVISOR,
     }
 }
--- a/crates/traffic/src/attempt.rs
+++ b/crates/traffic/src/attempt.rs
@@ -49,27 +49,27 @@
 
 /// What the time of a request still allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Time {
+pub struct TimeLeft {
     /// Another attempt could still be answered.
-    pub for_attempt: bool,
+    pub enough_for_attempt: bool,
     /// A wait for a place would leave enough for the answer.
-    pub for_wait: bool,
+    pub enough_for_wait: bool,
 }
 
 impl Attempts {
     /// Counts a failed attempt and says what follows.
-    pub fn after(
+    pub fn on_failure(
         &mut self,
         kind: RouteKind,
         max_attempts: u32,
         failure: AttemptFailure,
-        time: Time,
+        time: TimeLeft,
     ) -> NextStep {
         match failure {
             AttemptFailure::MayHaveRun => self.may_have_run += 1,
             AttemptFailure::NotSent | AttemptFailure::NotRun => self.not_run += 1,
         }
-        if !self.may_repeat(kind, max_attempts) || !time.for_attempt {
+        if !self.may_repeat(kind, max_attempts) || !time.enough_for_attempt {
             return self.give_up();
         }
         match self.not_run < MOST_NOT_RUN {
@@ -79,7 +79,7 @@
     }
 
     /// Says what follows where no server is left to try.
-    pub fn without_server(&mut self, kind: RouteKind, max_attempts: u32, time: Time) -> NextStep {
+    pub fn on_no_server(&mut self, kind: RouteKind, max_attempts: u32, time: TimeLeft) -> NextStep {
         match self.may_repeat(kind, max_attempts) {
             true => self.wait(time),
             false => self.give_up(),
@@ -88,8 +88,8 @@
 
     /// A place that comes free soon serves the client better than a refusal: it would
     /// come back for the same place, and a program ends with a call that fails.
-    fn wait(&mut self, time: Time) -> NextStep {
-        if !time.for_wait || self.waits >= MOST_WAITS {
+    fn wait(&mut self, time: TimeLeft) -> NextStep {
+        if !time.enough_for_wait || self.waits >= MOST_WAITS {
             return self.give_up();
         }
         let pause_ms = FIRST_WAIT_MS << self.waits.min(8);
@@ -108,7 +108,7 @@
     }
 
     /// Whether an attempt that may have run, the one under way, could be followed by another.
-    pub fn allow_another(&self, kind: RouteKind, max_attempts: u32) -> bool {
+    pub fn allows_another(&self, kind: RouteKind, max_attempts: u32) -> bool {
         kind.repeatable() && self.may_have_run + 1 < max_attempts
     }
 
--- a/crates/traffic/tests/attempts.rs
+++ b/crates/traffic/tests/attempts.rs
@@ -1,6 +1,6 @@
 //! What may follow a failed attempt, against a plain oracle.
 
-use fieldhook_traffic::attempt::{AttemptFailure, Attempts, NextStep, Time};
+use fieldhook_traffic::attempt::{AttemptFailure, Attempts, NextStep, TimeLeft};
 use fieldhook_traffic::config::RouteKind;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
@@ -25,15 +25,15 @@
     RouteKind::Stream { resumable: true },
 ];
 
-const AMPLE: Time = Time {
-    for_attempt: true,
-    for_wait: true,
+const AMPLE: TimeLeft = TimeLeft {
+    enough_for_attempt: true,
+    enough_for_wait: true,
 };
 
 fn holds(failures: Vec<Failure>, kind: usize, most: u8, for_attempt: bool) -> bool {
-    let time = Time {
-        for_attempt,
-        for_wait: most.is_multiple_of(2),
+    let time = TimeLeft {
+        enough_for_attempt: for_attempt,
+        enough_for_wait: most.is_multiple_of(2),
     };
     let kind = KINDS[kind % KINDS.len()];
     let most = u32::from(most % 5);
@@ -41,8 +41,8 @@
     let mut ran = 0;
     for Failure(failure) in failures {
         ran += u32::from(failure == AttemptFailure::MayHaveRun);
-        match attempts.after(kind, most, failure, time) {
-            NextStep::Wait(_) if !time.for_wait => return false,
+        match attempts.on_failure(kind, most, failure, time) {
+            NextStep::Wait(_) if !time.enough_for_wait => return false,
             NextStep::Retry | NextStep::Wait(_) => {
                 let at_most_once = ran == 0 || kind.repeatable();
                 let within_attempts = ran < most.max(1);
@@ -71,7 +71,8 @@
     let mut attempts = Attempts::default();
     let asked = (0..100)
         .take_while(|_| {
-            attempts.after(RouteKind::Safe, 3, AttemptFailure::NotRun, AMPLE) == NextStep::Retry
+            attempts.on_failure(RouteKind::Safe, 3, AttemptFailure::NotRun, AMPLE)
+                == NextStep::Retry
         })
         .count();
     assert!(asked < 10, "asked {asked} times");
@@ -84,7 +85,7 @@
     let (mut asked, mut waited_ms, mut last) = (0, 0, 0);
     loop {
         asked += 1;
-        match attempts.after(RouteKind::Unsafe, 1, AttemptFailure::NotRun, AMPLE) {
+        match attempts.on_failure(RouteKind::Unsafe, 1, AttemptFailure::NotRun, AMPLE) {
             NextStep::Retry => {}
             NextStep::Wait(pause_ms) => {
                 assert!(pause_ms >= last, "{pause_ms} after {last}");
@@ -103,18 +104,18 @@
 
 #[test]
 fn without_time_to_wait_a_full_service_is_a_refusal() {
-    let time = Time {
-        for_attempt: true,
-        for_wait: false,
+    let time = TimeLeft {
+        enough_for_attempt: true,
+        enough_for_wait: false,
     };
     let mut attempts = Attempts::default();
     assert_eq!(
-        attempts.without_server(RouteKind::Unsafe, 1, time),
+        attempts.on_no_server(RouteKind::Unsafe, 1, time),
         NextStep::Refuse
     );
     attempts.may_have_run = 1;
     assert_eq!(
-        attempts.without_server(RouteKind::Unsafe, 1, AMPLE),
+        attempts.on_no_server(RouteKind::Unsafe, 1, AMPLE),
         NextStep::BadGateway
     );
 }
