--- a/crates/gateway/src/serve/choice.rs
+++ b/crates/gateway/src/serve/choice.rs
@@ -75,8 +75,8 @@
             .map
             .distance(&daemon.settings.zone, &server.zone),
         in_flight: view.in_flight,
-        avoided: view.avoided,
-        unsound: view.unsound,
+        is_in_backoff: view.avoided,
+        is_unhealthy: view.unsound,
         is_cold,
         has_idle_connection: view.has_idle_connection,
     })
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -88,8 +88,8 @@
         let known = servers.get(id);
         let view = known.map_or_else(ServerView::default, |state| ServerView {
             in_flight: state.in_flight,
-            avoided: state.health.avoided(now_ms),
-            unsound: state.health.unsound(),
+            avoided: state.health.is_in_backoff(now_ms),
+            unsound: state.health.is_unhealthy(),
             has_idle_connection: !state.idle.is_empty(),
         });
         ServerView {
--- a/crates/traffic/src/balance.rs
+++ b/crates/traffic/src/balance.rs
@@ -18,9 +18,9 @@
     /// Requests of this gateway that it works on.
     pub in_flight: u32,
     /// It failed or refused a moment ago.
-    pub avoided: bool,
+    pub is_in_backoff: bool,
     /// It failed last time.
-    pub unsound: bool,
+    pub is_unhealthy: bool,
     /// It bears only a few requests.
     pub is_cold: bool,
     /// An open connection waits for use.
@@ -57,14 +57,14 @@
     let fresh = |index: &usize| !request.tried.contains(&candidates[*index].server.id);
     let sound: Vec<usize> = (0..candidates.len())
         .filter(fresh)
-        .filter(|index| !candidates[*index].avoided && !candidates[*index].unsound)
+        .filter(|index| !candidates[*index].is_in_backoff && !candidates[*index].is_unhealthy)
         .collect();
     if let Some(index) = pick_sound(candidates, &sound, request, random) {
         return Some(index);
     }
     let resting: Vec<usize> = (0..candidates.len())
         .filter(fresh)
-        .filter(|index| !candidates[*index].avoided)
+        .filter(|index| !candidates[*index].is_in_backoff)
         .collect();
     if let Some(index) = pick(candidates, &resting, request, random) {
         return Some(index);
--- a/crates/traffic/src/health.rs
+++ b/crates/traffic/src/health.rs
@@ -48,12 +48,12 @@
     }
 
     /// Whether the server should be passed over now.
-    pub fn avoided(&self, now_ms: u64) -> bool {
+    pub fn is_in_backoff(&self, now_ms: u64) -> bool {
         now_ms < self.avoid_until_ms
     }
 
     /// Whether its last answers failed.
-    pub fn unsound(&self) -> bool {
+    pub fn is_unhealthy(&self) -> bool {
         self.failures >= UNSOUND_FROM
     }
 }
--- a/crates/traffic/tests/servers.rs
+++ b/crates/traffic/tests/servers.rs
@@ -28,8 +28,8 @@
         server,
         distance,
         in_flight: 0,
-        avoided: false,
-        unsound: false,
+        is_in_backoff: false,
+        is_unhealthy: false,
         is_cold: false,
         has_idle_connection: true,
     }
@@ -78,7 +78,7 @@
 fn failing_and_tried_servers_come_last() {
     let (a, b) = (server("a", "z1"), server("b", "z1"));
     let mut candidates = vec![candidate(&a), candidate(&b)];
-    candidates[0].avoided = true;
+    candidates[0].is_in_backoff = true;
     assert_eq!(choose(&candidates, &request(None, &[]), 7), Some(1));
     let tried = vec!["b".to_owned()];
     assert_eq!(choose(&candidates, &request(None, &tried), 7), Some(0));
@@ -205,19 +205,19 @@
 fn pauses_grow_with_failures_and_end_with_an_answer() {
     let mut health = Health::default();
     health.observe(0, Observation::Failed);
-    assert!(health.avoided(100) && !health.avoided(400));
+    assert!(health.is_in_backoff(100) && !health.is_in_backoff(400));
     health.observe(400, Observation::Failed);
-    assert!(health.avoided(900));
+    assert!(health.is_in_backoff(900));
     health.observe(1_500, Observation::Answered);
-    assert!(!health.avoided(1_500) && !health.unsound());
+    assert!(!health.is_in_backoff(1_500) && !health.is_unhealthy());
 }
 
 #[test]
 fn a_stale_connection_is_not_held_against_its_server() {
     let mut health = Health::default();
     health.observe(100, Observation::Stale);
-    assert!(!health.avoided(101));
-    assert!(!health.unsound());
+    assert!(!health.is_in_backoff(101));
+    assert!(!health.is_unhealthy());
 }
 
 #[test]
