--- a/crates/gateway/src/serve/answer_times.rs
+++ b/crates/gateway/src/serve/answer_times.rs
@@ -1,7 +1,7 @@
 //! How long answers take, by route: what is overdue is learned from what came.
 
 use fieldhook_log::round_trip::RoundTrip;
-use fieldhook_traffic::overdue;
+use fieldhook_traffic::attempt_timeout;
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -37,7 +37,7 @@
 
     /// How long an attempt is waited for, if it should be given up for another at all.
     pub fn wait(&self, route: &str, left: Duration) -> Option<Duration> {
-        overdue::wait(self.overdue_after(route), left)
+        attempt_timeout::attempt_timeout(self.overdue_after(route), left)
     }
 
     /// Forgets routes that `known` does not name.
--- a/crates/traffic/src/overdue.rs
+++ b/crates/traffic/src/attempt_timeout.rs
@@ -16,7 +16,7 @@
 /// The wait for an answer, after which the attempt is given up for another one; `None` where
 /// another could not be expected to end in time. `usual` is the time after which answers of
 /// this kind were late so far.
-pub fn wait(usual: Duration, left: Duration) -> Option<Duration> {
+pub fn attempt_timeout(usual: Duration, left: Duration) -> Option<Duration> {
     let wait = usual.max(left / EARLIEST_DIVISOR);
     (wait <= left / LATEST_DIVISOR).then_some(wait)
 }
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -20,12 +20,13 @@
 //! - [`candidates`]: which servers are weighed for a request.
 //! - [`balance`]: choosing a server for one attempt.
 //! - [`wait`]: waiting for a place that comes free at a known time.
-//! - [`overdue`]: how long an attempt is waited for.
+//! - [`attempt_timeout`]: how long an attempt is waited for.
 //! - [`attempt`]: what may follow a failed attempt.
 //! - [`retry_budget`]: how many attempts a daemon may repeat over all its requests.
 
 pub mod assignment;
 pub mod attempt;
+pub mod attempt_timeout;
 pub mod balance;
 pub mod candidates;
 pub mod cold;
@@ -34,7 +35,6 @@
 pub mod groups;
 pub mod health;
 pub mod homes;
-pub mod overdue;
 pub mod quota;
 pub mod rest;
 pub mod retry_budget;
