--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -4,7 +4,7 @@
 use crate::metrics::Metrics;
 use fieldhook_traffic::directory::ServerEntry;
 use fieldhook_traffic::health::{Health, Observation};
-use fieldhook_traffic::rest::Rest;
+use fieldhook_traffic::idle_limit::IdleLimit;
 use fieldhook_traffic::silence::Silence;
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -27,7 +27,7 @@
     idle: Vec<ServerConnection>,
     in_flight: u32,
     health: Health,
-    rest: Rest,
+    rest: IdleLimit,
     /// When its machine answered a try last.
     answered_try: Option<Instant>,
 }
@@ -166,7 +166,7 @@
     pub fn was_stale(&self, id: &str, now_ms: u64, rested: Duration) {
         let mut servers = self.servers.borrow_mut();
         let state = servers.entry(id.to_owned()).or_default();
-        state.rest.was_too_long(now_ms, rested.as_millis() as u64);
+        state.rest.record_stale(now_ms, rested.as_millis() as u64);
     }
 
     /// A connection for the next request: a new one where the server's machine is in doubt,
--- a/crates/traffic/src/rest.rs
+++ b/crates/traffic/src/idle_limit.rs
@@ -6,21 +6,21 @@
 
 /// A connection rests for this part of what was too long.
 const TOO_LONG_DIVISOR: u64 = 2;
-/// Rest that is always allowed, in milliseconds.
+/// IdleLimit that is always allowed, in milliseconds.
 const LEAST_MS: u64 = 40;
 /// What was learned holds for this long, in milliseconds.
 const REMEMBERED_MS: u64 = 10_000;
 
 /// What was learned of one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Rest {
+pub struct IdleLimit {
     limit_ms: Option<u64>,
     until_ms: u64,
 }
 
-impl Rest {
+impl IdleLimit {
     /// A connection that had rested this long was gone.
-    pub fn was_too_long(&mut self, now_ms: u64, rested_ms: u64) {
+    pub fn record_stale(&mut self, now_ms: u64, rested_ms: u64) {
         let limit_ms = (rested_ms / TOO_LONG_DIVISOR).max(LEAST_MS);
         let known = self.limit_ms(now_ms).unwrap_or(u64::MAX);
         self.limit_ms = Some(limit_ms.min(known));
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -13,7 +13,7 @@
 //! - [`cold`]: which servers bear only a few requests for now.
 //! - [`health`]: leaving a failing server alone and trying it again.
 //! - [`room`]: the memory that is spent on peers that are slow to read.
-//! - [`rest`]: how long an idle connection may rest.
+//! - [`idle_limit`]: how long an idle connection may rest.
 //! - [`groups`]: which engines the owner of a partition assigns.
 //! - [`assignment`]: the engine at which a program's turns run.
 //! - [`ring`]: servers in an order that all daemons know alike.
@@ -35,8 +35,8 @@
 pub mod groups;
 pub mod health;
 pub mod homes;
+pub mod idle_limit;
 pub mod quota;
-pub mod rest;
 pub mod retry_budget;
 pub mod ring;
 pub mod room;
--- a/crates/traffic/tests/servers.rs
+++ b/crates/traffic/tests/servers.rs
@@ -4,7 +4,7 @@
 use fieldhook_traffic::balance::{Candidate, Request, choose};
 use fieldhook_traffic::directory::{Directory, DirectoryChange, ServerEntry, identity};
 use fieldhook_traffic::health::{Health, Observation};
-use fieldhook_traffic::rest::Rest;
+use fieldhook_traffic::idle_limit::IdleLimit;
 
 fn server(id: &str, zone: &str) -> ServerEntry {
     ServerEntry {
@@ -222,15 +222,15 @@
 
 #[test]
 fn connections_rest_shorter_after_one_was_gone() {
-    let mut rest = Rest::default();
+    let mut rest = IdleLimit::default();
     assert_eq!(rest.limit_ms(0), None);
-    rest.was_too_long(1_000, 700);
+    rest.record_stale(1_000, 700);
     let first = rest.limit_ms(1_001).expect("learned");
     assert!(first < 700);
-    rest.was_too_long(1_100, 300);
+    rest.record_stale(1_100, 300);
     let second = rest.limit_ms(1_101).expect("learned");
     assert!(second < first);
-    rest.was_too_long(1_200, 5_000);
+    rest.record_stale(1_200, 5_000);
     assert_eq!(
         rest.limit_ms(1_201),
         Some(second),
