--- a/crates/gateway/src/serve/quota.rs
+++ b/crates/gateway/src/serve/quota.rs
@@ -5,8 +5,8 @@
 use crate::daemon::Daemon;
 use crate::ledger::quota::Outcome;
 use fieldhook_ledger::message::{QuotaMatter, QuotaQuestion};
+use fieldhook_traffic::quota_wait;
 use fieldhook_traffic::tenants::Limit;
-use fieldhook_traffic::wait;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::sleep;
@@ -126,10 +126,10 @@
     let route = &context.entry.route;
     if begins {
         let left_ms = route.target_ms.saturating_sub(context.age_ms());
-        return wait::patience(Duration::ZERO, Duration::from_millis(left_ms));
+        return quota_wait::max_wait(Duration::ZERO, Duration::from_millis(left_ms));
     }
     let answer = context.daemon.answer_times.overdue_after(&route.name);
-    wait::patience(answer, Duration::from_millis(context.left_ms()))
+    quota_wait::max_wait(answer, Duration::from_millis(context.left_ms()))
 }
 
 /// Name and limit of the tenant, with the version of the configuration that says so.
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -19,7 +19,7 @@
 //! - [`ring`]: servers in an order that all daemons know alike.
 //! - [`candidates`]: which servers are weighed for a request.
 //! - [`balance`]: choosing a server for one attempt.
-//! - [`wait`]: waiting for a place that comes free at a known time.
+//! - [`quota_wait`]: waiting for a place that comes free at a known time.
 //! - [`attempt_timeout`]: how long an attempt is waited for.
 //! - [`attempt`]: what may follow a failed attempt.
 //! - [`retry_budget`]: how many attempts a daemon may repeat over all its requests.
@@ -37,6 +37,7 @@
 pub mod homes;
 pub mod idle_limit;
 pub mod quota;
+pub mod quota_wait;
 pub mod retry_budget;
 pub mod ring;
 pub mod room;
@@ -45,5 +46,4 @@
 pub mod split;
 pub mod table;
 pub mod tenants;
-pub mod wait;
 pub mod window;
--- a/crates/traffic/src/wait.rs
+++ b/crates/traffic/src/quota_wait.rs
@@ -13,6 +13,6 @@
 /// is not answered in its time even without a wait. `answer` is the time after which answers
 /// of its kind were late so far. All of it is known before the owner is asked, so the question
 /// says it, and no place is kept for a request that would not wait for it.
-pub fn patience(answer: Duration, left: Duration) -> Option<Duration> {
+pub fn max_wait(answer: Duration, left: Duration) -> Option<Duration> {
     left.checked_sub(answer)
 }
--- a/crates/traffic/tests/wait.rs
+++ b/crates/traffic/tests/quota_wait.rs
@@ -1,11 +1,11 @@
 //! Waiting for a place that comes free at a known time.
 
-use fieldhook_traffic::wait::patience;
+use fieldhook_traffic::quota_wait::max_wait;
 use std::time::Duration;
 
 fn worth(place_ms: u64, answer_ms: u64, left_ms: u64) -> bool {
     let ms = Duration::from_millis;
-    patience(ms(answer_ms), ms(left_ms)).is_some_and(|patience| ms(place_ms) <= patience)
+    max_wait(ms(answer_ms), ms(left_ms)).is_some_and(|patience| ms(place_ms) <= patience)
 }
 
 #[test]
