--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -5,7 +5,7 @@
 use fieldhook_traffic::directory::ServerEntry;
 use fieldhook_traffic::health::{Health, Observation};
 use fieldhook_traffic::idle_limit::IdleLimit;
-use fieldhook_traffic::silence::Silence;
+use fieldhook_traffic::silence::SilenceDetector;
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -36,7 +36,7 @@
 #[derive(Default)]
 pub struct Pools {
     servers: RefCell<HashMap<String, ServerState>>,
-    silence: RefCell<Silence>,
+    silence: RefCell<SilenceDetector>,
     /// Servers that are being tried.
     probing: RefCell<HashSet<String>>,
 }
@@ -84,7 +84,7 @@
     /// What is known about a server.
     pub fn view(&self, id: &str, zone: &str, now_ms: u64) -> ServerView {
         let servers = self.servers.borrow();
-        let in_doubt = self.silence.borrow().is_in_doubt(id, zone, now_ms);
+        let in_doubt = self.silence.borrow().is_suspect(id, zone, now_ms);
         let known = servers.get(id);
         let view = known.map_or_else(ServerView::default, |state| ServerView {
             in_flight: state.in_flight,
@@ -101,13 +101,13 @@
     /// Something came from a server's machine. True if it had been silent.
     pub fn heard(&self, server: &ServerEntry, now_ms: u64) -> bool {
         let mut silence = self.silence.borrow_mut();
-        silence.heard(&server.id, &server.zone, now_ms)
+        silence.record_contact(&server.id, &server.zone, now_ms)
     }
 
     /// A connection to a server did not come about in time. True if it is silent from now on.
     pub fn missed(&self, server: &ServerEntry, now_ms: u64) -> bool {
         let mut silence = self.silence.borrow_mut();
-        silence.missed(&server.id, &server.zone, now_ms)
+        silence.record_connect_timeout(&server.id, &server.zone, now_ms)
     }
 
     /// Whether a server's machine says nothing.
@@ -117,7 +117,7 @@
 
     /// Whether several servers of a zone say nothing, and none of them does.
     pub fn is_zone_in_doubt(&self, zone: &str, now_ms: u64) -> bool {
-        self.silence.borrow().is_zone_in_doubt(zone, now_ms)
+        self.silence.borrow().is_zone_suspect(zone, now_ms)
     }
 
     /// The machine of a server answered a try.
@@ -182,7 +182,7 @@
     ) -> std::io::Result<ServerConnection> {
         let in_doubt = {
             let silence = self.silence.borrow();
-            silence.is_in_doubt(&server.id, &server.zone, now_ms)
+            silence.is_suspect(&server.id, &server.zone, now_ms)
         };
         if !in_doubt && let Some(connection) = self.take_idle(&server.id, now_ms) {
             return Ok(connection);
--- a/crates/traffic/src/silence.rs
+++ b/crates/traffic/src/silence.rs
@@ -40,17 +40,17 @@
 
 /// What one daemon knows of servers' silence.
 #[derive(Debug, Default)]
-pub struct Silence {
+pub struct SilenceDetector {
     /// Servers with misses.
     missed: HashMap<Rc<str>, Server>,
     heard_by_zone: HashMap<Rc<str>, u64>,
     heard_ms: Option<u64>,
 }
 
-impl Silence {
+impl SilenceDetector {
     /// Something came from a server, or a connection to it came about or was refused. True
     /// if it had been silent.
-    pub fn heard(&mut self, server: &str, zone: &str, now_ms: u64) -> bool {
+    pub fn record_contact(&mut self, server: &str, zone: &str, now_ms: u64) -> bool {
         let was_silent = self.is_silent(server, now_ms);
         self.missed.remove(server);
         self.heard_ms = Some(now_ms);
@@ -64,7 +64,7 @@
     }
 
     /// A connection to a server did not come about in time. True if it is silent from now on.
-    pub fn missed(&mut self, server: &str, zone: &str, now_ms: u64) -> bool {
+    pub fn record_connect_timeout(&mut self, server: &str, zone: &str, now_ms: u64) -> bool {
         let was_silent = self.is_silent(server, now_ms);
         let state = self.missed.entry(Rc::from(server)).or_default();
         if !state.holds(now_ms) {
@@ -93,7 +93,7 @@
             .is_none_or(|at_ms| at_ms < state.first_miss_ms)
         {
             MISSES_ALONE
-        } else if self.is_zone_in_doubt(&state.zone, now_ms) {
+        } else if self.is_zone_suspect(&state.zone, now_ms) {
             MISSES_IN_ZONE
         } else {
             MISSES
@@ -102,7 +102,7 @@
 
     /// Whether several servers of a zone do not let themselves be reached, and nothing was
     /// heard from there since.
-    pub fn is_zone_in_doubt(&self, zone: &str, now_ms: u64) -> bool {
+    pub fn is_zone_suspect(&self, zone: &str, now_ms: u64) -> bool {
         let heard_ms = self.heard_by_zone.get(zone).copied();
         let missed = self.missed.values().filter(|state| {
             *state.zone == *zone
@@ -114,9 +114,9 @@
 
     /// Whether a connection to a server that was kept may be as dead as its machine: a new
     /// one tells before anything is sent.
-    pub fn is_in_doubt(&self, server: &str, zone: &str, now_ms: u64) -> bool {
+    pub fn is_suspect(&self, server: &str, zone: &str, now_ms: u64) -> bool {
         let missed = self.missed.get(server);
-        missed.is_some_and(|state| state.holds(now_ms)) || self.is_zone_in_doubt(zone, now_ms)
+        missed.is_some_and(|state| state.holds(now_ms)) || self.is_zone_suspect(zone, now_ms)
     }
 
     /// Forgets servers that `known` does not name, and misses that are over.
--- a/crates/traffic/tests/silence.rs
+++ b/crates/traffic/tests/silence.rs
@@ -1,55 +1,55 @@
 //! Servers that are slow are waited for, and servers whose machines are gone are not.
 
-use fieldhook_traffic::silence::Silence;
+use fieldhook_traffic::silence::SilenceDetector;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 fn zone_of(server: &str) -> &'static str {
     if server.starts_with('a') { "a" } else { "b" }
 }
 
-fn heard(silence: &mut Silence, server: &str, now_ms: u64) -> bool {
-    silence.heard(server, zone_of(server), now_ms)
+fn heard(silence: &mut SilenceDetector, server: &str, now_ms: u64) -> bool {
+    silence.record_contact(server, zone_of(server), now_ms)
 }
 
-fn missed(silence: &mut Silence, server: &str, now_ms: u64) -> bool {
-    silence.missed(server, zone_of(server), now_ms)
+fn missed(silence: &mut SilenceDetector, server: &str, now_ms: u64) -> bool {
+    silence.record_connect_timeout(server, zone_of(server), now_ms)
 }
 
 #[test]
 fn two_connections_in_a_row_that_do_not_come_about_make_a_server_silent() {
-    let mut silence = Silence::default();
+    let mut silence = SilenceDetector::default();
     assert!(!missed(&mut silence, "a1", 1_000));
     assert!(!silence.is_silent("a1", 1_000));
-    assert!(silence.is_in_doubt("a1", "a", 1_000));
+    assert!(silence.is_suspect("a1", "a", 1_000));
     heard(&mut silence, "b1", 1_100);
     assert!(missed(&mut silence, "a1", 1_200));
     assert!(silence.is_silent("a1", 1_200));
     assert!(!silence.is_silent("a2", 1_200));
     assert!(heard(&mut silence, "a1", 1_300));
     assert!(!silence.is_silent("a1", 1_300));
-    assert!(!silence.is_in_doubt("a1", "a", 1_300));
+    assert!(!silence.is_suspect("a1", "a", 1_300));
 }
 
 #[test]
 fn one_is_enough_where_a_second_server_of_the_zone_misses_too() {
-    let mut silence = Silence::default();
+    let mut silence = SilenceDetector::default();
     missed(&mut silence, "a1", 1_000);
     heard(&mut silence, "b1", 1_050);
     missed(&mut silence, "a2", 1_040);
     assert!(silence.is_silent("a1", 1_060));
     assert!(silence.is_silent("a2", 1_060));
     // One that was never tried is in doubt: what is kept to it is not used.
-    assert!(silence.is_in_doubt("a3", "a", 1_060));
+    assert!(silence.is_suspect("a3", "a", 1_060));
     assert!(!silence.is_silent("a3", 1_060));
     // A word from the zone ends its doubt, and that of the servers that missed once.
     heard(&mut silence, "a3", 1_070);
     assert!(!silence.is_silent("a1", 1_070));
-    assert!(!silence.is_in_doubt("a4", "a", 1_070));
+    assert!(!silence.is_suspect("a4", "a", 1_070));
 }
 
 #[test]
 fn where_nothing_is_heard_at_all_the_own_link_may_be_full() {
-    let mut silence = Silence::default();
+    let mut silence = SilenceDetector::default();
     heard(&mut silence, "b1", 500);
     for now_ms in [1_000, 1_200, 1_400] {
         missed(&mut silence, "a1", now_ms);
@@ -62,7 +62,7 @@
 
 #[test]
 fn a_belief_lapses() {
-    let mut silence = Silence::default();
+    let mut silence = SilenceDetector::default();
     missed(&mut silence, "a1", 1_000);
     heard(&mut silence, "b1", 1_000);
     missed(&mut silence, "a1", 1_200);
@@ -114,7 +114,7 @@
 #[test]
 fn only_servers_that_fail_their_tries_are_silent() {
     fn holds(steps: Vec<Step>) -> bool {
-        let mut silence = Silence::default();
+        let mut silence = SilenceDetector::default();
         let mut now_ms = 1_000;
         let mut states = [State::Reached; SERVERS.len()];
         let mut fails: [Vec<u64>; SERVERS.len()] = Default::default();
