--- a/crates/gateway/src/ledger/assigner.rs
+++ b/crates/gateway/src/ledger/assigner.rs
@@ -12,7 +12,7 @@
 use fieldhook_traffic::cold;
 use fieldhook_traffic::directory::{Directory, ServerEntry, Serving};
 use fieldhook_traffic::groups::{Groups, group_count};
-use fieldhook_traffic::ring::{Arc, place};
+use fieldhook_traffic::hash_ring::{HashRange, ring_position};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -126,7 +126,7 @@
     ) -> (Vec<Engine<'a>>, f64) {
         let count = group_count(serving.all.len(), self.partitions);
         let home = partition % count;
-        let arc = Arc::of(home, count);
+        let arc = HashRange::nth_of(home, count);
         let homes = homes(placement);
         let servers = self.places.with_rule(&homes, &placement.zone, |rule| {
             let is_usable = |server: &ServerEntry| rule.serving_distance(&server.zone).is_ok();
@@ -138,7 +138,7 @@
             let drawn = draw(serving, &from(arc), &is_usable).servers;
             match drawn.len() >= FEWEST_DRAWN {
                 true => drawn,
-                false => draw(serving, &from(Arc::WHOLE), &is_usable).servers,
+                false => draw(serving, &from(HashRange::FULL), &is_usable).servers,
             }
         });
         let mut servers: Vec<&ServerEntry> = servers.into_iter().map(|server| &**server).collect();
@@ -150,7 +150,7 @@
         });
         servers.extend(former);
         let engines = servers.into_iter().map(|server| Engine {
-            is_home: arc.contains(place(&server.id)),
+            is_home: arc.contains(ring_position(&server.id)),
             ..engine(server)
         });
         (engines.collect(), self.share(count, home))
@@ -231,7 +231,7 @@
 
 /// Engines of a service that take new work, in an order of their own.
 fn engines(serving: &Serving) -> Vec<Engine<'_>> {
-    let all = serving.all.from(Arc::WHOLE, 0);
+    let all = serving.all.iter_from(HashRange::FULL, 0);
     let mut engines: Vec<Engine<'_>> = all.map(|server| engine(server)).collect();
     engines.sort_by(|left, right| left.id.cmp(right.id));
     engines
--- a/crates/gateway/src/serve/choice.rs
+++ b/crates/gateway/src/serve/choice.rs
@@ -7,7 +7,7 @@
 use fieldhook_traffic::balance::{self, Candidate, Request};
 use fieldhook_traffic::candidates::{Draw, draw};
 use fieldhook_traffic::directory::ServerEntry;
-use fieldhook_traffic::ring::Arc;
+use fieldhook_traffic::hash_ring::HashRange;
 
 /// Chooses among servers that the request was not sent to, and that its places allow. Cold
 /// ones that have no place now are passed over.
@@ -25,7 +25,7 @@
     let drawn_by = affinity.unwrap_or(&daemon.settings.name);
     let servers = Draw {
         zone,
-        arc: Arc::WHOLE,
+        arc: HashRange::FULL,
         number: prefix_hash(drawn_by),
     };
     let servers = daemon.places.with_rule(homes, zone, |rule| {
--- a/crates/traffic/src/candidates.rs
+++ b/crates/traffic/src/candidates.rs
@@ -6,7 +6,7 @@
 //! part, so what an engine keeps is found again, and a daemon's connections are used again.
 
 use crate::directory::{ServerEntry, Serving};
-use crate::ring::Arc;
+use crate::hash_ring::HashRange;
 use std::rc::Rc;
 
 /// Servers of a service up to which all are weighed.
@@ -25,7 +25,7 @@
     /// Zone that the request comes through.
     pub zone: &'a str,
     /// Part of the order of servers that they stand in.
-    pub arc: Arc,
+    pub arc: HashRange,
     /// Number that the key of the request stands for.
     pub number: u64,
 }
@@ -64,13 +64,13 @@
 ) -> Drawn<'a> {
     let mut drawn = Drawn::default();
     if serving.all.len() <= WEIGHED_WHOLE {
-        let all = serving.all.from(draw.arc, draw.number);
+        let all = serving.all.iter_from(draw.arc, draw.number);
         drawn.take(all, WEIGHED_WHOLE, is_usable);
     } else {
         if let Some(zone) = serving.zones.get(draw.zone) {
-            drawn.take(zone.from(draw.arc, draw.number), MOST_NEAR, is_usable);
+            drawn.take(zone.iter_from(draw.arc, draw.number), MOST_NEAR, is_usable);
         }
-        let all = serving.all.from(draw.arc, draw.number);
+        let all = serving.all.iter_from(draw.arc, draw.number);
         drawn.take(all, MOST_ANYWHERE, is_usable);
     }
     drawn.servers.sort_unstable_by(|a, b| a.id.cmp(&b.id));
--- a/crates/traffic/src/directory.rs
+++ b/crates/traffic/src/directory.rs
@@ -1,6 +1,6 @@
 //! The servers that exist, as their service discovery tells them.
 
-use crate::ring::{Arc, Ring};
+use crate::hash_ring::{HashRange, HashRing};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -66,9 +66,9 @@
 #[derive(Debug, Default)]
 pub struct Serving {
     /// All of them.
-    pub all: Ring,
+    pub all: HashRing,
     /// Those of each zone.
-    pub zones: BTreeMap<String, Ring>,
+    pub zones: BTreeMap<String, HashRing>,
     /// Counts their changes: what was worked out from them holds as long as this stays the same.
     pub version: u64,
 }
@@ -234,7 +234,7 @@
         let mut some: BTreeMap<&str, Vec<&ServerEntry>> = BTreeMap::new();
         let rings = self.services.values().flat_map(|serving| &serving.zones);
         for (zone, ring) in rings {
-            let servers = ring.from(Arc::WHOLE, number).take(most);
+            let servers = ring.iter_from(HashRange::FULL, number).take(most);
             some.entry(zone)
                 .or_default()
                 .extend(servers.map(|server| &**server));
--- a/crates/traffic/src/ring.rs
+++ b/crates/traffic/src/hash_ring.rs
@@ -12,7 +12,7 @@
 type Position = (u64, Rc<str>);
 
 /// Place of an identity in the order.
-pub fn place(id: &str) -> u64 {
+pub fn ring_position(id: &str) -> u64 {
     xxh3_64(id.as_bytes())
 }
 
@@ -22,20 +22,20 @@
 
 /// A part of the order, from one place to another, both included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Arc {
+pub struct HashRange {
     first: u64,
     last: u64,
 }
 
-impl Arc {
+impl HashRange {
     /// All of it.
-    pub const WHOLE: Self = Self {
+    pub const FULL: Self = Self {
         first: 0,
         last: u64::MAX,
     };
 
     /// One of so many parts of the same length.
-    pub fn of(index: u32, count: u32) -> Self {
+    pub fn nth_of(index: u32, count: u32) -> Self {
         let count = u128::from(count.max(1));
         let border = |index: u128| ((index << 64) / count) as u64;
         let index = u128::from(index) % count;
@@ -65,20 +65,20 @@
 
 /// Servers in that order.
 #[derive(Debug, Default)]
-pub struct Ring {
+pub struct HashRing {
     servers: BTreeMap<Position, Rc<ServerEntry>>,
 }
 
-impl Ring {
+impl HashRing {
     /// Puts a server in its place.
     pub fn insert(&mut self, server: Rc<ServerEntry>) {
-        let position = (place(&server.id), Rc::from(server.id.as_str()));
+        let position = (ring_position(&server.id), Rc::from(server.id.as_str()));
         self.servers.insert(position, server);
     }
 
     /// Takes an identity out.
     pub fn remove(&mut self, id: &str) {
-        self.servers.remove(&(place(id), Rc::from(id)));
+        self.servers.remove(&(ring_position(id), Rc::from(id)));
     }
 
     /// Number of servers.
@@ -92,7 +92,7 @@
     }
 
     /// Servers of an arc, once each, from the place on that a number stands for.
-    pub fn from(&self, arc: Arc, number: u64) -> impl Iterator<Item = &Rc<ServerEntry>> {
+    pub fn iter_from(&self, arc: HashRange, number: u64) -> impl Iterator<Item = &Rc<ServerEntry>> {
         let start = arc.at(number);
         let end = match arc.last.checked_add(1) {
             Some(behind) => Excluded(begin(behind)),
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -16,7 +16,7 @@
 //! - [`idle_limit`]: how long an idle connection may rest.
 //! - [`groups`]: which engines the owner of a partition assigns.
 //! - [`assignment`]: the engine at which a program's turns run.
-//! - [`ring`]: servers in an order that all daemons know alike.
+//! - [`hash_ring`]: servers in an order that all daemons know alike.
 //! - [`candidates`]: which servers are weighed for a request.
 //! - [`balance`]: choosing a server for one attempt.
 //! - [`quota_wait`]: waiting for a place that comes free at a known time.
@@ -33,13 +33,13 @@
 pub mod config;
 pub mod directory;
 pub mod groups;
+pub mod hash_ring;
 pub mod health;
 pub mod homes;
 pub mod idle_limit;
 pub mod quota;
 pub mod quota_wait;
 pub mod retry_budget;
-pub mod ring;
 pub mod room;
 pub mod share;
 pub mod silence;
--- a/crates/traffic/tests/candidates.rs
+++ b/crates/traffic/tests/candidates.rs
@@ -3,7 +3,7 @@
 
 use fieldhook_traffic::candidates::{Draw, WEIGHED_WHOLE, draw};
 use fieldhook_traffic::directory::{Directory, ServerEntry};
-use fieldhook_traffic::ring::{Arc, place};
+use fieldhook_traffic::hash_ring::{HashRange, ring_position};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -38,7 +38,7 @@
 ) -> (usize, Vec<String>) {
     let place = Draw {
         zone: "z1",
-        arc: Arc::WHOLE,
+        arc: HashRange::FULL,
         number,
     };
     let serving = directory.serving("service0").expect("servers");
@@ -98,9 +98,9 @@
     for count in [1, 3, 16, 100] {
         let mut seen = BTreeSet::new();
         for index in 0..count {
-            let arc = Arc::of(index, count);
-            let ids: Vec<&str> = all.from(arc, u64::MAX / 3).map(|s| &*s.id).collect();
-            assert!(ids.iter().all(|id| arc.contains(place(id))));
+            let arc = HashRange::nth_of(index, count);
+            let ids: Vec<&str> = all.iter_from(arc, u64::MAX / 3).map(|s| &*s.id).collect();
+            assert!(ids.iter().all(|id| arc.contains(ring_position(id))));
             let size = ids.len();
             seen.extend(ids);
             let even = 1_000 / count as usize;
@@ -167,13 +167,16 @@
             };
             let all: BTreeSet<String> = serving
                 .all
-                .from(Arc::WHOLE, 9)
+                .iter_from(HashRange::FULL, 9)
                 .map(|s| s.id.clone())
                 .collect();
             let by_zone: BTreeSet<String> = serving
                 .zones
                 .iter()
-                .flat_map(|(zone, ring)| ring.from(Arc::WHOLE, 9).filter(move |s| s.zone == *zone))
+                .flat_map(|(zone, ring)| {
+                    ring.iter_from(HashRange::FULL, 9)
+                        .filter(move |s| s.zone == *zone)
+                })
                 .map(|s| s.id.clone())
                 .collect();
             all == wanted && by_zone == wanted
