--- a/crates/gateway/src/ledger/assigner.rs
+++ b/crates/gateway/src/ledger/assigner.rs
@@ -8,7 +8,7 @@
 use fieldhook_topology::region::RegionSet;
 use fieldhook_topology::zone::Distance;
 use fieldhook_traffic::assignment::{Engine, Settings, Table, Turn};
-use fieldhook_traffic::candidates::{Draw, WEIGHED_WHOLE, draw};
+use fieldhook_traffic::candidates::{CandidateQuery, FULL_SCAN_MAX, select_candidates};
 use fieldhook_traffic::cold;
 use fieldhook_traffic::directory::{Directory, ServerEntry, Serving};
 use fieldhook_traffic::groups::{Groups, group_count};
@@ -76,7 +76,7 @@
         let directory = self.directory.borrow();
         let serving = directory.serving(&placement.service)?;
         let partition = partition_of(&open.program, self.partitions);
-        let (mut engines, share) = match serving.all.len() <= WEIGHED_WHOLE {
+        let (mut engines, share) = match serving.all.len() <= FULL_SCAN_MAX {
             true => self.engines_of_few(&placement.service, serving, partition),
             false => self.engines_of_many(&directory, serving, open, placement, partition),
         };
@@ -130,15 +130,15 @@
         let homes = homes(placement);
         let servers = self.places.with_rule(&homes, &placement.zone, |rule| {
             let is_usable = |server: &ServerEntry| rule.serving_distance(&server.zone).is_ok();
-            let from = |arc| Draw {
+            let from = |arc| CandidateQuery {
                 zone: &placement.zone,
-                arc,
-                number: placement.prefix,
+                range: arc,
+                start: placement.prefix,
             };
-            let drawn = draw(serving, &from(arc), &is_usable).servers;
+            let drawn = select_candidates(serving, &from(arc), &is_usable).servers;
             match drawn.len() >= FEWEST_DRAWN {
                 true => drawn,
-                false => draw(serving, &from(HashRange::FULL), &is_usable).servers,
+                false => select_candidates(serving, &from(HashRange::FULL), &is_usable).servers,
             }
         });
         let mut servers: Vec<&ServerEntry> = servers.into_iter().map(|server| &**server).collect();
--- a/crates/gateway/src/serve/choice.rs
+++ b/crates/gateway/src/serve/choice.rs
@@ -5,7 +5,7 @@
 use fieldhook_topology::region::RegionSet;
 use fieldhook_traffic::assignment::prefix_hash;
 use fieldhook_traffic::balance::{self, Candidate, Request};
-use fieldhook_traffic::candidates::{Draw, draw};
+use fieldhook_traffic::candidates::{CandidateQuery, select_candidates};
 use fieldhook_traffic::directory::ServerEntry;
 use fieldhook_traffic::hash_ring::HashRange;
 
@@ -23,16 +23,16 @@
     // Requests of a program find its engine again, and all others the servers that this
     // daemon has connections to.
     let drawn_by = affinity.unwrap_or(&daemon.settings.name);
-    let servers = Draw {
+    let servers = CandidateQuery {
         zone,
-        arc: HashRange::FULL,
-        number: prefix_hash(drawn_by),
+        range: HashRange::FULL,
+        start: prefix_hash(drawn_by),
     };
     let servers = daemon.places.with_rule(homes, zone, |rule| {
         let may_serve = |server: &ServerEntry| rule.serving_distance(&server.zone).is_ok();
         let is_usable =
             |server: &ServerEntry| may_serve(server) && !tried.servers.contains(&server.id);
-        let drawn = draw(serving, &servers, &is_usable).servers;
+        let drawn = select_candidates(serving, &servers, &is_usable).servers;
         let mut servers: Vec<&ServerEntry> = drawn.into_iter().map(|server| &**server).collect();
         let assigned = preferred.and_then(|id| directory.entry(id));
         let assigned = assigned.filter(|server| {
--- a/crates/traffic/src/candidates.rs
+++ b/crates/traffic/src/candidates.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 
 /// Servers of a service up to which all are weighed.
-pub const WEIGHED_WHOLE: usize = 256;
+pub const FULL_SCAN_MAX: usize = 256;
 /// Servers of the own zone that are weighed of a large service: several times those that are
 /// ever full or resting of one daemon's requests.
 const MOST_NEAR: usize = 32;
@@ -21,32 +21,32 @@
 
 /// Where the servers for a request are drawn.
 #[derive(Clone, Copy, Debug)]
-pub struct Draw<'a> {
+pub struct CandidateQuery<'a> {
     /// Zone that the request comes through.
     pub zone: &'a str,
     /// Part of the order of servers that they stand in.
-    pub arc: HashRange,
+    pub range: HashRange,
     /// Number that the key of the request stands for.
-    pub number: u64,
+    pub start: u64,
 }
 
 /// What was drawn.
 #[derive(Debug, Default)]
-pub struct Drawn<'a> {
+pub struct Candidates<'a> {
     /// Servers to weigh, each once, by their identities.
     pub servers: Vec<&'a Rc<ServerEntry>>,
     /// Servers that were looked at for that.
-    pub looked_at: usize,
+    pub examined: usize,
 }
 
-impl<'a> Drawn<'a> {
+impl<'a> Candidates<'a> {
     fn take(
         &mut self,
         servers: impl Iterator<Item = &'a Rc<ServerEntry>>,
         most: usize,
         is_usable: &dyn Fn(&ServerEntry) -> bool,
     ) {
-        let looked_at = &mut self.looked_at;
+        let looked_at = &mut self.examined;
         let usable = servers
             .take(most * LOOKED_AT_EACH)
             .inspect(|_| *looked_at += 1)
@@ -57,20 +57,20 @@
 }
 
 /// Draws servers that are usable from a service.
-pub fn draw<'a>(
+pub fn select_candidates<'a>(
     serving: &'a Serving,
-    draw: &Draw<'_>,
+    draw: &CandidateQuery<'_>,
     is_usable: &dyn Fn(&ServerEntry) -> bool,
-) -> Drawn<'a> {
-    let mut drawn = Drawn::default();
-    if serving.all.len() <= WEIGHED_WHOLE {
-        let all = serving.all.iter_from(draw.arc, draw.number);
-        drawn.take(all, WEIGHED_WHOLE, is_usable);
+) -> Candidates<'a> {
+    let mut drawn = Candidates::default();
+    if serving.all.len() <= FULL_SCAN_MAX {
+        let all = serving.all.iter_from(draw.range, draw.start);
+        drawn.take(all, FULL_SCAN_MAX, is_usable);
     } else {
         if let Some(zone) = serving.zones.get(draw.zone) {
-            drawn.take(zone.iter_from(draw.arc, draw.number), MOST_NEAR, is_usable);
+            drawn.take(zone.iter_from(draw.range, draw.start), MOST_NEAR, is_usable);
         }
-        let all = serving.all.iter_from(draw.arc, draw.number);
+        let all = serving.all.iter_from(draw.range, draw.start);
         drawn.take(all, MOST_ANYWHERE, is_usable);
     }
     drawn.servers.sort_unstable_by(|a, b| a.id.cmp(&b.id));
--- a/crates/traffic/tests/candidates.rs
+++ b/crates/traffic/tests/candidates.rs
@@ -1,7 +1,7 @@
 //! Servers in one order for all, and what is weighed of them: right, and no more with a fleet of
 //! thousands than with one of hundreds.
 
-use fieldhook_traffic::candidates::{Draw, WEIGHED_WHOLE, draw};
+use fieldhook_traffic::candidates::{CandidateQuery, FULL_SCAN_MAX, select_candidates};
 use fieldhook_traffic::directory::{Directory, ServerEntry};
 use fieldhook_traffic::hash_ring::{HashRange, ring_position};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -36,15 +36,15 @@
     number: u64,
     usable: &dyn Fn(&ServerEntry) -> bool,
 ) -> (usize, Vec<String>) {
-    let place = Draw {
+    let place = CandidateQuery {
         zone: "z1",
-        arc: HashRange::FULL,
-        number,
+        range: HashRange::FULL,
+        start: number,
     };
     let serving = directory.serving("service0").expect("servers");
-    let drawn = draw(serving, &place, usable);
+    let drawn = select_candidates(serving, &place, usable);
     let ids = drawn.servers.iter().map(|server| server.id.clone());
-    (drawn.looked_at, ids.collect())
+    (drawn.examined, ids.collect())
 }
 
 /// Each of ten thousand servers was looked at for each request.
@@ -56,7 +56,7 @@
         looked.max().expect("draws")
     });
     assert_eq!(most[0], 100, "all of a small service");
-    assert!(most[1] <= WEIGHED_WHOLE, "{most:?}");
+    assert!(most[1] <= FULL_SCAN_MAX, "{most:?}");
     assert_eq!(most[1], most[2]);
 }
 
@@ -68,7 +68,7 @@
     for number in 0..50 {
         let (looked_at, ids) = drawn(&directory, number << 58, &usable);
         assert!(ids.len() >= 16, "{} drawn", ids.len());
-        assert!(looked_at <= WEIGHED_WHOLE, "{looked_at}");
+        assert!(looked_at <= FULL_SCAN_MAX, "{looked_at}");
     }
 }
 
