--- a/crates/gateway/src/follow/config.rs
+++ b/crates/gateway/src/follow/config.rs
@@ -8,7 +8,7 @@
 use fieldhook_log::reach::Reach;
 use fieldhook_topology::evacuation::State;
 use fieldhook_traffic::config::TrafficConfig;
-use fieldhook_traffic::homes;
+use fieldhook_traffic::residency;
 use fieldhook_traffic::table::{RouteTable, supersedes};
 use std::rc::Rc;
 use std::time::Duration;
@@ -185,15 +185,17 @@
 
 /// Takes in the homes of a configuration, and says what is wrong with them.
 fn take_homes(daemon: &Daemon, config: &TrafficConfig) {
-    daemon.places.set_home_regions(homes::regions(config));
-    let problems = homes::problems(config, &daemon.places.map);
+    daemon
+        .places
+        .set_home_regions(residency::named_regions(config));
+    let problems = residency::find_problems(config, &daemon.places.map);
     for problem in problems.iter().take(MOST_PROBLEMS) {
         tracing::error!(
             event = "homes_unservable",
             version = config.version,
             route = problem.route,
             tenant = problem.tenant.as_deref(),
-            problem = %problem.fault
+            problem = %problem.kind
         );
     }
     if let Some(more) = problems.len().checked_sub(MOST_PROBLEMS + 1) {
--- a/crates/gateway/src/serve/homes.rs
+++ b/crates/gateway/src/serve/homes.rs
@@ -7,7 +7,7 @@
 use fieldhook_topology::region::RegionSet;
 use fieldhook_topology::zone_rule::Denial;
 use fieldhook_traffic::config::Route;
-use fieldhook_traffic::homes;
+use fieldhook_traffic::residency;
 use fieldhook_traffic::tenants::Tenant;
 
 /// The homes of a request that has just come.
@@ -21,7 +21,7 @@
     route: &Route,
     tenant: Option<&Tenant>,
 ) -> Result<RegionSet, OwnAnswer> {
-    let homes = homes::of(route, tenant);
+    let homes = residency::allowed_regions(route, tenant);
     if daemon.places.layout.has_home(&homes) {
         return Ok(homes);
     }
@@ -56,7 +56,7 @@
     let route = routes.iter().find(|route| route.name == former.name);
     let tenant = context.tenant.as_ref();
     let tenant = tenant.map(|tenant| table.tenant(&tenant.name).unwrap_or(tenant));
-    homes::of(route.unwrap_or(former), tenant.map(|tenant| &**tenant))
+    residency::allowed_regions(route.unwrap_or(former), tenant.map(|tenant| &**tenant))
 }
 
 /// Says that no owner in a request's homes answered, so that it was not run.
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! - [`config`]: the traffic configuration: routes, services, limits.
 //! - [`tenants`]: whose request it is.
-//! - [`homes`]: regions that may serve a request and keep its data.
+//! - [`residency`]: regions that may serve a request and keep its data.
 //! - [`quota`]: what tenants may still send, as the owner of their limits counts it.
 //! - [`window`]: counting what was sent in a sliding window.
 //! - [`share`]: what one daemon may send of it while no owner can be asked.
@@ -35,10 +35,10 @@
 pub mod groups;
 pub mod hash_ring;
 pub mod health;
-pub mod homes;
 pub mod idle_limit;
 pub mod quota;
 pub mod quota_wait;
+pub mod residency;
 pub mod retry_budget;
 pub mod room;
 pub mod share;
--- a/crates/traffic/src/homes.rs
+++ b/crates/traffic/src/residency.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 
 /// The regions that a request may be served in and its data kept in.
-pub fn of(route: &Route, tenant: Option<&Tenant>) -> RegionSet {
+pub fn allowed_regions(route: &Route, tenant: Option<&Tenant>) -> RegionSet {
     match tenant {
         Some(tenant) => route.homes.intersection(&tenant.homes),
         None => route.homes.clone(),
@@ -19,21 +19,21 @@
 
 /// Whose homes are wrong.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum ProblemKind {
     /// A region that the deployment does not have.
     UnknownRegion(Rc<str>),
     /// The homes of the route and of the tenant have no region in common.
-    NothingInCommon,
+    NoCommonRegion,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ProblemKind {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::UnknownRegion(region) => write!(
                 formatter,
                 "no zone of the settings is in region {region}; correct the name or add the zone"
             ),
-            Self::NothingInCommon => write!(
+            Self::NoCommonRegion => write!(
                 formatter,
                 "route and tenant have no region in common; requests are refused until one is \
                  allowed for both"
@@ -50,11 +50,11 @@
     /// Name of the tenant, where it is concerned.
     pub tenant: Option<Rc<str>>,
     /// What is wrong.
-    pub fault: Fault,
+    pub kind: ProblemKind,
 }
 
 /// All regions that some route or tenant allows by name.
-pub fn regions(config: &TrafficConfig) -> BTreeSet<Rc<str>> {
+pub fn named_regions(config: &TrafficConfig) -> BTreeSet<Rc<str>> {
     let routes = config.routes.iter().map(|route| &route.homes);
     let tenants = config.tenants.iter().flatten().map(|tenant| &tenant.homes);
     let named = routes.chain(tenants).filter_map(RegionSet::names).flatten();
@@ -62,7 +62,7 @@
 }
 
 /// What is wrong with the homes of a configuration in a deployment.
-pub fn problems(config: &TrafficConfig, map: &ZoneMap) -> Vec<Problem> {
+pub fn find_problems(config: &TrafficConfig, map: &ZoneMap) -> Vec<Problem> {
     let known: BTreeSet<Rc<str>> = map.regions().into_iter().collect();
     let routes: Vec<&Route> = config.routes.iter().filter(bounded_route).collect();
     let tenants: Vec<&Tenant> = config.tenants.iter().flatten().filter(bounded).collect();
@@ -71,24 +71,24 @@
         problems.extend(unknown(&route.homes, &known).map(|fault| Problem {
             route: Some(route.name.clone()),
             tenant: None,
-            fault,
+            kind: fault,
         }));
     }
     for tenant in &tenants {
         problems.extend(unknown(&tenant.homes, &known).map(|fault| Problem {
             route: None,
             tenant: Some(tenant.name.clone()),
-            fault,
+            kind: fault,
         }));
     }
     for route in &routes {
         let apart = tenants
             .iter()
-            .filter(|tenant| of(route, Some(tenant)).is_empty());
+            .filter(|tenant| allowed_regions(route, Some(tenant)).is_empty());
         problems.extend(apart.map(|tenant| Problem {
             route: Some(route.name.clone()),
             tenant: Some(tenant.name.clone()),
-            fault: Fault::NothingInCommon,
+            kind: ProblemKind::NoCommonRegion,
         }));
     }
     problems
@@ -105,9 +105,9 @@
 fn unknown<'a>(
     homes: &'a RegionSet,
     known: &'a BTreeSet<Rc<str>>,
-) -> impl Iterator<Item = Fault> + 'a {
+) -> impl Iterator<Item = ProblemKind> + 'a {
     let names = homes.names().into_iter().flatten();
     names
         .filter(|name| !known.contains(*name))
-        .map(|name| Fault::UnknownRegion(name.clone()))
+        .map(|name| ProblemKind::UnknownRegion(name.clone()))
 }
--- a/crates/traffic/tests/homes.rs
+++ b/crates/traffic/tests/homes.rs
@@ -3,7 +3,7 @@
 use fieldhook_topology::region::RegionSet;
 use fieldhook_topology::zone::ZoneMap;
 use fieldhook_traffic::config::{Route, RouteKind, TrafficConfig};
-use fieldhook_traffic::homes::{self, Fault};
+use fieldhook_traffic::residency::{self, ProblemKind};
 use fieldhook_traffic::tenants::Tenant;
 use std::rc::Rc;
 
@@ -53,31 +53,32 @@
     };
     let tenants = config.tenants.as_deref().expect("tenants");
     assert_eq!(
-        homes::of(&config.routes[0], Some(&tenants[1])),
+        residency::allowed_regions(&config.routes[0], Some(&tenants[1])),
         RegionSet::from_names(["b"])
     );
     assert_eq!(
-        homes::of(&config.routes[1], None),
+        residency::allowed_regions(&config.routes[1], None),
         RegionSet::from_names(["a"])
     );
-    assert!(homes::of(&config.routes[1], Some(&tenants[1])).is_empty());
-    let regions: Vec<Rc<str>> = homes::regions(&config).into_iter().collect();
+    assert!(residency::allowed_regions(&config.routes[1], Some(&tenants[1])).is_empty());
+    let regions: Vec<Rc<str>> = residency::named_regions(&config).into_iter().collect();
     assert_eq!(regions, ["a", "b", "bb", "x"].map(Rc::from));
-    let problems: Vec<(Option<String>, Option<String>, Fault)> = homes::problems(&config, &map)
-        .into_iter()
-        .map(|problem| {
-            let tenant = problem.tenant.map(|name| name.to_string());
-            (problem.route, tenant, problem.fault)
-        })
-        .collect();
+    let problems: Vec<(Option<String>, Option<String>, ProblemKind)> =
+        residency::find_problems(&config, &map)
+            .into_iter()
+            .map(|problem| {
+                let tenant = problem.tenant.map(|name| name.to_string());
+                (problem.route, tenant, problem.kind)
+            })
+            .collect();
     let owned = |name: &str| Some(name.to_owned());
-    let unknown = |name: &str| Fault::UnknownRegion(Rc::from(name));
+    let unknown = |name: &str| ProblemKind::UnknownRegion(Rc::from(name));
     let wanted = [
         (owned("typo"), None, unknown("bb")),
         (None, owned("lost"), unknown("x")),
-        (owned("north"), owned("red"), Fault::NothingInCommon),
-        (owned("north"), owned("lost"), Fault::NothingInCommon),
-        (owned("typo"), owned("lost"), Fault::NothingInCommon),
+        (owned("north"), owned("red"), ProblemKind::NoCommonRegion),
+        (owned("north"), owned("lost"), ProblemKind::NoCommonRegion),
+        (owned("typo"), owned("lost"), ProblemKind::NoCommonRegion),
     ];
     assert_eq!(problems, wanted);
 }
@@ -89,6 +90,6 @@
         tenants: Some(vec![tenant("free", RegionSet::All)]),
         ..TrafficConfig::default()
     };
-    assert!(homes::problems(&config, &ZoneMap::default()).is_empty());
-    assert!(homes::regions(&config).is_empty());
+    assert!(residency::find_problems(&config, &ZoneMap::default()).is_empty());
+    assert!(residency::named_regions(&config).is_empty());
 }
