--- a/crates/gateway/src/serve/homes.rs
+++ b/crates/gateway/src/serve/homes.rs
@@ -30,9 +30,9 @@
         event = "refused_for_home",
         request = id,
         route = route.name,
-        route_homes = %route.homes,
+        route_homes = %route.allowed_regions,
         tenant = tenant.map(|tenant| &*tenant.name),
-        tenant_homes = tenant.map(|tenant| tenant.homes.to_string()),
+        tenant_homes = tenant.map(|tenant| tenant.allowed_regions.to_string()),
         cause = "no region is allowed for both",
         version = daemon.owner.config.version()
     );
--- a/crates/gateway/tests/gateway/homes.rs
+++ b/crates/gateway/tests/gateway/homes.rs
@@ -37,7 +37,7 @@
 fn chat_in(version: u64, regions: &[&str]) -> TrafficConfig {
     let mut config = config(version);
     let chat = config.routes.iter_mut().find(|route| route.name == "chat");
-    chat.expect("a route").homes = RegionSet::from_names(regions.iter().copied());
+    chat.expect("a route").allowed_regions = RegionSet::from_names(regions.iter().copied());
     config
 }
 
@@ -287,7 +287,7 @@
             }
             let mut narrowed = config(2);
             for route in &mut narrowed.routes {
-                route.homes = RegionSet::from_names(["a"]);
+                route.allowed_regions = RegionSet::from_names(["a"]);
             }
             fleet.publish(narrowed).await;
             (fleet.at_a.count(), fleet.at_b.count())
@@ -364,7 +364,7 @@
         let lines = Lines::start();
         let mut first = config(1);
         for route in &mut first.routes {
-            route.homes = RegionSet::from_names(["c"]);
+            route.allowed_regions = RegionSet::from_names(["c"]);
         }
         let fleet = Fleet::start(first, &["a1", "b1"]).await;
         let fields = "Request: r1\r\n";
@@ -544,12 +544,12 @@
     run(async {
         let lines = Lines::start();
         let mut red = tenant("red", "k1");
-        red.homes = RegionSet::from_names(["b"]);
+        red.allowed_regions = RegionSet::from_names(["b"]);
         let mut blue = tenant("blue", "k2");
-        blue.homes = RegionSet::from_names(["a", "b"]);
+        blue.allowed_regions = RegionSet::from_names(["a", "b"]);
         let mut first = config_of(1, vec![red, blue]);
         for route in &mut first.routes {
-            route.homes = RegionSet::from_names(["a"]);
+            route.allowed_regions = RegionSet::from_names(["a"]);
         }
         let fleet = Fleet::start(first, &["a1", "b1"]).await;
         for path in ["/safe/1", "/unsafe/1", "/chat/1"] {
--- a/crates/gateway/tests/gateway/reserved_at_home.rs
+++ b/crates/gateway/tests/gateway/reserved_at_home.rs
@@ -74,7 +74,7 @@
     *world.zones.borrow_mut() = ZoneMap::new([("a1", "a"), ("b1", "b")]);
     let mut first = config(1);
     for route in &mut first.routes {
-        route.homes = homes.clone();
+        route.allowed_regions = homes.clone();
     }
     world.configs.borrow_mut()[0] = first;
     let server = Server::start("sa", Act::Events(vec!["one".to_owned()], None)).await;
--- a/crates/gateway/tests/gateway/support/world.rs
+++ b/crates/gateway/tests/gateway/support/world.rs
@@ -94,7 +94,7 @@
         keeps_context,
         retention_ms: 60_000,
         is_open: false,
-        homes: region::RegionSet::All,
+        allowed_regions: region::RegionSet::All,
     }
 }
 
@@ -142,7 +142,7 @@
         keys: vec![Key::new(key)],
         priority: None,
         limit: None,
-        homes: region::RegionSet::All,
+        allowed_regions: region::RegionSet::All,
     }
 }
 
--- a/crates/traffic/src/config.rs
+++ b/crates/traffic/src/config.rs
@@ -66,7 +66,7 @@
     /// Requests need no key.
     pub is_open: bool,
     /// Regions that its requests may be served in and their data kept in.
-    pub homes: region::RegionSet,
+    pub allowed_regions: region::RegionSet,
 }
 
 /// What servers of a service bear for a while after their start.
--- a/crates/traffic/src/residency.rs
+++ b/crates/traffic/src/residency.rs
@@ -12,8 +12,8 @@
 /// The regions that a request may be served in and its data kept in.
 pub fn allowed_regions(route: &Route, tenant: Option<&Tenant>) -> RegionSet {
     match tenant {
-        Some(tenant) => route.homes.intersection(&tenant.homes),
-        None => route.homes.clone(),
+        Some(tenant) => route.allowed_regions.intersection(&tenant.allowed_regions),
+        None => route.allowed_regions.clone(),
     }
 }
 
@@ -55,8 +55,12 @@
 
 /// All regions that some route or tenant allows by name.
 pub fn named_regions(config: &TrafficConfig) -> BTreeSet<Rc<str>> {
-    let routes = config.routes.iter().map(|route| &route.homes);
-    let tenants = config.tenants.iter().flatten().map(|tenant| &tenant.homes);
+    let routes = config.routes.iter().map(|route| &route.allowed_regions);
+    let tenants = config
+        .tenants
+        .iter()
+        .flatten()
+        .map(|tenant| &tenant.allowed_regions);
     let named = routes.chain(tenants).filter_map(RegionSet::names).flatten();
     named.cloned().collect()
 }
@@ -68,18 +72,22 @@
     let tenants: Vec<&Tenant> = config.tenants.iter().flatten().filter(bounded).collect();
     let mut problems = Vec::new();
     for route in &routes {
-        problems.extend(unknown(&route.homes, &known).map(|fault| Problem {
-            route: Some(route.name.clone()),
-            tenant: None,
-            kind: fault,
-        }));
+        problems.extend(
+            unknown(&route.allowed_regions, &known).map(|fault| Problem {
+                route: Some(route.name.clone()),
+                tenant: None,
+                kind: fault,
+            }),
+        );
     }
     for tenant in &tenants {
-        problems.extend(unknown(&tenant.homes, &known).map(|fault| Problem {
-            route: None,
-            tenant: Some(tenant.name.clone()),
-            kind: fault,
-        }));
+        problems.extend(
+            unknown(&tenant.allowed_regions, &known).map(|fault| Problem {
+                route: None,
+                tenant: Some(tenant.name.clone()),
+                kind: fault,
+            }),
+        );
     }
     for route in &routes {
         let apart = tenants
@@ -95,11 +103,11 @@
 }
 
 fn bounded_route(route: &&Route) -> bool {
-    !route.homes.is_all()
+    !route.allowed_regions.is_all()
 }
 
 fn bounded(tenant: &&Tenant) -> bool {
-    !tenant.homes.is_all()
+    !tenant.allowed_regions.is_all()
 }
 
 fn unknown<'a>(
--- a/crates/traffic/src/tenants.rs
+++ b/crates/traffic/src/tenants.rs
@@ -53,7 +53,7 @@
     /// What it may send, where that is bounded.
     pub limit: Option<Limit>,
     /// Regions that its requests may be served in and their data kept in.
-    pub homes: region::RegionSet,
+    pub allowed_regions: region::RegionSet,
 }
 
 /// Why a request is not let in.
--- a/crates/traffic/tests/homes.rs
+++ b/crates/traffic/tests/homes.rs
@@ -21,7 +21,7 @@
         keeps_context: false,
         retention_ms: 0,
         is_open: false,
-        homes,
+        allowed_regions: homes,
     }
 }
 
@@ -31,7 +31,7 @@
         keys: Vec::new(),
         priority: None,
         limit: None,
-        homes,
+        allowed_regions: homes,
     }
 }
 
--- a/crates/traffic/tests/routes.rs
+++ b/crates/traffic/tests/routes.rs
@@ -25,7 +25,7 @@
         keeps_context: false,
         retention_ms: 0,
         is_open: false,
-        homes: Default::default(),
+        allowed_regions: Default::default(),
     }
 }
 
