--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -8,7 +8,7 @@
 //! - [`window`]: counting what was sent in a sliding window.
 //! - [`share`]: what one daemon may send of it while no owner can be asked.
 //! - [`table`]: looking up a request's route and tenant.
-//! - [`split`]: dividing a route's requests among weighted services.
+//! - [`round_robin`]: dividing a route's requests among weighted services.
 //! - [`directory`]: which servers exist and which of them are leaving.
 //! - [`cold`]: which servers bear only a few requests for now.
 //! - [`health`]: leaving a failing server alone and trying it again.
@@ -41,9 +41,9 @@
 pub mod residency;
 pub mod retry_budget;
 pub mod room;
+pub mod round_robin;
 pub mod share;
 pub mod silence;
-pub mod split;
 pub mod table;
 pub mod tenants;
 pub mod window;
--- a/crates/traffic/src/split.rs
+++ b/crates/traffic/src/round_robin.rs
@@ -14,12 +14,12 @@
 
 /// Divides a sequence of requests by weights.
 #[derive(Clone, Debug)]
-pub struct Split {
+pub struct WeightedRoundRobin {
     weights: Vec<u32>,
     credit: Vec<i64>,
 }
 
-impl Split {
+impl WeightedRoundRobin {
     /// A split with one weight for each part, that begins where `random` says.
     pub fn new(weights: Vec<u32>, random: u64) -> Self {
         let credit = vec![0; weights.len()];
--- a/crates/traffic/src/table.rs
+++ b/crates/traffic/src/table.rs
@@ -1,7 +1,7 @@
 //! The routing table: the longest prefix among the routes of a host wins.
 
 use crate::config::{Route, TrafficConfig};
-use crate::split::Split;
+use crate::round_robin::WeightedRoundRobin;
 use crate::tenants::{Denial, Key, Tenant, Tenants};
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -12,7 +12,7 @@
 pub struct RouteEntry {
     /// The route.
     pub route: Route,
-    split: RefCell<Split>,
+    split: RefCell<WeightedRoundRobin>,
 }
 
 impl RouteEntry {
@@ -59,7 +59,7 @@
     }
 
     /// The split of a route as it stands, where its parts are the same.
-    fn split_of(&self, route: &Route) -> Option<Split> {
+    fn split_of(&self, route: &Route) -> Option<WeightedRoundRobin> {
         let entries = self.by_host.get(&route.host.to_ascii_lowercase())?;
         let entry = entries
             .iter()
@@ -100,9 +100,9 @@
     }
 }
 
-fn begin_split(route: &Route, random: u64) -> Split {
+fn begin_split(route: &Route, random: u64) -> WeightedRoundRobin {
     let weights = route.parts.iter().map(|part| part.weight).collect();
-    Split::new(weights, xxh3_64_with_seed(route.name.as_bytes(), random))
+    WeightedRoundRobin::new(weights, xxh3_64_with_seed(route.name.as_bytes(), random))
 }
 
 fn without_port(host: &str) -> &str {
--- a/crates/traffic/tests/routes.rs
+++ b/crates/traffic/tests/routes.rs
@@ -1,7 +1,7 @@
 //! Looking up routes and dividing them among services.
 
 use fieldhook_traffic::config::{Route, RouteKind, TrafficConfig, WeightedService};
-use fieldhook_traffic::split::Split;
+use fieldhook_traffic::round_robin::WeightedRoundRobin;
 use fieldhook_traffic::table::{RouteTable, supersedes};
 use quickcheck::{Gen, QuickCheck};
 
@@ -89,7 +89,7 @@
     fn holds(weights: Vec<u8>, requests: u16, random: u64) -> bool {
         let weights: Vec<u32> = weights.iter().take(6).map(|w| u32::from(*w)).collect();
         let total: u32 = weights.iter().sum();
-        let mut split = Split::new(weights.clone(), random);
+        let mut split = WeightedRoundRobin::new(weights.clone(), random);
         if total == 0 {
             return split.next().is_none();
         }
@@ -116,7 +116,7 @@
     let mut counts = vec![0; weights.len()];
     let mut random = fastrand::Rng::with_seed(daemons);
     for _ in 0..daemons {
-        let mut split = Split::new(weights.to_vec(), random.u64(..));
+        let mut split = WeightedRoundRobin::new(weights.to_vec(), random.u64(..));
         for _ in 0..each {
             counts[split.next().expect("a part")] += 1;
         }
