--- a/crates/gateway/src/ledger/owner.rs
+++ b/crates/gateway/src/ledger/owner.rs
@@ -21,7 +21,7 @@
 use fieldhook_log::ownership::Claim;
 use fieldhook_log::patience::{Capacity, before_claim};
 use fieldhook_log::reach::Reach;
-use fieldhook_traffic::window::Bounds;
+use fieldhook_traffic::sliding_window::Bounds;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
--- a/crates/traffic/src/cold.rs
+++ b/crates/traffic/src/cold.rs
@@ -9,8 +9,8 @@
 
 use crate::config::Cold;
 use crate::quota::QuotaRequest;
+use crate::sliding_window::Bounds;
 use crate::tenants::Limit;
-use crate::window::Bounds;
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -5,7 +5,7 @@
 //! - [`tenants`]: whose request it is.
 //! - [`residency`]: regions that may serve a request and keep its data.
 //! - [`quota`]: what tenants may still send, as the owner of their limits counts it.
-//! - [`window`]: counting what was sent in a sliding window.
+//! - [`sliding_window`]: counting what was sent in a sliding window.
 //! - [`share`]: what one daemon may send of it while no owner can be asked.
 //! - [`table`]: looking up a request's route and tenant.
 //! - [`round_robin`]: dividing a route's requests among weighted services.
@@ -44,6 +44,6 @@
 pub mod round_robin;
 pub mod share;
 pub mod silence;
+pub mod sliding_window;
 pub mod table;
 pub mod tenants;
-pub mod window;
--- a/crates/traffic/src/quota.rs
+++ b/crates/traffic/src/quota.rs
@@ -1,7 +1,7 @@
 //! What tenants may still send, as the owner of their limits counts it.
 //!
 //! A limit holds over all daemons together and over every window of time, whoever is asked.
-//! One owner at a time counts for a tenant ([`crate::window`]), and a new owner grants so
+//! One owner at a time counts for a tenant ([`crate::sliding_window`]), and a new owner grants so
 //! little at first that no window over both holds more than it may.
 //!
 //! A program is worth something only whole, so near the limit programs under way go before
@@ -10,8 +10,8 @@
 //! that the rate will not carry to its end is turned away at its first turn.
 //! docs/design/tenants.md tells what was weighed.
 
+use crate::sliding_window::{Bounds, PriorGrants, SlidingWindow};
 use crate::tenants::Limit;
-use crate::window::{Bounds, Start, Window};
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -66,7 +66,7 @@
 
 struct Account {
     version: u64,
-    window: Window,
+    window: SlidingWindow,
     /// Requests that programs may still be admitted for.
     room: f64,
     room_at_ms: u64,
@@ -102,7 +102,7 @@
 /// Accounts of the tenants that one owner counts for.
 pub struct QuotaTracker {
     bounds: Bounds,
-    start: Start,
+    start: PriorGrants,
     accounts: HashMap<Rc<str>, Account>,
     programs: HashMap<u64, Program>,
     costs: HashMap<u64, f64>,
@@ -110,10 +110,10 @@
 }
 
 impl Account {
-    fn new(question: &QuotaRequest<'_>, bounds: &Bounds, start: Start, now_ms: u64) -> Self {
+    fn new(question: &QuotaRequest<'_>, bounds: &Bounds, start: PriorGrants, now_ms: u64) -> Self {
         Self {
             version: question.version,
-            window: Window::new(*bounds, question.limit, start),
+            window: SlidingWindow::new(*bounds, question.limit, start),
             room: most_room(&question.limit, bounds),
             room_at_ms: now_ms,
             promised: VecDeque::new(),
@@ -154,10 +154,10 @@
     }
 
     fn take(&mut self, question: &QuotaRequest<'_>, now_ms: u64) -> QuotaDecision {
-        if self.window.free(now_ms) >= f64::from(1 + question.reserved) {
+        if self.window.available(now_ms) >= f64::from(1 + question.reserved) {
             self.window.add(1, now_ms);
             return QuotaDecision::Granted {
-                used: self.window.used(now_ms),
+                used: self.window.usage(now_ms),
             };
         }
         let ahead = self.promised.len() as u32;
@@ -179,8 +179,8 @@
     /// Accounts of an owner that begins at some time.
     pub fn new(bounds: Bounds, former: PreviousOwner, now_ms: u64) -> Self {
         let start = match former {
-            PreviousOwner::None => Start::Known,
-            PreviousOwner::Lost => Start::Unknown { since_ms: now_ms },
+            PreviousOwner::None => PriorGrants::None,
+            PreviousOwner::Lost => PriorGrants::Unknown { since_ms: now_ms },
         };
         Self {
             bounds,
@@ -195,13 +195,13 @@
     /// How much of its limit each tenant uses, 0 to 1.
     pub fn usage(&mut self, now_ms: u64) -> impl Iterator<Item = (Rc<str>, f64)> {
         let accounts = self.accounts.iter_mut();
-        accounts.map(move |(name, account)| (name.clone(), account.window.used(now_ms)))
+        accounts.map(move |(name, account)| (name.clone(), account.window.usage(now_ms)))
     }
 
     /// How much of its limit one tenant uses, 0 to 1.
     pub fn usage_of(&mut self, tenant: &str, now_ms: u64) -> f64 {
         let account = self.accounts.get_mut(tenant);
-        account.map_or(0.0, |account| account.window.used(now_ms))
+        account.map_or(0.0, |account| account.window.usage(now_ms))
     }
 
     /// Answers a question.
--- a/crates/traffic/src/window.rs
+++ b/crates/traffic/src/sliding_window.rs
@@ -70,9 +70,9 @@
 
 /// What a count knows of the time before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Start {
+pub enum PriorGrants {
     /// Nothing was sent.
-    Known,
+    None,
     /// Another count let requests through until then, in milliseconds.
     Unknown {
         /// When this count took over.
@@ -106,9 +106,9 @@
 
 /// A count of what was sent.
 #[derive(Clone, Debug)]
-pub struct Window {
+pub struct SlidingWindow {
     bounds: Bounds,
-    start: Start,
+    start: PriorGrants,
     limit: Limit,
     /// What was sent before counts against the limit before alone.
     lowered: Option<Lowered>,
@@ -116,9 +116,9 @@
     spans: VecDeque<Span>,
 }
 
-impl Window {
+impl SlidingWindow {
     /// A count that nothing was sent by yet.
-    pub fn new(bounds: Bounds, limit: Limit, start: Start) -> Self {
+    pub fn new(bounds: Bounds, limit: Limit, start: PriorGrants) -> Self {
         Self {
             bounds,
             start,
@@ -145,7 +145,7 @@
     }
 
     /// Requests that may be sent now.
-    pub fn free(&mut self, now_ms: u64) -> f64 {
+    pub fn available(&mut self, now_ms: u64) -> f64 {
         self.forget(now_ms);
         let rules = self.rules(now_ms);
         rules
@@ -172,7 +172,7 @@
             limit: self.limit,
             since_ms: lowered.map_or(0, |lowered| lowered.at_ms),
             taken_over_ms: match self.start {
-                Start::Unknown { since_ms } if is_recent(since_ms) => Some(since_ms),
+                PriorGrants::Unknown { since_ms } if is_recent(since_ms) => Some(since_ms),
                 _ => None,
             },
         };
@@ -185,9 +185,9 @@
     }
 
     /// Part of what may go out at one moment that is used up, 0 to 1.
-    pub fn used(&mut self, now_ms: u64) -> f64 {
+    pub fn usage(&mut self, now_ms: u64) -> f64 {
         let depth = self.bounds.depth(&self.limit);
-        (1.0 - self.free(now_ms) / depth).clamp(0.0, 1.0)
+        (1.0 - self.available(now_ms) / depth).clamp(0.0, 1.0)
     }
 
     /// Requests go out now.
--- a/crates/traffic/tests/quota.rs
+++ b/crates/traffic/tests/quota.rs
@@ -3,8 +3,8 @@
 
 use fieldhook_traffic::quota::{PreviousOwner, QuotaDecision, QuotaRequest, QuotaTracker};
 use fieldhook_traffic::share::Share;
+use fieldhook_traffic::sliding_window::Bounds;
 use fieldhook_traffic::tenants::Limit;
-use fieldhook_traffic::window::Bounds;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 const WINDOW_MS: u64 = 5_000;
--- a/crates/traffic/tests/quota_programs.rs
+++ b/crates/traffic/tests/quota_programs.rs
@@ -1,8 +1,8 @@
 //! Programs admitted whole where some are cut short: their clients leave, or calls are refused.
 
 use fieldhook_traffic::quota::{PreviousOwner, QuotaDecision, QuotaRequest, QuotaTracker};
+use fieldhook_traffic::sliding_window::Bounds;
 use fieldhook_traffic::tenants::Limit;
-use fieldhook_traffic::window::Bounds;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
