--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -279,7 +279,7 @@
         let directory = daemon.directory.borrow();
         daemon
             .pools
-            .sweep(&|id| directory.takes_work(id), daemon.now_ms());
+            .sweep(&|id| directory.accepts_work(id), daemon.now_ms());
         let cold = daemon.cold.count(&directory);
         daemon.metrics.cold_servers.set(cold as i64);
     }
--- a/crates/gateway/src/follow/servers.rs
+++ b/crates/gateway/src/follow/servers.rs
@@ -98,7 +98,7 @@
             self.remove(&name, offset, "removed");
             return;
         }
-        let is_news = self.daemon.directory.borrow().is_news(&name, offset);
+        let is_news = self.daemon.directory.borrow().is_newer(&name, offset);
         match read(self.daemon, record) {
             Ok(entry) => self.take_entry(&name, entry, offset),
             Err(problem) if is_news => {
@@ -115,12 +115,12 @@
         let former = daemon
             .directory
             .borrow()
-            .identity_of(name)
+            .current_identity(name)
             .map(str::to_owned);
         let id = entry.id.clone();
         let told = entry.clone();
         let change = daemon.directory.borrow_mut().insert(entry, offset);
-        let is_in_force = daemon.directory.borrow().identity_of(name) == Some(&id);
+        let is_in_force = daemon.directory.borrow().current_identity(name) == Some(&id);
         if !is_in_force {
             return;
         }
--- a/crates/gateway/src/ledger/assigner.rs
+++ b/crates/gateway/src/ledger/assigner.rs
@@ -10,7 +10,7 @@
 use fieldhook_traffic::assignment::{Engine, Settings, Table, Turn};
 use fieldhook_traffic::candidates::{CandidateQuery, FULL_SCAN_MAX, select_candidates};
 use fieldhook_traffic::cold;
-use fieldhook_traffic::directory::{Directory, ServerEntry, Serving};
+use fieldhook_traffic::directory::{ActiveServers, Directory, ServerEntry};
 use fieldhook_traffic::groups::{Groups, group_count};
 use fieldhook_traffic::hash_ring::{HashRange, ring_position};
 use std::cell::RefCell;
@@ -74,7 +74,7 @@
         let placement = open.placement.as_ref()?;
         let now_ms = self.started.elapsed().as_millis() as u64;
         let directory = self.directory.borrow();
-        let serving = directory.serving(&placement.service)?;
+        let serving = directory.active_servers(&placement.service)?;
         let partition = partition_of(&open.program, self.partitions);
         let (mut engines, share) = match serving.all.len() <= FULL_SCAN_MAX {
             true => self.engines_of_few(&placement.service, serving, partition),
@@ -100,7 +100,7 @@
     fn engines_of_few<'a>(
         &self,
         service: &str,
-        serving: &'a Serving,
+        serving: &'a ActiveServers,
         partition: u32,
     ) -> (Vec<Engine<'a>>, f64) {
         let groups = self.groups(service, serving);
@@ -119,7 +119,7 @@
     fn engines_of_many<'a>(
         &self,
         directory: &'a Directory,
-        serving: &'a Serving,
+        serving: &'a ActiveServers,
         open: &OpenTurn,
         placement: &Placement,
         partition: u32,
@@ -192,7 +192,7 @@
     }
 
     /// The groups of a service's engines, divided anew where these have changed.
-    fn groups(&self, service: &str, serving: &Serving) -> Rc<Groups> {
+    fn groups(&self, service: &str, serving: &ActiveServers) -> Rc<Groups> {
         let version = serving.version;
         let mut divisions = self.divisions.borrow_mut();
         if let Some(known) = divisions.get(service)
@@ -230,7 +230,7 @@
 }
 
 /// Engines of a service that take new work, in an order of their own.
-fn engines(serving: &Serving) -> Vec<Engine<'_>> {
+fn engines(serving: &ActiveServers) -> Vec<Engine<'_>> {
     let all = serving.all.iter_from(HashRange::FULL, 0);
     let mut engines: Vec<Engine<'_>> = all.map(|server| engine(server)).collect();
     engines.sort_by(|left, right| left.id.cmp(right.id));
--- a/crates/gateway/src/ledger/reach.rs
+++ b/crates/gateway/src/ledger/reach.rs
@@ -77,7 +77,7 @@
     let own = daemon.places.zone.to_string();
     let mut by_zone: BTreeMap<String, Vec<ServerEntry>> = {
         let directory = daemon.directory.borrow();
-        let some = directory.some_of_each_zone(TRIED_IN_ZONE, fastrand::u64(..));
+        let some = directory.sample_zones(TRIED_IN_ZONE, fastrand::u64(..));
         let owned = |servers: Vec<&ServerEntry>| servers.into_iter().cloned().collect();
         some.into_iter()
             .map(|(zone, servers)| (zone.to_owned(), owned(servers)))
--- a/crates/gateway/src/serve/choice.rs
+++ b/crates/gateway/src/serve/choice.rs
@@ -14,7 +14,7 @@
 pub fn choose(context: &RequestContext, homes: &RegionSet, tried: &Tried) -> Option<ServerEntry> {
     let daemon = &context.daemon;
     let directory = daemon.directory.borrow();
-    let serving = directory.serving(context.service()?)?;
+    let serving = directory.active_servers(context.service()?)?;
     let now_ms = daemon.now_ms();
     let zone = &daemon.settings.zone;
     let is_stream = context.entry.route.kind.is_stream();
--- a/crates/gateway/src/serve/open.rs
+++ b/crates/gateway/src/serve/open.rs
@@ -47,7 +47,7 @@
 /// It may not; nothing was sent.
 pub fn still(context: &RequestContext, server: &ServerEntry) -> Result<(), DispatchFailure> {
     let daemon = &context.daemon;
-    let cause = if !daemon.directory.borrow().takes_work(&server.id) {
+    let cause = if !daemon.directory.borrow().accepts_work(&server.id) {
         "server_leaves"
     } else if daemon.places.is_evacuated(&server.zone) {
         "zone_evacuated"
--- a/crates/gateway/tests/gateway/incarnations.rs
+++ b/crates/gateway/tests/gateway/incarnations.rs
@@ -279,7 +279,7 @@
             assert_believed_no_longer(&s1, since, IN_FORCE);
         }
         let directory = gateway.daemon.directory.borrow();
-        assert_eq!(directory.identity_of("s1"), Some("s1~5"));
+        assert_eq!(directory.current_identity("s1"), Some("s1~5"));
         assert_eq!(directory.len(), 1);
     });
 }
@@ -375,7 +375,7 @@
         let gateway = gateway_of(&world, &s1, 1).await;
         let is_cold = || {
             let directory = gateway.daemon.directory.borrow();
-            let id = directory.identity_of("s1").expect("a server");
+            let id = directory.current_identity("s1").expect("a server");
             let entry = directory.entry(id).expect("its entry");
             gateway.daemon.cold.cold(entry).is_some()
         };
--- a/crates/gateway/tests/gateway/readers.rs
+++ b/crates/gateway/tests/gateway/readers.rs
@@ -54,7 +54,7 @@
             .borrow()
             .as_ref()
             .map(|table| table.config.version);
-        let has_left = !daemon.directory.borrow().takes_work("s1");
+        let has_left = !daemon.directory.borrow().accepts_work("s1");
         version == Some(2) && daemon.places.is_evacuated("z9") && has_left
     };
     while !in_force() {
--- a/crates/gateway/tests/gateway/relay.rs
+++ b/crates/gateway/tests/gateway/relay.rs
@@ -83,7 +83,7 @@
         wait_for("not all know", ms(700), || {
             let mut all = readers.iter().chain(&askers);
             all.all(|one| {
-                version(one) == Some(2) && !one.daemon.directory.borrow().takes_work("s1")
+                version(one) == Some(2) && !one.daemon.directory.borrow().accepts_work("s1")
             })
         })
         .await;
@@ -164,7 +164,7 @@
     wait_for("an asker does not know", limit, || {
         askers
             .iter()
-            .all(|one| version(one) == Some(2) && !one.daemon.directory.borrow().takes_work("s1"))
+            .all(|one| version(one) == Some(2) && !one.daemon.directory.borrow().accepts_work("s1"))
     })
     .await;
 }
@@ -242,7 +242,7 @@
         world.put(SERVERS, "s1", &leaving).await;
         wait_for("a refused one does not know", ms(700), || {
             let mut all = askers.iter();
-            all.all(|one| !one.daemon.directory.borrow().takes_work("s1"))
+            all.all(|one| !one.daemon.directory.borrow().accepts_work("s1"))
         })
         .await;
         assert!(askers.iter().all(|one| one.daemon.is_ready()));
@@ -278,7 +278,7 @@
         world.log.core.borrow_mut().forget_history();
         wait_for("not all know", ms(2_000), || {
             let mut all = readers.iter().chain(&askers);
-            all.all(|one| !one.daemon.directory.borrow().takes_work("s1"))
+            all.all(|one| !one.daemon.directory.borrow().accepts_work("s1"))
         })
         .await;
         for (asker, before) in askers.iter().zip(before) {
--- a/crates/traffic/src/candidates.rs
+++ b/crates/traffic/src/candidates.rs
@@ -5,7 +5,7 @@
 //! a place that a key stands for, serves as well: requests of one key are always drawn the same
 //! part, so what an engine keeps is found again, and a daemon's connections are used again.
 
-use crate::directory::{ServerEntry, Serving};
+use crate::directory::{ActiveServers, ServerEntry};
 use crate::hash_ring::HashRange;
 use std::rc::Rc;
 
@@ -58,7 +58,7 @@
 
 /// Draws servers that are usable from a service.
 pub fn select_candidates<'a>(
-    serving: &'a Serving,
+    serving: &'a ActiveServers,
     draw: &CandidateQuery<'_>,
     is_usable: &dyn Fn(&ServerEntry) -> bool,
 ) -> Candidates<'a> {
--- a/crates/traffic/src/directory.rs
+++ b/crates/traffic/src/directory.rs
@@ -64,7 +64,7 @@
 
 /// Servers of a service that take new work.
 #[derive(Debug, Default)]
-pub struct Serving {
+pub struct ActiveServers {
     /// All of them.
     pub all: HashRing,
     /// Those of each zone.
@@ -73,7 +73,7 @@
     pub version: u64,
 }
 
-impl Serving {
+impl ActiveServers {
     fn insert(&mut self, server: Rc<ServerEntry>) {
         let zone = self.zones.entry(server.zone.clone()).or_default();
         zone.insert(server.clone());
@@ -98,7 +98,7 @@
 pub struct Directory {
     servers: HashMap<String, Rc<ServerEntry>>,
     /// Those that take new work, by service.
-    services: HashMap<String, Serving>,
+    services: HashMap<String, ActiveServers>,
     names: HashMap<String, Known>,
     /// Names that are known to have no server.
     gone: usize,
@@ -160,7 +160,7 @@
     }
 
     /// Whether a record of this place in the topic is newer than what is known of its name.
-    pub fn is_news(&self, name: &str, revision: u64) -> bool {
+    pub fn is_newer(&self, name: &str, revision: u64) -> bool {
         let known = self.names.get(name);
         known.is_none_or(|known| revision > known.revision)
     }
@@ -169,7 +169,7 @@
     /// or names no server: the identity that it had. The place is remembered, so that an older
     /// entry does not bring the server back.
     pub fn remove(&mut self, name: &str, revision: u64) -> Option<String> {
-        if !self.is_news(name, revision) {
+        if !self.is_newer(name, revision) {
             return None;
         }
         let former = self.know(name, Known { id: None, revision });
@@ -196,7 +196,7 @@
     }
 
     /// Identity of a name's incarnation in force.
-    pub fn identity_of(&self, name: &str) -> Option<&str> {
+    pub fn current_identity(&self, name: &str) -> Option<&str> {
         self.names.get(name)?.id.as_deref()
     }
 
@@ -216,13 +216,15 @@
     }
 
     /// Servers of a service that take new work.
-    pub fn serving(&self, service: &str) -> Option<&Serving> {
+    pub fn active_servers(&self, service: &str) -> Option<&ActiveServers> {
         self.services.get(service)
     }
 
     /// Zones in which a service has servers that take new work.
     pub fn zones_of(&self, service: &str) -> impl Iterator<Item = &str> {
-        let zones = self.serving(service).map(|serving| serving.zones.iter());
+        let zones = self
+            .active_servers(service)
+            .map(|serving| serving.zones.iter());
         let zones = zones.into_iter().flatten();
         zones
             .filter(|(_, ring)| !ring.is_empty())
@@ -230,7 +232,7 @@
     }
 
     /// Some servers of each zone that take new work, from the place on that a number stands for.
-    pub fn some_of_each_zone(&self, most: usize, number: u64) -> BTreeMap<&str, Vec<&ServerEntry>> {
+    pub fn sample_zones(&self, most: usize, number: u64) -> BTreeMap<&str, Vec<&ServerEntry>> {
         let mut some: BTreeMap<&str, Vec<&ServerEntry>> = BTreeMap::new();
         let rings = self.services.values().flat_map(|serving| &serving.zones);
         for (zone, ring) in rings {
@@ -244,7 +246,7 @@
     }
 
     /// Whether this server may still get new work.
-    pub fn takes_work(&self, id: &str) -> bool {
+    pub fn accepts_work(&self, id: &str) -> bool {
         self.servers.get(id).is_some_and(|server| !server.draining)
     }
 
@@ -259,7 +261,7 @@
     }
 
     /// Names of which the last record is remembered, with a server or without.
-    pub fn remembered(&self) -> usize {
+    pub fn known_names(&self) -> usize {
         self.names.len()
     }
 
--- a/crates/traffic/tests/candidates.rs
+++ b/crates/traffic/tests/candidates.rs
@@ -41,7 +41,7 @@
         range: HashRange::FULL,
         start: number,
     };
-    let serving = directory.serving("service0").expect("servers");
+    let serving = directory.active_servers("service0").expect("servers");
     let drawn = select_candidates(serving, &place, usable);
     let ids = drawn.servers.iter().map(|server| server.id.clone());
     (drawn.examined, ids.collect())
@@ -94,7 +94,7 @@
 #[test]
 fn arcs_divide_the_order_and_each_is_gone_through_once() {
     let directory = fleet(1_000);
-    let all = &directory.serving("service0").expect("servers").all;
+    let all = &directory.active_servers("service0").expect("servers").all;
     for count in [1, 3, 16, 100] {
         let mut seen = BTreeSet::new();
         for index in 0..count {
@@ -162,7 +162,7 @@
                 })
                 .map(|(which, _)| format!("s{which}"))
                 .collect();
-            let Some(serving) = directory.serving(service) else {
+            let Some(serving) = directory.active_servers(service) else {
                 return wanted.is_empty();
             };
             let all: BTreeSet<String> = serving
--- a/crates/traffic/tests/servers.rs
+++ b/crates/traffic/tests/servers.rs
@@ -106,12 +106,12 @@
         ..server("a", "z1")
     };
     assert_eq!(directory.insert(leaving, 2), DirectoryChange::Draining);
-    assert!(!directory.takes_work("a"));
+    assert!(!directory.accepts_work("a"));
     // An older entry, read again.
     directory.insert(server("a", "z1"), 1);
     directory.insert(server("a", "z1"), 3);
-    assert!(!directory.takes_work("a"));
-    let serving = directory.serving("chat");
+    assert!(!directory.accepts_work("a"));
+    let serving = directory.active_servers("chat");
     assert!(serving.is_none_or(|serving| serving.all.is_empty()));
 }
 
@@ -133,21 +133,21 @@
         directory.insert(born(200, false), 3),
         DirectoryChange::Restarted
     );
-    assert!(directory.takes_work("a~200"));
-    assert!(!directory.takes_work("a~100"));
+    assert!(directory.accepts_work("a~200"));
+    assert!(!directory.accepts_work("a~100"));
     assert_eq!(directory.len(), 1);
     // A listing from before it started again changes nothing.
     assert_eq!(
         directory.insert(born(100, false), 1),
         DirectoryChange::Unchanged
     );
-    assert!(directory.takes_work("a~200"));
+    assert!(directory.accepts_work("a~200"));
     // Its clock was set back before the next start.
     assert_eq!(
         directory.insert(born(50, false), 4),
         DirectoryChange::Restarted
     );
-    assert_eq!(directory.identity_of("a"), Some("a~50"));
+    assert_eq!(directory.current_identity("a"), Some("a~50"));
     assert_eq!(directory.remove("a", 5), Some("a~50".to_owned()));
     assert!(directory.is_empty());
 }
@@ -159,8 +159,8 @@
     directory.insert(server("b", "z1"), 2);
     let gone = directory.retain(&|id| id == "b", 3);
     assert_eq!(gone, vec!["a".to_owned()]);
-    assert!(!directory.takes_work("a"));
-    assert!(directory.takes_work("b"));
+    assert!(!directory.accepts_work("a"));
+    assert!(directory.accepts_work("b"));
 }
 
 #[test]
@@ -170,7 +170,7 @@
     directory.insert(server("b", "z1"), 7);
     let gone = directory.retain(&|_| false, 5);
     assert_eq!(gone, vec!["a".to_owned()]);
-    assert!(directory.takes_work("b"));
+    assert!(directory.accepts_work("b"));
 }
 
 #[test]
@@ -178,14 +178,14 @@
     let mut directory = Directory::default();
     directory.insert(born(1, false), 5);
     assert_eq!(directory.remove("a", 4), None);
-    assert!(directory.takes_work("a~1"));
+    assert!(directory.accepts_work("a~1"));
     assert_eq!(directory.remove("a", 6), Some("a~1".to_owned()));
-    assert!(!directory.is_news("a", 6) && directory.is_news("a", 7));
+    assert!(!directory.is_newer("a", 6) && directory.is_newer("a", 7));
     directory.insert(born(1, false), 5);
-    assert!(!directory.takes_work("a~1"));
-    assert_eq!(directory.identity_of("a"), None);
+    assert!(!directory.accepts_work("a~1"));
+    assert_eq!(directory.current_identity("a"), None);
     assert_eq!(directory.insert(born(1, false), 7), DirectoryChange::Added);
-    assert!(directory.takes_work("a~1"));
+    assert!(directory.accepts_work("a~1"));
 }
 
 #[test]
@@ -195,10 +195,10 @@
     for number in 0..30_000_u64 {
         directory.remove(&format!("gone{number}"), number);
     }
-    assert!(directory.remembered() <= 10_001);
-    assert!(directory.takes_work("a"));
+    assert!(directory.known_names() <= 10_001);
+    assert!(directory.accepts_work("a"));
     directory.retain(&|id| id == "a", 40_000);
-    assert_eq!(directory.remembered(), 1);
+    assert_eq!(directory.known_names(), 1);
 }
 
 #[test]
