--- a/crates/gateway/src/ledger/assigner.rs
+++ b/crates/gateway/src/ledger/assigner.rs
@@ -11,7 +11,7 @@
 use fieldhook_traffic::candidates::{CandidateQuery, FULL_SCAN_MAX, select_candidates};
 use fieldhook_traffic::cold;
 use fieldhook_traffic::directory::{ActiveServers, Directory, ServerEntry};
-use fieldhook_traffic::groups::{Groups, group_count};
+use fieldhook_traffic::groups::{EngineGroups, group_count};
 use fieldhook_traffic::hash_ring::{HashRange, ring_position};
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -25,7 +25,7 @@
 /// Groups of a service's engines, as of a version of these.
 struct Division {
     version: u64,
-    groups: Rc<Groups>,
+    groups: Rc<EngineGroups>,
 }
 
 /// Assigns engines, from the servers and their health as this daemon knows them.
@@ -104,10 +104,10 @@
         partition: u32,
     ) -> (Vec<Engine<'a>>, f64) {
         let groups = self.groups(service, serving);
-        let home = groups.of_partition(partition);
+        let home = groups.partition_group(partition);
         let mut engines = engines(serving);
         for engine in &mut engines {
-            engine.is_home = groups.of_engine(engine.id) == Some(home);
+            engine.is_home = groups.engine_group(engine.id) == Some(home);
         }
         (engines, self.share(groups.count(), home))
     }
@@ -192,7 +192,7 @@
     }
 
     /// The groups of a service's engines, divided anew where these have changed.
-    fn groups(&self, service: &str, serving: &ActiveServers) -> Rc<Groups> {
+    fn groups(&self, service: &str, serving: &ActiveServers) -> Rc<EngineGroups> {
         let version = serving.version;
         let mut divisions = self.divisions.borrow_mut();
         if let Some(known) = divisions.get(service)
@@ -200,7 +200,7 @@
         {
             return known.groups.clone();
         }
-        let groups = Rc::new(Groups::divide(&engines(serving), self.partitions));
+        let groups = Rc::new(EngineGroups::divide(&engines(serving), self.partitions));
         let current = Division {
             version,
             groups: groups.clone(),
--- a/crates/traffic/src/groups.rs
+++ b/crates/traffic/src/groups.rs
@@ -20,12 +20,12 @@
 
 /// Engines divided into groups, and groups among partitions.
 #[derive(Debug, Default)]
-pub struct Groups {
+pub struct EngineGroups {
     count: u32,
     of: HashMap<Rc<str>, u32>,
 }
 
-impl Groups {
+impl EngineGroups {
     /// Divides engines: groups differ by one engine at most, and so do the engines that a
     /// group has of a zone while the zone has enough for all. An engine that comes or goes
     /// moves few others.
@@ -57,12 +57,12 @@
     }
 
     /// The group that a partition assigns.
-    pub fn of_partition(&self, partition: u32) -> u32 {
+    pub fn partition_group(&self, partition: u32) -> u32 {
         partition % self.count.max(1)
     }
 
     /// The group that an engine belongs to.
-    pub fn of_engine(&self, engine: &str) -> Option<u32> {
+    pub fn engine_group(&self, engine: &str) -> Option<u32> {
         self.of.get(engine).copied()
     }
 
--- a/crates/traffic/tests/groups.rs
+++ b/crates/traffic/tests/groups.rs
@@ -2,7 +2,7 @@
 
 use fieldhook_topology::zone::Distance;
 use fieldhook_traffic::assignment::{Engine, Settings, Table, Turn};
-use fieldhook_traffic::groups::Groups;
+use fieldhook_traffic::groups::EngineGroups;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::HashMap;
 
@@ -32,11 +32,11 @@
             .collect()
     }
 
-    fn sizes(&self, groups: &Groups, zone: Option<&str>) -> Vec<usize> {
+    fn sizes(&self, groups: &EngineGroups, zone: Option<&str>) -> Vec<usize> {
         let mut sizes = vec![0; groups.count() as usize];
         for (id, its_zone) in &self.0 {
             if zone.is_none_or(|zone| zone == its_zone) {
-                sizes[groups.of_engine(id).expect("in a group") as usize] += 1;
+                sizes[groups.engine_group(id).expect("in a group") as usize] += 1;
             }
         }
         sizes
@@ -70,7 +70,7 @@
 
 fn is_even(case: Case) -> bool {
     let fleet = Fleet::new(case.engines, case.zones);
-    let groups = Groups::divide(&fleet.engines(), case.partitions);
+    let groups = EngineGroups::divide(&fleet.engines(), case.partitions);
     let partitions = case.partitions.max(1);
     let large_enough = groups.count() == 1 || case.engines >= 6 * groups.count() as usize;
     let zones_even = (0..case.zones).all(|zone| {
@@ -99,8 +99,9 @@
 
 #[test]
 fn few_engines_are_one_group_and_many_are_as_many_as_leave_each_six() {
-    let count =
-        |engines, partitions| Groups::divide(&Fleet::new(engines, 3).engines(), partitions).count();
+    let count = |engines, partitions| {
+        EngineGroups::divide(&Fleet::new(engines, 3).engines(), partitions).count()
+    };
     assert_eq!(count(1, 16), 1);
     assert_eq!(count(11, 16), 1);
     assert_eq!(count(12, 16), 2);
@@ -115,25 +116,25 @@
     let fleet = Fleet::new(102, 6);
     let mut reversed = fleet.engines();
     reversed.reverse();
-    let one = Groups::divide(&fleet.engines(), 16);
-    let other = Groups::divide(&reversed, 16);
+    let one = EngineGroups::divide(&fleet.engines(), 16);
+    let other = EngineGroups::divide(&reversed, 16);
     for (id, _) in &fleet.0 {
-        assert_eq!(one.of_engine(id), other.of_engine(id));
+        assert_eq!(one.engine_group(id), other.engine_group(id));
     }
 }
 
 #[test]
 fn an_engine_that_leaves_moves_few_others() {
     let fleet = Fleet::new(102, 6);
-    let before = Groups::divide(&fleet.engines(), 16);
+    let before = EngineGroups::divide(&fleet.engines(), 16);
     for gone in 0..102 {
         let mut left = fleet.clone();
         left.0.remove(gone);
-        let after = Groups::divide(&left.engines(), 16);
+        let after = EngineGroups::divide(&left.engines(), 16);
         let moved = left
             .0
             .iter()
-            .filter(|(id, _)| before.of_engine(id) != after.of_engine(id));
+            .filter(|(id, _)| before.engine_group(id) != after.engine_group(id));
         let moved = moved.count();
         assert!(moved <= 20, "{moved} of 101 moved");
     }
@@ -148,18 +149,18 @@
 
 /// Turns under way at each engine where sixteen owners assign without a word between them.
 fn loads(fleet: &Fleet, partitions: u32, programs: u32) -> HashMap<String, u32> {
-    let groups = Groups::divide(&fleet.engines(), partitions);
+    let groups = EngineGroups::divide(&fleet.engines(), partitions);
     let mut owners: Vec<Table> = (0..partitions)
         .map(|_| Table::new(Settings::default()))
         .collect();
     for program in 0..programs {
         let name = format!("p{program}");
         let partition = program * 7 % partitions;
-        let group = groups.of_partition(partition);
+        let group = groups.partition_group(partition);
         let mut engines = fleet.engines();
         let zone = format!("z{}", program % 6);
         for engine in &mut engines {
-            engine.is_home = groups.of_engine(engine.id) == Some(group);
+            engine.is_home = groups.engine_group(engine.id) == Some(group);
             engine.distance = distance(engine.zone, &zone);
         }
         let turn = Turn {
@@ -192,11 +193,11 @@
 #[test]
 fn what_a_full_group_cannot_take_goes_to_other_groups() {
     let fleet = Fleet::new(24, 6);
-    let groups = Groups::divide(&fleet.engines(), 4);
+    let groups = EngineGroups::divide(&fleet.engines(), 4);
     assert_eq!(groups.count(), 4);
     let mut engines = fleet.engines();
     for engine in &mut engines {
-        engine.is_home = groups.of_engine(engine.id) == Some(0);
+        engine.is_home = groups.engine_group(engine.id) == Some(0);
         engine.distance = distance(engine.zone, "z1");
     }
     let mut owner = Table::new(Settings::default());
