--- a/crates/gateway/src/cold.rs
+++ b/crates/gateway/src/cold.rs
@@ -1,7 +1,7 @@
 //! What this daemon knows of cold servers (docs/design/cold-servers.md).
 
 use crate::places::Places;
-use fieldhook_traffic::cold::{Cause, Denials, Servers};
+use fieldhook_traffic::cold::{ColdCause, ColdTracker, PermitDenials};
 use fieldhook_traffic::config::{Cold, TrafficConfig};
 use fieldhook_traffic::directory::{Directory, ServerEntry};
 use std::cell::{Cell, RefCell};
@@ -12,8 +12,8 @@
 /// Cold servers as one daemon knows them.
 pub struct ColdServers {
     places: Rc<Places>,
-    servers: RefCell<Servers>,
-    denials: RefCell<Denials>,
+    servers: RefCell<ColdTracker>,
+    denials: RefCell<PermitDenials>,
     /// What cold servers bear, by service.
     services: RefCell<HashMap<String, Cold>>,
     version: Cell<u64>,
@@ -63,7 +63,7 @@
     /// Why a server is cold and for how much longer, in milliseconds.
     fn cause(&self, server: &ServerEntry, cold: &Cold) -> Option<(&'static str, u64)> {
         let now_ms = self.now_ms();
-        if let Some((cause, left_ms)) = self.servers.borrow().cold(&server.id, cold, now_ms) {
+        if let Some((cause, left_ms)) = self.servers.borrow().cold_cause(&server.id, cold, now_ms) {
             return Some((name(cause), left_ms));
         }
         // Servers of an evacuated zone may have turned cold before it takes part again.
@@ -82,13 +82,15 @@
     pub fn denied(&self) -> Vec<(Rc<str>, u64)> {
         let now_ms = self.now_ms();
         let denials = self.denials.borrow();
-        denials.all(now_ms).collect()
+        denials.pending(now_ms).collect()
     }
 
     /// A cold server has no place for so long.
     pub fn deny(&self, id: &str, retry_after_ms: u64) {
         let now_ms = self.now_ms();
-        self.denials.borrow_mut().denied(id, retry_after_ms, now_ms);
+        self.denials
+            .borrow_mut()
+            .record_denial(id, retry_after_ms, now_ms);
     }
 
     /// Takes in a record of a server.
@@ -96,13 +98,13 @@
         let now_ms = self.now_ms();
         self.servers
             .borrow_mut()
-            .told(&server.id, server.cold_ms, now_ms);
+            .record_reported(&server.id, server.cold_ms, now_ms);
         self.say(server);
     }
 
     /// The servers that existed at the start of this daemon are known.
     pub fn listed(&self) {
-        self.servers.borrow_mut().listed();
+        self.servers.borrow_mut().record_initial_listing();
     }
 
     /// A server is gone from discovery.
@@ -113,14 +115,18 @@
 
     /// No connection to a server came about.
     pub fn unreachable(&self, server: &ServerEntry) {
-        self.servers.borrow_mut().unreachable(&server.id);
+        self.servers.borrow_mut().record_unreachable(&server.id);
         self.say(server);
     }
 
     /// A connection to a server came about.
     pub fn reached(&self, server: &ServerEntry) {
         let now_ms = self.now_ms();
-        if self.servers.borrow_mut().reached(&server.id, now_ms) {
+        if self
+            .servers
+            .borrow_mut()
+            .record_connected(&server.id, now_ms)
+        {
             self.say(server);
         }
     }
@@ -128,7 +134,7 @@
     /// A server broke off at once what was sent to it.
     pub fn reset(&self, server: &ServerEntry) {
         let now_ms = self.now_ms();
-        self.servers.borrow_mut().reset(&server.id, now_ms);
+        self.servers.borrow_mut().record_reset(&server.id, now_ms);
         self.say(server);
     }
 
@@ -175,11 +181,11 @@
     }
 }
 
-fn name(cause: Cause) -> &'static str {
+fn name(cause: ColdCause) -> &'static str {
     match cause {
-        Cause::Told => "told",
-        Cause::New => "new",
-        Cause::Back => "took_no_connection",
-        Cause::Reset => "reset",
+        ColdCause::Reported => "told",
+        ColdCause::New => "new",
+        ColdCause::Reconnected => "took_no_connection",
+        ColdCause::Reset => "reset",
     }
 }
--- a/crates/gateway/src/ledger/assigner.rs
+++ b/crates/gateway/src/ledger/assigner.rs
@@ -177,7 +177,7 @@
             let cold = entry.and_then(|entry| self.cold.cold(entry));
             if let Some(cold) = cold {
                 engine.is_cold = true;
-                engine.slots = engine.slots.min(cold::slots(&cold));
+                engine.slots = engine.slots.min(cold::cold_slots(&cold));
             }
         }
     }
--- a/crates/gateway/src/ledger/cold.rs
+++ b/crates/gateway/src/ledger/cold.rs
@@ -10,7 +10,7 @@
 use fieldhook_log::appender::fence;
 use fieldhook_log::lease::{Lease, State, TERM_MS};
 use fieldhook_log::ownership::{Claim, Former};
-use fieldhook_traffic::cold::{BOUNDS, PERMIT_MS};
+use fieldhook_traffic::cold::{PERMIT_BOUNDS, PERMIT_VALIDITY_MS};
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -19,7 +19,7 @@
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
 /// A permit that comes later than this is void.
-const PERMIT: Duration = Duration::from_millis(PERMIT_MS);
+const PERMIT: Duration = Duration::from_millis(PERMIT_VALIDITY_MS);
 /// Pause before another owner, of whom this daemon just learned, is asked.
 const AGAIN: Duration = Duration::from_millis(1);
 /// After the log did not confirm an owner it is left alone for so long, in milliseconds.
@@ -43,7 +43,7 @@
 impl Default for Counts {
     fn default() -> Self {
         Self {
-            limits: Limits::new(BOUNDS),
+            limits: Limits::new(PERMIT_BOUNDS),
             leases: RefCell::default(),
             asked: RefCell::default(),
             failed_ms: RefCell::default(),
--- a/crates/gateway/src/ledger/limits.rs
+++ b/crates/gateway/src/ledger/limits.rs
@@ -111,7 +111,7 @@
 
 /// A question about a cold server.
 pub(super) fn of_cold(question: &ColdQuestion) -> QuotaRequest<'_> {
-    cold::question(
+    cold::permit_request(
         &question.server,
         question.rate_per_s,
         question.version,
--- a/crates/gateway/src/serve/cold.rs
+++ b/crates/gateway/src/serve/cold.rs
@@ -4,7 +4,7 @@
 use super::attempt::Tried;
 use super::request::{RETRY_SOON_MS, RequestContext};
 use fieldhook_ledger::message::{ColdQuestion, QuotaAnswer};
-use fieldhook_traffic::cold::PERMIT_MS;
+use fieldhook_traffic::cold::PERMIT_VALIDITY_MS;
 use fieldhook_traffic::config::Cold;
 use fieldhook_traffic::directory::ServerEntry;
 use std::time::Duration;
@@ -33,7 +33,7 @@
     };
     let asked = Instant::now();
     let answer = daemon.ledger.ask_cold(&question).await;
-    let is_late = asked.elapsed() >= Duration::from_millis(PERMIT_MS);
+    let is_late = asked.elapsed() >= Duration::from_millis(PERMIT_VALIDITY_MS);
     let (outcome, wait_ms) = match answer {
         Some(QuotaAnswer::Granted { .. }) if !is_late => ("granted", None),
         Some(QuotaAnswer::Granted { .. }) => ("late", Some(LATE_MS)),
--- a/crates/gateway/tests/cold_bound.rs
+++ b/crates/gateway/tests/cold_bound.rs
@@ -3,7 +3,7 @@
 //! daemons that ask any of them.
 
 use fieldhook_log::lease::{Lease, State};
-use fieldhook_traffic::cold::{BOUNDS, PERMIT_MS, question};
+use fieldhook_traffic::cold::{PERMIT_BOUNDS, PERMIT_VALIDITY_MS, permit_request};
 use fieldhook_traffic::quota::{PreviousOwner, QuotaDecision, QuotaTracker};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
@@ -65,7 +65,7 @@
 fn answer_time(g: &mut Gen) -> u64 {
     match u8::arbitrary(g) % 4 {
         0 => u64::arbitrary(g) % 1_500,
-        _ => u64::arbitrary(g) % PERMIT_MS,
+        _ => u64::arbitrary(g) % PERMIT_VALIDITY_MS,
     }
 }
 
@@ -150,10 +150,10 @@
         };
         let book = owner
             .book
-            .get_or_insert_with(|| QuotaTracker::new(BOUNDS, former, now_ms));
+            .get_or_insert_with(|| QuotaTracker::new(PERMIT_BOUNDS, former, now_ms));
         for rank in 0..requests {
-            let question = question("s", self.rate_per_s, 1, rank % 2);
-            let is_void = takes_ms >= PERMIT_MS && sabotage != Sabotage::OldPermits;
+            let question = permit_request("s", self.rate_per_s, 1, rank % 2);
+            let is_void = takes_ms >= PERMIT_VALIDITY_MS && sabotage != Sabotage::OldPermits;
             if let QuotaDecision::Granted { .. } = book.decide(&question, now_ms)
                 && !is_void
             {
--- a/crates/traffic/src/cold.rs
+++ b/crates/traffic/src/cold.rs
@@ -17,7 +17,7 @@
 /// How long a request may be sent on a permit after the daemon asked for it, in
 /// milliseconds: an answer takes 2 to 20 ms, and what goes out later counts in a window that
 /// its owner does not know.
-pub const PERMIT_MS: u64 = 50;
+pub const PERMIT_VALIDITY_MS: u64 = 50;
 /// Cold servers are judged by seconds.
 const JUDGED_MS: u64 = 1_000;
 /// Places at a cold server that less urgent requests leave for urgent ones.
@@ -38,18 +38,18 @@
 /// may be used after its count. Each holds what a server bears in a second and nothing beyond
 /// that: the room that the operator's sheet leaves above it is for servers that nobody knows
 /// to be cold yet.
-pub const BOUNDS: Bounds = Bounds {
-    window_ms: JUDGED_MS + PERMIT_MS,
+pub const PERMIT_BOUNDS: Bounds = Bounds {
+    window_ms: JUDGED_MS + PERMIT_VALIDITY_MS,
     overshoot: 0.0,
     slack: 0.0,
 };
 
 /// The question to the owner of a cold server's count.
-pub fn question(server: &str, rate_per_s: f64, version: u64, rank: u8) -> QuotaRequest<'_> {
+pub fn permit_request(server: &str, rate_per_s: f64, version: u64, rank: u8) -> QuotaRequest<'_> {
     QuotaRequest {
         tenant: server,
         limit: Limit {
-            rate_per_s: rate_per_s * JUDGED_MS as f64 / BOUNDS.window_ms as f64,
+            rate_per_s: rate_per_s * JUDGED_MS as f64 / PERMIT_BOUNDS.window_ms as f64,
             burst: 0.0,
         },
         version,
@@ -66,19 +66,19 @@
 }
 
 /// Requests that an engine works on at once while it gets no more than it bears.
-pub fn slots(cold: &Cold) -> u32 {
+pub fn cold_slots(cold: &Cold) -> u32 {
     (cold.rate_per_s * TURN_MS / 1_000.0).ceil().max(1.0) as u32
 }
 
 /// Why a server counts as cold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
+pub enum ColdCause {
     /// Its record says so.
-    Told,
+    Reported,
     /// It appeared while traffic flowed.
     New,
     /// It takes connections again.
-    Back,
+    Reconnected,
     /// It broke off at once what was sent to it.
     Reset,
 }
@@ -89,14 +89,14 @@
     /// By its newest record.
     told_until_ms: u64,
     /// What was last seen of it, and when.
-    seen: Option<(Cause, u64)>,
+    seen: Option<(ColdCause, u64)>,
     /// No connection came about last time.
     is_dark: bool,
 }
 
 /// What is known of all servers.
 #[derive(Clone, Debug, Default)]
-pub struct Servers {
+pub struct ColdTracker {
     states: HashMap<Rc<str>, State>,
     remembered: HashSet<Rc<str>>,
     /// Identities remembered from which on those that are gone are looked for again.
@@ -107,45 +107,45 @@
     is_listed: bool,
 }
 
-impl Servers {
+impl ColdTracker {
     /// Takes in a record: it says for how much longer the server is cold, from when it was
     /// written, which is before it is read.
-    pub fn told(&mut self, id: &str, cold_ms: u64, now_ms: u64) {
+    pub fn record_reported(&mut self, id: &str, cold_ms: u64, now_ms: u64) {
         let is_new = self.remember(id) && self.is_listed;
         let state = self.state(id);
         state.told_until_ms = now_ms + cold_ms;
         if is_new {
-            state.seen = Some((Cause::New, now_ms));
+            state.seen = Some((ColdCause::New, now_ms));
         }
     }
 
     /// The servers that existed at the start of this daemon are known.
-    pub fn listed(&mut self) {
+    pub fn record_initial_listing(&mut self) {
         self.is_listed = true;
     }
 
     /// No connection to a server came about.
-    pub fn unreachable(&mut self, id: &str) {
+    pub fn record_unreachable(&mut self, id: &str) {
         self.state(id).is_dark = true;
     }
 
     /// A connection to a server came about. True if none had before: it may have started.
-    pub fn reached(&mut self, id: &str, now_ms: u64) -> bool {
+    pub fn record_connected(&mut self, id: &str, now_ms: u64) -> bool {
         let Some(state) = self.states.get_mut(id).filter(|state| state.is_dark) else {
             return false;
         };
         state.is_dark = false;
-        state.seen = Some((Cause::Back, now_ms));
+        state.seen = Some((ColdCause::Reconnected, now_ms));
         true
     }
 
     /// A server broke off what was sent to it on a connection that was open.
-    pub fn reset(&mut self, id: &str, now_ms: u64) {
-        self.state(id).seen = Some((Cause::Reset, now_ms));
+    pub fn record_reset(&mut self, id: &str, now_ms: u64) {
+        self.state(id).seen = Some((ColdCause::Reset, now_ms));
     }
 
     /// Identities that were looked through so far to forget those that are gone.
-    pub fn swept(&self) -> usize {
+    pub fn swept_entries(&self) -> usize {
         self.swept
     }
 
@@ -156,15 +156,15 @@
 
     /// Why a server is cold now and for how much longer, in milliseconds. One that takes no
     /// connections is cold from when it does.
-    pub fn cold(&self, id: &str, cold: &Cold, now_ms: u64) -> Option<(Cause, u64)> {
+    pub fn cold_cause(&self, id: &str, cold: &Cold, now_ms: u64) -> Option<(ColdCause, u64)> {
         let state = self.states.get(id)?;
-        let told = (Cause::Told, state.told_until_ms);
+        let told = (ColdCause::Reported, state.told_until_ms);
         let seen = state
             .seen
             .map(|(cause, at_ms)| (cause, at_ms + cold.lasts_ms));
         let dark = state
             .is_dark
-            .then_some((Cause::Back, now_ms + cold.lasts_ms));
+            .then_some((ColdCause::Reconnected, now_ms + cold.lasts_ms));
         let all = [Some(told), seen, dark].into_iter().flatten();
         let (cause, until_ms) = all.max_by_key(|(_, until_ms)| *until_ms)?;
         let left_ms = until_ms
@@ -195,19 +195,19 @@
 /// Cold servers at which no place is free for now, as their owners said, so that nobody asks
 /// before there is one.
 #[derive(Clone, Debug, Default)]
-pub struct Denials {
+pub struct PermitDenials {
     until_ms: HashMap<Rc<str>, u64>,
 }
 
-impl Denials {
+impl PermitDenials {
     /// No place is free before a time, in milliseconds from now.
-    pub fn denied(&mut self, id: &str, retry_after_ms: u64, now_ms: u64) {
+    pub fn record_denial(&mut self, id: &str, retry_after_ms: u64, now_ms: u64) {
         self.until_ms.retain(|_, until_ms| *until_ms > now_ms);
         self.until_ms.insert(Rc::from(id), now_ms + retry_after_ms);
     }
 
     /// All of them, with the time until a place may be free, in milliseconds.
-    pub fn all(&self, now_ms: u64) -> impl Iterator<Item = (Rc<str>, u64)> {
+    pub fn pending(&self, now_ms: u64) -> impl Iterator<Item = (Rc<str>, u64)> {
         let left = move |until_ms: u64| until_ms.checked_sub(now_ms).filter(|left| *left > 0);
         let denials = self.until_ms.iter();
         denials.filter_map(move |(id, until_ms)| Some((id.clone(), left(*until_ms)?)))
--- a/crates/traffic/tests/cold.rs
+++ b/crates/traffic/tests/cold.rs
@@ -1,6 +1,6 @@
 //! Which servers count as cold, and until when.
 
-use fieldhook_traffic::cold::{Cause, Denials, Servers, question, slots};
+use fieldhook_traffic::cold::{ColdCause, ColdTracker, PermitDenials, cold_slots, permit_request};
 use fieldhook_traffic::config::Cold;
 use fieldhook_traffic::quota::{PreviousOwner, QuotaDecision, QuotaTracker};
 
@@ -11,58 +11,70 @@
 
 #[test]
 fn a_record_counts_from_when_it_is_read_and_a_newer_one_takes_its_place() {
-    let mut servers = Servers::default();
-    servers.told("s", 2_000, 100);
-    assert_eq!(servers.cold("s", &COLD, 100), Some((Cause::Told, 2_000)));
-    assert_eq!(servers.cold("s", &COLD, 2_099), Some((Cause::Told, 1)));
-    assert_eq!(servers.cold("s", &COLD, 2_100), None);
-    servers.told("s", 500, 1_000);
-    assert_eq!(servers.cold("s", &COLD, 1_500), None);
-    assert_eq!(servers.cold("other", &COLD, 0), None);
+    let mut servers = ColdTracker::default();
+    servers.record_reported("s", 2_000, 100);
+    assert_eq!(
+        servers.cold_cause("s", &COLD, 100),
+        Some((ColdCause::Reported, 2_000))
+    );
+    assert_eq!(
+        servers.cold_cause("s", &COLD, 2_099),
+        Some((ColdCause::Reported, 1))
+    );
+    assert_eq!(servers.cold_cause("s", &COLD, 2_100), None);
+    servers.record_reported("s", 500, 1_000);
+    assert_eq!(servers.cold_cause("s", &COLD, 1_500), None);
+    assert_eq!(servers.cold_cause("other", &COLD, 0), None);
 }
 
 #[test]
 fn an_incarnation_that_appears_while_traffic_flows_is_cold_whatever_it_says() {
-    let mut servers = Servers::default();
-    servers.told("first", 0, 0);
-    servers.listed();
-    servers.told("later", 0, 1_000);
-    assert_eq!(servers.cold("first", &COLD, 1_000), None);
-    let cold = servers.cold("later", &COLD, 1_000);
-    assert_eq!(cold, Some((Cause::New, 3_000)));
+    let mut servers = ColdTracker::default();
+    servers.record_reported("first", 0, 0);
+    servers.record_initial_listing();
+    servers.record_reported("later", 0, 1_000);
+    assert_eq!(servers.cold_cause("first", &COLD, 1_000), None);
+    let cold = servers.cold_cause("later", &COLD, 1_000);
+    assert_eq!(cold, Some((ColdCause::New, 3_000)));
     // What it says next does not end that, nor does a lapse of its entry begin it anew.
-    servers.told("later", 0, 2_000);
-    assert!(servers.cold("later", &COLD, 3_999).is_some());
+    servers.record_reported("later", 0, 2_000);
+    assert!(servers.cold_cause("later", &COLD, 3_999).is_some());
     servers.forget("later");
-    servers.told("later", 0, 5_000);
-    assert_eq!(servers.cold("later", &COLD, 5_000), None);
+    servers.record_reported("later", 0, 5_000);
+    assert_eq!(servers.cold_cause("later", &COLD, 5_000), None);
 }
 
 #[test]
 fn a_server_that_took_no_connections_is_cold_from_when_it_does() {
-    let mut servers = Servers::default();
-    servers.told("s", 0, 0);
-    assert!(!servers.reached("s", 100));
-    servers.unreachable("s");
-    assert!(servers.cold("s", &COLD, 60_000).is_some());
-    assert!(servers.reached("s", 60_000));
-    assert_eq!(servers.cold("s", &COLD, 62_999), Some((Cause::Back, 1)));
-    assert_eq!(servers.cold("s", &COLD, 63_000), None);
+    let mut servers = ColdTracker::default();
+    servers.record_reported("s", 0, 0);
+    assert!(!servers.record_connected("s", 100));
+    servers.record_unreachable("s");
+    assert!(servers.cold_cause("s", &COLD, 60_000).is_some());
+    assert!(servers.record_connected("s", 60_000));
+    assert_eq!(
+        servers.cold_cause("s", &COLD, 62_999),
+        Some((ColdCause::Reconnected, 1))
+    );
+    assert_eq!(servers.cold_cause("s", &COLD, 63_000), None);
 }
 
 #[test]
 fn a_server_that_breaks_off_at_once_may_have_become_cold() {
-    let mut servers = Servers::default();
-    servers.told("s", 0, 0);
-    servers.reset("s", 500);
-    assert_eq!(servers.cold("s", &COLD, 500), Some((Cause::Reset, 3_000)));
-    assert_eq!(servers.cold("s", &COLD, 3_500), None);
+    let mut servers = ColdTracker::default();
+    servers.record_reported("s", 0, 0);
+    servers.record_reset("s", 500);
+    assert_eq!(
+        servers.cold_cause("s", &COLD, 500),
+        Some((ColdCause::Reset, 3_000))
+    );
+    assert_eq!(servers.cold_cause("s", &COLD, 3_500), None);
 }
 
 #[test]
 fn nobody_asks_before_a_place_may_be_free() {
-    let mut denials = Denials::default();
-    denials.denied("s", 50, 1_000);
+    let mut denials = PermitDenials::default();
+    denials.record_denial("s", 50, 1_000);
     assert_eq!(denials.wait_ms("s", 1_020), Some(30));
     assert_eq!(denials.wait_ms("s", 1_050), None);
     assert_eq!(denials.wait_ms("other", 1_000), None);
@@ -70,9 +82,13 @@
 
 #[test]
 fn the_last_place_is_left_for_the_most_urgent() {
-    let mut book = QuotaTracker::new(fieldhook_traffic::cold::BOUNDS, PreviousOwner::None, 0);
+    let mut book = QuotaTracker::new(
+        fieldhook_traffic::cold::PERMIT_BOUNDS,
+        PreviousOwner::None,
+        0,
+    );
     let mut granted = |rank: u8| {
-        let answer = book.decide(&question("s", COLD.rate_per_s, 1, rank), 0);
+        let answer = book.decide(&permit_request("s", COLD.rate_per_s, 1, rank), 0);
         matches!(answer, QuotaDecision::Granted { .. })
     };
     let less_urgent = (0..20).filter(|_| granted(1)).count();
@@ -80,19 +96,23 @@
     assert!(granted(0));
     assert!(!granted(1));
     // A server that bears very little has no place to leave.
-    let mut small = QuotaTracker::new(fieldhook_traffic::cold::BOUNDS, PreviousOwner::None, 0);
-    let answer = small.decide(&question("s", 2.0, 1, 1), 0);
+    let mut small = QuotaTracker::new(
+        fieldhook_traffic::cold::PERMIT_BOUNDS,
+        PreviousOwner::None,
+        0,
+    );
+    let answer = small.decide(&permit_request("s", 2.0, 1, 1), 0);
     assert!(matches!(answer, QuotaDecision::Granted { .. }));
 }
 
 #[test]
 fn a_cold_engine_has_the_places_that_its_rate_fills() {
-    assert_eq!(slots(&COLD), 6);
+    assert_eq!(cold_slots(&COLD), 6);
     let slow = Cold {
         rate_per_s: 0.5,
         ..COLD
     };
-    assert_eq!(slots(&slow), 1);
+    assert_eq!(cold_slots(&slow), 1);
 }
 
 /// From the 8,192nd server on each new one had all of them looked through, so that a record took
@@ -100,11 +120,11 @@
 #[test]
 fn a_fleet_of_servers_is_not_looked_through_for_each_new_one() {
     for count in [1_000, 10_000, 20_000, 40_000] {
-        let mut servers = Servers::default();
+        let mut servers = ColdTracker::default();
         for number in 0..count {
-            servers.told(&format!("s{number}"), 0, 0);
+            servers.record_reported(&format!("s{number}"), 0, 0);
         }
-        let swept = servers.swept();
+        let swept = servers.swept_entries();
         assert!(swept <= 2 * count, "{swept} looked through for {count}");
     }
 }
