--- a/crates/gateway/src/ledger/quota.rs
+++ b/crates/gateway/src/ledger/quota.rs
@@ -4,7 +4,7 @@
 use super::exchange::Exchange;
 use fieldhook_ledger::message::{LedgerReply, LedgerRequest, QuotaAnswer, QuotaQuestion};
 use fieldhook_log::reach::Reach;
-use fieldhook_traffic::share::Share;
+use fieldhook_traffic::fallback_quota::FallbackQuota;
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -37,7 +37,7 @@
 
 /// What this daemon was granted of tenants' limits.
 pub struct Shares {
-    by_tenant: RefCell<HashMap<Rc<str>, Share>>,
+    by_tenant: RefCell<HashMap<Rc<str>, FallbackQuota>>,
     /// Until when owners of partitions are not asked first.
     silent_until: RefCell<HashMap<u32, Instant>>,
     window_ms: u64,
@@ -55,13 +55,13 @@
         }
     }
 
-    fn with<T>(&self, tenant: &str, act: impl FnOnce(&mut Share, u64) -> T) -> T {
+    fn with<T>(&self, tenant: &str, act: impl FnOnce(&mut FallbackQuota, u64) -> T) -> T {
         let now_ms = self.started.elapsed().as_millis() as u64;
         let mut shares = self.by_tenant.borrow_mut();
         if let Some(share) = shares.get_mut(tenant) {
             return act(share, now_ms);
         }
-        let mut share = Share::default();
+        let mut share = FallbackQuota::default();
         let outcome = act(&mut share, now_ms);
         shares.insert(Rc::from(tenant), share);
         outcome
@@ -73,9 +73,7 @@
     }
 
     fn take_unasked(&self, tenant: &str) -> bool {
-        self.with(tenant, |share, now_ms| {
-            share.take_unasked(self.window_ms, now_ms)
-        })
+        self.with(tenant, |share, now_ms| share.take(self.window_ms, now_ms))
     }
 
     /// Takes one request of a tenant by asking `ledger`.
@@ -97,8 +95,8 @@
                 let window_s = self.window_ms as f64 / 1_000.0;
                 let held = question.rate_per_s * window_s + question.burst;
                 self.with(tenant, |share, now_ms| {
-                    share.learn_limit(held);
-                    share.granted(used, self.window_ms, now_ms);
+                    share.set_window_limit(held);
+                    share.record_grant(used, self.window_ms, now_ms);
                 });
                 Outcome::Granted
             }
--- a/crates/traffic/src/share.rs
+++ b/crates/traffic/src/fallback_quota.rs
@@ -16,7 +16,7 @@
 
 /// A daemon's share of one tenant's limit, as it was granted lately.
 #[derive(Clone, Debug, Default)]
-pub struct Share {
+pub struct FallbackQuota {
     /// Requests granted in the present window of this history and the one before.
     granted: [u32; 2],
     window_began_ms: u64,
@@ -31,9 +31,9 @@
     spare_at_ms: Option<u64>,
 }
 
-impl Share {
+impl FallbackQuota {
     /// The owner granted a request; so much of the limit is used.
-    pub fn granted(&mut self, used: f64, window_ms: u64, now_ms: u64) {
+    pub fn record_grant(&mut self, used: f64, window_ms: u64, now_ms: u64) {
         self.used = used;
         self.unasked_at_ms = None;
         self.unasked = 0.0;
@@ -42,7 +42,7 @@
     }
 
     /// The limit holds so many requests in a window.
-    pub fn learn_limit(&mut self, requests: f64) {
+    pub fn set_window_limit(&mut self, requests: f64) {
         self.spare = requests * (1.0 - FAR_FROM_LIMIT) / MOST_DAEMONS;
     }
 
@@ -60,7 +60,7 @@
     }
 
     /// Takes one request without an owner.
-    pub fn take_unasked(&mut self, window_ms: u64, now_ms: u64) -> bool {
+    pub fn take(&mut self, window_ms: u64, now_ms: u64) -> bool {
         self.roll(window_ms, now_ms);
         let granted = self.granted[0].max(self.granted[1]);
         let rate = f64::from(granted) / window_ms.max(1) as f64 * UNASKED_PART;
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -6,7 +6,7 @@
 //! - [`residency`]: regions that may serve a request and keep its data.
 //! - [`quota`]: what tenants may still send, as the owner of their limits counts it.
 //! - [`sliding_window`]: counting what was sent in a sliding window.
-//! - [`share`]: what one daemon may send of it while no owner can be asked.
+//! - [`fallback_quota`]: what one daemon may send of it while no owner can be asked.
 //! - [`table`]: looking up a request's route and tenant.
 //! - [`round_robin`]: dividing a route's requests among weighted services.
 //! - [`directory`]: which servers exist and which of them are leaving.
@@ -32,6 +32,7 @@
 pub mod cold;
 pub mod config;
 pub mod directory;
+pub mod fallback_quota;
 pub mod groups;
 pub mod hash_ring;
 pub mod health;
@@ -42,7 +43,6 @@
 pub mod retry_budget;
 pub mod room;
 pub mod round_robin;
-pub mod share;
 pub mod silence;
 pub mod sliding_window;
 pub mod table;
--- a/crates/traffic/tests/quota.rs
+++ b/crates/traffic/tests/quota.rs
@@ -1,8 +1,8 @@
 //! Limits of tenants over changes of owner and of the limit, against a count of every window
 //! of time; programs admitted whole.
 
+use fieldhook_traffic::fallback_quota::FallbackQuota;
 use fieldhook_traffic::quota::{PreviousOwner, QuotaDecision, QuotaRequest, QuotaTracker};
-use fieldhook_traffic::share::Share;
 use fieldhook_traffic::sliding_window::Bounds;
 use fieldhook_traffic::tenants::Limit;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -288,16 +288,16 @@
 
 #[test]
 fn without_an_owner_a_part_of_the_former_rate_goes_on() {
-    let mut share = Share::default();
-    assert!(!share.take_unasked(WINDOW_MS, 0));
+    let mut share = FallbackQuota::default();
+    assert!(!share.take(WINDOW_MS, 0));
     for request in 0..100 {
-        share.granted(0.4, WINDOW_MS, request * 50);
+        share.record_grant(0.4, WINDOW_MS, request * 50);
     }
     let mut near_its_limit = share.clone();
-    near_its_limit.granted(0.6, WINDOW_MS, 4_990);
+    near_its_limit.record_grant(0.6, WINDOW_MS, 4_990);
     let ticks = |tick: u64| WINDOW_MS + tick * 50;
-    assert!((0..100).all(|tick| !near_its_limit.take_unasked(WINDOW_MS, ticks(tick))));
-    let sent = (0..100).filter(|tick| share.take_unasked(WINDOW_MS, ticks(*tick)));
+    assert!((0..100).all(|tick| !near_its_limit.take(WINDOW_MS, ticks(tick))));
+    let sent = (0..100).filter(|tick| share.take(WINDOW_MS, ticks(*tick)));
     let sent = sent.count();
     assert!((40..=50).contains(&sent), "{sent}");
 }
@@ -306,28 +306,25 @@
 #[test]
 fn without_an_owner_a_daemon_sends_a_little_at_once() {
     const HELD: f64 = 3_500.0;
-    let mut share = Share::default();
-    share.learn_limit(HELD);
-    assert!(
-        !share.take_unasked(WINDOW_MS, 0),
-        "nothing was ever granted"
-    );
-    let sent_in = |share: &mut Share, from_ms: u64| {
+    let mut share = FallbackQuota::default();
+    share.set_window_limit(HELD);
+    assert!(!share.take(WINDOW_MS, 0), "nothing was ever granted");
+    let sent_in = |share: &mut FallbackQuota, from_ms: u64| {
         let ticks = (0..100).map(|tick| from_ms + tick * 10);
         ticks
-            .filter(|now_ms| share.take_unasked(WINDOW_MS, *now_ms))
+            .filter(|now_ms| share.take(WINDOW_MS, *now_ms))
             .count()
     };
-    share.granted(0.1, WINDOW_MS, 10);
+    share.record_grant(0.1, WINDOW_MS, 10);
     assert_eq!(sent_in(&mut share, 20), 5);
     // An owner that answers now and then does not give it anew.
-    share.granted(0.1, WINDOW_MS, 2_000);
+    share.record_grant(0.1, WINDOW_MS, 2_000);
     assert_eq!(sent_in(&mut share, 2_010), 0);
-    share.granted(0.1, WINDOW_MS, 5_100);
+    share.record_grant(0.1, WINDOW_MS, 5_100);
     assert_eq!(sent_in(&mut share, 5_110), 5);
-    let mut near_its_limit = Share::default();
-    near_its_limit.learn_limit(HELD);
-    near_its_limit.granted(0.6, WINDOW_MS, 10);
+    let mut near_its_limit = FallbackQuota::default();
+    near_its_limit.set_window_limit(HELD);
+    near_its_limit.record_grant(0.6, WINDOW_MS, 10);
     assert_eq!(sent_in(&mut near_its_limit, 20), 0);
 }
 
@@ -337,15 +334,15 @@
 fn what_all_daemons_send_at_once_stays_within_what_is_free() {
     fn holds(held: u16, grants: Vec<u16>) -> bool {
         let held = f64::from(held);
-        let mut share = Share::default();
-        share.learn_limit(held);
+        let mut share = FallbackQuota::default();
+        share.set_window_limit(held);
         let mut at_once: Vec<u64> = Vec::new();
         let mut now_ms = 0;
         for pause_ms in grants {
             now_ms += u64::from(pause_ms % 2_000) + 1;
-            share.granted(0.5, WINDOW_MS, now_ms);
+            share.record_grant(0.5, WINDOW_MS, now_ms);
             // All at this moment: no rate has gone by.
-            while share.take_unasked(WINDOW_MS, now_ms) {
+            while share.take(WINDOW_MS, now_ms) {
                 at_once.push(now_ms);
             }
         }
