--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -74,7 +74,7 @@
     /// Connections to servers.
     pub pools: Rc<Pools>,
     /// Repeats of attempts that are left.
-    pub retry_budget: RefCell<retry_budget::Budget>,
+    pub retry_budget: RefCell<retry_budget::RetryBudget>,
     /// Partitions owned here.
     pub owner: Rc<Owner>,
     /// Asks the owners of partitions.
--- a/crates/gateway/src/serve/attempt.rs
+++ b/crates/gateway/src/serve/attempt.rs
@@ -185,7 +185,7 @@
     /// The answer was read whole: the connection may serve another request.
     pub fn finish(self, context: &RequestContext) {
         observe(context, &self.server, Observation::Answered, "answered");
-        context.daemon.retry_budget.borrow_mut().answered();
+        context.daemon.retry_budget.borrow_mut().record_answer();
         let told = self.answer.meta.keep_alive_ms.map(Duration::from_millis);
         context
             .daemon
--- a/crates/traffic/src/retry_budget.rs
+++ b/crates/traffic/src/retry_budget.rs
@@ -15,12 +15,12 @@
 
 /// The repeats that are left.
 #[derive(Clone, Copy, Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     left: f64,
     at_ms: u64,
 }
 
-impl Default for Budget {
+impl Default for RetryBudget {
     fn default() -> Self {
         Self {
             left: MOST,
@@ -29,9 +29,9 @@
     }
 }
 
-impl Budget {
+impl RetryBudget {
     /// A server answered.
-    pub fn answered(&mut self) {
+    pub fn record_answer(&mut self) {
         self.left = (self.left + PER_ANSWER).min(MOST);
     }
 
--- a/crates/traffic/tests/retry_budget.rs
+++ b/crates/traffic/tests/retry_budget.rs
@@ -1,11 +1,11 @@
 //! The bound on repeats over all requests of a daemon.
 
-use fieldhook_traffic::retry_budget::Budget;
+use fieldhook_traffic::retry_budget::RetryBudget;
 
 #[test]
 fn where_everything_is_refused_repeats_come_down_to_a_few_a_second() {
-    let mut budget = Budget::default();
-    let repeats = |budget: &mut Budget, second: u64| {
+    let mut budget = RetryBudget::default();
+    let repeats = |budget: &mut RetryBudget, second: u64| {
         let tries = 0..1_000;
         tries.filter(|t| budget.take(second * 1_000 + t)).count()
     };
@@ -17,11 +17,11 @@
 
 #[test]
 fn where_requests_are_answered_one_in_two_may_be_a_repeat() {
-    let mut budget = Budget::default();
+    let mut budget = RetryBudget::default();
     while budget.take(0) {}
     let mut taken = 0;
     for _ in 0..100 {
-        budget.answered();
+        budget.record_answer();
         taken += u32::from(budget.take(0));
     }
     assert_eq!(taken, 50);
