--- a/crates/gateway/src/ledger/assigner.rs
+++ b/crates/gateway/src/ledger/assigner.rs
@@ -7,7 +7,7 @@
 use fieldhook_ledger::partition_of;
 use fieldhook_topology::region::RegionSet;
 use fieldhook_topology::zone::Distance;
-use fieldhook_traffic::assignment::{Engine, Settings, Table, Turn};
+use fieldhook_traffic::assignment::{AssignmentSettings, AssignmentTable, Engine, Turn};
 use fieldhook_traffic::candidates::{CandidateQuery, FULL_SCAN_MAX, select_candidates};
 use fieldhook_traffic::cold;
 use fieldhook_traffic::directory::{ActiveServers, Directory, ServerEntry};
@@ -34,7 +34,7 @@
     pools: Rc<Pools>,
     pub(super) places: Rc<Places>,
     cold: Rc<ColdServers>,
-    table: RefCell<Table>,
+    table: RefCell<AssignmentTable>,
     divisions: RefCell<HashMap<String, Division>>,
     partitions: u32,
     /// Partitions owned here.
@@ -56,7 +56,7 @@
             pools,
             places,
             cold,
-            table: RefCell::new(Table::new(Settings::default())),
+            table: RefCell::new(AssignmentTable::new(AssignmentSettings::default())),
             divisions: RefCell::default(),
             partitions: partitions.max(1),
             owned: RefCell::default(),
@@ -107,7 +107,7 @@
         let home = groups.partition_group(partition);
         let mut engines = engines(serving);
         for engine in &mut engines {
-            engine.is_home = groups.engine_group(engine.id) == Some(home);
+            engine.is_in_group = groups.engine_group(engine.id) == Some(home);
         }
         (engines, self.share(groups.count(), home))
     }
@@ -143,14 +143,14 @@
         });
         let mut servers: Vec<&ServerEntry> = servers.into_iter().map(|server| &**server).collect();
         let table = self.table.borrow();
-        let former = table.engine_of(&open.program);
+        let former = table.assigned_engine(&open.program);
         let former = former.and_then(|id| directory.entry(id)).filter(|server| {
             let is_drawn = servers.iter().any(|drawn| drawn.id == server.id);
             !is_drawn && !server.draining && server.service == placement.service
         });
         servers.extend(former);
         let engines = servers.into_iter().map(|server| Engine {
-            is_home: arc.contains(ring_position(&server.id)),
+            is_in_group: arc.contains(ring_position(&server.id)),
             ..engine(server)
         });
         (engines.collect(), self.share(count, home))
@@ -185,9 +185,9 @@
     /// A turn has ended.
     pub fn end(&self, close: &CloseTurn) {
         let mut table = self.table.borrow_mut();
-        table.end(&close.turn);
+        table.end_turn(&close.turn);
         if let Some(engine) = &close.engine {
-            table.ran_at(&close.program, engine);
+            table.move_program(&close.program, engine);
         }
     }
 
@@ -243,7 +243,7 @@
         zone: &server.zone,
         distance: Distance::SameRegion,
         slots: server.slots,
-        is_home: false,
+        is_in_group: false,
         is_cold: false,
     }
 }
--- a/crates/traffic/src/assignment.rs
+++ b/crates/traffic/src/assignment.rs
@@ -34,21 +34,21 @@
 /// Bounds of the assignment. Their unit is the fair load of an engine: the mean of the
 /// turns under way at all of them, or a part of its places where that is more.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Settings {
+pub struct AssignmentSettings {
     /// Part of an engine's places below which no load is worth leaving it for.
     pub light_load: f64,
     /// Fair loads up to which an engine gets new programs.
-    pub balance: f64,
+    pub max_load_new: f64,
     /// Fair loads up to which it keeps programs that it has.
-    pub keep: f64,
+    pub max_load_kept: f64,
 }
 
-impl Default for Settings {
+impl Default for AssignmentSettings {
     fn default() -> Self {
         Self {
             light_load: 0.5,
-            balance: 1.0,
-            keep: 2.0,
+            max_load_new: 1.0,
+            max_load_kept: 2.0,
         }
     }
 }
@@ -67,7 +67,7 @@
     /// It is cold: beyond its places it gets nothing.
     pub is_cold: bool,
     /// It belongs to the group of the turn's partition.
-    pub is_home: bool,
+    pub is_in_group: bool,
 }
 
 /// A turn that is about to begin.
@@ -93,8 +93,8 @@
 
 /// Engines of programs, as one owner assigns them.
 #[derive(Default)]
-pub struct Table {
-    settings: Settings,
+pub struct AssignmentTable {
+    settings: AssignmentSettings,
     programs: HashMap<Rc<str>, Program>,
     turns: HashMap<Rc<str>, OpenTurn>,
     /// When turns began, the oldest first; also of those that have ended since.
@@ -113,9 +113,9 @@
     share: f64,
 }
 
-impl Table {
+impl AssignmentTable {
     /// A table without programs.
-    pub fn new(settings: Settings) -> Self {
+    pub fn new(settings: AssignmentSettings) -> Self {
         Self {
             settings,
             ..Self::default()
@@ -132,8 +132,8 @@
         now_ms: u64,
     ) -> Option<Rc<str>> {
         self.forget(now_ms);
-        self.end(turn.id);
-        let under_way: u32 = home(engines).map(|engine| self.open(engine.id)).sum();
+        self.end_turn(turn.id);
+        let under_way: u32 = home(engines).map(|engine| self.open_turns(engine.id)).sum();
         let choice = Choice {
             engines,
             mean: f64::from(under_way + 1) / home(engines).count().max(1) as f64,
@@ -160,7 +160,7 @@
     }
 
     /// A turn has ended.
-    pub fn end(&mut self, turn: &str) {
+    pub fn end_turn(&mut self, turn: &str) {
         let Some(turn) = self.turns.remove(turn) else {
             return;
         };
@@ -173,7 +173,7 @@
     }
 
     /// A turn ran elsewhere than assigned: what it read is there now.
-    pub fn ran_at(&mut self, program: &str, engine: &str) {
+    pub fn move_program(&mut self, program: &str, engine: &str) {
         if let Some(program) = self.programs.get_mut(program)
             && &*program.engine != engine
         {
@@ -182,12 +182,12 @@
     }
 
     /// Turns under way at an engine.
-    pub fn open(&self, engine: &str) -> u32 {
+    pub fn open_turns(&self, engine: &str) -> u32 {
         self.open.get(engine).copied().unwrap_or(0)
     }
 
     /// The engine that a program was assigned to last.
-    pub fn engine_of(&self, program: &str) -> Option<&str> {
+    pub fn assigned_engine(&self, program: &str) -> Option<&str> {
         self.programs.get(program).map(|program| &*program.engine)
     }
 
@@ -195,24 +195,24 @@
         let program = self.programs.get(program)?;
         let engines = &mut choice.engines.iter();
         let engine = engines.find(|engine| *engine.id == *program.engine)?;
-        let limit = self.limit(engine, choice, self.settings.keep);
+        let limit = self.limit(engine, choice, self.settings.max_load_kept);
         let has_room = !engine.is_cold || !self.is_cold_full(engine, choice.share);
-        (has_room && f64::from(self.open(engine.id)) < limit).then(|| program.engine.clone())
+        (has_room && f64::from(self.open_turns(engine.id)) < limit).then(|| program.engine.clone())
     }
 
     fn choose<'a>(&self, turn: &Turn<'_>, choice: &Choice<'a, '_>) -> Option<&'a str> {
         let (engines, share) = (choice.engines, choice.share);
         let rank = |engine: &&Engine<'_>| xxh3_64_with_seed(engine.id.as_bytes(), turn.prefix);
         let has_room = |engine: &&Engine<'_>| {
-            let limit = self.limit(engine, choice, self.settings.balance);
-            f64::from(self.open(engine.id)) < limit && !self.is_full(engine, share)
+            let limit = self.limit(engine, choice, self.settings.max_load_new);
+            f64::from(self.open_turns(engine.id)) < limit && !self.is_full(engine, share)
         };
         let roomy = || home(engines).filter(has_room);
         let first = roomy().max_by_key(|engine| (Reverse(engine.distance), rank(engine)));
         if let Some(engine) = first {
             return Some(engine.id);
         }
-        let load = |engine: &&Engine<'_>| (self.open(engine.id), rank(engine));
+        let load = |engine: &&Engine<'_>| (self.open_turns(engine.id), rank(engine));
         let least = home(engines).min_by_key(load);
         match least.filter(|engine| !self.is_full(engine, share)) {
             Some(engine) => Some(engine.id),
@@ -239,7 +239,7 @@
 
     /// Whether a cold engine works on as many turns as it bears.
     fn is_cold_full(&self, engine: &Engine<'_>, share: f64) -> bool {
-        f64::from(self.open(engine.id)) >= f64::from(engine.slots) * share
+        f64::from(self.open_turns(engine.id)) >= f64::from(engine.slots) * share
     }
 
     /// Whether an engine of the group is too full for more programs.
@@ -247,7 +247,7 @@
         if engine.is_cold {
             return self.is_cold_full(engine, share);
         }
-        f64::from(self.open(engine.id)) >= f64::from(engine.slots) * share * GROUP_FULL
+        f64::from(self.open_turns(engine.id)) >= f64::from(engine.slots) * share * GROUP_FULL
     }
 
     fn limit(&self, engine: &Engine<'_>, choice: &Choice<'_, '_>, factor: f64) -> f64 {
@@ -274,14 +274,14 @@
     fn end_begun_at(&mut self, turn: &str, since_ms: u64) {
         let begun = self.turns.get(turn).map(|open| open.since_ms);
         if begun == Some(since_ms) {
-            self.end(turn);
+            self.end_turn(turn);
         }
     }
 }
 
 /// Engines of the turn's own group.
 fn home<'a, 'b>(engines: &'b [Engine<'a>]) -> impl Iterator<Item = &'b Engine<'a>> {
-    engines.iter().filter(|engine| engine.is_home)
+    engines.iter().filter(|engine| engine.is_in_group)
 }
 
 /// Hash of the beginning of a prompt, the same in all daemons.
--- a/crates/traffic/tests/assignment.rs
+++ b/crates/traffic/tests/assignment.rs
@@ -1,7 +1,7 @@
 //! The engine of a program: kept, shared by beginnings, and never far over its fair load.
 
 use fieldhook_topology::zone::Distance;
-use fieldhook_traffic::assignment::{Engine, Settings, Table, Turn};
+use fieldhook_traffic::assignment::{AssignmentSettings, AssignmentTable, Engine, Turn};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::HashMap;
 
@@ -17,7 +17,7 @@
             zone: "z1",
             distance: Distance::SameZone,
             slots: SLOTS,
-            is_home: true,
+            is_in_group: true,
             is_cold: false,
         })
         .collect()
@@ -39,7 +39,7 @@
 fn a_program_keeps_its_engine_until_that_is_full() {
     let names = names(6);
     let engines = engines(&names);
-    let mut table = Table::new(Settings::default());
+    let mut table = AssignmentTable::new(AssignmentSettings::default());
     let first = table
         .assign(&turn("t0", "p", 1), &engines, 1.0, 0)
         .expect("an engine");
@@ -48,7 +48,7 @@
         let next = table.assign(&turn(&id, "p", 1), &engines, 1.0, 0);
         assert_eq!(next.as_deref(), Some(&*first));
     }
-    assert_eq!(table.open(&first), SLOTS);
+    assert_eq!(table.open_turns(&first), SLOTS);
     let beyond = table.assign(&turn("more", "p", 1), &engines, 1.0, 0);
     assert_ne!(beyond.as_deref(), Some(&*first));
 }
@@ -58,8 +58,8 @@
     let names = names(9);
     let engines = engines(&names);
     for prefix in 0..40 {
-        let mut one = Table::new(Settings::default());
-        let mut other = Table::new(Settings::default());
+        let mut one = AssignmentTable::new(AssignmentSettings::default());
+        let mut other = AssignmentTable::new(AssignmentSettings::default());
         let here = one.assign(&turn("t", "p", prefix), &engines, 1.0, 0);
         let there = other.assign(&turn("u", "q", prefix), &engines, 1.0, 9);
         assert_eq!(here, there);
@@ -74,7 +74,7 @@
         engine.zone = "z2";
         engine.distance = Distance::SameRegion;
     }
-    let mut table = Table::new(Settings::default());
+    let mut table = AssignmentTable::new(AssignmentSettings::default());
     for number in 0..8 {
         let id = format!("t{number}");
         let begun = turn(&id, &id, number);
@@ -85,7 +85,7 @@
         let id = format!("t{number}");
         table.assign(&turn(&id, &id, number), &engines, 1.0, 0);
     }
-    let far: u32 = names[4..].iter().map(|name| table.open(name)).sum();
+    let far: u32 = names[4..].iter().map(|name| table.open_turns(name)).sum();
     assert!(far >= 24, "{far} of 64 in the other zone");
 }
 
@@ -93,13 +93,13 @@
 fn a_beginning_spreads_when_its_engine_has_its_fair_load() {
     let names = names(4);
     let engines = engines(&names);
-    let mut table = Table::new(Settings::default());
+    let mut table = AssignmentTable::new(AssignmentSettings::default());
     for number in 0..64 {
         let id = format!("t{number}");
         table.assign(&turn(&id, &id, 7), &engines, 1.0, 0);
     }
     for name in &names {
-        let open = table.open(name);
+        let open = table.open_turns(name);
         assert!((12..=20).contains(&open), "{name} has {open} of 64");
     }
 }
@@ -108,14 +108,14 @@
 fn a_program_follows_where_its_turn_ran() {
     let names = names(6);
     let engines = engines(&names);
-    let mut table = Table::new(Settings::default());
+    let mut table = AssignmentTable::new(AssignmentSettings::default());
     let first = table.assign(&turn("t0", "p", 1), &engines, 1.0, 0);
     let elsewhere = names
         .iter()
         .find(|name| Some(name.as_str()) != first.as_deref())
         .expect("another");
-    table.end("t0");
-    table.ran_at("p", elsewhere);
+    table.end_turn("t0");
+    table.move_program("p", elsewhere);
     let next = table.assign(&turn("t1", "p", 1), &engines, 1.0, 0);
     assert_eq!(next.as_deref(), Some(elsewhere.as_str()));
 }
@@ -123,7 +123,7 @@
 #[test]
 fn a_program_whose_engine_is_gone_gets_another() {
     let names = names(3);
-    let mut table = Table::new(Settings::default());
+    let mut table = AssignmentTable::new(AssignmentSettings::default());
     let first = table
         .assign(&turn("t0", "p", 1), &engines(&names), 1.0, 0)
         .expect("an engine");
@@ -141,21 +141,25 @@
 fn a_turn_whose_end_nobody_tells_weighs_on_its_engine_for_a_while_only() {
     let names = names(1);
     let engines = engines(&names);
-    let mut table = Table::new(Settings::default());
+    let mut table = AssignmentTable::new(AssignmentSettings::default());
     for number in 0..u64::from(SLOTS) {
         let id = format!("t{number}");
         table.assign(&turn(&id, &id, 1), &engines, 1.0, number);
     }
-    assert_eq!(table.open("e0"), SLOTS);
+    assert_eq!(table.open_turns("e0"), SLOTS);
     // The first three are over their time, and the second has begun anew since.
     table.assign(&turn("t1", "t1", 1), &engines, 1.0, 5_000);
     table.assign(&turn("next", "p", 1), &engines, 1.0, LONGEST_TURN_MS + 2);
-    assert_eq!(table.open("e0"), SLOTS - 1);
+    assert_eq!(table.open_turns("e0"), SLOTS - 1);
     let late = 3 * LONGEST_TURN_MS;
     table.assign(&turn("last", "p", 1), &engines, 1.0, late);
-    assert_eq!(table.open("e0"), 1);
-    table.end("t1");
-    assert_eq!(table.open("e0"), 1, "an end that comes late ends nothing");
+    assert_eq!(table.open_turns("e0"), 1);
+    table.end_turn("t1");
+    assert_eq!(
+        table.open_turns("e0"),
+        1,
+        "an end that comes late ends nothing"
+    );
 }
 
 /// One thing that happens to an owner's table.
@@ -211,14 +215,14 @@
     fn fair(&self, names: &[String], share: f64) -> f64 {
         let under_way: usize = names.iter().map(|name| self.open(name)).sum();
         let mean = (under_way + 1) as f64 / names.len() as f64;
-        let light = f64::from(SLOTS) * share * Settings::default().light_load;
+        let light = f64::from(SLOTS) * share * AssignmentSettings::default().light_load;
         mean.max(light)
     }
 }
 
 fn holds(steps: Vec<Step>) -> bool {
-    let settings = Settings::default();
-    let mut table = Table::new(settings);
+    let settings = AssignmentSettings::default();
+    let mut table = AssignmentTable::new(settings);
     let mut oracle = Oracle::default();
     let mut names = names(5);
     let mut now_ms = 0;
@@ -228,9 +232,9 @@
             Step::Engines(count) => names = self::names(count),
             Step::End(which) if !oracle.under_way.is_empty() => {
                 let index = usize::from(which) % oracle.under_way.len();
-                table.end(&oracle.under_way.swap_remove(index).id);
+                table.end_turn(&oracle.under_way.swap_remove(index).id);
             }
-            Step::End(_) => table.end("never begun"),
+            Step::End(_) => table.end_turn("never begun"),
             Step::Begin {
                 program,
                 prefix,
@@ -251,9 +255,9 @@
                 let before = oracle.open(&engine) as f64;
                 let kept = oracle.engine_of.get(&program).map(String::as_str) == Some(&*engine);
                 let factor = if kept {
-                    settings.keep
+                    settings.max_load_kept
                 } else {
-                    settings.balance
+                    settings.max_load_new
                 };
                 let least = names.iter().map(|name| oracle.open(name)).min();
                 let within = before < factor * fair || Some(before as usize) == least;
@@ -270,7 +274,7 @@
         }
         if names
             .iter()
-            .any(|name| table.open(name) as usize != oracle.open(name))
+            .any(|name| table.open_turns(name) as usize != oracle.open(name))
         {
             return false;
         }
@@ -298,10 +302,10 @@
             _ => Distance::OtherRegion,
         };
     }
-    let mut table = Table::new(Settings::default());
-    let open = |table: &Table, range: std::ops::Range<usize>| {
+    let mut table = AssignmentTable::new(AssignmentSettings::default());
+    let open = |table: &AssignmentTable, range: std::ops::Range<usize>| {
         let names = &names[range];
-        names.iter().map(|name| table.open(name)).sum::<u32>()
+        names.iter().map(|name| table.open_turns(name)).sum::<u32>()
     };
     for number in 0..24 {
         let id = format!("t{number}");
--- a/crates/traffic/tests/groups.rs
+++ b/crates/traffic/tests/groups.rs
@@ -1,7 +1,7 @@
 //! Groups of engines: as even as can be, few moves, right with few engines and with many.
 
 use fieldhook_topology::zone::Distance;
-use fieldhook_traffic::assignment::{Engine, Settings, Table, Turn};
+use fieldhook_traffic::assignment::{AssignmentSettings, AssignmentTable, Engine, Turn};
 use fieldhook_traffic::groups::EngineGroups;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::HashMap;
@@ -26,7 +26,7 @@
                 zone,
                 distance: Distance::SameZone,
                 slots: SLOTS,
-                is_home: true,
+                is_in_group: true,
                 is_cold: false,
             })
             .collect()
@@ -150,8 +150,8 @@
 /// Turns under way at each engine where sixteen owners assign without a word between them.
 fn loads(fleet: &Fleet, partitions: u32, programs: u32) -> HashMap<String, u32> {
     let groups = EngineGroups::divide(&fleet.engines(), partitions);
-    let mut owners: Vec<Table> = (0..partitions)
-        .map(|_| Table::new(Settings::default()))
+    let mut owners: Vec<AssignmentTable> = (0..partitions)
+        .map(|_| AssignmentTable::new(AssignmentSettings::default()))
         .collect();
     for program in 0..programs {
         let name = format!("p{program}");
@@ -160,7 +160,7 @@
         let mut engines = fleet.engines();
         let zone = format!("z{}", program % 6);
         for engine in &mut engines {
-            engine.is_home = groups.engine_group(engine.id) == Some(group);
+            engine.is_in_group = groups.engine_group(engine.id) == Some(group);
             engine.distance = distance(engine.zone, &zone);
         }
         let turn = Turn {
@@ -175,7 +175,7 @@
     }
     let mut loads = HashMap::new();
     for (id, _) in &fleet.0 {
-        let open = owners.iter().map(|owner| owner.open(id)).sum();
+        let open = owners.iter().map(|owner| owner.open_turns(id)).sum();
         loads.insert(id.clone(), open);
     }
     loads
@@ -197,10 +197,10 @@
     assert_eq!(groups.count(), 4);
     let mut engines = fleet.engines();
     for engine in &mut engines {
-        engine.is_home = groups.engine_group(engine.id) == Some(0);
+        engine.is_in_group = groups.engine_group(engine.id) == Some(0);
         engine.distance = distance(engine.zone, "z1");
     }
-    let mut owner = Table::new(Settings::default());
+    let mut owner = AssignmentTable::new(AssignmentSettings::default());
     for number in 0..100 {
         let name = format!("p{number}");
         let turn = Turn {
@@ -211,8 +211,12 @@
         owner.assign(&turn, &engines, 1.0, 0).expect("an engine");
     }
     let at = |is_home: bool| {
-        let engines = engines.iter().filter(|engine| engine.is_home == is_home);
-        engines.map(|engine| owner.open(engine.id)).sum::<u32>()
+        let engines = engines
+            .iter()
+            .filter(|engine| engine.is_in_group == is_home);
+        engines
+            .map(|engine| owner.open_turns(engine.id))
+            .sum::<u32>()
     };
     // Six engines of six places, and half as many turns that wait there.
     assert_eq!(at(true), 54);
