--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -1,7 +1,7 @@
 //! What an adapter tells about requests and answers in its own spelling.
 
 use crate::http::headers::Headers;
-use fieldhook_traffic::tenants::Key;
+use fieldhook_traffic::tenants::ApiKey;
 
 /// What a request's fields say.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -29,7 +29,7 @@
     /// The client goes on after this event.
     pub last_event: Option<u64>,
     /// Key that it shows.
-    pub key: Option<Key>,
+    pub key: Option<ApiKey>,
 }
 
 /// A field that cannot be read.
--- a/crates/gateway/src/serve/admission.rs
+++ b/crates/gateway/src/serve/admission.rs
@@ -6,7 +6,7 @@
 use crate::dialect::RequestMeta;
 use fieldhook_traffic::config::Route;
 use fieldhook_traffic::table::RouteTable;
-use fieldhook_traffic::tenants::{Denial, Key, Tenant};
+use fieldhook_traffic::tenants::{ApiKey, Denial, Tenant};
 use std::rc::Rc;
 
 /// The tenant of a request, if there are tenants.
@@ -19,7 +19,7 @@
     route: &Route,
     meta: &RequestMeta,
 ) -> Result<Option<Rc<Tenant>>, OwnAnswer> {
-    if table.has_tenants() && !route.is_open && !keys_are_certain(daemon) {
+    if table.has_tenants() && !route.is_public && !keys_are_certain(daemon) {
         return Err(uncertain(daemon, table, meta));
     }
     table
@@ -52,7 +52,7 @@
         request = meta.id,
         route = route.name,
         cause = ?denial,
-        key = meta.key.as_ref().map(Key::digest),
+        key = meta.key.as_ref().map(ApiKey::digest),
         version = table.config.version
     );
     OwnAnswer::new(401, denial.remedy())
--- a/crates/gateway/tests/gateway/support/dialect.rs
+++ b/crates/gateway/tests/gateway/support/dialect.rs
@@ -4,7 +4,7 @@
 use fieldhook_gateway::http::headers::Headers;
 use fieldhook_traffic::config::TrafficConfig;
 use fieldhook_traffic::directory::{ServerEntry, identity};
-use fieldhook_traffic::tenants::Key;
+use fieldhook_traffic::tenants::ApiKey;
 use std::cell::RefCell;
 use std::rc::Rc;
 
@@ -40,7 +40,7 @@
             most_tokens: number(headers, "most")?.unwrap_or(0),
             previous: owned("previous"),
             last_event: number(headers, "last-event")?,
-            key: headers.text("key").map(Key::new),
+            key: headers.text("key").map(ApiKey::new),
             ..RequestMeta::default()
         })
     }
--- a/crates/gateway/tests/gateway/support/world.rs
+++ b/crates/gateway/tests/gateway/support/world.rs
@@ -21,7 +21,7 @@
 use fieldhook_traffic::config::{
     Limits, Route, RouteKind, Service, TrafficConfig, WeightedService,
 };
-use fieldhook_traffic::tenants::{Key, Tenant};
+use fieldhook_traffic::tenants::{ApiKey, Tenant};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -93,7 +93,7 @@
         max_attempts: 2,
         keeps_context,
         retention_ms: 60_000,
-        is_open: false,
+        is_public: false,
         allowed_regions: region::RegionSet::All,
     }
 }
@@ -139,7 +139,7 @@
 pub fn tenant(name: &str, key: &str) -> Tenant {
     Tenant {
         name: Rc::from(name),
-        keys: vec![Key::new(key)],
+        keys: vec![ApiKey::new(key)],
         priority: None,
         limit: None,
         allowed_regions: region::RegionSet::All,
--- a/crates/gateway/tests/gateway/tenants.rs
+++ b/crates/gateway/tests/gateway/tenants.rs
@@ -31,7 +31,7 @@
     run(async {
         let server = Server::start("s1", answer("yes")).await;
         let world = world_of(vec![tenant("red", "k1")]).await;
-        world.configs.borrow_mut()[0].routes[1].is_open = true;
+        world.configs.borrow_mut()[0].routes[1].is_public = true;
         let gateway = world.ready(&[&server]).await;
         let cases = [
             ("GET", "/safe/1", "Request: a\r\n", 401),
@@ -55,7 +55,7 @@
         let mut red = tenant("red", "k1");
         red.priority = Some(7);
         let world = world_of(vec![red, tenant("blue", "k2")]).await;
-        world.configs.borrow_mut()[0].routes[1].is_open = true;
+        world.configs.borrow_mut()[0].routes[1].is_public = true;
         let gateway = world.ready(&[&server]).await;
         let forged = "Tenant: blue\r\nTENANT: blue\r\nRank: 0\r\n";
         for fields in ["Request: a\r\nKey: k1\r\n", "Request: b\r\nKey: k2\r\n"] {
@@ -223,7 +223,7 @@
     run(async {
         let server = Server::start("s1", answer("yes")).await;
         let world = world_of(vec![tenant("red", "k1")]).await;
-        world.configs.borrow_mut()[0].routes[1].is_open = true;
+        world.configs.borrow_mut()[0].routes[1].is_public = true;
         world.revocation_ms.set(Some(1_800));
         let gateway = world.ready(&[&server]).await;
         let keyed = "Request: a\r\nKey: k1\r\n";
--- a/crates/traffic/src/config.rs
+++ b/crates/traffic/src/config.rs
@@ -64,7 +64,7 @@
     /// How long a turn is kept after its end, in milliseconds.
     pub retention_ms: u64,
     /// Requests need no key.
-    pub is_open: bool,
+    pub is_public: bool,
     /// Regions that its requests may be served in and their data kept in.
     pub allowed_regions: region::RegionSet,
 }
--- a/crates/traffic/src/table.rs
+++ b/crates/traffic/src/table.rs
@@ -2,7 +2,7 @@
 
 use crate::config::{Route, TrafficConfig};
 use crate::round_robin::WeightedRoundRobin;
-use crate::tenants::{Denial, Key, Tenant, Tenants};
+use crate::tenants::{ApiKey, Denial, Tenant, TenantIndex};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -28,7 +28,7 @@
     /// The configuration that it was built from.
     pub config: TrafficConfig,
     by_host: HashMap<String, Vec<Rc<RouteEntry>>>,
-    tenants: Option<Tenants>,
+    tenants: Option<TenantIndex>,
 }
 
 impl RouteTable {
@@ -50,7 +50,7 @@
         for entries in by_host.values_mut() {
             entries.sort_by_key(|entry| std::cmp::Reverse(entry.route.prefix.len()));
         }
-        let tenants = config.tenants.as_deref().map(Tenants::new);
+        let tenants = config.tenants.as_deref().map(TenantIndex::new);
         Self {
             config,
             by_host,
@@ -74,16 +74,16 @@
 
     /// The tenant of that name.
     pub fn tenant(&self, name: &str) -> Option<&Rc<Tenant>> {
-        self.tenants.as_ref()?.named(name)
+        self.tenants.as_ref()?.by_name(name)
     }
 
     /// The tenant that a request of a route belongs to, if there are tenants.
     ///
     /// # Errors
     /// It needs a key that a tenant holds.
-    pub fn admit(&self, route: &Route, key: Option<&Key>) -> Result<Option<Rc<Tenant>>, Denial> {
+    pub fn admit(&self, route: &Route, key: Option<&ApiKey>) -> Result<Option<Rc<Tenant>>, Denial> {
         match &self.tenants {
-            Some(tenants) => tenants.admit(key, route.is_open),
+            Some(tenants) => tenants.admit(key, route.is_public),
             None => Ok(None),
         }
     }
--- a/crates/traffic/src/tenants.rs
+++ b/crates/traffic/src/tenants.rs
@@ -12,9 +12,9 @@
 
 /// A key that a client shows. It is a secret: logs hold its digest alone.
 #[derive(Clone, PartialEq, Eq, Hash)]
-pub struct Key(String);
+pub struct ApiKey(String);
 
-impl Key {
+impl ApiKey {
     /// The key of this text.
     pub fn new(text: &str) -> Self {
         Self(text.to_owned())
@@ -26,7 +26,7 @@
     }
 }
 
-impl fmt::Debug for Key {
+impl fmt::Debug for ApiKey {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "Key({})", self.digest())
     }
@@ -47,7 +47,7 @@
     /// Name, as servers are told it.
     pub name: Rc<str>,
     /// Keys of its clients.
-    pub keys: Vec<Key>,
+    pub keys: Vec<ApiKey>,
     /// Rank of its requests, 0 is the most urgent; it goes before that of the route.
     pub priority: Option<u8>,
     /// What it may send, where that is bounded.
@@ -77,12 +77,12 @@
 
 /// The tenants of a configuration with an index of their keys.
 #[derive(Debug, Default)]
-pub struct Tenants {
-    by_key: HashMap<Key, Rc<Tenant>>,
+pub struct TenantIndex {
+    by_key: HashMap<ApiKey, Rc<Tenant>>,
     by_name: HashMap<Rc<str>, Rc<Tenant>>,
 }
 
-impl Tenants {
+impl TenantIndex {
     /// Builds the index.
     pub fn new(tenants: &[Tenant]) -> Self {
         let mut index = Self::default();
@@ -97,7 +97,7 @@
     }
 
     /// The tenant of that name.
-    pub fn named(&self, name: &str) -> Option<&Rc<Tenant>> {
+    pub fn by_name(&self, name: &str) -> Option<&Rc<Tenant>> {
         self.by_name.get(name)
     }
 
@@ -106,7 +106,7 @@
     ///
     /// # Errors
     /// The route asks for a key, and the request shows none that a tenant holds.
-    pub fn admit(&self, key: Option<&Key>, is_open: bool) -> Result<Option<Rc<Tenant>>, Denial> {
+    pub fn admit(&self, key: Option<&ApiKey>, is_open: bool) -> Result<Option<Rc<Tenant>>, Denial> {
         let tenant = key.and_then(|key| self.by_key.get(key)).cloned();
         match (tenant, key) {
             (None, None) if !is_open => Err(Denial::NoKey),
--- a/crates/traffic/tests/homes.rs
+++ b/crates/traffic/tests/homes.rs
@@ -20,7 +20,7 @@
         max_attempts: 2,
         keeps_context: false,
         retention_ms: 0,
-        is_open: false,
+        is_public: false,
         allowed_regions: homes,
     }
 }
--- a/crates/traffic/tests/routes.rs
+++ b/crates/traffic/tests/routes.rs
@@ -24,7 +24,7 @@
         max_attempts: 1,
         keeps_context: false,
         retention_ms: 0,
-        is_open: false,
+        is_public: false,
         allowed_regions: Default::default(),
     }
 }
