--- a/crates/gateway/src/memory.rs
+++ b/crates/gateway/src/memory.rs
@@ -1,9 +1,9 @@
 //! The memory that this daemon spends on peers that are slow to read: see
-//! [`fieldhook_traffic::room`] for what gives way where it is used up.
+//! [`fieldhook_traffic::buffer_memory`] for what gives way where it is used up.
 
 use crate::metrics::Metrics;
 use crate::settings::SlowPeers;
-use fieldhook_traffic::room::{Id, Purpose, Room, Verdict};
+use fieldhook_traffic::buffer_memory::{BufferId, BufferMemory, GrowResult, Purpose};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -18,9 +18,9 @@
 pub struct Memory {
     /// How much may be held, and for how long.
     pub bounds: SlowPeers,
-    room: RefCell<Room>,
+    room: RefCell<BufferMemory>,
     /// Told to those who have to give up what they hold.
-    giving_up: RefCell<HashMap<Id, Rc<Notify>>>,
+    giving_up: RefCell<HashMap<BufferId, Rc<Notify>>>,
     metrics: Rc<Metrics>,
     started: Instant,
 }
@@ -28,7 +28,7 @@
 /// What is held for one peer, until it is dropped.
 pub struct Held {
     memory: Rc<Memory>,
-    id: Id,
+    id: BufferId,
     giving_up: Rc<Notify>,
 }
 
@@ -37,7 +37,7 @@
     pub fn new(bounds: SlowPeers, metrics: Rc<Metrics>) -> Self {
         Self {
             bounds,
-            room: RefCell::new(Room::new(bounds.held_bytes)),
+            room: RefCell::new(BufferMemory::new(bounds.held_bytes)),
             giving_up: RefCell::default(),
             metrics,
             started: Instant::now(),
@@ -74,7 +74,7 @@
         counter.with_label_values(&[outcome]).inc();
     }
 
-    fn give_up(&self, ids: &[Id]) {
+    fn give_up(&self, ids: &[BufferId]) {
         for id in ids {
             self.note("given_up");
             if let Some(giving_up) = self.giving_up.borrow().get(id) {
@@ -97,9 +97,9 @@
             .borrow_mut()
             .grow(self.id, bytes as u64, now_ms);
         match verdict {
-            Verdict::Granted => {}
-            Verdict::GrantedFor(others) => self.memory.give_up(&others),
-            Verdict::Refused => {
+            GrowResult::Granted => {}
+            GrowResult::GrantedByDropping(others) => self.memory.give_up(&others),
+            GrowResult::Refused => {
                 self.memory.note("refused");
                 return Err(NoRoom);
             }
@@ -120,7 +120,10 @@
     /// From now on the client takes what is held.
     pub fn hand_out(&self) {
         let now_ms = self.memory.now_ms();
-        self.memory.room.borrow_mut().hand_out(self.id, now_ms);
+        self.memory
+            .room
+            .borrow_mut()
+            .start_delivery(self.id, now_ms);
     }
 
     /// Ends once this has to be given up for others.
--- a/crates/gateway/src/serve/buffered.rs
+++ b/crates/gateway/src/serve/buffered.rs
@@ -14,7 +14,7 @@
 use crate::upstream::connection::ExchangeError;
 use bytes::{Bytes, BytesMut};
 use fieldhook_traffic::attempt::AttemptFailure;
-use fieldhook_traffic::room::Purpose;
+use fieldhook_traffic::buffer_memory::Purpose;
 use tokio::time::{Instant, timeout, timeout_at};
 
 /// A whole answer.
--- a/crates/gateway/src/serve/writer.rs
+++ b/crates/gateway/src/serve/writer.rs
@@ -3,7 +3,7 @@
 
 use crate::memory::{Held, Memory};
 use bytes::{Buf, BytesMut};
-use fieldhook_traffic::room::Purpose;
+use fieldhook_traffic::buffer_memory::Purpose;
 use std::io;
 use std::pin::pin;
 use std::rc::Rc;
--- a/crates/gateway/tests/gateway/kept.rs
+++ b/crates/gateway/tests/gateway/kept.rs
@@ -4,7 +4,7 @@
 use crate::support::{Act, Gateway, Server, World, run};
 use fieldhook_gateway::daemon::Stopping;
 use fieldhook_gateway::settings::SlowPeers;
-use fieldhook_traffic::room::Purpose;
+use fieldhook_traffic::buffer_memory::Purpose;
 use std::time::Duration;
 use tokio::time::sleep;
 
--- a/crates/traffic/src/room.rs
+++ b/crates/traffic/src/buffer_memory.rs
@@ -15,7 +15,7 @@
 pub const STALLED_MS: u64 = 1_500;
 
 /// Identity of what is held for one peer.
-pub type Id = u64;
+pub type BufferId = u64;
 
 /// What bytes are held for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,11 +29,11 @@
 
 /// Whether more bytes may be held.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum GrowResult {
     /// They are counted.
     Granted,
     /// They are counted, and these are given up for them.
-    GrantedFor(Vec<Id>),
+    GrantedByDropping(Vec<BufferId>),
     /// There is no room, and nobody to take it from: nothing is counted.
     Refused,
 }
@@ -48,14 +48,14 @@
 
 /// What a daemon holds, in bytes, and how much it may.
 #[derive(Clone, Debug)]
-pub struct Room {
+pub struct BufferMemory {
     limit: u64,
     held: u64,
-    holdings: HashMap<Id, Holding>,
-    next: Id,
+    holdings: HashMap<BufferId, Holding>,
+    next: BufferId,
 }
 
-impl Room {
+impl BufferMemory {
     /// Room for so many bytes.
     pub fn new(limit: u64) -> Self {
         Self {
@@ -77,7 +77,7 @@
     }
 
     /// Opens an account that holds nothing yet.
-    pub fn open(&mut self, purpose: Purpose, now_ms: u64) -> Id {
+    pub fn open(&mut self, purpose: Purpose, now_ms: u64) -> BufferId {
         let id = self.next;
         self.next += 1;
         let holding = Holding {
@@ -90,20 +90,20 @@
     }
 
     /// Closes an account with all that it holds.
-    pub fn close(&mut self, id: Id) {
+    pub fn close(&mut self, id: BufferId) {
         if let Some(holding) = self.holdings.remove(&id) {
             self.held -= holding.bytes;
         }
     }
 
     /// More bytes are to be held.
-    pub fn grow(&mut self, id: Id, bytes: u64, now_ms: u64) -> Verdict {
+    pub fn grow(&mut self, id: BufferId, bytes: u64, now_ms: u64) -> GrowResult {
         if !self.holdings.contains_key(&id) {
-            return Verdict::Refused;
+            return GrowResult::Refused;
         }
         let missing = (self.held + bytes).saturating_sub(self.limit);
         let Some(given_up) = self.stalled(id, missing, now_ms) else {
-            return Verdict::Refused;
+            return GrowResult::Refused;
         };
         for other in &given_up {
             self.close(*other);
@@ -113,13 +113,13 @@
             self.held += bytes;
         }
         match given_up.is_empty() {
-            true => Verdict::Granted,
-            false => Verdict::GrantedFor(given_up),
+            true => GrowResult::Granted,
+            false => GrowResult::GrantedByDropping(given_up),
         }
     }
 
     /// From now on the client takes what is held.
-    pub fn hand_out(&mut self, id: Id, now_ms: u64) {
+    pub fn start_delivery(&mut self, id: BufferId, now_ms: u64) {
         if let Some(holding) = self.holdings.get_mut(&id) {
             holding.purpose = Purpose::Outgoing;
             holding.taken_ms = now_ms;
@@ -127,7 +127,7 @@
     }
 
     /// The peer took so many of the bytes.
-    pub fn shrink(&mut self, id: Id, bytes: u64, now_ms: u64) {
+    pub fn shrink(&mut self, id: BufferId, bytes: u64, now_ms: u64) {
         if let Some(holding) = self.holdings.get_mut(&id) {
             let taken = bytes.min(holding.bytes);
             holding.bytes -= taken;
@@ -137,11 +137,11 @@
     }
 
     /// Answers whose clients take nothing, the longest first, that together hold what is missing.
-    fn stalled(&self, except: Id, missing: u64, now_ms: u64) -> Option<Vec<Id>> {
+    fn stalled(&self, except: BufferId, missing: u64, now_ms: u64) -> Option<Vec<BufferId>> {
         if missing == 0 {
             return Some(Vec::new());
         }
-        let mut stalled: Vec<(u64, Id, u64)> = self
+        let mut stalled: Vec<(u64, BufferId, u64)> = self
             .holdings
             .iter()
             .filter(|(id, holding)| **id != except && holding.is_stalled(now_ms))
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -12,7 +12,7 @@
 //! - [`directory`]: which servers exist and which of them are leaving.
 //! - [`cold`]: which servers bear only a few requests for now.
 //! - [`health`]: leaving a failing server alone and trying it again.
-//! - [`room`]: the memory that is spent on peers that are slow to read.
+//! - [`buffer_memory`]: the memory that is spent on peers that are slow to read.
 //! - [`idle_limit`]: how long an idle connection may rest.
 //! - [`groups`]: which engines the owner of a partition assigns.
 //! - [`assignment`]: the engine at which a program's turns run.
@@ -28,6 +28,7 @@
 pub mod attempt;
 pub mod attempt_timeout;
 pub mod balance;
+pub mod buffer_memory;
 pub mod candidates;
 pub mod cold;
 pub mod config;
@@ -41,7 +42,6 @@
 pub mod quota_wait;
 pub mod residency;
 pub mod retry_budget;
-pub mod room;
 pub mod round_robin;
 pub mod silence;
 pub mod sliding_window;
--- a/crates/traffic/tests/room.rs
+++ b/crates/traffic/tests/room.rs
@@ -1,6 +1,6 @@
 //! Memory for slow peers: never over its bound, and taken only from those who take nothing.
 
-use fieldhook_traffic::room::{Id, Purpose, Room, STALLED_MS, Verdict};
+use fieldhook_traffic::buffer_memory::{BufferId, BufferMemory, GrowResult, Purpose, STALLED_MS};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::HashMap;
 
@@ -8,46 +8,46 @@
 
 #[test]
 fn the_client_that_took_nothing_for_longest_gives_way_first() {
-    let mut room = Room::new(LIMIT);
+    let mut room = BufferMemory::new(LIMIT);
     let early = room.open(Purpose::Outgoing, 0);
     let late = room.open(Purpose::Outgoing, 0);
-    assert_eq!(room.grow(early, 400, 0), Verdict::Granted);
-    assert_eq!(room.grow(late, 400, 100), Verdict::Granted);
+    assert_eq!(room.grow(early, 400, 0), GrowResult::Granted);
+    assert_eq!(room.grow(late, 400, 100), GrowResult::Granted);
     room.shrink(late, 10, 200);
     let new = room.open(Purpose::Outgoing, STALLED_MS);
     let verdict = room.grow(new, 500, STALLED_MS);
-    assert_eq!(verdict, Verdict::GrantedFor(vec![early]));
+    assert_eq!(verdict, GrowResult::GrantedByDropping(vec![early]));
     assert_eq!(room.held(), 890);
 }
 
 #[test]
 fn nobody_gives_way_who_takes_something_and_no_request_does() {
-    let mut room = Room::new(LIMIT);
+    let mut room = BufferMemory::new(LIMIT);
     let request = room.open(Purpose::Incoming, 0);
-    assert_eq!(room.grow(request, 600, 0), Verdict::Granted);
+    assert_eq!(room.grow(request, 600, 0), GrowResult::Granted);
     let reading = room.open(Purpose::Outgoing, 0);
-    assert_eq!(room.grow(reading, 400, 0), Verdict::Granted);
+    assert_eq!(room.grow(reading, 400, 0), GrowResult::Granted);
     let now_ms = STALLED_MS * 4;
     room.shrink(reading, 1, now_ms - 10);
     let new = room.open(Purpose::Outgoing, now_ms);
-    assert_eq!(room.grow(new, 2, now_ms), Verdict::Refused);
-    assert_eq!(room.grow(new, 1, now_ms), Verdict::Granted);
+    assert_eq!(room.grow(new, 2, now_ms), GrowResult::Refused);
+    assert_eq!(room.grow(new, 1, now_ms), GrowResult::Granted);
     room.close(request);
-    assert_eq!(room.grow(new, 600, now_ms), Verdict::Granted);
+    assert_eq!(room.grow(new, 600, now_ms), GrowResult::Granted);
 }
 
 #[test]
 fn an_answer_that_still_comes_gives_way_only_once_its_client_takes_nothing_of_it() {
-    let mut room = Room::new(LIMIT);
+    let mut room = BufferMemory::new(LIMIT);
     let answer = room.open(Purpose::Incoming, 0);
-    assert_eq!(room.grow(answer, LIMIT, 0), Verdict::Granted);
+    assert_eq!(room.grow(answer, LIMIT, 0), GrowResult::Granted);
     let new = room.open(Purpose::Incoming, 0);
     let begun_ms = STALLED_MS * 2;
-    assert_eq!(room.grow(new, 1, begun_ms), Verdict::Refused);
-    room.hand_out(answer, begun_ms);
-    assert_eq!(room.grow(new, 1, begun_ms + 1), Verdict::Refused);
+    assert_eq!(room.grow(new, 1, begun_ms), GrowResult::Refused);
+    room.start_delivery(answer, begun_ms);
+    assert_eq!(room.grow(new, 1, begun_ms + 1), GrowResult::Refused);
     let verdict = room.grow(new, 1, begun_ms + STALLED_MS);
-    assert_eq!(verdict, Verdict::GrantedFor(vec![answer]));
+    assert_eq!(verdict, GrowResult::GrantedByDropping(vec![answer]));
 }
 
 #[derive(Clone, Debug)]
@@ -76,10 +76,10 @@
 }
 
 /// What each holds by its own count: purpose, bytes, when something was taken.
-type Oracle = HashMap<Id, (Purpose, u64, u64)>;
+type Oracle = HashMap<BufferId, (Purpose, u64, u64)>;
 
 fn holds(steps: Vec<Step>) -> bool {
-    let mut room = Room::new(LIMIT);
+    let mut room = BufferMemory::new(LIMIT);
     let mut oracle = Oracle::new();
     let mut ids = Vec::new();
     let mut now_ms = 0;
@@ -118,7 +118,7 @@
             }
             Step::HandOut(which) => {
                 if let Some(id) = id(which) {
-                    room.hand_out(id, now_ms);
+                    room.start_delivery(id, now_ms);
                     let known = oracle.get_mut(&id);
                     if let Some(known) = known {
                         *known = (Purpose::Outgoing, known.1, now_ms);
@@ -132,7 +132,13 @@
     })
 }
 
-fn grown_rightly(room: &mut Room, oracle: &mut Oracle, id: Id, bytes: u64, now_ms: u64) -> bool {
+fn grown_rightly(
+    room: &mut BufferMemory,
+    oracle: &mut Oracle,
+    id: BufferId,
+    bytes: u64,
+    now_ms: u64,
+) -> bool {
     let held: u64 = oracle.values().map(|known| known.1).sum();
     let stalled = |known: &(Purpose, u64, u64)| {
         known.0 == Purpose::Outgoing && known.1 > 0 && now_ms >= known.2 + STALLED_MS
@@ -144,12 +150,12 @@
         .sum();
     let fits = held + bytes <= LIMIT;
     match room.grow(id, bytes, now_ms) {
-        Verdict::Refused => !oracle.contains_key(&id) || held + bytes > LIMIT + may_go,
-        Verdict::Granted => {
+        GrowResult::Refused => !oracle.contains_key(&id) || held + bytes > LIMIT + may_go,
+        GrowResult::Granted => {
             oracle.entry(id).and_modify(|known| known.1 += bytes);
             fits
         }
-        Verdict::GrantedFor(others) => {
+        GrowResult::GrantedByDropping(others) => {
             let all_stalled = others.iter().all(|other| stalled(&oracle[other]));
             for other in &others {
                 oracle.remove(other);
