--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -19,7 +19,7 @@
 use fieldhook_traffic::assignment::prefix_hash;
 use fieldhook_traffic::directory::Directory;
 use fieldhook_traffic::retry_budget;
-use fieldhook_traffic::table::RouteTable;
+use fieldhook_traffic::route_table::RouteTable;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
--- a/crates/gateway/src/follow/config.rs
+++ b/crates/gateway/src/follow/config.rs
@@ -9,7 +9,7 @@
 use fieldhook_topology::evacuation::State;
 use fieldhook_traffic::config::TrafficConfig;
 use fieldhook_traffic::residency;
-use fieldhook_traffic::table::{RouteTable, supersedes};
+use fieldhook_traffic::route_table::{RouteTable, supersedes};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::sleep;
--- a/crates/gateway/src/serve/admission.rs
+++ b/crates/gateway/src/serve/admission.rs
@@ -5,7 +5,7 @@
 use crate::daemon::Daemon;
 use crate::dialect::RequestMeta;
 use fieldhook_traffic::config::Route;
-use fieldhook_traffic::table::RouteTable;
+use fieldhook_traffic::route_table::RouteTable;
 use fieldhook_traffic::tenants::{ApiKey, Denial, Tenant};
 use std::rc::Rc;
 
--- a/crates/gateway/src/serve/request.rs
+++ b/crates/gateway/src/serve/request.rs
@@ -13,7 +13,7 @@
 use bytes::Bytes;
 use fieldhook_log::reach::Reach;
 use fieldhook_topology::region;
-use fieldhook_traffic::table::RouteEntry;
+use fieldhook_traffic::route_table::RouteEntry;
 use fieldhook_traffic::tenants::Tenant;
 use std::cell::{OnceCell, RefCell};
 use std::rc::Rc;
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -7,7 +7,7 @@
 //! - [`quota`]: what tenants may still send, as the owner of their limits counts it.
 //! - [`sliding_window`]: counting what was sent in a sliding window.
 //! - [`fallback_quota`]: what one daemon may send of it while no owner can be asked.
-//! - [`table`]: looking up a request's route and tenant.
+//! - [`route_table`]: looking up a request's route and tenant.
 //! - [`round_robin`]: dividing a route's requests among weighted services.
 //! - [`directory`]: which servers exist and which of them are leaving.
 //! - [`cold`]: which servers bear only a few requests for now.
@@ -43,7 +43,7 @@
 pub mod residency;
 pub mod retry_budget;
 pub mod round_robin;
+pub mod route_table;
 pub mod silence;
 pub mod sliding_window;
-pub mod table;
 pub mod tenants;
--- a/crates/traffic/tests/routes.rs
+++ b/crates/traffic/tests/routes.rs
@@ -2,7 +2,7 @@
 
 use fieldhook_traffic::config::{Route, RouteKind, TrafficConfig, WeightedService};
 use fieldhook_traffic::round_robin::WeightedRoundRobin;
-use fieldhook_traffic::table::{RouteTable, supersedes};
+use fieldhook_traffic::route_table::{RouteTable, supersedes};
 use quickcheck::{Gen, QuickCheck};
 
 fn route(name: &str, host: &str, prefix: &str, parts: &[(&str, u32)]) -> Route {
