--- a/crates/gateway/src/cold.rs
+++ b/crates/gateway/src/cold.rs
@@ -2,7 +2,7 @@
 
 use crate::places::Places;
 use fieldhook_traffic::cold::{ColdCause, ColdTracker, PermitDenials};
-use fieldhook_traffic::config::{Cold, TrafficConfig};
+use fieldhook_traffic::config::{ColdLimit, TrafficConfig};
 use fieldhook_traffic::directory::{Directory, ServerEntry};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -15,7 +15,7 @@
     servers: RefCell<ColdTracker>,
     denials: RefCell<PermitDenials>,
     /// What cold servers bear, by service.
-    services: RefCell<HashMap<String, Cold>>,
+    services: RefCell<HashMap<String, ColdLimit>>,
     version: Cell<u64>,
     /// Servers that were said to be cold: each is said once.
     said: RefCell<HashSet<String>>,
@@ -54,21 +54,21 @@
     }
 
     /// What a server bears, if it is cold now.
-    pub fn cold(&self, server: &ServerEntry) -> Option<Cold> {
+    pub fn cold(&self, server: &ServerEntry) -> Option<ColdLimit> {
         let services = self.services.borrow();
         let cold = services.get(&server.service)?;
         self.cause(server, cold).map(|_| *cold)
     }
 
     /// Why a server is cold and for how much longer, in milliseconds.
-    fn cause(&self, server: &ServerEntry, cold: &Cold) -> Option<(&'static str, u64)> {
+    fn cause(&self, server: &ServerEntry, cold: &ColdLimit) -> Option<(&'static str, u64)> {
         let now_ms = self.now_ms();
         if let Some((cause, left_ms)) = self.servers.borrow().cold_cause(&server.id, cold, now_ms) {
             return Some((name(cause), left_ms));
         }
         // Servers of an evacuated zone may have turned cold before it takes part again.
         let opened_for_ms = self.places.opened_for_ms(&server.zone)?;
-        let left_ms = cold.lasts_ms.checked_sub(opened_for_ms)?;
+        let left_ms = cold.duration_ms.checked_sub(opened_for_ms)?;
         (left_ms > 0).then_some(("zone_opened", left_ms))
     }
 
--- a/crates/gateway/src/serve/client.rs
+++ b/crates/gateway/src/serve/client.rs
@@ -6,7 +6,7 @@
 use crate::memory::{Held, Memory, NoRoom};
 use bytes::{Bytes, BytesMut};
 use fieldhook_traffic::buffer_memory::Purpose;
-use fieldhook_traffic::config::Limits;
+use fieldhook_traffic::config::ClientLimits;
 use std::future::pending;
 use std::io;
 use std::rc::Rc;
@@ -112,7 +112,7 @@
     /// It cannot be taken.
     pub async fn read_request(
         &mut self,
-        limits: &Limits,
+        limits: &ClientLimits,
         writer: &mut ClientWriter,
     ) -> Result<ClientRequest, ReadFailure> {
         let started = Instant::now();
@@ -125,7 +125,7 @@
 
     async fn read_whole(
         &mut self,
-        limits: &Limits,
+        limits: &ClientLimits,
         writer: &mut ClientWriter,
         started: Instant,
     ) -> Result<ClientRequest, ReadFailure> {
--- a/crates/gateway/src/serve/cold.rs
+++ b/crates/gateway/src/serve/cold.rs
@@ -5,7 +5,7 @@
 use super::request::{RETRY_SOON_MS, RequestContext};
 use fieldhook_ledger::message::{ColdQuestion, QuotaAnswer};
 use fieldhook_traffic::cold::PERMIT_VALIDITY_MS;
-use fieldhook_traffic::config::Cold;
+use fieldhook_traffic::config::ColdLimit;
 use fieldhook_traffic::directory::ServerEntry;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
@@ -23,7 +23,7 @@
 
 /// Asks for a permit to send the request to a cold server at once. False if there is none;
 /// the server is passed over for a while then.
-pub async fn permit(context: &RequestContext, server: &ServerEntry, cold: &Cold) -> bool {
+pub async fn permit(context: &RequestContext, server: &ServerEntry, cold: &ColdLimit) -> bool {
     let daemon = &context.daemon;
     let question = ColdQuestion {
         server: server.id.clone(),
@@ -92,7 +92,7 @@
 /// The answer for the client where it does not, with the time when one does. Those who are
 /// refused together are told different times, so that they do not come back together.
 pub async fn wait(context: &RequestContext, wait_ms: u64) -> Result<(), OwnAnswer> {
-    let patience_ms = context.entry.route.target_ms / WAIT_DIVISOR;
+    let patience_ms = context.entry.route.target_latency_ms / WAIT_DIVISOR;
     if context.age_ms() + wait_ms < patience_ms {
         sleep(Duration::from_millis(wait_ms)).await;
         return Ok(());
--- a/crates/gateway/src/serve/connection.rs
+++ b/crates/gateway/src/serve/connection.rs
@@ -6,7 +6,7 @@
 use super::writer::ClientWriter;
 use crate::daemon::{Daemon, Stopping};
 use crate::http::head::HeadError;
-use fieldhook_traffic::config::Limits;
+use fieldhook_traffic::config::ClientLimits;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpStream;
@@ -76,12 +76,12 @@
     reader.linger(LINGER).await;
 }
 
-fn limits_of(daemon: &Daemon) -> Limits {
+fn limits_of(daemon: &Daemon) -> ClientLimits {
     daemon
         .routes
         .borrow()
         .as_ref()
-        .map_or_else(Limits::default, |table| table.config.limits)
+        .map_or_else(ClientLimits::default, |table| table.config.limits)
 }
 
 /// Waits for the next request; false where the connection should be closed.
--- a/crates/gateway/src/serve/opening.rs
+++ b/crates/gateway/src/serve/opening.rs
@@ -52,10 +52,10 @@
 /// It may not begin.
 pub async fn open(context: &RequestContext) -> Result<Option<Turn>, TurnRefusal> {
     let route = &context.entry.route;
-    if !route.keeps_context && context.meta.budget.is_none() {
+    if !route.retains_context && context.meta.budget.is_none() {
         return Ok(None);
     }
-    if route.keeps_context && context.body.len() > LARGEST_KEPT {
+    if route.retains_context && context.body.len() > LARGEST_KEPT {
         return Err(TurnRefusal::TooLarge);
     }
     let homes = homes::now(context);
@@ -91,8 +91,8 @@
     let meta = &context.meta;
     let program = meta.program.clone().unwrap_or_default();
     let keeper = context.daemon.ledger.keeper(&program, homes);
-    let keeper = keeper.filter(|_| route.keeps_context);
-    if route.keeps_context && keeper.is_none() && !homes.is_all() {
+    let keeper = keeper.filter(|_| route.retains_context);
+    if route.retains_context && keeper.is_none() && !homes.is_all() {
         homes::note_no_owner(context, None);
         return Err(TurnRefusal::NoHome);
     }
@@ -103,8 +103,8 @@
         program,
         line: meta.session.clone(),
         previous: meta.previous.clone(),
-        wants_chain: route.keeps_context,
-        keeps_context: route.keeps_context,
+        wants_chain: route.retains_context,
+        keeps_context: route.retains_context,
         brings_chain: false,
         budget: meta.budget,
         most_tokens: meta.most_tokens,
@@ -146,7 +146,7 @@
         // No owner can be asked from here, and none could become one.
         Reach::Isolated => "isolated",
         // Its end could not be recorded from here.
-        Reach::Minority if context.entry.route.keeps_context => "minority",
+        Reach::Minority if context.entry.route.retains_context => "minority",
         Reach::Minority => {
             let soon = Instant::now() + MINORITY_PATIENCE;
             return Ok(context.deadline.min(soon));
@@ -204,7 +204,7 @@
 fn tokens_per_event(context: &RequestContext) -> u64 {
     let routes = context.daemon.routes.borrow();
     let service = routes.as_ref().and_then(|table| {
-        let part = context.entry.route.parts.first()?;
+        let part = context.entry.route.services.first()?;
         table.config.service(&part.service).cloned()
     });
     service.map_or(1, |service| service.tokens_per_event.max(1))
--- a/crates/gateway/src/serve/quota.rs
+++ b/crates/gateway/src/serve/quota.rs
@@ -125,7 +125,7 @@
 fn patience(context: &RequestContext, begins: bool) -> Option<Duration> {
     let route = &context.entry.route;
     if begins {
-        let left_ms = route.target_ms.saturating_sub(context.age_ms());
+        let left_ms = route.target_latency_ms.saturating_sub(context.age_ms());
         return quota_wait::max_wait(Duration::ZERO, Duration::from_millis(left_ms));
     }
     let answer = context.daemon.answer_times.overdue_after(&route.name);
--- a/crates/gateway/tests/gateway/cold.rs
+++ b/crates/gateway/tests/gateway/cold.rs
@@ -3,7 +3,7 @@
 use crate::support::{Act, CONFIG, Gateway, Reply, Server, World, config, run};
 use fieldhook_emulator::log::memory::LogFault;
 use fieldhook_gateway::settings::{Bounds, Cold as Judged};
-use fieldhook_traffic::config::Cold;
+use fieldhook_traffic::config::ColdLimit;
 use futures_util::future::join_all;
 use std::rc::Rc;
 use std::time::Duration;
@@ -24,9 +24,9 @@
 async fn world_of(rate_per_s: f64, lasts_ms: u64) -> World {
     let world = World::new().await;
     let mut config = config(1);
-    config.services[0].cold = Some(Cold {
+    config.services[0].cold = Some(ColdLimit {
         rate_per_s,
-        lasts_ms,
+        duration_ms: lasts_ms,
     });
     world.configs.borrow_mut()[0] = config;
     world.bounds.set(Bounds {
--- a/crates/gateway/tests/gateway/incarnations.rs
+++ b/crates/gateway/tests/gateway/incarnations.rs
@@ -4,7 +4,7 @@
 use fieldhook_emulator::log::memory::LogFault;
 use fieldhook_gateway::settings::Bounds;
 use fieldhook_log::api::{Append, KeyedRecord, Partition};
-use fieldhook_traffic::config::Cold;
+use fieldhook_traffic::config::ColdLimit;
 use futures_util::future::{join, join_all};
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
@@ -368,9 +368,9 @@
     run(async {
         let s1 = Server::start("s1", plain()).await;
         let world = World::new().await;
-        world.configs.borrow_mut()[0].services[0].cold = Some(Cold {
+        world.configs.borrow_mut()[0].services[0].cold = Some(ColdLimit {
             rate_per_s: 100.0,
-            lasts_ms: 2_000,
+            duration_ms: 2_000,
         });
         let gateway = gateway_of(&world, &s1, 1).await;
         let is_cold = || {
--- a/crates/gateway/tests/gateway/support/world.rs
+++ b/crates/gateway/tests/gateway/support/world.rs
@@ -19,7 +19,7 @@
 use fieldhook_topology::region;
 use fieldhook_topology::zone::ZoneMap;
 use fieldhook_traffic::config::{
-    Limits, Route, RouteKind, Service, TrafficConfig, WeightedService,
+    ClientLimits, Route, RouteKind, Service, TrafficConfig, WeightedService,
 };
 use fieldhook_traffic::tenants::{ApiKey, Tenant};
 use std::cell::{Cell, RefCell};
@@ -81,17 +81,17 @@
     Route {
         name: name.to_owned(),
         host: "test.example".to_owned(),
-        prefix: prefix.to_owned(),
+        path_prefix: prefix.to_owned(),
         kind,
         timeout_ms: 2_000,
-        target_ms: 200,
+        target_latency_ms: 200,
         priority: 1,
-        parts: vec![WeightedService {
+        services: vec![WeightedService {
             service: "service".to_owned(),
             weight: 1,
         }],
         max_attempts: 2,
-        keeps_context,
+        retains_context: keeps_context,
         retention_ms: 60_000,
         is_public: false,
         allowed_regions: region::RegionSet::All,
@@ -125,7 +125,7 @@
             tokens_per_event: 10,
             cold: None,
         }],
-        limits: Limits {
+        limits: ClientLimits {
             header_bytes: 2_048,
             body_bytes: 10_000,
             header_timeout_ms: 400,
--- a/crates/traffic/src/attempt.rs
+++ b/crates/traffic/src/attempt.rs
@@ -109,10 +109,10 @@
 
     /// Whether an attempt that may have run, the one under way, could be followed by another.
     pub fn allows_another(&self, kind: RouteKind, max_attempts: u32) -> bool {
-        kind.repeatable() && self.may_have_run + 1 < max_attempts
+        kind.is_repeatable() && self.may_have_run + 1 < max_attempts
     }
 
     fn may_repeat(&self, kind: RouteKind, max_attempts: u32) -> bool {
-        self.may_have_run == 0 || (kind.repeatable() && self.may_have_run < max_attempts.max(1))
+        self.may_have_run == 0 || (kind.is_repeatable() && self.may_have_run < max_attempts.max(1))
     }
 }
--- a/crates/traffic/src/cold.rs
+++ b/crates/traffic/src/cold.rs
@@ -7,7 +7,7 @@
 //! again after it took none, one that broke off at once what was sent to it. All times err to
 //! the longer side (docs/design/cold-servers.md).
 
-use crate::config::Cold;
+use crate::config::ColdLimit;
 use crate::quota::QuotaRequest;
 use crate::sliding_window::Bounds;
 use crate::tenants::Limit;
@@ -66,7 +66,7 @@
 }
 
 /// Requests that an engine works on at once while it gets no more than it bears.
-pub fn cold_slots(cold: &Cold) -> u32 {
+pub fn cold_slots(cold: &ColdLimit) -> u32 {
     (cold.rate_per_s * TURN_MS / 1_000.0).ceil().max(1.0) as u32
 }
 
@@ -156,15 +156,15 @@
 
     /// Why a server is cold now and for how much longer, in milliseconds. One that takes no
     /// connections is cold from when it does.
-    pub fn cold_cause(&self, id: &str, cold: &Cold, now_ms: u64) -> Option<(ColdCause, u64)> {
+    pub fn cold_cause(&self, id: &str, cold: &ColdLimit, now_ms: u64) -> Option<(ColdCause, u64)> {
         let state = self.states.get(id)?;
         let told = (ColdCause::Reported, state.told_until_ms);
         let seen = state
             .seen
-            .map(|(cause, at_ms)| (cause, at_ms + cold.lasts_ms));
+            .map(|(cause, at_ms)| (cause, at_ms + cold.duration_ms));
         let dark = state
             .is_dark
-            .then_some((ColdCause::Reconnected, now_ms + cold.lasts_ms));
+            .then_some((ColdCause::Reconnected, now_ms + cold.duration_ms));
         let all = [Some(told), seen, dark].into_iter().flatten();
         let (cause, until_ms) = all.max_by_key(|(_, until_ms)| *until_ms)?;
         let left_ms = until_ms
--- a/crates/traffic/src/config.rs
+++ b/crates/traffic/src/config.rs
@@ -19,7 +19,7 @@
 
 impl RouteKind {
     /// Whether a request that may have run may be sent again.
-    pub fn repeatable(self) -> bool {
+    pub fn is_repeatable(self) -> bool {
         matches!(self, Self::Safe | Self::Stream { resumable: true })
     }
 
@@ -46,21 +46,21 @@
     /// Host that the request names.
     pub host: String,
     /// Prefix of the path.
-    pub prefix: String,
+    pub path_prefix: String,
     /// What may be done with its requests.
     pub kind: RouteKind,
     /// Longest time a request is held, in milliseconds.
     pub timeout_ms: u64,
     /// Time within which an answer is in time, in milliseconds.
-    pub target_ms: u64,
+    pub target_latency_ms: u64,
     /// Rank, 0 is the most urgent.
     pub priority: u8,
     /// Services that serve it.
-    pub parts: Vec<WeightedService>,
+    pub services: Vec<WeightedService>,
     /// Most servers that one request may be sent to.
     pub max_attempts: u32,
     /// Requests bring only their new input; the system keeps what was said.
-    pub keeps_context: bool,
+    pub retains_context: bool,
     /// How long a turn is kept after its end, in milliseconds.
     pub retention_ms: u64,
     /// Requests need no key.
@@ -71,11 +71,11 @@
 
 /// What servers of a service bear for a while after their start.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Cold {
+pub struct ColdLimit {
     /// Requests a second that a cold server bears.
     pub rate_per_s: f64,
     /// How long a server is cold after its start, in milliseconds.
-    pub lasts_ms: u64,
+    pub duration_ms: u64,
 }
 
 /// Servers of one kind.
@@ -90,12 +90,12 @@
     /// Tokens that one event of a stream carries.
     pub tokens_per_event: u64,
     /// What its servers bear while cold, where that is bounded.
-    pub cold: Option<Cold>,
+    pub cold: Option<ColdLimit>,
 }
 
 /// What a client may send and how long it may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Limits {
+pub struct ClientLimits {
     /// Bytes of a request's head.
     pub header_bytes: usize,
     /// Bytes of a request's body.
@@ -106,7 +106,7 @@
     pub idle_timeout_ms: u64,
 }
 
-impl Default for Limits {
+impl Default for ClientLimits {
     fn default() -> Self {
         Self {
             header_bytes: 16 << 10,
@@ -127,7 +127,7 @@
     /// Services.
     pub services: Vec<Service>,
     /// Limits for clients.
-    pub limits: Limits,
+    pub limits: ClientLimits,
     /// Tenants; `None` where requests belong to nobody and need no key.
     pub tenants: Option<Vec<Tenant>>,
 }
--- a/crates/traffic/src/route_table.rs
+++ b/crates/traffic/src/route_table.rs
@@ -19,7 +19,7 @@
     /// The service for the next request.
     pub fn next_service(&self) -> Option<String> {
         let index = self.split.borrow_mut().next()?;
-        Some(self.route.parts[index].service.clone())
+        Some(self.route.services[index].service.clone())
     }
 }
 
@@ -48,7 +48,7 @@
                 .push(entry);
         }
         for entries in by_host.values_mut() {
-            entries.sort_by_key(|entry| std::cmp::Reverse(entry.route.prefix.len()));
+            entries.sort_by_key(|entry| std::cmp::Reverse(entry.route.path_prefix.len()));
         }
         let tenants = config.tenants.as_deref().map(TenantIndex::new);
         Self {
@@ -61,9 +61,9 @@
     /// The split of a route as it stands, where its parts are the same.
     fn split_of(&self, route: &Route) -> Option<WeightedRoundRobin> {
         let entries = self.by_host.get(&route.host.to_ascii_lowercase())?;
-        let entry = entries
-            .iter()
-            .find(|entry| entry.route.name == route.name && entry.route.parts == route.parts)?;
+        let entry = entries.iter().find(|entry| {
+            entry.route.name == route.name && entry.route.services == route.services
+        })?;
         Some(entry.split.borrow().clone())
     }
 
@@ -95,13 +95,13 @@
         self.by_host
             .get(&host)?
             .iter()
-            .find(|entry| path.starts_with(&entry.route.prefix))
+            .find(|entry| path.starts_with(&entry.route.path_prefix))
             .cloned()
     }
 }
 
 fn begin_split(route: &Route, random: u64) -> WeightedRoundRobin {
-    let weights = route.parts.iter().map(|part| part.weight).collect();
+    let weights = route.services.iter().map(|part| part.weight).collect();
     WeightedRoundRobin::new(weights, xxh3_64_with_seed(route.name.as_bytes(), random))
 }
 
--- a/crates/traffic/tests/attempts.rs
+++ b/crates/traffic/tests/attempts.rs
@@ -44,7 +44,7 @@
         match attempts.on_failure(kind, most, failure, time) {
             NextStep::Wait(_) if !time.enough_for_wait => return false,
             NextStep::Retry | NextStep::Wait(_) => {
-                let at_most_once = ran == 0 || kind.repeatable();
+                let at_most_once = ran == 0 || kind.is_repeatable();
                 let within_attempts = ran < most.max(1);
                 if !at_most_once || !within_attempts || !for_attempt {
                     return false;
--- a/crates/traffic/tests/cold.rs
+++ b/crates/traffic/tests/cold.rs
@@ -1,12 +1,12 @@
 //! Which servers count as cold, and until when.
 
 use fieldhook_traffic::cold::{ColdCause, ColdTracker, PermitDenials, cold_slots, permit_request};
-use fieldhook_traffic::config::Cold;
+use fieldhook_traffic::config::ColdLimit;
 use fieldhook_traffic::quota::{PreviousOwner, QuotaDecision, QuotaTracker};
 
-const COLD: Cold = Cold {
+const COLD: ColdLimit = ColdLimit {
     rate_per_s: 20.0,
-    lasts_ms: 3_000,
+    duration_ms: 3_000,
 };
 
 #[test]
@@ -108,7 +108,7 @@
 #[test]
 fn a_cold_engine_has_the_places_that_its_rate_fills() {
     assert_eq!(cold_slots(&COLD), 6);
-    let slow = Cold {
+    let slow = ColdLimit {
         rate_per_s: 0.5,
         ..COLD
     };
--- a/crates/traffic/tests/routes.rs
+++ b/crates/traffic/tests/routes.rs
@@ -9,12 +9,12 @@
     Route {
         name: name.to_owned(),
         host: host.to_owned(),
-        prefix: prefix.to_owned(),
+        path_prefix: prefix.to_owned(),
         kind: RouteKind::Safe,
         timeout_ms: 1_000,
-        target_ms: 100,
+        target_latency_ms: 100,
         priority: 0,
-        parts: parts
+        services: parts
             .iter()
             .map(|(service, weight)| WeightedService {
                 service: (*service).to_owned(),
@@ -22,7 +22,7 @@
             })
             .collect(),
         max_attempts: 1,
-        keeps_context: false,
+        retains_context: false,
         retention_ms: 0,
         is_public: false,
         allowed_regions: Default::default(),
