--- a/crates/gateway/src/ledger/owner.rs
+++ b/crates/gateway/src/ledger/owner.rs
@@ -114,7 +114,7 @@
     }
 
     /// Time to let others go first before a claim.
-    pub fn patience(&self) -> Duration {
+    pub fn claim_delay(&self) -> Duration {
         let held = self.held.borrow();
         let reading = held
             .values()
@@ -301,7 +301,7 @@
     }
 
     /// Tells how near to their limits the tenants are that are counted here.
-    pub fn tell_limits(&self) {
+    pub fn record_tenant_usage(&self) {
         let used = self
             .limits
             .used(|partition| self.held.borrow().contains_key(&partition));
--- a/crates/gateway/src/ledger/replace.rs
+++ b/crates/gateway/src/ledger/replace.rs
@@ -300,7 +300,7 @@
         // One after another: requests find several owners gone in the same moment, and what
         // was claimed first is to be read first.
         let _turn = self.claim_turn.lock().await;
-        sleep(self.owner.patience()).await;
+        sleep(self.owner.claim_delay()).await;
         if self.owner.claims.take_over(partition, epoch).await.is_err() {
             sleep(PAUSE).await;
         }
--- a/crates/gateway/src/probes.rs
+++ b/crates/gateway/src/probes.rs
@@ -83,7 +83,7 @@
             .metrics
             .lines_dropped
             .set(dropped.dropped_lines() as i64);
-        daemon.owner.tell_limits();
+        daemon.owner.record_tenant_usage();
         let _ = answer.send(daemon.metrics.text());
     }
 }
--- a/crates/gateway/tests/gateway/limits.rs
+++ b/crates/gateway/tests/gateway/limits.rs
@@ -63,7 +63,7 @@
         assert_eq!(server.count(), BURST as usize);
         let mut nearest = Vec::new();
         for gateway in [&a, &b] {
-            gateway.daemon.owner.tell_limits();
+            gateway.daemon.owner.record_tenant_usage();
             let metrics = gateway.daemon.metrics.text();
             let lines = metrics
                 .lines()
