--- a/crates/gateway/src/ledger/client.rs
+++ b/crates/gateway/src/ledger/client.rs
@@ -299,7 +299,7 @@
     }
 
     /// The home partition that keeps the contents of a program, where homes bind these.
-    pub fn keeper(&self, program: &str, homes: &Set) -> Option<u32> {
+    pub fn home_partition(&self, program: &str, homes: &Set) -> Option<u32> {
         self.owner.places.layout.keeper(program, homes)
     }
 
--- a/crates/gateway/src/serve/opening.rs
+++ b/crates/gateway/src/serve/opening.rs
@@ -90,7 +90,7 @@
     let route = &context.entry.route;
     let meta = &context.meta;
     let program = meta.program.clone().unwrap_or_default();
-    let keeper = context.daemon.ledger.keeper(&program, homes);
+    let keeper = context.daemon.ledger.home_partition(&program, homes);
     let keeper = keeper.filter(|_| route.keeps_context);
     if route.keeps_context && keeper.is_none() && !homes.is_all() {
         homes::note_no_owner(context, None);
--- a/crates/gateway/tests/gateway/homes.rs
+++ b/crates/gateway/tests/gateway/homes.rs
@@ -114,7 +114,9 @@
     fn keeper(&self) -> &'static str {
         let homes = Set::of(["a"]);
         let ledger = &self.at("b1").daemon.ledger;
-        let partition = ledger.keeper("p", &homes).expect("a home partition");
+        let partition = ledger
+            .home_partition("p", &homes)
+            .expect("a home partition");
         // By the claim that b1 knows: a former owner without the log still believes in its own.
         let claim = ledger.owner.claims.claim(partition).expect("a claim");
         let owner = self
@@ -200,7 +202,7 @@
 async fn lose_keeper(fleet: &Fleet) -> SocketAddr {
     let gone = SocketAddr::from(([127, 0, 0, 1], 9));
     let gateway = fleet.at("b1");
-    let keeper = gateway.daemon.ledger.keeper("p", &Set::of(["a"]));
+    let keeper = gateway.daemon.ledger.home_partition("p", &Set::of(["a"]));
     let record = Ownership::claim_record(keeper.expect("a home partition"), gone, 77);
     let append = Append {
         partition: Partition {
@@ -258,7 +260,9 @@
             assert_eq!(turn(fleet.at("b1"), name, None).await, (503, true));
         }
         let ledger = &fleet.at("b2").daemon.ledger;
-        let keeper = ledger.keeper("p", &Set::of(["a"])).expect("a partition");
+        let keeper = ledger
+            .home_partition("p", &Set::of(["a"]))
+            .expect("a partition");
         let claim = ledger.owner.claims.claim(keeper).expect("a claim");
         assert_eq!(claim.address, Some(gone));
         assert!(fleet.keepers("t1-said").is_empty());
@@ -503,7 +507,10 @@
         let ledger = &b.daemon.ledger;
         let homes = Set::of(["a"]);
         let names: Vec<String> = (0..12).map(|number| format!("p{number}")).collect();
-        let mut keepers: Vec<_> = names.iter().map(|p| ledger.keeper(p, &homes)).collect();
+        let mut keepers: Vec<_> = names
+            .iter()
+            .map(|p| ledger.home_partition(p, &homes))
+            .collect();
         keepers.sort();
         keepers.dedup();
         assert_eq!(keepers.len(), 4, "{keepers:?}");
