--- a/crates/gateway/src/drain.rs
+++ b/crates/gateway/src/drain.rs
@@ -33,7 +33,7 @@
             let _ = daemon.stopping.send(Stopping::Refusing);
         }
         let idle = daemon.in_flight.get() == 0 && daemon.client_connections.get() == 0;
-        let ends_told = daemon.ledger.endings.get() == 0;
+        let ends_told = daemon.ledger.pending_closes.get() == 0;
         if idle && ends_told && daemon.owner.held_count() == 0 {
             break;
         }
@@ -43,7 +43,7 @@
         event = "stopped",
         in_flight = daemon.in_flight.get(),
         connections = daemon.client_connections.get(),
-        ends_untold = daemon.ledger.endings.get(),
+        ends_untold = daemon.ledger.pending_closes.get(),
         took_ms = started.elapsed().as_millis() as u64
     );
 }
--- a/crates/gateway/src/ledger/client.rs
+++ b/crates/gateway/src/ledger/client.rs
@@ -113,7 +113,7 @@
     /// An owner was silent since [`super::reach`] looked last.
     pub(super) silent_owner: Cell<bool>,
     /// Ends of turns that are being told. A planned stop waits for them: nobody else can.
-    pub endings: Cell<usize>,
+    pub pending_closes: Cell<usize>,
     /// Doubts that were said, by partition: each is said once.
     pub(super) doubts: RefCell<HashMap<u32, Doubt>>,
     pub(super) signs: RefCell<Signs>,
@@ -131,7 +131,7 @@
             claim_turn: Mutex::default(),
             searching: RefCell::default(),
             silent_owner: Cell::default(),
-            endings: Cell::default(),
+            pending_closes: Cell::default(),
             doubts: RefCell::default(),
             signs: RefCell::default(),
         }
@@ -305,7 +305,7 @@
 
     /// Ends once this daemon is cut off from the log with the minority: nothing can be recorded
     /// from here then.
-    pub async fn wait_cut_off(&self) {
+    pub async fn wait_until_cut_off(&self) {
         while self.reach.get() != Reach::Minority || !self.contact.failing() {
             sleep(MINORITY_PERIOD).await;
         }
--- a/crates/gateway/src/ledger/ending.rs
+++ b/crates/gateway/src/ledger/ending.rs
@@ -21,15 +21,15 @@
 
 impl Drop for Telling {
     fn drop(&mut self) {
-        self.0.endings.set(self.0.endings.get() - 1);
+        self.0.pending_closes.set(self.0.pending_closes.get() - 1);
     }
 }
 
 impl LedgerClient {
     /// Tells the end of a turn that did not end whole, whatever becomes of its request: until
     /// then its most stays reserved.
-    pub fn tell_end(self: &Rc<Self>, close: CloseTurn) {
-        self.endings.set(self.endings.get() + 1);
+    pub fn close_in_background(self: &Rc<Self>, close: CloseTurn) {
+        self.pending_closes.set(self.pending_closes.get() + 1);
         let telling = Telling(self.clone());
         ntex::rt::spawn(async move {
             if !telling.0.tell(&close).await {
--- a/crates/gateway/src/serve/opening.rs
+++ b/crates/gateway/src/serve/opening.rs
@@ -284,6 +284,6 @@
             took_ms = self.took_ms(),
             "an owner may have opened it; its end is told"
         );
-        self.ledger.tell_end(self.request.withdrawn());
+        self.ledger.close_in_background(self.request.withdrawn());
     }
 }
--- a/crates/gateway/src/serve/record.rs
+++ b/crates/gateway/src/serve/record.rs
@@ -25,7 +25,7 @@
             biased;
             recorded = self.record_whole(context.deadline) => recorded,
             // The client sends the turn anew, elsewhere, while it has time.
-            () = self.ledger.wait_cut_off() => false,
+            () = self.ledger.wait_until_cut_off() => false,
         };
         // Without a budget, the partition that orders it hears of its end by itself.
         self.closed = recorded && (!self.is_apart() || self.request.budget.is_some());
--- a/crates/gateway/src/serve/turn.rs
+++ b/crates/gateway/src/serve/turn.rs
@@ -90,7 +90,7 @@
             return;
         }
         self.closed = true;
-        self.ledger.tell_end(self.close_request(None));
+        self.ledger.close_in_background(self.close_request(None));
     }
 
     /// What is told of its end: to the partition that keeps its content, or to the one that
--- a/crates/gateway/tests/gateway/abandoned.rs
+++ b/crates/gateway/tests/gateway/abandoned.rs
@@ -99,14 +99,16 @@
             ask_and_leave(&other, &fields).await;
             // The stop begins while the end of the last one is told.
             let begun = Instant::now();
-            while other.daemon.ledger.endings.get() == 0 && begun.elapsed() < UNDER_WAY_WITHIN {
+            while other.daemon.ledger.pending_closes.get() == 0
+                && begun.elapsed() < UNDER_WAY_WITHIN
+            {
                 tokio::task::yield_now().await;
             }
-            left = left.max(other.daemon.ledger.endings.get());
+            left = left.max(other.daemon.ledger.pending_closes.get());
         }
         assert!(left > 0, "no end was under way");
         fieldhook_gateway::drain::run(other.daemon.clone()).await;
-        assert_eq!(other.daemon.ledger.endings.get(), 0);
+        assert_eq!(other.daemon.ledger.pending_closes.get(), 0);
         for number in 0..PROGRAMS {
             let fields = format!("Request: next{number}\r\nProgram: q{number}\r\n{BUDGET}");
             let reply = owner.ask("POST", "/chat/1", &fields, "x").await;
