--- a/crates/gateway/src/ledger/cold.rs
+++ b/crates/gateway/src/ledger/cold.rs
@@ -167,7 +167,10 @@
 impl LedgerClient {
     /// Asks once whether a request may be sent to a cold server; `None` where no owner
     /// answers in time. That one is looked for then, for the requests that follow.
-    pub(crate) async fn ask_cold(self: &Rc<Self>, question: &ColdQuestion) -> Option<QuotaAnswer> {
+    pub(crate) async fn request_cold_permit(
+        self: &Rc<Self>,
+        question: &ColdQuestion,
+    ) -> Option<QuotaAnswer> {
         let request = LedgerRequest::Cold(question.clone());
         let answer = timeout(PERMIT, self.ask_cold_owner(&request)).await;
         if let Ok(Some(answer)) = answer {
--- a/crates/gateway/src/ledger/quota.rs
+++ b/crates/gateway/src/ledger/quota.rs
@@ -121,7 +121,7 @@
     /// Tells the owner of a limit that a client left, beside its request and once: clients leave
     /// by hundreds where owners are silent, and an owner that does not hear of it counts the
     /// program as a short one, nothing worse.
-    pub(crate) fn tell_client_left(self: &Rc<Self>, question: QuotaQuestion) {
+    pub(crate) fn report_client_left(self: &Rc<Self>, question: QuotaQuestion) {
         let ledger = self.clone();
         ntex::rt::spawn(async move {
             let partition = ledger.partition_of(&question.tenant);
--- a/crates/gateway/src/serve/cold.rs
+++ b/crates/gateway/src/serve/cold.rs
@@ -32,7 +32,7 @@
         rank: context.priority(),
     };
     let asked = Instant::now();
-    let answer = daemon.ledger.ask_cold(&question).await;
+    let answer = daemon.ledger.request_cold_permit(&question).await;
     let is_late = asked.elapsed() >= Duration::from_millis(PERMIT_MS);
     let (outcome, wait_ms) = match answer {
         Some(QuotaAnswer::Granted { .. }) if !is_late => ("granted", None),
--- a/crates/gateway/src/serve/quota.rs
+++ b/crates/gateway/src/serve/quota.rs
@@ -55,7 +55,7 @@
     fn drop(&mut self) {
         if let Some((daemon, question)) = self.told.take() {
             daemon.metrics.quota.with_label_values(&["left"]).inc();
-            daemon.ledger.tell_client_left(question);
+            daemon.ledger.report_client_left(question);
         }
     }
 }
