--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -5,7 +5,7 @@
 use crate::ledger::assigner::Assigner;
 use crate::ledger::client::LedgerClient;
 use crate::ledger::owner::Owner;
-use crate::ledger::quota::Shares;
+use crate::ledger::quota::TenantShares;
 use crate::memory::Memory;
 use crate::metrics::Metrics;
 use crate::places::Places;
@@ -80,7 +80,7 @@
     /// Asks the owners of partitions.
     pub ledger: Rc<LedgerClient>,
     /// Asks for tenants' requests.
-    pub quota: Shares,
+    pub quota: TenantShares,
     /// What is held for peers that are slow to read.
     pub memory: Rc<Memory>,
     /// Figures.
@@ -144,7 +144,7 @@
             incarnation,
         );
         let ledger = Rc::new(LedgerClient::new(owner.clone(), adapter.contact.clone()));
-        let quota = Shares::new(settings.quota.window_ms);
+        let quota = TenantShares::new(settings.quota.window_ms);
         let memory = Rc::new(Memory::new(settings.slow_peers, adapter.metrics.clone()));
         Rc::new(Self {
             settings,
--- a/crates/gateway/src/ledger/quota.rs
+++ b/crates/gateway/src/ledger/quota.rs
@@ -25,7 +25,7 @@
     /// The owner granted it.
     Granted,
     /// No owner answers; it is within the part that may be sent all the same.
-    Unasked,
+    AdmittedLocally,
     /// The limit does not hold it.
     Refused {
         /// When it could, in milliseconds from now.
@@ -36,7 +36,7 @@
 }
 
 /// What this daemon was granted of tenants' limits.
-pub struct Shares {
+pub struct TenantShares {
     by_tenant: RefCell<HashMap<Rc<str>, Share>>,
     /// Until when owners of partitions are not asked first.
     silent_until: RefCell<HashMap<u32, Instant>>,
@@ -44,7 +44,7 @@
     started: Instant,
 }
 
-impl Shares {
+impl TenantShares {
     /// Nothing was granted. Limits are judged over windows of this length.
     pub fn new(window_ms: u64) -> Self {
         Self {
@@ -79,11 +79,11 @@
     }
 
     /// Takes one request of a tenant by asking `ledger`.
-    pub async fn take(&self, ledger: &LedgerClient, question: &QuotaQuestion) -> Outcome {
+    pub async fn acquire(&self, ledger: &LedgerClient, question: &QuotaQuestion) -> Outcome {
         let tenant = &question.tenant;
         let partition = ledger.partition_of(tenant);
         if self.is_silent(partition) && self.take_unasked(tenant) {
-            return Outcome::Unasked;
+            return Outcome::AdmittedLocally;
         }
         let request = LedgerRequest::Quota(question.clone());
         let limit = match ledger.reach.get() {
@@ -109,7 +109,7 @@
                 let until = Instant::now() + UNASKED_FOR;
                 self.silent_until.borrow_mut().insert(partition, until);
                 match self.take_unasked(tenant) {
-                    true => Outcome::Unasked,
+                    true => Outcome::AdmittedLocally,
                     false => Outcome::Unknown,
                 }
             }
--- a/crates/gateway/src/serve/quota.rs
+++ b/crates/gateway/src/serve/quota.rs
@@ -85,7 +85,7 @@
     tell(context, outcome, &question);
     let answer = match outcome {
         Outcome::Granted => return Ok(taken),
-        Outcome::Unasked => Ok(Taken::default()),
+        Outcome::AdmittedLocally => Ok(Taken::default()),
         Outcome::Refused { retry_after_ms } => Err(OwnAnswer::over_limit(
             "the tenant is at its limit",
             retry_after_ms,
@@ -107,7 +107,7 @@
     loop {
         let patience = patience(context, question.begins);
         question.patience_ms = patience.map_or(0, |patience| patience.as_millis() as u64);
-        let outcome = daemon.quota.take(&daemon.ledger, question).await;
+        let outcome = daemon.quota.acquire(&daemon.ledger, question).await;
         let Outcome::Refused { retry_after_ms } = outcome else {
             return outcome;
         };
@@ -143,7 +143,7 @@
 fn tell(context: &RequestContext, outcome: Outcome, question: &QuotaQuestion) {
     let (label, wait_ms) = match outcome {
         Outcome::Granted => ("granted", 0),
-        Outcome::Unasked => ("unasked", 0),
+        Outcome::AdmittedLocally => ("unasked", 0),
         Outcome::Refused { retry_after_ms } => ("refused", retry_after_ms),
         Outcome::Unknown => ("unknown", 0),
     };
