--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -4,10 +4,10 @@
 //! - [`known`]: the configuration as it was read, for other daemons.
 //! - [`servers`]: the servers that exist.
 //! - [`unreadable`]: records of other writers, said once and counted.
-//! - [`wait`]: how long reads wait.
+//! - [`long_poll`]: how long reads wait.
 
 pub mod config;
 pub mod known;
+pub mod long_poll;
 pub mod servers;
 pub mod unreadable;
-pub mod wait;
--- a/crates/gateway/src/follow/config.rs
+++ b/crates/gateway/src/follow/config.rs
@@ -45,7 +45,7 @@
         daemon.relay.clone(),
         daemon.contact.clone(),
         partition,
-        super::wait::of_config(&daemon.settings),
+        super::long_poll::max_config_wait(&daemon.settings),
     )
     .on_answer(Box::new(move |age_ms| known.confirm(age_ms)));
     loop {
--- a/crates/gateway/src/follow/wait.rs
+++ b/crates/gateway/src/follow/long_poll.rs
@@ -24,14 +24,14 @@
 const CONFIRM_SLACK: Duration = Duration::from_millis(300);
 
 /// Longest wait of reads that follow each other after a pause.
-pub fn of_reads(contact: Duration, pause: Duration) -> Duration {
+pub fn max_wait(contact: Duration, pause: Duration) -> Duration {
     let wait = contact.saturating_sub(READ_SLACK + RESUME + pause);
     wait.clamp(SHORTEST, LONGEST)
 }
 
 /// Longest wait of a read of the configuration and the operator's records.
-pub fn of_config(settings: &GatewaySettings) -> Duration {
-    let wait = of_reads(contact(settings), Duration::ZERO);
+pub fn max_config_wait(settings: &GatewaySettings) -> Duration {
+    let wait = max_wait(contact(settings), Duration::ZERO);
     match settings.revocation_ms {
         Some(limit_ms) => {
             let limit = Duration::from_millis(limit_ms);
@@ -42,8 +42,8 @@
 }
 
 /// Longest wait of a read of the servers, which follows a pause.
-pub fn of_servers(settings: &GatewaySettings, pause: Duration) -> Duration {
-    of_reads(contact(settings), pause)
+pub fn max_server_wait(settings: &GatewaySettings, pause: Duration) -> Duration {
+    max_wait(contact(settings), pause)
 }
 
 fn contact(settings: &GatewaySettings) -> Duration {
--- a/crates/gateway/src/follow/servers.rs
+++ b/crates/gateway/src/follow/servers.rs
@@ -33,7 +33,7 @@
         daemon.relay.clone(),
         daemon.contact.clone(),
         partition,
-        super::wait::of_servers(&daemon.settings, PAUSE),
+        super::long_poll::max_server_wait(&daemon.settings, PAUSE),
     );
     loop {
         match follower.next_update().await {
--- a/crates/gateway/tests/gateway/readers.rs
+++ b/crates/gateway/tests/gateway/readers.rs
@@ -1,7 +1,7 @@
 //! Reads of the followed topics: few, and none later than the bounds allow.
 
 use crate::support::{Act, CONFIG, SERVERS, Server, World, config, run};
-use fieldhook_gateway::follow::wait;
+use fieldhook_gateway::follow::long_poll;
 use fieldhook_gateway::settings::Bounds;
 use fieldhook_log::follow::{READ_SLACK, RESUME};
 use futures_util::future::join_all;
@@ -17,16 +17,16 @@
     for contact_ms in 1_700..8_000 {
         for pause_ms in [0, 150] {
             let (contact, pause) = (ms(contact_ms), ms(pause_ms));
-            let wait = wait::of_reads(contact, pause);
+            let wait = long_poll::max_wait(contact, pause);
             let made_up = pause + wait + READ_SLACK + RESUME;
             // On any sheet on which a wait worth the call leaves room for it.
             let has_room = contact >= pause + ms(500) + READ_SLACK + RESUME;
             assert!(!has_room || made_up <= contact, "{contact_ms} {pause_ms}");
         }
     }
-    assert_eq!(wait::of_reads(ms(4_000), ms(0)), ms(2_900));
-    assert_eq!(wait::of_reads(ms(3_000), ms(0)), ms(1_900));
-    assert_eq!(wait::of_reads(ms(60_000), ms(0)), ms(30_000));
+    assert_eq!(long_poll::max_wait(ms(4_000), ms(0)), ms(2_900));
+    assert_eq!(long_poll::max_wait(ms(3_000), ms(0)), ms(1_900));
+    assert_eq!(long_poll::max_wait(ms(60_000), ms(0)), ms(30_000));
 }
 
 /// Connections fall silent at some moment of the reads; configuration, evacuation and a
