--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -249,7 +249,7 @@
         crate::ledger::peer::listen(self.owner.clone(), self.settings.peers).await?;
         crate::serve::listener::listen(self.clone()).await?;
         ntex::rt::spawn(crate::follow::config::run(self.clone()));
-        ntex::rt::spawn(crate::follow::config::run_peers(self.clone()));
+        ntex::rt::spawn(crate::follow::config::poll_peers(self.clone()));
         ntex::rt::spawn(crate::follow::servers::run(self.clone()));
         ntex::rt::spawn(self.owner.claims.clone().run_follow());
         ntex::rt::spawn(relay::places::run(self.clone()));
@@ -257,7 +257,7 @@
         ntex::rt::spawn(self.owner.claims.clone().run_unowned(patience));
         ntex::rt::spawn(crate::ledger::owner::run_expiry(self.owner.clone()));
         ntex::rt::spawn(crate::ledger::reach::run(self.clone()));
-        ntex::rt::spawn(crate::ledger::homes::run_watch(self.ledger.clone()));
+        ntex::rt::spawn(crate::ledger::homes::watch_owners(self.ledger.clone()));
         ntex::rt::spawn(sweep_pools(self.clone()));
         ntex::rt::spawn(watch_stops(self.clone()));
         Ok(())
--- a/crates/gateway/src/follow/config.rs
+++ b/crates/gateway/src/follow/config.rs
@@ -93,7 +93,7 @@
 }
 
 /// Asks other daemons for the configuration while the log may answer them and not this one.
-pub async fn run_peers(daemon: Rc<Daemon>) {
+pub async fn poll_peers(daemon: Rc<Daemon>) {
     loop {
         sleep(PEER_PERIOD).await;
         let is_outage = daemon.ledger.reach.get() == Reach::Outage;
--- a/crates/gateway/src/ledger/exchange.rs
+++ b/crates/gateway/src/ledger/exchange.rs
@@ -134,11 +134,11 @@
             // A connection that was kept may have ended in a cut that is over: a new one tells
             // whether the owner is gone.
             Ok(Heard::Reply(None)) if was_connected => {
-                self.peers.forget(address);
+                self.peers.discard(address);
                 return Exchange::Moved;
             }
             Ok(Heard::Reply(None)) => {
-                self.peers.forget(address);
+                self.peers.discard(address);
                 return Exchange::Suspect(Some(claim.epoch));
             }
             // Woken from a freeze, this process is what was late.
--- a/crates/gateway/src/ledger/homes.rs
+++ b/crates/gateway/src/ledger/homes.rs
@@ -35,7 +35,7 @@
 
 /// Looks for good whether the owners of this region's home partitions are there. Nobody is
 /// asked while none was claimed.
-pub async fn run_watch(ledger: Rc<LedgerClient>) {
+pub async fn watch_owners(ledger: Rc<LedgerClient>) {
     loop {
         let jitter = Duration::from_millis(fastrand::u64(0..LOOK_JITTER_MS));
         sleep(LOOK_PERIOD + jitter).await;
--- a/crates/gateway/src/ledger/peer.rs
+++ b/crates/gateway/src/ledger/peer.rs
@@ -240,7 +240,7 @@
     }
 
     /// Asks a daemon and waits for its first answer; `None` where none comes in time.
-    pub async fn ask(
+    pub async fn request(
         &self,
         address: SocketAddr,
         question: &LedgerRequest,
@@ -264,7 +264,7 @@
     }
 
     /// Forgets a connection that does not answer. It ends once nobody waits on it.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn discard(&self, address: SocketAddr) {
         let forgotten = self.connections.borrow_mut().remove(&address);
         if let Some(connection) = forgotten {
             connection.forget();
--- a/crates/gateway/src/ledger/replace.rs
+++ b/crates/gateway/src/ledger/replace.rs
@@ -117,7 +117,7 @@
         question: &LedgerRequest,
         limit: Duration,
     ) -> Option<LedgerReply> {
-        self.peers.ask(address, question, limit).await
+        self.peers.request(address, question, limit).await
     }
 
     /// Asks some daemons whether the log answers them.
@@ -246,7 +246,7 @@
         let Some(address) = claim.and_then(|claim| claim.address) else {
             return false;
         };
-        self.peers.forget(address);
+        self.peers.discard(address);
         let answer = self.ask_peer(address, &LedgerRequest::HasLog, CONNECTED_ANSWER_LIMIT);
         answer.await.is_some()
     }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -429,7 +429,7 @@
     async fn ask(&self, topic: &str, question: &LedgerRequest, limit: Duration) -> Option<Told> {
         let mut gone = None;
         for reader in self.candidates(topic) {
-            let reply = self.peers.ask(reader, question, limit).await;
+            let reply = self.peers.request(reader, question, limit).await;
             match told(reply, self.most_age_ms()) {
                 Ok(told) => {
                     self.asker.borrow_mut().answered(reader, topic);
@@ -441,7 +441,7 @@
                 }
                 Err(cause) => {
                     if cause == SILENT {
-                        self.peers.forget(reader);
+                        self.peers.discard(reader);
                     }
                     self.count(cause);
                     tracing::info!(event = "reader_passed_over", %reader, cause);
--- a/crates/gateway/tests/gateway/peers.rs
+++ b/crates/gateway/tests/gateway/peers.rs
@@ -93,7 +93,7 @@
         let connection = peers.connection(daemon.address).await.expect("connects");
         let mut replies = connection.call(LedgerRequest::HasLog);
         drop(connection);
-        peers.forget(daemon.address);
+        peers.discard(daemon.address);
         assert_eq!(replies.recv().await, Some(LedgerReply::HasLog(true)));
         daemon.wait_open(0).await;
     });
@@ -107,7 +107,7 @@
         let connection = peers.connection(daemon.address).await.expect("connects");
         let replies = connection.call(LedgerRequest::HasLog);
         drop(connection);
-        peers.forget(daemon.address);
+        peers.discard(daemon.address);
         daemon.wait_open(1).await;
         sleep(Duration::from_millis(100)).await;
         assert_eq!(daemon.open.get(), 1, "somebody waits");
