--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -5,7 +5,7 @@
 use crate::ledger::assigner::Assigner;
 use crate::ledger::client::LedgerClient;
 use crate::ledger::owner::Owner;
-use crate::ledger::quota::Shares;
+use crate::ledger::quota::TenantShares;
 use crate::memory::Memory;
 use crate::metrics::Metrics;
 use crate::places::Places;
@@ -80,7 +80,7 @@
     /// Asks the owners of partitions.
     pub ledger: Rc<LedgerClient>,
     /// Asks for tenants' requests.
-    pub quota: Shares,
+    pub quota: TenantShares,
     /// What is held for peers that are slow to read.
     pub memory: Rc<Memory>,
     /// Figures.
@@ -144,7 +144,7 @@
             incarnation,
         );
         let ledger = Rc::new(LedgerClient::new(owner.clone(), adapter.contact.clone()));
-        let quota = Shares::new(settings.quota.window_ms);
+        let quota = TenantShares::new(settings.quota.window_ms);
         let memory = Rc::new(Memory::new(settings.slow_peers, adapter.metrics.clone()));
         Rc::new(Self {
             settings,
@@ -249,15 +249,15 @@
         crate::ledger::peer::listen(self.owner.clone(), self.settings.peers).await?;
         crate::serve::listener::listen(self.clone()).await?;
         ntex::rt::spawn(crate::follow::config::run(self.clone()));
-        ntex::rt::spawn(crate::follow::config::run_peers(self.clone()));
+        ntex::rt::spawn(crate::follow::config::poll_peers(self.clone()));
         ntex::rt::spawn(crate::follow::servers::run(self.clone()));
         ntex::rt::spawn(self.owner.claims.clone().run_follow());
         ntex::rt::spawn(relay::places::run(self.clone()));
-        let patience = self.owner.patience();
+        let patience = self.owner.claim_delay();
         ntex::rt::spawn(self.owner.claims.clone().run_unowned(patience));
         ntex::rt::spawn(crate::ledger::owner::run_expiry(self.owner.clone()));
         ntex::rt::spawn(crate::ledger::reach::run(self.clone()));
-        ntex::rt::spawn(crate::ledger::homes::run_watch(self.ledger.clone()));
+        ntex::rt::spawn(crate::ledger::homes::watch_owners(self.ledger.clone()));
         ntex::rt::spawn(sweep_pools(self.clone()));
         ntex::rt::spawn(watch_stops(self.clone()));
         Ok(())
