--- a/crates/gateway/src/http/body.rs
+++ b/crates/gateway/src/http/body.rs
@@ -3,7 +3,7 @@
 use bytes::{Buf, Bytes, BytesMut};
 
 /// Longest line of a chunk's size or of a trailer, in bytes.
-const LONGEST_LINE: usize = 4_096;
+const MAX_LINE_BYTES: usize = 4_096;
 
 /// How the end of a body is found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,12 +26,12 @@
     /// The body is whole.
     End,
     /// More bytes are needed.
-    Wait,
+    Incomplete,
 }
 
 /// Bytes that are no chunk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BrokenFraming;
+pub struct InvalidFraming;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ChunkState {
@@ -46,20 +46,20 @@
 #[derive(Clone, Debug)]
 pub struct BodyDecoder {
     framing: Framing,
-    left: u64,
+    remaining: u64,
     chunk: ChunkState,
 }
 
 impl BodyDecoder {
     /// A decoder at the start of a body.
     pub fn new(framing: Framing) -> Self {
-        let left = match framing {
+        let remaining = match framing {
             Framing::Length(length) => length,
             _ => 0,
         };
         Self {
             framing,
-            left,
+            remaining,
             chunk: ChunkState::Size,
         }
     }
@@ -78,29 +78,29 @@
     ///
     /// # Errors
     /// The bytes are not framed as announced.
-    pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Piece, BrokenFraming> {
+    pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Piece, InvalidFraming> {
         match self.framing {
             Framing::Empty => Ok(Piece::End),
-            Framing::Length(_) => Ok(self.next_of_length(buffer)),
-            Framing::UntilClose if buffer.is_empty() => Ok(Piece::Wait),
+            Framing::Length(_) => Ok(self.next_sized(buffer)),
+            Framing::UntilClose if buffer.is_empty() => Ok(Piece::Incomplete),
             Framing::UntilClose => Ok(Piece::Data(buffer.split().freeze())),
             Framing::Chunked => self.next_chunk(buffer),
         }
     }
 
-    fn next_of_length(&mut self, buffer: &mut BytesMut) -> Piece {
-        if self.left == 0 {
+    fn next_sized(&mut self, buffer: &mut BytesMut) -> Piece {
+        if self.remaining == 0 {
             return Piece::End;
         }
         if buffer.is_empty() {
-            return Piece::Wait;
+            return Piece::Incomplete;
         }
-        let size = self.left.min(buffer.len() as u64);
-        self.left -= size;
+        let size = self.remaining.min(buffer.len() as u64);
+        self.remaining -= size;
         Piece::Data(buffer.split_to(size as usize).freeze())
     }
 
-    fn next_chunk(&mut self, buffer: &mut BytesMut) -> Result<Piece, BrokenFraming> {
+    fn next_chunk(&mut self, buffer: &mut BytesMut) -> Result<Piece, InvalidFraming> {
         loop {
             match self.chunk {
                 ChunkState::Size => match httparse::parse_chunk_size(buffer) {
@@ -111,34 +111,34 @@
                             _ => ChunkState::Data(size),
                         };
                     }
-                    Ok(httparse::Status::Partial) if buffer.len() <= LONGEST_LINE => {
-                        return Ok(Piece::Wait);
+                    Ok(httparse::Status::Partial) if buffer.len() <= MAX_LINE_BYTES => {
+                        return Ok(Piece::Incomplete);
                     }
-                    _ => return Err(BrokenFraming),
+                    _ => return Err(InvalidFraming),
                 },
-                ChunkState::Data(left) => {
+                ChunkState::Data(remaining) => {
                     if buffer.is_empty() {
-                        return Ok(Piece::Wait);
+                        return Ok(Piece::Incomplete);
                     }
-                    let size = left.min(buffer.len() as u64);
-                    self.chunk = match left - size {
+                    let size = remaining.min(buffer.len() as u64);
+                    self.chunk = match remaining - size {
                         0 => ChunkState::DataEnd,
-                        rest => ChunkState::Data(rest),
+                        remaining => ChunkState::Data(remaining),
                     };
                     return Ok(Piece::Data(buffer.split_to(size as usize).freeze()));
                 }
                 ChunkState::DataEnd => {
                     if buffer.len() < 2 {
-                        return Ok(Piece::Wait);
+                        return Ok(Piece::Incomplete);
                     }
                     if &buffer[..2] != b"\r\n" {
-                        return Err(BrokenFraming);
+                        return Err(InvalidFraming);
                     }
                     buffer.advance(2);
                     self.chunk = ChunkState::Size;
                 }
-                ChunkState::Trailer => match trailer_line(buffer)? {
-                    None => return Ok(Piece::Wait),
+                ChunkState::Trailer => match skip_trailer_line(buffer)? {
+                    None => return Ok(Piece::Incomplete),
                     Some(0) => self.chunk = ChunkState::Done,
                     Some(_) => {}
                 },
@@ -149,13 +149,13 @@
 }
 
 /// Takes a line off the buffer and tells its length without its end.
-fn trailer_line(buffer: &mut BytesMut) -> Result<Option<usize>, BrokenFraming> {
+fn skip_trailer_line(buffer: &mut BytesMut) -> Result<Option<usize>, InvalidFraming> {
     match buffer.windows(2).position(|pair| pair == b"\r\n") {
         Some(length) => {
             buffer.advance(length + 2);
             Ok(Some(length))
         }
-        None if buffer.len() > LONGEST_LINE => Err(BrokenFraming),
+        None if buffer.len() > MAX_LINE_BYTES => Err(InvalidFraming),
         None => Ok(None),
     }
 }
--- a/crates/gateway/src/http/events.rs
+++ b/crates/gateway/src/http/events.rs
@@ -15,11 +15,11 @@
 
 /// Cuts a body into whole events.
 #[derive(Debug, Default)]
-pub struct EventReader {
+pub struct EventDecoder {
     buffer: BytesMut,
 }
 
-impl EventReader {
+impl EventDecoder {
     /// Adds bytes of the body.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
@@ -27,24 +27,24 @@
 
     /// The next event that is there whole.
     pub fn next_event(&mut self) -> Option<Event> {
-        let end = end_of_event(&self.buffer)?;
+        let end = event_end(&self.buffer)?;
         let raw = self.buffer.split_to(end).freeze();
-        Some(read_event(raw))
+        Some(parse_event(raw))
     }
 
     /// Whether bytes of an unfinished event are left.
-    pub fn has_rest(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 
     /// Bytes of an unfinished event.
-    pub fn rest_len(&self) -> usize {
+    pub fn partial_len(&self) -> usize {
         self.buffer.len()
     }
 }
 
 /// Position behind the blank line that ends the first event.
-fn end_of_event(bytes: &[u8]) -> Option<usize> {
+fn event_end(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (position, byte) in bytes.iter().enumerate() {
         if *byte != b'\n' {
@@ -59,7 +59,7 @@
     None
 }
 
-fn read_event(raw: Bytes) -> Event {
+fn parse_event(raw: Bytes) -> Event {
     let mut id = None;
     let mut data: Option<Vec<u8>> = None;
     for line in raw.split(|byte| *byte == b'\n') {
--- a/crates/gateway/src/http/head.rs
+++ b/crates/gateway/src/http/head.rs
@@ -5,7 +5,7 @@
 use bytes::{Buf, BytesMut};
 use std::fmt;
 
-const MOST_FIELDS: usize = 128;
+const MAX_FIELDS: usize = 128;
 
 /// Why a message cannot be taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -64,7 +64,7 @@
     pub keep_alive: bool,
 }
 
-fn collect(parsed: &[httparse::Header<'_>]) -> Headers {
+fn collect_headers(parsed: &[httparse::Header<'_>]) -> Headers {
     let mut headers = Headers::default();
     for field in parsed {
         headers.append(field.name, field.value.to_vec());
@@ -73,15 +73,15 @@
 }
 
 fn content_length(headers: &Headers) -> Result<Option<u64>, HeadError> {
-    let mut values = headers.all("content-length");
+    let mut values = headers.get_all("content-length");
     let Some(value) = values.next() else {
         return Ok(None);
     };
     if values.next().is_some() {
         return Err(HeadError::Malformed("two lengths"));
     }
-    let digits = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
-    let length = std::str::from_utf8(value).ok().filter(|_| digits);
+    let is_numeric = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
+    let length = std::str::from_utf8(value).ok().filter(|_| is_numeric);
     length
         .and_then(|text| text.parse().ok())
         .map(Some)
@@ -89,13 +89,13 @@
 }
 
 /// Whether the body comes in chunks.
-fn chunked(headers: &Headers) -> Result<bool, HeadError> {
-    let mut values = headers.all("transfer-encoding");
+fn is_chunked(headers: &Headers) -> Result<bool, HeadError> {
+    let mut values = headers.get_all("transfer-encoding");
     let Some(value) = values.next() else {
         return Ok(false);
     };
-    let only = values.next().is_none() && value.eq_ignore_ascii_case(b"chunked");
-    if only {
+    let is_only_chunked = values.next().is_none() && value.eq_ignore_ascii_case(b"chunked");
+    if is_only_chunked {
         Ok(true)
     } else {
         Err(HeadError::Malformed("transfer encoding other than chunked"))
@@ -106,8 +106,11 @@
 ///
 /// # Errors
 /// The head is malformed, ambiguous or over `limit` bytes.
-pub fn take_request(buffer: &mut BytesMut, limit: usize) -> Result<Option<RequestHead>, HeadError> {
-    let mut fields = [httparse::EMPTY_HEADER; MOST_FIELDS];
+pub fn decode_request_head(
+    buffer: &mut BytesMut,
+    limit: usize,
+) -> Result<Option<RequestHead>, HeadError> {
+    let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut request = httparse::Request::new(&mut fields);
     let length = match request.parse(buffer) {
         Ok(httparse::Status::Complete(length)) => length,
@@ -125,23 +128,23 @@
 }
 
 fn request_head(request: &httparse::Request<'_, '_>) -> Result<RequestHead, HeadError> {
-    let headers = collect(request.headers);
+    let headers = collect_headers(request.headers);
     let target = request.path.unwrap_or_default();
     if !target.starts_with('/') {
         return Err(HeadError::Malformed("target is not a path"));
     }
     let host = match headers.text("host") {
-        Some(host) if !host.is_empty() && headers.all("host").count() == 1 => host.to_owned(),
+        Some(host) if !host.is_empty() && headers.get_all("host").count() == 1 => host.to_owned(),
         _ => return Err(HeadError::Malformed("not exactly one host")),
     };
-    let framing = match (chunked(&headers)?, content_length(&headers)?) {
+    let framing = match (is_chunked(&headers)?, content_length(&headers)?) {
         (true, Some(_)) => return Err(HeadError::Malformed("chunks and a length")),
         (true, None) => Framing::Chunked,
         (false, Some(length)) => Framing::Length(length),
         (false, None) => Framing::Empty,
     };
-    let modern = request.version == Some(1);
-    if !modern && framing == Framing::Chunked {
+    let is_http11 = request.version == Some(1);
+    if !is_http11 && framing == Framing::Chunked {
         return Err(HeadError::Malformed("chunks in HTTP/1.0"));
     }
     Ok(RequestHead {
@@ -149,8 +152,8 @@
         target: target.to_owned(),
         host,
         framing,
-        keep_alive: modern && !headers.lists("connection", "close"),
-        expects_continue: headers.lists("expect", "100-continue"),
+        keep_alive: is_http11 && !headers.contains_token("connection", "close"),
+        expects_continue: headers.contains_token("expect", "100-continue"),
         headers,
     })
 }
@@ -160,7 +163,7 @@
 ///
 /// # Errors
 /// The bytes form no answer.
-pub fn take_response(
+pub fn decode_response_head(
     buffer: &mut BytesMut,
     limit: usize,
     request_method: &str,
@@ -181,7 +184,7 @@
     limit: usize,
     request_method: &str,
 ) -> Result<Option<(usize, ResponseHead)>, HeadError> {
-    let mut fields = [httparse::EMPTY_HEADER; MOST_FIELDS];
+    let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut response = httparse::Response::new(&mut fields);
     let length = match response.parse(buffer) {
         Ok(httparse::Status::Complete(length)) => length,
@@ -190,10 +193,10 @@
         Err(_) => return Err(HeadError::Malformed("not an answer")),
     };
     let status = response.code.unwrap_or_default();
-    let headers = collect(response.headers);
-    let bodiless = request_method == "HEAD" || status == 204 || status == 304 || status < 200;
-    let framing = match (chunked(&headers)?, content_length(&headers)?) {
-        _ if bodiless => Framing::Empty,
+    let headers = collect_headers(response.headers);
+    let has_no_body = request_method == "HEAD" || status == 204 || status == 304 || status < 200;
+    let framing = match (is_chunked(&headers)?, content_length(&headers)?) {
+        _ if has_no_body => Framing::Empty,
         (true, Some(_)) => return Err(HeadError::Malformed("chunks and a length")),
         (true, None) => Framing::Chunked,
         (false, Some(length)) => Framing::Length(length),
@@ -205,7 +208,7 @@
         framing,
         keep_alive: response.version == Some(1)
             && framing != Framing::UntilClose
-            && !headers.lists("connection", "close"),
+            && !headers.contains_token("connection", "close"),
         headers,
     };
     Ok(Some((length, head)))
--- a/crates/gateway/src/http/headers.rs
+++ b/crates/gateway/src/http/headers.rs
@@ -59,7 +59,7 @@
     }
 
     /// All values of a name.
-    pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> + 'a {
+    pub fn get_all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> + 'a {
         self.fields
             .iter()
             .filter(move |field| field.name.eq_ignore_ascii_case(name))
@@ -68,7 +68,7 @@
 
     /// Whether a field of that name is there.
     pub fn has(&self, name: &str) -> bool {
-        self.all(name).next().is_some()
+        self.get_all(name).next().is_some()
     }
 
     /// All fields.
@@ -77,8 +77,8 @@
     }
 
     /// Whether a comma-separated field holds a word.
-    pub fn lists(&self, name: &str, word: &str) -> bool {
-        self.all(name).any(|value| {
+    pub fn contains_token(&self, name: &str, word: &str) -> bool {
+        self.get_all(name).any(|value| {
             std::str::from_utf8(value).is_ok_and(|text| {
                 text.split(',')
                     .any(|item| item.trim().eq_ignore_ascii_case(word))
@@ -89,7 +89,7 @@
     /// Removes what concerns one connection only, with what `Connection` names.
     pub fn remove_connection_fields(&mut self) {
         let named: Vec<String> = self
-            .all("connection")
+            .get_all("connection")
             .filter_map(|value| std::str::from_utf8(value).ok())
             .flat_map(|text| text.split(','))
             .map(|item| item.trim().to_ascii_lowercase())
--- a/crates/gateway/src/http/write.rs
+++ b/crates/gateway/src/http/write.rs
@@ -27,11 +27,11 @@
 
 /// How an answer's body is framed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AnswerBody {
+pub enum ResponseFraming {
     /// This many bytes.
     Length(usize),
     /// Chunks.
-    Chunks,
+    Chunked,
 }
 
 /// Head of an answer.
@@ -39,18 +39,18 @@
     status: u16,
     reason: &str,
     headers: &Headers,
-    body: AnswerBody,
+    body: ResponseFraming,
     close: bool,
 ) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(512);
     let _ = write!(bytes, "HTTP/1.1 {status} {reason}\r\n");
     write_fields(&mut bytes, headers);
     match body {
-        AnswerBody::Length(length) if status != 204 && status != 304 => {
+        ResponseFraming::Length(length) if status != 204 && status != 304 => {
             let _ = write!(bytes, "content-length: {length}\r\n");
         }
-        AnswerBody::Length(_) => {}
-        AnswerBody::Chunks => bytes.extend_from_slice(b"transfer-encoding: chunked\r\n"),
+        ResponseFraming::Length(_) => {}
+        ResponseFraming::Chunked => bytes.extend_from_slice(b"transfer-encoding: chunked\r\n"),
     }
     if close {
         bytes.extend_from_slice(b"connection: close\r\n");
--- a/crates/gateway/src/serve/answer.rs
+++ b/crates/gateway/src/serve/answer.rs
@@ -3,7 +3,7 @@
 use super::request::RETRY_LATER_MS;
 use super::writer::ClientWriter;
 use crate::daemon::Daemon;
-use crate::http::write::{AnswerBody, reason, response_head};
+use crate::http::write::{ResponseFraming, reason, response_head};
 use std::io;
 
 /// An answer that no server gave.
@@ -74,7 +74,7 @@
             self.status,
             reason(self.status),
             &headers,
-            AnswerBody::Length(body.len()),
+            ResponseFraming::Length(body.len()),
             close,
         );
         bytes.extend_from_slice(body);
--- a/crates/gateway/src/serve/buffered.rs
+++ b/crates/gateway/src/serve/buffered.rs
@@ -9,7 +9,7 @@
 use super::retry::Retries;
 use super::writer::ClientWriter;
 use crate::http::body::{Framing, Piece};
-use crate::http::write::{AnswerBody, LAST_CHUNK, chunk, response_head};
+use crate::http::write::{LAST_CHUNK, ResponseFraming, chunk, response_head};
 use crate::memory::Held;
 use crate::upstream::connection::ExchangeError;
 use bytes::{Bytes, BytesMut};
@@ -135,7 +135,7 @@
                 };
                 return Ok(ReadAnswer::Whole(answer));
             }
-            Ok(Piece::Wait) => {}
+            Ok(Piece::Incomplete) => {}
             Err(error) => return Err((attempt, error)),
         }
     }
@@ -156,7 +156,7 @@
 }
 
 /// Head of a server's answer as the client gets it.
-fn head(context: &RequestContext, attempt: &Attempt, body: AnswerBody) -> Vec<u8> {
+fn head(context: &RequestContext, attempt: &Attempt, body: ResponseFraming) -> Vec<u8> {
     let head = &attempt.answer.head;
     let mut headers = head.headers.clone();
     headers.remove_connection_fields();
@@ -171,7 +171,7 @@
     answer: WholeAnswer,
     writer: &mut ClientWriter,
 ) -> Served {
-    let length = AnswerBody::Length(answer.body.len());
+    let length = ResponseFraming::Length(answer.body.len());
     let mut bytes = head(context, &answer.attempt, length);
     bytes.extend_from_slice(&answer.body);
     drop(answer.body);
@@ -197,8 +197,8 @@
     } = answer;
     let framing = attempt.answer.body.framing();
     let body = match framing {
-        Framing::Length(length) => AnswerBody::Length(length as usize),
-        _ => AnswerBody::Chunks,
+        Framing::Length(length) => ResponseFraming::Length(length as usize),
+        _ => ResponseFraming::Chunked,
     };
     note_answered(context, &attempt);
     let mut sent = writer.send(&head(context, &attempt, body)).await;
@@ -208,8 +208,8 @@
     loop {
         if sent.is_ok() {
             sent = match body {
-                AnswerBody::Length(_) => writer.send(&data).await,
-                AnswerBody::Chunks => writer.send(&chunk(&data)).await,
+                ResponseFraming::Length(_) => writer.send(&data).await,
+                ResponseFraming::Chunked => writer.send(&chunk(&data)).await,
             };
         }
         if sent.is_err() {
@@ -229,8 +229,8 @@
     }
     attempt.finish(context);
     let end = match body {
-        AnswerBody::Length(_) => writer.flush().await,
-        AnswerBody::Chunks => writer.write(LAST_CHUNK).await,
+        ResponseFraming::Length(_) => writer.flush().await,
+        ResponseFraming::Chunked => writer.write(LAST_CHUNK).await,
     };
     match end {
         Ok(()) => Served::KeepOpen,
--- a/crates/gateway/src/serve/client.rs
+++ b/crates/gateway/src/serve/client.rs
@@ -2,7 +2,7 @@
 
 use super::writer::ClientWriter;
 use crate::http::body::{BodyDecoder, Framing, Piece};
-use crate::http::head::{HeadError, RequestHead, take_request};
+use crate::http::head::{HeadError, RequestHead, decode_request_head};
 use crate::memory::{Held, Memory, NoRoom};
 use bytes::{Bytes, BytesMut};
 use fieldhook_traffic::config::Limits;
@@ -131,7 +131,7 @@
     ) -> Result<ClientRequest, ReadFailure> {
         let held = self.memory.open(Purpose::Incoming);
         let head = loop {
-            match take_request(&mut self.buffer, limits.header_bytes) {
+            match decode_request_head(&mut self.buffer, limits.header_bytes) {
                 Ok(Some(head)) => break head,
                 Ok(None) => held.grow(self.fill().await?)?,
                 Err(error) => return Err(ReadFailure::Head(error)),
@@ -157,7 +157,7 @@
                     body.extend_from_slice(&data);
                 }
                 Ok(Piece::End) => break,
-                Ok(Piece::Wait) => {
+                Ok(Piece::Incomplete) => {
                     self.fill().await?;
                 }
                 Err(_) => return Err(ReadFailure::BrokenBody),
--- a/crates/gateway/src/serve/stream.rs
+++ b/crates/gateway/src/serve/stream.rs
@@ -11,8 +11,8 @@
 use super::watch;
 use super::writer::ClientWriter;
 use crate::http::body::Piece;
-use crate::http::events::{Event, EventReader};
-use crate::http::write::{AnswerBody, LAST_CHUNK, chunk, response_head};
+use crate::http::events::{Event, EventDecoder};
+use crate::http::write::{LAST_CHUNK, ResponseFraming, chunk, response_head};
 use crate::upstream::connection::ExchangeError;
 use fieldhook_traffic::attempt::AttemptFailure;
 use tokio::time::{Instant, timeout_at};
@@ -161,7 +161,7 @@
     delivery: &mut Delivery,
     writer: &mut ClientWriter,
 ) -> StreamEnd {
-    let mut events = EventReader::default();
+    let mut events = EventDecoder::default();
     loop {
         let next = attempt.connection.next_piece(&mut attempt.answer.body);
         let next = watch::watched(context, &attempt.server, next);
@@ -170,11 +170,11 @@
         };
         match piece {
             Ok(Piece::Data(data)) => events.feed(&data),
-            Ok(Piece::End) if events.has_rest() => {
+            Ok(Piece::End) if events.has_partial_event() => {
                 return StreamEnd::Broken(ExchangeError::Garbled);
             }
             Ok(Piece::End) => return StreamEnd::Complete,
-            Ok(Piece::Wait) => {}
+            Ok(Piece::Incomplete) => {}
             Err(error) => return StreamEnd::Broken(error),
         }
         let mut batch = Vec::new();
@@ -263,7 +263,7 @@
         head.status,
         &head.reason,
         &headers,
-        AnswerBody::Chunks,
+        ResponseFraming::Chunked,
         close,
     )
 }
--- a/crates/gateway/src/store_exchange.rs
+++ b/crates/gateway/src/store_exchange.rs
@@ -2,7 +2,7 @@
 //! connection up: the service says nothing more on it.
 
 use crate::http::body::{BodyDecoder, Piece};
-use crate::http::head::{ResponseHead, take_response};
+use crate::http::head::{ResponseHead, decode_response_head};
 use crate::upstream::connection::prepare;
 use bytes::{Bytes, BytesMut};
 use fieldhook_log::api::StoreError;
@@ -154,7 +154,7 @@
             match decoder.next(&mut self.buffer) {
                 Ok(Piece::Data(data)) => body.extend_from_slice(&data),
                 Ok(Piece::End) => break,
-                Ok(Piece::Wait) => self.fill().await?,
+                Ok(Piece::Incomplete) => self.fill().await?,
                 Err(_) => return Err(StoreError::Unknown),
             }
             if body.len() > BODY_LIMIT {
@@ -170,7 +170,7 @@
 
     async fn head(&mut self, method: &str) -> Result<ResponseHead, StoreError> {
         loop {
-            match take_response(&mut self.buffer, HEAD_LIMIT, method) {
+            match decode_response_head(&mut self.buffer, HEAD_LIMIT, method) {
                 Ok(Some(head)) => return Ok(head),
                 Ok(None) => self.fill().await?,
                 Err(_) => return Err(StoreError::Unknown),
--- a/crates/gateway/src/upstream/connection.rs
+++ b/crates/gateway/src/upstream/connection.rs
@@ -2,7 +2,7 @@
 
 use crate::dialect::{AnswerMeta, Dialect};
 use crate::http::body::{BodyDecoder, Piece};
-use crate::http::head::{ResponseHead, take_response};
+use crate::http::head::{ResponseHead, decode_response_head};
 use bytes::{Bytes, BytesMut};
 use socket2::SockRef;
 use std::io;
@@ -162,7 +162,7 @@
     ) -> Result<ResponseHead, ExchangeError> {
         let (mut reader, mut writer) = self.stream.split();
         loop {
-            match take_response(&mut self.buffer, ANSWER_HEAD_LIMIT, outgoing.method) {
+            match decode_response_head(&mut self.buffer, ANSWER_HEAD_LIMIT, outgoing.method) {
                 Ok(Some(head)) => return Ok(head),
                 Ok(None) => {}
                 Err(_) => return Err(ExchangeError::Garbled),
@@ -191,14 +191,14 @@
         }
     }
 
-    /// The next piece of an answer's body; [`Piece::Wait`] is never returned.
+    /// The next piece of an answer's body; [`Piece::Incomplete`] is never returned.
     ///
     /// # Errors
     /// The body broke off.
     pub async fn next_piece(&mut self, body: &mut BodyDecoder) -> Result<Piece, ExchangeError> {
         loop {
             match body.next(&mut self.buffer) {
-                Ok(Piece::Wait) => {}
+                Ok(Piece::Incomplete) => {}
                 Ok(piece) => return Ok(piece),
                 Err(_) => return Err(ExchangeError::Garbled),
             }
@@ -228,7 +228,7 @@
                 }
                 Piece::Data(data) => whole.extend_from_slice(&data),
                 Piece::End => return Ok(whole.freeze()),
-                Piece::Wait => {}
+                Piece::Incomplete => {}
             }
         }
     }
--- a/crates/gateway/tests/gateway/support/client.rs
+++ b/crates/gateway/tests/gateway/support/client.rs
@@ -3,7 +3,7 @@
 use super::LIMIT;
 use bytes::BytesMut;
 use fieldhook_gateway::http::body::{BodyDecoder, Piece};
-use fieldhook_gateway::http::head::{ResponseHead, take_response};
+use fieldhook_gateway::http::head::{ResponseHead, decode_response_head};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::timeout;
@@ -59,7 +59,8 @@
 
     async fn read_reply(&mut self) -> Reply {
         let head = loop {
-            if let Some(head) = take_response(&mut self.buffer, 1 << 20, "GET").expect("an answer")
+            if let Some(head) =
+                decode_response_head(&mut self.buffer, 1 << 20, "GET").expect("an answer")
             {
                 break head;
             }
@@ -82,7 +83,7 @@
                         whole: true,
                     };
                 }
-                Piece::Wait => match self.stream.read_buf(&mut self.buffer).await {
+                Piece::Incomplete => match self.stream.read_buf(&mut self.buffer).await {
                     Ok(size) if size > 0 => {}
                     _ => {
                         return Reply {
--- a/crates/gateway/tests/gateway/support/server.rs
+++ b/crates/gateway/tests/gateway/support/server.rs
@@ -2,7 +2,7 @@
 
 use bytes::BytesMut;
 use fieldhook_gateway::http::body::{BodyDecoder, Piece};
-use fieldhook_gateway::http::head::{RequestHead, take_request};
+use fieldhook_gateway::http::head::{RequestHead, decode_request_head};
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -155,7 +155,7 @@
     accepted: Instant,
 ) -> Option<Seen> {
     let head = loop {
-        if let Ok(Some(head)) = take_request(buffer, 1 << 20) {
+        if let Ok(Some(head)) = decode_request_head(buffer, 1 << 20) {
             break head;
         }
         if stream.read_buf(buffer).await.ok()? == 0 {
@@ -176,7 +176,7 @@
                     body,
                 });
             }
-            Piece::Wait => {
+            Piece::Incomplete => {
                 if stream.read_buf(buffer).await.ok()? == 0 {
                     return None;
                 }
--- a/crates/gateway/tests/gateway/tenants.rs
+++ b/crates/gateway/tests/gateway/tenants.rs
@@ -76,7 +76,7 @@
         for (seen, (tenant, rank)) in seen.iter().zip(wanted) {
             let headers = &seen.head.headers;
             assert_eq!(headers.text("tenant"), tenant);
-            assert!(headers.all("tenant").count() <= 1);
+            assert!(headers.get_all("tenant").count() <= 1);
             assert_eq!(headers.text("rank"), Some(rank));
             assert!(!headers.has("key"));
         }
