--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -10,7 +10,7 @@
 use crate::metrics::Metrics;
 use crate::places::Places;
 use crate::relay::{self, Relay};
-use crate::serve::answer_times::AnswerTimes;
+use crate::serve::response_times::ResponseTimes;
 use crate::settings::GatewaySettings;
 use crate::upstream::pool::Pools;
 use fieldhook_log::api::LogStore;
@@ -68,9 +68,9 @@
     /// Known servers.
     pub directory: Rc<RefCell<Directory>>,
     /// How long answers take.
-    pub answer_times: AnswerTimes,
+    pub answer_times: ResponseTimes,
     /// How long streams say nothing between two pieces.
-    pub pauses: AnswerTimes,
+    pub pauses: ResponseTimes,
     /// Connections to servers.
     pub pools: Rc<Pools>,
     /// Repeats of attempts that are left.
@@ -158,8 +158,8 @@
             cold,
             servers_listed: Cell::new(false),
             directory,
-            answer_times: AnswerTimes::default(),
-            pauses: AnswerTimes::default(),
+            answer_times: ResponseTimes::default(),
+            pauses: ResponseTimes::default(),
             pools,
             retry_budget: RefCell::default(),
             owner,
--- a/crates/gateway/src/ledger/assigner.rs
+++ b/crates/gateway/src/ledger/assigner.rs
@@ -80,7 +80,7 @@
             true => self.engines_of_few(&placement.service, serving, partition),
             false => self.engines_of_many(&directory, serving, open, placement, partition),
         };
-        engines.retain(|engine| !self.pools.view(engine.id, engine.zone, now_ms).avoided);
+        engines.retain(|engine| !self.pools.status(engine.id, engine.zone, now_ms).avoided);
         self.keep_allowed(&mut engines, placement);
         self.limit_cold(&mut engines, &directory);
         let turn = Turn {
--- a/crates/gateway/src/ledger/exchange.rs
+++ b/crates/gateway/src/ledger/exchange.rs
@@ -119,7 +119,7 @@
                     connection.call(request.clone())
                 }
                 // Nothing came back: the owner's machine is gone, or either side is cut off.
-                Err(error) if probe::is_unanswered(error.kind()) => {
+                Err(error) if probe::is_unreachable(error.kind()) => {
                     self.silent_owner.set(true);
                     return Exchange::Silent(claim.epoch);
                 }
--- a/crates/gateway/src/ledger/peer.rs
+++ b/crates/gateway/src/ledger/peer.rs
@@ -2,7 +2,7 @@
 //! calls side by side on one connection.
 
 use super::owner::Owner;
-use crate::upstream::connection::prepare;
+use crate::upstream::connection::configure_socket;
 use bytes::{Buf, BytesMut};
 use fieldhook_ledger::message::{Envelope, LedgerReply, LedgerRequest};
 use nanoserde::{DeBin, SerBin};
@@ -88,7 +88,7 @@
     ntex::rt::spawn(async move {
         loop {
             if let Ok((stream, _)) = listener.accept().await {
-                prepare(&stream);
+                configure_socket(&stream);
                 ntex::rt::spawn(serve(owner.clone(), stream));
             }
         }
@@ -134,7 +134,7 @@
 
 impl PeerConnection {
     fn start(stream: TcpStream) -> Rc<Self> {
-        prepare(&stream);
+        configure_socket(&stream);
         let (reader, writer) = stream.into_split();
         let (frames, waiting) = mpsc::unbounded_channel();
         ntex::rt::spawn(write_frames(writer, waiting));
--- a/crates/gateway/src/ledger/reach.rs
+++ b/crates/gateway/src/ledger/reach.rs
@@ -2,7 +2,7 @@
 //! the log fail, and by looking at the zones while an owner is silent.
 
 use crate::daemon::Daemon;
-use crate::upstream::probe::{self, Probed};
+use crate::upstream::probe::{self, ProbeOutcome};
 use fieldhook_log::reach::{Judge, Look, Reach, Round};
 use fieldhook_traffic::directory::ServerEntry;
 use futures_util::future::join_all;
@@ -114,5 +114,5 @@
     join_all(probes)
         .await
         .into_iter()
-        .any(|probed| probed != Probed::Unanswered)
+        .any(|probed| probed != ProbeOutcome::Unreachable)
 }
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -6,12 +6,11 @@
 //! send it ([`quota`]);
 //! [`buffered`] and [`stream`] bring its answer by attempts ([`dispatch`], [`retry`];
 //! [`choice`] of a server, `cold` where it bears only a few, [`open`] where its place is),
-//! which [`answer_times`] says how long to wait for, with [`opening`] before and [`turn`] around a turn of a program
+//! which [`response_times`] says how long to wait for, with [`opening`] before and [`turn`] around a turn of a program
 //! and `record` at its end.
 
 pub mod admission;
 pub mod answer;
-pub mod answer_times;
 pub mod attempt;
 pub mod buffered;
 pub mod choice;
@@ -26,6 +25,7 @@
 pub mod quota;
 mod record;
 pub mod request;
+pub mod response_times;
 pub mod retry;
 pub mod stream;
 pub mod turn;
--- a/crates/gateway/src/serve/attempt.rs
+++ b/crates/gateway/src/serve/attempt.rs
@@ -2,8 +2,8 @@
 //! of its server is noted.
 
 use super::request::RequestContext;
-use crate::upstream::connection::{Answer, ExchangeError, ServerConnection};
-use crate::upstream::pool::InFlight;
+use crate::upstream::connection::{ExchangeError, ServerConnection, ServerResponse};
+use crate::upstream::pool::InFlightGuard;
 use fieldhook_traffic::attempt::AttemptFailure;
 use fieldhook_traffic::directory::ServerEntry;
 use fieldhook_traffic::health::Observation;
@@ -22,9 +22,9 @@
     /// Connection to it.
     pub connection: ServerConnection,
     /// Head of its answer.
-    pub answer: Answer,
+    pub answer: ServerResponse,
     /// Its place at the server.
-    pub(super) _in_flight: InFlight,
+    pub(super) _in_flight: InFlightGuard,
 }
 
 /// How far an attempt has come: one that is given up leaves it behind.
@@ -125,7 +125,7 @@
     context: &RequestContext,
     server: &ServerEntry,
     mut connection: ServerConnection,
-    mut answer: Answer,
+    mut answer: ServerResponse,
 ) {
     let pools = context.daemon.pools.clone();
     let id = server.id.clone();
@@ -133,7 +133,7 @@
         let body = connection.read_body(&mut answer.body, REFUSAL_LIMIT);
         if let Ok(Ok(_)) = timeout(REFUSAL_PATIENCE, body).await {
             let told = answer.meta.keep_alive_ms.map(Duration::from_millis);
-            pools.give_back(&id, connection, told);
+            pools.release(&id, connection, told);
         }
     });
 }
@@ -190,7 +190,7 @@
         context
             .daemon
             .pools
-            .give_back(&self.server.id, self.connection, told);
+            .release(&self.server.id, self.connection, told);
     }
 
     /// The answer broke off.
--- a/crates/gateway/src/serve/buffered.rs
+++ b/crates/gateway/src/serve/buffered.rs
@@ -151,7 +151,7 @@
 ) -> Result<WholeAnswer, (Attempt, ExchangeError)> {
     match read(context, attempt).await? {
         ReadAnswer::Whole(answer) => Ok(answer),
-        ReadAnswer::Begun(answer) => Err((answer.attempt, ExchangeError::Garbled)),
+        ReadAnswer::Begun(answer) => Err((answer.attempt, ExchangeError::InvalidResponse)),
     }
 }
 
--- a/crates/gateway/src/serve/choice.rs
+++ b/crates/gateway/src/serve/choice.rs
@@ -67,7 +67,7 @@
     if is_cold && daemon.cold.denied_ms(&server.id).is_some() {
         return None;
     }
-    let view = daemon.pools.view(&server.id, &server.zone, now_ms);
+    let view = daemon.pools.status(&server.id, &server.zone, now_ms);
     Some(Candidate {
         server,
         distance: daemon
--- a/crates/gateway/src/serve/dispatch.rs
+++ b/crates/gateway/src/serve/dispatch.rs
@@ -9,9 +9,9 @@
 use super::watch;
 use crate::dialect::Forwarding;
 use crate::http::write;
-use crate::upstream::connection::{ExchangeError, Outgoing, ServerConnection};
-use crate::upstream::pool::InFlight;
-use crate::upstream::probe::{self, Probed};
+use crate::upstream::connection::{ExchangeError, OutgoingRequest, ServerConnection};
+use crate::upstream::pool::InFlightGuard;
+use crate::upstream::probe::{self, ProbeOutcome};
 use fieldhook_traffic::attempt::AttemptFailure;
 use fieldhook_traffic::directory::ServerEntry;
 use fieldhook_traffic::health::Observation;
@@ -47,7 +47,7 @@
         };
         tried.servers.push(server.id.clone());
         tried.stage = Stage::Connecting;
-        let in_flight = context.daemon.pools.begin(&server.id);
+        let in_flight = context.daemon.pools.start_request(&server.id);
         let connection = connect(context, &server).await?;
         tried.stage = Stage::Choosing;
         if let Some(bears) = context.daemon.cold.cold(&server)
@@ -55,7 +55,7 @@
         {
             // Nothing was sent: it does not count as an attempt.
             tried.servers.pop();
-            context.daemon.pools.put_back(&server.id, connection);
+            context.daemon.pools.release_unused(&server.id, connection);
             continue;
         }
         open::still(context, &server)?;
@@ -75,7 +75,7 @@
     let daemon = &context.daemon;
     let taken = daemon
         .pools
-        .take(server, daemon.now_ms(), &daemon.metrics)
+        .acquire(server, daemon.now_ms(), &daemon.metrics)
         .await;
     match taken {
         Ok(connection) => {
@@ -83,8 +83,8 @@
             Ok(connection)
         }
         Err(error) => {
-            if probe::is_unanswered(error.kind()) {
-                probe::note(daemon, server, Probed::Unanswered);
+            if probe::is_unreachable(error.kind()) {
+                probe::record(daemon, server, ProbeOutcome::Unreachable);
             }
             observe(context, server, Observation::Failed, "not_sent");
             daemon.cold.unreachable(server);
@@ -101,19 +101,19 @@
     context: &RequestContext,
     server: ServerEntry,
     mut connection: ServerConnection,
-    in_flight: InFlight,
+    in_flight: InFlightGuard,
     last_event: Option<u64>,
 ) -> Result<Attempt, DispatchFailure> {
     let daemon = &context.daemon;
     context.sent_to.replace(Some(server.id.clone()));
     let bytes = message(context, &server, last_event);
-    let outgoing = Outgoing {
+    let outgoing = OutgoingRequest {
         method: &context.method,
         id: &context.meta.id,
         bytes: &bytes,
     };
     let sent = Instant::now();
-    let reused = connection.used;
+    let reused = connection.has_served;
     let exchange = connection.exchange(&outgoing, daemon.dialect.as_ref());
     match watch::watched(context, &server, exchange).await {
         Ok(answer) => {
@@ -126,7 +126,8 @@
             attempt.judge(context, sent.elapsed(), reused)
         }
         Err(error) => {
-            let stale = reused && error == ExchangeError::Lost && sent.elapsed() < STALE_WITHIN;
+            let stale =
+                reused && error == ExchangeError::ConnectionLost && sent.elapsed() < STALE_WITHIN;
             let observation = match stale {
                 true => Observation::Stale,
                 false => Observation::Failed,
@@ -134,7 +135,7 @@
             observe(context, &server, observation, error.name());
             if stale {
                 let pools = &daemon.pools;
-                pools.was_stale(&server.id, daemon.now_ms(), connection.rested);
+                pools.record_stale(&server.id, daemon.now_ms(), connection.idle_before_use);
             }
             if !stale && sent.elapsed() < BROKE_AT_ONCE {
                 daemon.cold.reset(&server);
@@ -146,7 +147,7 @@
                 outcome = error.name(),
                 reused,
                 stale,
-                rested_ms = connection.rested.as_millis() as u64,
+                rested_ms = connection.idle_before_use.as_millis() as u64,
                 after_ms = sent.elapsed().as_millis() as u64,
                 age_ms = context.age_ms()
             );
--- a/crates/gateway/src/serve/listener.rs
+++ b/crates/gateway/src/serve/listener.rs
@@ -2,7 +2,7 @@
 
 use super::connection;
 use crate::daemon::{Daemon, Stopping};
-use crate::upstream::connection::prepare;
+use crate::upstream::connection::configure_socket;
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
@@ -28,7 +28,7 @@
             };
             match accepted {
                 Ok((stream, _)) => {
-                    prepare(&stream);
+                    configure_socket(&stream);
                     ntex::rt::spawn(connection::serve(daemon.clone(), stream));
                 }
                 Err(_) => sleep(ACCEPT_PAUSE).await,
--- a/crates/gateway/src/serve/answer_times.rs
+++ b/crates/gateway/src/serve/response_times.rs
@@ -8,11 +8,11 @@
 
 /// Answer times of the routes that were used.
 #[derive(Default)]
-pub struct AnswerTimes {
+pub struct ResponseTimes {
     routes: RefCell<HashMap<String, RoundTrip>>,
 }
 
-impl AnswerTimes {
+impl ResponseTimes {
     /// Takes in how long a whole answer took.
     pub fn observe(&self, route: &str, took: Duration) {
         let mut routes = self.routes.borrow_mut();
--- a/crates/gateway/src/serve/stream.rs
+++ b/crates/gateway/src/serve/stream.rs
@@ -171,7 +171,7 @@
         match piece {
             Ok(Piece::Data(data)) => events.feed(&data),
             Ok(Piece::End) if events.has_partial_event() => {
-                return StreamEnd::Broken(ExchangeError::Garbled);
+                return StreamEnd::Broken(ExchangeError::InvalidResponse);
             }
             Ok(Piece::End) => return StreamEnd::Complete,
             Ok(Piece::Incomplete) => {}
@@ -182,7 +182,7 @@
             match order(&event, delivery.last_event) {
                 Order::Next => {}
                 Order::Seen => continue,
-                Order::Gap => return StreamEnd::Broken(ExchangeError::Garbled),
+                Order::Gap => return StreamEnd::Broken(ExchangeError::InvalidResponse),
             }
             delivery.last_event = event.id.or(delivery.last_event);
             batch.push(event);
--- a/crates/gateway/src/serve/watch.rs
+++ b/crates/gateway/src/serve/watch.rs
@@ -22,9 +22,9 @@
     let pauses = &context.daemon.pauses;
     let begun = Instant::now();
     let usual = pauses.overdue_after(&route.name);
-    let heard = probe::until_silent(&context.daemon, server, usual, answer).await;
+    let heard = probe::with_silence_detection(&context.daemon, server, usual, answer).await;
     if heard.is_some() {
         pauses.observe(&route.name, begun.elapsed());
     }
-    heard.unwrap_or(Err(ExchangeError::Silent))
+    heard.unwrap_or(Err(ExchangeError::ServerSilent))
 }
--- a/crates/gateway/src/store_exchange.rs
+++ b/crates/gateway/src/store_exchange.rs
@@ -3,7 +3,7 @@
 
 use crate::http::body::{BodyDecoder, Piece};
 use crate::http::head::{ResponseHead, decode_response_head};
-use crate::upstream::connection::prepare;
+use crate::upstream::connection::configure_socket;
 use bytes::{Bytes, BytesMut};
 use fieldhook_log::api::StoreError;
 use fieldhook_log::contact::Contact;
@@ -122,7 +122,7 @@
         let stream = timeout(CONNECT_LIMIT, TcpStream::connect(self.address))
             .await
             .map_err(|_| std::io::Error::from(std::io::ErrorKind::TimedOut))??;
-        prepare(&stream);
+        configure_socket(&stream);
         Ok(Connection {
             stream,
             buffer: BytesMut::new(),
--- a/crates/gateway/src/upstream/connection.rs
+++ b/crates/gateway/src/upstream/connection.rs
@@ -14,11 +14,11 @@
 use tokio::time::{Instant, timeout};
 
 /// Largest head of an answer, in bytes.
-const ANSWER_HEAD_LIMIT: usize = 64 << 10;
+const RESPONSE_HEAD_LIMIT: usize = 64 << 10;
 /// Unacknowledged bytes end a connection after this time: a cut says nothing.
 const USER_TIMEOUT: Duration = Duration::from_secs(3);
 /// Answers of other requests that are passed over before a connection is given up.
-const MOST_FOREIGN_ANSWERS: u32 = 3;
+const MAX_FOREIGN_RESPONSES: u32 = 3;
 const READ_SIZE: usize = 16 << 10;
 
 /// Why an exchange brought no answer. Once anything was written, the request may
@@ -26,27 +26,27 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExchangeError {
     /// The connection ended before an answer.
-    Lost,
+    ConnectionLost,
     /// The bytes form no answer.
-    Garbled,
+    InvalidResponse,
     /// The server's machine lets itself be reached no more.
-    Silent,
+    ServerSilent,
 }
 
 impl ExchangeError {
     /// Name for logs.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Lost => "lost",
-            Self::Garbled => "garbled",
-            Self::Silent => "silent",
+            Self::ConnectionLost => "lost",
+            Self::InvalidResponse => "garbled",
+            Self::ServerSilent => "silent",
         }
     }
 }
 
 /// The head of an answer with what the adapter reads in it.
 #[derive(Debug)]
-pub struct Answer {
+pub struct ServerResponse {
     /// Head.
     pub head: ResponseHead,
     /// Meaning of its fields.
@@ -57,7 +57,7 @@
 
 /// A request as it goes to a server.
 #[derive(Clone, Copy, Debug)]
-pub struct Outgoing<'a> {
+pub struct OutgoingRequest<'a> {
     /// Method, for the framing of the answer.
     pub method: &'a str,
     /// Identity that the answer has to carry.
@@ -74,11 +74,11 @@
     /// When the last answer was whole.
     pub idle_since: Instant,
     /// How long it had been idle when it was taken for its present request.
-    pub rested: Duration,
+    pub idle_before_use: Duration,
     /// How long the server keeps it while idle.
     pub idle_limit: Duration,
     /// It has served a request before.
-    pub used: bool,
+    pub has_served: bool,
 }
 
 impl ServerConnection {
@@ -90,24 +90,25 @@
         let stream = timeout(limit, TcpStream::connect(address))
             .await
             .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-        prepare(&stream);
+        configure_socket(&stream);
         Ok(Self {
             stream,
             buffer: BytesMut::new(),
             reusable: true,
             idle_since: Instant::now(),
             idle_limit: Duration::ZERO,
-            rested: Duration::ZERO,
-            used: false,
+            idle_before_use: Duration::ZERO,
+            has_served: false,
         })
     }
 
     /// Whether nothing has happened on it while it was idle: no close, no bytes.
-    pub fn is_quiet(&self) -> bool {
+    pub fn has_no_input(&self) -> bool {
         let mut byte = [MaybeUninit::<u8>::uninit()];
         let peeked = SockRef::from(&self.stream).peek(&mut byte);
-        let waits = matches!(&peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock);
-        waits && self.buffer.is_empty()
+        let would_block =
+            matches!(&peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock);
+        would_block && self.buffer.is_empty()
     }
 
     /// Whether the next request may use it.
@@ -115,14 +116,14 @@
         self.reusable && self.buffer.is_empty()
     }
 
-    /// It waits for its next request, and takes no memory meanwhile.
-    pub fn rest(&mut self) {
+    /// It would_block for its next request, and takes no memory meanwhile.
+    pub fn mark_idle(&mut self) {
         self.buffer = BytesMut::new();
         self.idle_since = Instant::now();
     }
 
     /// Never use it again.
-    pub fn spoil(&mut self) {
+    pub fn mark_unusable(&mut self) {
         self.reusable = false;
     }
 
@@ -133,57 +134,62 @@
     /// No answer came; the request may have run.
     pub async fn exchange(
         &mut self,
-        outgoing: &Outgoing<'_>,
+        outgoing: &OutgoingRequest<'_>,
         dialect: &dyn Dialect,
-    ) -> Result<Answer, ExchangeError> {
+    ) -> Result<ServerResponse, ExchangeError> {
         let mut written = 0;
-        for _ in 0..MOST_FOREIGN_ANSWERS {
+        for _ in 0..MAX_FOREIGN_RESPONSES {
             let head = self.next_head(outgoing, &mut written).await?;
             let meta = dialect.answer(head.status, &head.headers);
             let body = BodyDecoder::new(head.framing);
             if !head.keep_alive || written < outgoing.bytes.len() {
                 self.reusable = false;
             }
-            let answer = Answer { head, meta, body };
-            if answer.meta.id.as_deref().is_none_or(|id| id == outgoing.id) {
-                self.used = true;
-                return Ok(answer);
+            let response = ServerResponse { head, meta, body };
+            if response
+                .meta
+                .id
+                .as_deref()
+                .is_none_or(|id| id == outgoing.id)
+            {
+                self.has_served = true;
+                return Ok(response);
             }
             self.reusable = false;
-            self.pass_over(answer.body).await?;
+            self.skip_body(response.body).await?;
         }
-        Err(ExchangeError::Garbled)
+        Err(ExchangeError::InvalidResponse)
     }
 
     async fn next_head(
         &mut self,
-        outgoing: &Outgoing<'_>,
+        outgoing: &OutgoingRequest<'_>,
         written: &mut usize,
     ) -> Result<ResponseHead, ExchangeError> {
         let (mut reader, mut writer) = self.stream.split();
         loop {
-            match decode_response_head(&mut self.buffer, ANSWER_HEAD_LIMIT, outgoing.method) {
+            match decode_response_head(&mut self.buffer, RESPONSE_HEAD_LIMIT, outgoing.method) {
                 Ok(Some(head)) => return Ok(head),
                 Ok(None) => {}
-                Err(_) => return Err(ExchangeError::Garbled),
+                Err(_) => return Err(ExchangeError::InvalidResponse),
             }
             self.buffer.reserve(READ_SIZE);
-            let rest = &outgoing.bytes[*written..];
+            let unsent = &outgoing.bytes[*written..];
             tokio::select! {
-                sent = writer.write(rest), if !rest.is_empty() => match sent {
+                sent = writer.write(unsent), if !unsent.is_empty() => match sent {
                     Ok(size) if size > 0 => *written += size,
                     // The answer may be on its way although the rest is not taken.
                     _ => self.reusable = false,
                 },
                 read = reader.read_buf(&mut self.buffer) => match read {
                     Ok(size) if size > 0 => {}
-                    _ => return Err(ExchangeError::Lost),
+                    _ => return Err(ExchangeError::ConnectionLost),
                 },
             }
         }
     }
 
-    async fn pass_over(&mut self, mut body: BodyDecoder) -> Result<(), ExchangeError> {
+    async fn skip_body(&mut self, mut body: BodyDecoder) -> Result<(), ExchangeError> {
         loop {
             if self.next_piece(&mut body).await? == Piece::End {
                 return Ok(());
@@ -200,13 +206,13 @@
             match body.next(&mut self.buffer) {
                 Ok(Piece::Incomplete) => {}
                 Ok(piece) => return Ok(piece),
-                Err(_) => return Err(ExchangeError::Garbled),
+                Err(_) => return Err(ExchangeError::InvalidResponse),
             }
             self.buffer.reserve(READ_SIZE);
             match self.stream.read_buf(&mut self.buffer).await {
                 Ok(0) if body.ends_with_connection() => return Ok(Piece::End),
                 Ok(size) if size > 0 => {}
-                _ => return Err(ExchangeError::Lost),
+                _ => return Err(ExchangeError::ConnectionLost),
             }
         }
     }
@@ -220,14 +226,14 @@
         body: &mut BodyDecoder,
         limit: usize,
     ) -> Result<Bytes, ExchangeError> {
-        let mut whole = BytesMut::new();
+        let mut content = BytesMut::new();
         loop {
             match self.next_piece(body).await? {
-                Piece::Data(data) if whole.len() + data.len() > limit => {
-                    return Err(ExchangeError::Garbled);
+                Piece::Data(data) if content.len() + data.len() > limit => {
+                    return Err(ExchangeError::InvalidResponse);
                 }
-                Piece::Data(data) => whole.extend_from_slice(&data),
-                Piece::End => return Ok(whole.freeze()),
+                Piece::Data(data) => content.extend_from_slice(&data),
+                Piece::End => return Ok(content.freeze()),
                 Piece::Incomplete => {}
             }
         }
@@ -235,7 +241,7 @@
 }
 
 /// Sets what every connection of this daemon has.
-pub fn prepare(stream: &TcpStream) {
+pub fn configure_socket(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let _ = SockRef::from(stream).set_tcp_user_timeout(Some(USER_TIMEOUT));
 }
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -13,14 +13,14 @@
 use tokio::time::Instant;
 
 /// A connection that does not come about in this time counts as refused.
-const CONNECT_LIMIT: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Idle time allowed where a server does not tell its own.
-const UNTOLD_IDLE: Duration = Duration::from_millis(300);
+const DEFAULT_IDLE_LIMIT: Duration = Duration::from_millis(300);
 /// Part of a server's idle time after which a connection is not used any more:
 /// a close by the server must not cross a request that may not be repeated.
-const IDLE_SHARE: f64 = 0.88;
-/// Idle connections kept to one server.
-const MOST_IDLE: usize = 16;
+const IDLE_LIMIT_FACTOR: f64 = 0.88;
+/// Idle connections is_known to one server.
+const MAX_IDLE_PER_SERVER: usize = 16;
 
 #[derive(Default)]
 struct ServerState {
@@ -29,7 +29,7 @@
     health: Health,
     rest: Rest,
     /// When its machine answered a try last.
-    answered_try: Option<Instant>,
+    last_probe_answer: Option<Instant>,
 }
 
 /// All servers' pools.
@@ -42,24 +42,24 @@
 }
 
 /// A server is being tried until this is dropped.
-pub struct Probing<'a> {
+pub struct ProbeGuard<'a> {
     pools: &'a Pools,
     id: String,
 }
 
-impl Drop for Probing<'_> {
+impl Drop for ProbeGuard<'_> {
     fn drop(&mut self) {
         self.pools.probing.borrow_mut().remove(&self.id);
     }
 }
 
 /// Counts a request as under way at a server until it is dropped.
-pub struct InFlight {
+pub struct InFlightGuard {
     pools: Rc<Pools>,
     id: String,
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         if let Some(state) = self.pools.servers.borrow_mut().get_mut(&self.id) {
             state.in_flight = state.in_flight.saturating_sub(1);
@@ -69,7 +69,7 @@
 
 /// What the pools know about a server.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ServerView {
+pub struct ServerStatus {
     /// Requests under way.
     pub in_flight: u32,
     /// It is passed over for now.
@@ -82,30 +82,30 @@
 
 impl Pools {
     /// What is known about a server.
-    pub fn view(&self, id: &str, zone: &str, now_ms: u64) -> ServerView {
+    pub fn status(&self, id: &str, zone: &str, now_ms: u64) -> ServerStatus {
         let servers = self.servers.borrow();
         let in_doubt = self.silence.borrow().is_in_doubt(id, zone, now_ms);
         let known = servers.get(id);
-        let view = known.map_or_else(ServerView::default, |state| ServerView {
+        let status = known.map_or_else(ServerStatus::default, |state| ServerStatus {
             in_flight: state.in_flight,
             avoided: state.health.avoided(now_ms),
             unsound: state.health.unsound(),
             has_idle_connection: !state.idle.is_empty(),
         });
-        ServerView {
-            avoided: view.avoided || in_doubt,
-            ..view
+        ServerStatus {
+            avoided: status.avoided || in_doubt,
+            ..status
         }
     }
 
     /// Something came from a server's machine. True if it had been silent.
-    pub fn heard(&self, server: &ServerEntry, now_ms: u64) -> bool {
+    pub fn mark_responsive(&self, server: &ServerEntry, now_ms: u64) -> bool {
         let mut silence = self.silence.borrow_mut();
         silence.heard(&server.id, &server.zone, now_ms)
     }
 
     /// A connection to a server did not come about in time. True if it is silent from now on.
-    pub fn missed(&self, server: &ServerEntry, now_ms: u64) -> bool {
+    pub fn mark_unresponsive(&self, server: &ServerEntry, now_ms: u64) -> bool {
         let mut silence = self.silence.borrow_mut();
         silence.missed(&server.id, &server.zone, now_ms)
     }
@@ -121,32 +121,32 @@
     }
 
     /// The machine of a server answered a try.
-    pub fn answered_try(&self, id: &str) {
+    pub fn record_probe_answer(&self, id: &str) {
         let mut servers = self.servers.borrow_mut();
-        servers.entry(id.to_owned()).or_default().answered_try = Some(Instant::now());
+        servers.entry(id.to_owned()).or_default().last_probe_answer = Some(Instant::now());
     }
 
     /// Whether it did within this time: all that wait for the server know by one try.
-    pub fn answered_try_within(&self, id: &str, time: Duration) -> bool {
+    pub fn answered_probe_within(&self, id: &str, time: Duration) -> bool {
         let servers = self.servers.borrow();
-        let at = servers.get(id).and_then(|state| state.answered_try);
-        at.is_some_and(|at| at.elapsed() < time)
+        let answered_at = servers.get(id).and_then(|state| state.last_probe_answer);
+        answered_at.is_some_and(|at| at.elapsed() < time)
     }
 
     /// Whoever tries a server holds this; `None` while another does.
-    pub fn begin_probe(&self, id: &str) -> Option<Probing<'_>> {
+    pub fn begin_probe(&self, id: &str) -> Option<ProbeGuard<'_>> {
         let is_first = self.probing.borrow_mut().insert(id.to_owned());
-        is_first.then(|| Probing {
+        is_first.then(|| ProbeGuard {
             pools: self,
             id: id.to_owned(),
         })
     }
 
     /// Counts a request at a server.
-    pub fn begin(self: &Rc<Self>, id: &str) -> InFlight {
+    pub fn start_request(self: &Rc<Self>, id: &str) -> InFlightGuard {
         let mut servers = self.servers.borrow_mut();
         servers.entry(id.to_owned()).or_default().in_flight += 1;
-        InFlight {
+        InFlightGuard {
             pools: self.clone(),
             id: id.to_owned(),
         }
@@ -163,10 +163,12 @@
     }
 
     /// An idle connection was gone when it was used again after this rest.
-    pub fn was_stale(&self, id: &str, now_ms: u64, rested: Duration) {
+    pub fn record_stale(&self, id: &str, now_ms: u64, idle_time: Duration) {
         let mut servers = self.servers.borrow_mut();
         let state = servers.entry(id.to_owned()).or_default();
-        state.rest.was_too_long(now_ms, rested.as_millis() as u64);
+        state
+            .rest
+            .was_too_long(now_ms, idle_time.as_millis() as u64);
     }
 
     /// A connection for the next request: a new one where the server's machine is in doubt,
@@ -174,7 +176,7 @@
     ///
     /// # Errors
     /// None came about; nothing was sent.
-    pub async fn take(
+    pub async fn acquire(
         &self,
         server: &ServerEntry,
         now_ms: u64,
@@ -184,50 +186,56 @@
             let silence = self.silence.borrow();
             silence.is_in_doubt(&server.id, &server.zone, now_ms)
         };
-        if !in_doubt && let Some(connection) = self.take_idle(&server.id, now_ms) {
+        if !in_doubt && let Some(connection) = self.acquire_idle(&server.id, now_ms) {
             return Ok(connection);
         }
         metrics.connections.inc();
-        ServerConnection::connect(server.address, CONNECT_LIMIT).await
+        ServerConnection::connect(server.address, CONNECT_TIMEOUT).await
     }
 
-    fn take_idle(&self, id: &str, now_ms: u64) -> Option<ServerConnection> {
+    fn acquire_idle(&self, id: &str, now_ms: u64) -> Option<ServerConnection> {
         let mut servers = self.servers.borrow_mut();
         let state = servers.get_mut(id)?;
         let limit = state.rest.limit_ms(now_ms).map(Duration::from_millis);
         while let Some(mut connection) = state.idle.pop() {
-            connection.rested = connection.idle_since.elapsed();
-            let rested_too_long = limit.is_some_and(|limit| connection.rested > limit);
-            if is_fresh(&connection) && !rested_too_long && connection.is_quiet() {
+            connection.idle_before_use = connection.idle_since.elapsed();
+            let is_too_old = limit.is_some_and(|limit| connection.idle_before_use > limit);
+            if is_fresh(&connection) && !is_too_old && connection.has_no_input() {
                 return Some(connection);
             }
         }
         None
     }
 
-    /// Keeps a connection whose last answer is whole. `told` is the server's idle
+    /// Keeps a connection whose last answer is whole. `keep_alive` is the server's idle
     /// time, where it tells one.
-    pub fn give_back(&self, id: &str, mut connection: ServerConnection, told: Option<Duration>) {
+    pub fn release(
+        &self,
+        id: &str,
+        mut connection: ServerConnection,
+        keep_alive: Option<Duration>,
+    ) {
         if !connection.is_reusable() {
             return;
         }
-        connection.rest();
-        connection.idle_limit = told.map_or(UNTOLD_IDLE, |limit| limit.mul_f64(IDLE_SHARE));
+        connection.mark_idle();
+        connection.idle_limit =
+            keep_alive.map_or(DEFAULT_IDLE_LIMIT, |limit| limit.mul_f64(IDLE_LIMIT_FACTOR));
         let mut servers = self.servers.borrow_mut();
         let state = servers.entry(id.to_owned()).or_default();
-        if state.idle.len() < MOST_IDLE {
+        if state.idle.len() < MAX_IDLE_PER_SERVER {
             state.idle.push(connection);
         }
     }
 
     /// Keeps a connection that nothing was sent on, as it was taken.
-    pub fn put_back(&self, id: &str, mut connection: ServerConnection) {
-        if !connection.used {
-            connection.idle_limit = UNTOLD_IDLE;
+    pub fn release_unused(&self, id: &str, mut connection: ServerConnection) {
+        if !connection.has_served {
+            connection.idle_limit = DEFAULT_IDLE_LIMIT;
         }
         let mut servers = self.servers.borrow_mut();
         let state = servers.entry(id.to_owned()).or_default();
-        if state.idle.len() < MOST_IDLE {
+        if state.idle.len() < MAX_IDLE_PER_SERVER {
             state.idle.push(connection);
         }
     }
@@ -239,10 +247,10 @@
         let mut servers = self.servers.borrow_mut();
         servers.retain(|id, state| state.in_flight > 0 || known(id));
         for (id, state) in servers.iter_mut() {
-            let kept = known(id);
+            let is_known = known(id);
             state
                 .idle
-                .retain(|connection| kept && is_fresh(connection) && connection.is_quiet());
+                .retain(|connection| is_known && is_fresh(connection) && connection.has_no_input());
         }
     }
 }
--- a/crates/gateway/src/upstream/probe.rs
+++ b/crates/gateway/src/upstream/probe.rs
@@ -11,44 +11,46 @@
 
 /// A machine answers within this time or not at all: eight times the way to the farthest
 /// region and back, and below the second after which a lost packet is sent again.
-const PROBE_LIMIT: Duration = Duration::from_millis(200);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
 /// A time-out that fires this much late shows that the process did not run.
-const WOKEN_AFTER: Duration = Duration::from_millis(150);
+const WAKEUP_TOLERANCE: Duration = Duration::from_millis(150);
 /// Nothing is tried earlier than after this much silence.
-const EARLIEST: Duration = Duration::from_millis(150);
+const MIN_PROBE_DELAY: Duration = Duration::from_millis(150);
 /// Pause while another waits for the outcome of the same try.
-const SHARED_PAUSE: Duration = Duration::from_millis(30);
+const SHARED_PROBE_PAUSE: Duration = Duration::from_millis(30);
 
 /// What a try showed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Probed {
+pub enum ProbeOutcome {
     /// The machine answers, whatever its server does.
-    Answered,
+    Reachable,
     /// Nothing came back.
-    Unanswered,
+    Unreachable,
     /// This process did not run: nobody can tell.
-    Unknown,
+    Inconclusive,
 }
 
 /// Tries a connection to a server; one that comes about is kept for a request.
-pub async fn probe(daemon: &Daemon, server: &ServerEntry) -> Probed {
-    let begun = Instant::now();
+pub async fn probe(daemon: &Daemon, server: &ServerEntry) -> ProbeOutcome {
+    let started = Instant::now();
     daemon.metrics.connections.inc();
-    let connected = ServerConnection::connect(server.address, PROBE_LIMIT).await;
-    let probed = match &connected {
-        Err(_) if begun.elapsed() > PROBE_LIMIT + WOKEN_AFTER => Probed::Unknown,
-        Err(error) if is_unanswered(error.kind()) => Probed::Unanswered,
-        Ok(_) | Err(_) => Probed::Answered,
+    let connected = ServerConnection::connect(server.address, PROBE_TIMEOUT).await;
+    let outcome = match &connected {
+        Err(_) if started.elapsed() > PROBE_TIMEOUT + WAKEUP_TOLERANCE => {
+            ProbeOutcome::Inconclusive
+        }
+        Err(error) if is_unreachable(error.kind()) => ProbeOutcome::Unreachable,
+        Ok(_) | Err(_) => ProbeOutcome::Reachable,
     };
-    note(daemon, server, probed);
+    record(daemon, server, outcome);
     if let Ok(connection) = connected {
-        daemon.pools.give_back(&server.id, connection, None);
+        daemon.pools.release(&server.id, connection, None);
     }
-    probed
+    outcome
 }
 
 /// Whether a failed connection shows that nothing came back from the machine.
-pub fn is_unanswered(kind: ErrorKind) -> bool {
+pub fn is_unreachable(kind: ErrorKind) -> bool {
     matches!(
         kind,
         ErrorKind::TimedOut | ErrorKind::HostUnreachable | ErrorKind::NetworkUnreachable
@@ -56,17 +58,17 @@
 }
 
 /// Takes in what a try showed, and tells where that changes what is believed.
-pub fn note(daemon: &Daemon, server: &ServerEntry, probed: Probed) {
+pub fn record(daemon: &Daemon, server: &ServerEntry, outcome: ProbeOutcome) {
     let now_ms = daemon.now_ms();
-    let changed = match probed {
-        Probed::Answered => daemon.pools.heard(server, now_ms),
-        Probed::Unanswered => daemon.pools.missed(server, now_ms),
-        Probed::Unknown => false,
+    let has_changed = match outcome {
+        ProbeOutcome::Reachable => daemon.pools.mark_responsive(server, now_ms),
+        ProbeOutcome::Unreachable => daemon.pools.mark_unresponsive(server, now_ms),
+        ProbeOutcome::Inconclusive => false,
     };
-    if !changed {
+    if !has_changed {
         return;
     }
-    let silent = probed == Probed::Unanswered;
+    let silent = outcome == ProbeOutcome::Unreachable;
     let label = if silent { "silent" } else { "heard_again" };
     daemon.metrics.silence.with_label_values(&[label]).inc();
     tracing::info!(
@@ -79,45 +81,49 @@
 }
 
 /// Waits for what a server says next, and gives it up where its machine has gone silent:
-/// `None` stands for that. `usual` is the time after which its answers were late so far.
-pub async fn until_silent<T>(
+/// `None` stands for that. `expected` is the time after which its answers were late so far.
+pub async fn with_silence_detection<T>(
     daemon: &Daemon,
     server: &ServerEntry,
-    usual: Duration,
-    answer: impl Future<Output = T>,
+    expected: Duration,
+    response: impl Future<Output = T>,
 ) -> Option<T> {
-    let answer = pin!(answer);
-    let silence = pin!(silence(daemon, server, usual.max(EARLIEST)));
+    let response = pin!(response);
+    let silence = pin!(wait_until_silent(
+        daemon,
+        server,
+        expected.max(MIN_PROBE_DELAY)
+    ));
     tokio::select! {
         biased;
-        answer = answer => {
-            daemon.pools.heard(server, daemon.now_ms());
-            Some(answer)
+        received = response => {
+            daemon.pools.mark_responsive(server, daemon.now_ms());
+            Some(received)
         }
         () = silence => None,
     }
 }
 
 /// Ends once a server is silent.
-async fn silence(daemon: &Daemon, server: &ServerEntry, patience: Duration) {
-    sleep(patience).await;
+async fn wait_until_silent(daemon: &Daemon, server: &ServerEntry, probe_delay: Duration) {
+    sleep(probe_delay).await;
     loop {
         if daemon.pools.is_silent(&server.id, daemon.now_ms()) {
             return;
         }
-        if daemon.pools.answered_try_within(&server.id, patience) {
-            sleep(patience).await;
+        if daemon.pools.answered_probe_within(&server.id, probe_delay) {
+            sleep(probe_delay).await;
             continue;
         }
-        let Some(probing) = daemon.pools.begin_probe(&server.id) else {
-            sleep(SHARED_PAUSE).await;
+        let Some(guard) = daemon.pools.begin_probe(&server.id) else {
+            sleep(SHARED_PROBE_PAUSE).await;
             continue;
         };
-        let probed = probe(daemon, server).await;
-        drop(probing);
-        if probed == Probed::Answered {
-            daemon.pools.answered_try(&server.id);
-            sleep(patience * 2).await;
+        let outcome = probe(daemon, server).await;
+        drop(guard);
+        if outcome == ProbeOutcome::Reachable {
+            daemon.pools.record_probe_answer(&server.id);
+            sleep(probe_delay * 2).await;
         }
     }
 }
--- a/crates/gateway/tests/gateway/evacuation.rs
+++ b/crates/gateway/tests/gateway/evacuation.rs
@@ -98,7 +98,7 @@
 async fn until_chosen(gateway: &Gateway, server: &str) {
     let daemon = &gateway.daemon;
     let begun = Instant::now();
-    while daemon.pools.view(server, "z1", daemon.now_ms()).in_flight == 0 {
+    while daemon.pools.status(server, "z1", daemon.now_ms()).in_flight == 0 {
         assert!(begun.elapsed() < BOUND, "{server} was never chosen");
         tokio::task::yield_now().await;
     }
--- a/crates/gateway/tests/gateway/incarnations.rs
+++ b/crates/gateway/tests/gateway/incarnations.rs
@@ -347,14 +347,14 @@
             gateway.ask("POST", "/unsafe/1", &fields, "").await;
         }
         let pools = &gateway.daemon.pools;
-        let former = pools.view("s1~1", "z1", gateway.daemon.now_ms());
+        let former = pools.status("s1~1", "z1", gateway.daemon.now_ms());
         assert!(former.unsound && former.avoided);
         s1.regain_power();
         s1.set(plain());
         start_again(&world, &s1, 2, "").await;
         sleep(IN_FORCE).await;
         let now_ms = gateway.daemon.now_ms();
-        let next = pools.view("s1~2", "z1", now_ms);
+        let next = pools.status("s1~2", "z1", now_ms);
         assert!(!next.unsound && !next.avoided && next.in_flight == 0);
         assert!(!pools.is_silent("s1~2", now_ms));
         ask(&gateway, 4).await;
--- a/crates/gateway/tests/gateway/slow_peers.rs
+++ b/crates/gateway/tests/gateway/slow_peers.rs
@@ -86,7 +86,7 @@
         let told = lines.of("client_stalled");
         assert_eq!(told.len(), 1, "{told:?}");
         assert!(told[0].contains("\"request\":\"a\""), "{told:?}");
-        assert_eq!(gateway.daemon.pools.view("s1", "z1", 0).in_flight, 0);
+        assert_eq!(gateway.daemon.pools.status("s1", "z1", 0).in_flight, 0);
     });
 }
 
@@ -137,7 +137,7 @@
             .send("POST", "/resume/1", "Request: a\r\n", "x")
             .await;
         sleep(ms(300)).await;
-        let in_flight = gateway.daemon.pools.view("s1", "z1", 0).in_flight;
+        let in_flight = gateway.daemon.pools.status("s1", "z1", 0).in_flight;
         assert_eq!(in_flight, 0, "the server still waits for the client");
         // A byte at a time.
         let mut first = [0; 64];
