--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -23,7 +23,7 @@
 use fieldhook_log::api::{
     Append, Appended, KeyedRecord, LogStore, NewestPage, Partition, ReadBatch, StoreError, Trim,
 };
-use fieldhook_log::asker::Asker;
+use fieldhook_log::reader_selector::ReaderSelector;
 use fieldhook_log::readers::Readers;
 use fieldhook_traffic::assignment::prefix_hash;
 use futures_util::future::LocalBoxFuture;
@@ -85,7 +85,7 @@
     config: String,
     peers: Peers,
     readers: RefCell<Readers>,
-    asker: RefCell<Asker>,
+    asker: RefCell<ReaderSelector>,
     reading: Reading,
     /// Whether servers are many.
     is_long: Cell<bool>,
@@ -118,7 +118,7 @@
             config: topics.config.clone(),
             peers: Peers::default(),
             readers: RefCell::default(),
-            asker: RefCell::new(Asker::new(bound_ms, fastrand::u64(..))),
+            asker: RefCell::new(ReaderSelector::new(bound_ms, fastrand::u64(..))),
             reading: Reading::default(),
             is_long: Cell::new(false),
             hold: Duration::from_millis(bound_ms / HOLD_PARTS).min(LONGEST_HOLD),
@@ -312,7 +312,7 @@
             None if self
                 .asker
                 .borrow()
-                .may_list(&partition.topic, self.now_ms()) =>
+                .may_list_log(&partition.topic, self.now_ms()) =>
             {
                 self.turn_to_log(&partition.topic);
                 self.log.newest(partition, after, limit).await
@@ -432,7 +432,7 @@
             let reply = self.peers.ask(reader, question, limit).await;
             match told(reply, self.most_age_ms()) {
                 Ok(told) => {
-                    self.asker.borrow_mut().answered(reader, topic);
+                    self.asker.borrow_mut().record_answer(reader, topic);
                     self.count("answered");
                     match told {
                         Told::Gone(_) => gone = Some(told),
@@ -445,7 +445,9 @@
                     }
                     self.count(cause);
                     tracing::info!(event = "reader_passed_over", %reader, cause);
-                    self.asker.borrow_mut().failed(reader, self.now_ms());
+                    self.asker
+                        .borrow_mut()
+                        .record_failure(reader, self.now_ms());
                 }
             }
         }
@@ -453,7 +455,9 @@
             return gone;
         }
         self.count("alone");
-        self.asker.borrow_mut().is_alone(topic, self.now_ms());
+        self.asker
+            .borrow_mut()
+            .record_unanswered(topic, self.now_ms());
         None
     }
 
@@ -462,7 +466,7 @@
     /// # Errors
     /// That takes longer: readers are asked again meanwhile.
     async fn wait_alone(&self, topic: &str) -> Result<(), StoreError> {
-        let left_ms = self.asker.borrow().may_read_in_ms(topic, self.now_ms());
+        let left_ms = self.asker.borrow().log_read_delay_ms(topic, self.now_ms());
         let left = left_ms.map(Duration::from_millis);
         let left = left.filter(|left| *left <= LONGEST_WAIT_ALONE);
         sleep(left.ok_or(StoreError::NotDone)?).await;
@@ -473,7 +477,9 @@
     fn turn_to_log(&self, topic: &str) {
         self.count("log");
         tracing::info!(event = "no_reader_answers", topic);
-        self.asker.borrow_mut().turns_to_log(topic, self.now_ms());
+        self.asker
+            .borrow_mut()
+            .record_log_fallback(topic, self.now_ms());
     }
 
     /// Readers in the order in which this daemon asks them: each asks another one first.
--- a/crates/log/src/lib.rs
+++ b/crates/log/src/lib.rs
@@ -3,7 +3,7 @@
 //! of the service at hand.
 //!
 //! - [`api`]: the calls and their outcomes.
-//! - [`readers`]: who reads the followed topics for others; [`asker`]: whom these ask;
+//! - [`readers`]: who reads the followed topics for others; [`reader_selector`]: whom these ask;
 //!   [`mirror`]: what a reader keeps for them.
 //! - [`lottery`]: who of many goes first.
 //! - [`contact`]: when the service last answered.
@@ -22,7 +22,6 @@
 
 pub mod api;
 pub mod appender;
-pub mod asker;
 pub mod claims;
 pub mod contact;
 pub mod eligibility;
@@ -34,6 +33,7 @@
 pub mod ownership;
 pub mod patience;
 pub mod reach;
+pub mod reader_selector;
 pub mod readers;
 pub mod round_trip;
 pub mod trimmer;
--- a/crates/log/src/asker.rs
+++ b/crates/log/src/reader_selector.rs
@@ -44,7 +44,7 @@
 
 /// What one daemon knows of the readers that it asks.
 #[derive(Clone, Debug)]
-pub struct Asker {
+pub struct ReaderSelector {
     failures: HashMap<SocketAddr, Failures>,
     alone: HashMap<String, Alone>,
     /// A reader has answered before. Until then none may have taken its place yet.
@@ -54,7 +54,7 @@
     patience_ms: u64,
 }
 
-impl Asker {
+impl ReaderSelector {
     /// An asker that has asked nobody yet. Changes have to be known in `bound_ms`; `random` spreads
     /// it among the others, so that they do not turn to the log in the same moment.
     pub fn new(bound_ms: u64, random: u64) -> Self {
@@ -81,21 +81,21 @@
             let failures = self.failures.get(reader);
             failures.is_none_or(|failures| now_ms >= failures.until_ms)
         };
-        let asks_far = !near.is_empty() || self.may_read(topic, now_ms);
+        let asks_far = !near.is_empty() || self.may_read_log(topic, now_ms);
         let far = far.iter().filter(|_| asks_far).filter(is_asked);
         let far = far.take(MOST_ELSEWHERE);
         near.iter().filter(is_asked).chain(far).copied().collect()
     }
 
     /// A reader answered about a topic.
-    pub fn answered(&mut self, reader: SocketAddr, topic: &str) {
+    pub fn record_answer(&mut self, reader: SocketAddr, topic: &str) {
         self.was_answered = true;
         self.failures.remove(&reader);
         self.alone.remove(topic);
     }
 
     /// A reader did not answer, or with something too old.
-    pub fn failed(&mut self, reader: SocketAddr, now_ms: u64) {
+    pub fn record_failure(&mut self, reader: SocketAddr, now_ms: u64) {
         let failures = self.failures.entry(reader).or_default();
         if failures.count == 0 {
             failures.first_ms = now_ms;
@@ -106,7 +106,7 @@
     }
 
     /// No reader told anything of a topic this time.
-    pub fn is_alone(&mut self, topic: &str, now_ms: u64) {
+    pub fn record_unanswered(&mut self, topic: &str, now_ms: u64) {
         let alone = Alone {
             since_ms: now_ms,
             factor: if self.was_answered { 1 } else { FIRST_FACTOR },
@@ -117,7 +117,7 @@
     /// This daemon turns to the log for a topic. As long as readers tell nothing, the next turn
     /// comes after twice the time: where all daemons are alone, they ask less and less, until the
     /// log serves those who are about to read for them.
-    pub fn turns_to_log(&mut self, topic: &str, now_ms: u64) {
+    pub fn record_log_fallback(&mut self, topic: &str, now_ms: u64) {
         if let Some(alone) = self.alone.get_mut(topic) {
             alone.since_ms = now_ms;
             alone.factor = (alone.factor * 2).min(MOST_FACTOR);
@@ -131,19 +131,19 @@
     }
 
     /// Whether what changed may be asked of the log.
-    pub fn may_read(&self, topic: &str, now_ms: u64) -> bool {
-        self.may_read_in_ms(topic, now_ms) == Some(0)
+    pub fn may_read_log(&self, topic: &str, now_ms: u64) -> bool {
+        self.log_read_delay_ms(topic, now_ms) == Some(0)
     }
 
     /// Time until what changed may be asked of the log, in milliseconds, if no reader answers.
-    pub fn may_read_in_ms(&self, topic: &str, now_ms: u64) -> Option<u64> {
+    pub fn log_read_delay_ms(&self, topic: &str, now_ms: u64) -> Option<u64> {
         let alone = self.alone.get(topic)?;
         let at_ms = alone.since_ms + self.patience_ms * alone.factor;
         Some(at_ms.saturating_sub(now_ms))
     }
 
     /// Whether a whole listing may be asked of the log.
-    pub fn may_list(&self, topic: &str, now_ms: u64) -> bool {
+    pub fn may_list_log(&self, topic: &str, now_ms: u64) -> bool {
         self.is_alone_for(topic, self.patience_ms * LISTING_FACTOR, now_ms)
     }
 
--- a/crates/log/tests/asker.rs
+++ b/crates/log/tests/reader_selector.rs
@@ -1,8 +1,8 @@
 //! Who reads for whom, and whom a daemon asks.
 
-use fieldhook_log::asker::Asker;
 use fieldhook_log::lottery::{delay, longest};
 use fieldhook_log::ownership::Ownership;
+use fieldhook_log::reader_selector::ReaderSelector;
 use fieldhook_log::readers::{PLACES, Place, Readers};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -56,23 +56,23 @@
 
 #[test]
 fn a_reader_that_fails_is_left_for_a_while_and_lost_after_a_longer_one() {
-    let mut asker = Asker::new(2_000, 0);
+    let mut selector = ReaderSelector::new(2_000, 0);
     let near = [at(1), at(2)];
     let far = [at(3), at(4), at(5)];
-    assert_eq!(asker.candidates("t", &near, &far, 0)[..2], near);
-    assert!(asker.candidates("t", &near, &far, 0).len() < near.len() + far.len());
-    asker.failed(at(1), 1_000);
-    assert_eq!(asker.candidates("t", &near, &far, 1_000)[0], at(2));
-    assert_eq!(asker.candidates("t", &near, &far, 1_300)[0], at(1));
+    assert_eq!(selector.candidates("t", &near, &far, 0)[..2], near);
+    assert!(selector.candidates("t", &near, &far, 0).len() < near.len() + far.len());
+    selector.record_failure(at(1), 1_000);
+    assert_eq!(selector.candidates("t", &near, &far, 1_000)[0], at(2));
+    assert_eq!(selector.candidates("t", &near, &far, 1_300)[0], at(1));
     let mut now_ms = 1_300;
-    while !asker.is_lost(at(1), now_ms) {
-        asker.failed(at(1), now_ms);
+    while !selector.is_lost(at(1), now_ms) {
+        selector.record_failure(at(1), now_ms);
         now_ms += 300;
     }
     assert_eq!(now_ms, 5_200);
-    asker.answered(at(1), "t");
-    assert!(!asker.is_lost(at(1), now_ms));
-    assert_eq!(asker.candidates("t", &near, &far, now_ms)[0], at(1));
+    selector.record_answer(at(1), "t");
+    assert!(!selector.is_lost(at(1), now_ms));
+    assert_eq!(selector.candidates("t", &near, &far, now_ms)[0], at(1));
 }
 
 /// A thousand daemons that start together and find no reader turn to the log one after another,
@@ -82,21 +82,21 @@
     let mut at_once = vec![0; 100];
     let mut random = fastrand::Rng::with_seed(4);
     for _ in 0..1_000 {
-        let mut asker = Asker::new(10_000, random.u64(..));
-        assert!(!asker.may_list("t", 60_000), "it has asked nobody");
-        asker.is_alone("t", 0);
-        assert!(!asker.may_read("other", 60_000));
-        let first = |asker: &Asker, from: u64| {
-            let first = (from..from + 100_000).find(|now_ms| asker.may_list("t", *now_ms));
+        let mut selector = ReaderSelector::new(10_000, random.u64(..));
+        assert!(!selector.may_list_log("t", 60_000), "it has asked nobody");
+        selector.record_unanswered("t", 0);
+        assert!(!selector.may_read_log("other", 60_000));
+        let first = |selector: &ReaderSelector, from: u64| {
+            let first = (from..from + 100_000).find(|now_ms| selector.may_list_log("t", *now_ms));
             first.expect("at last")
         };
-        let listed_ms = first(&asker, 0);
+        let listed_ms = first(&selector, 0);
         at_once[listed_ms as usize / 500] += 1;
-        asker.turns_to_log("t", listed_ms);
-        asker.is_alone("t", listed_ms);
-        assert!(first(&asker, listed_ms) >= listed_ms * 3 - 1);
-        asker.answered(at(1), "t");
-        assert!(!asker.may_list("t", 1_000_000));
+        selector.record_log_fallback("t", listed_ms);
+        selector.record_unanswered("t", listed_ms);
+        assert!(first(&selector, listed_ms) >= listed_ms * 3 - 1);
+        selector.record_answer(at(1), "t");
+        assert!(!selector.may_list_log("t", 1_000_000));
     }
     assert!(at_once.iter().all(|count| *count < 200), "{at_once:?}");
     assert_eq!(
