--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -191,7 +191,7 @@
     fn note_readers<'a>(&self, records: impl Iterator<Item = (u64, &'a KeyedRecord)>) {
         for (offset, record) in records {
             let mut is_news = false;
-            self.change_role(|| is_news = self.readers.borrow_mut().take(offset, record));
+            self.change_role(|| is_news = self.readers.borrow_mut().apply(offset, record));
             if is_news {
                 let key = String::from_utf8_lossy(&record.key);
                 let reader = String::from_utf8_lossy(&record.value);
@@ -491,8 +491,8 @@
             of.sort_by_key(rank);
             of
         };
-        let near = in_order(readers.of_zone(&self.zone).map(|(_, at)| at).collect());
-        let far = in_order(readers.elsewhere(&self.zone).collect());
+        let near = in_order(readers.in_zone(&self.zone).map(|(_, at)| at).collect());
+        let far = in_order(readers.outside_zone(&self.zone).collect());
         let asker = self.asker.borrow();
         asker.candidates(topic, &near, &far, self.now_ms())
     }
--- a/crates/gateway/src/relay/places.rs
+++ b/crates/gateway/src/relay/places.rs
@@ -5,7 +5,7 @@
 use crate::daemon::Daemon;
 use fieldhook_log::lottery;
 use fieldhook_log::patience::{Capacity, before_claim};
-use fieldhook_log::readers::{Place, Readers};
+use fieldhook_log::readers::{ReaderSlot, Readers};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::sleep;
@@ -49,13 +49,13 @@
 
 impl Relay {
     /// A place that this daemon might take.
-    fn vacancy(&self) -> Option<Place> {
+    fn vacancy(&self) -> Option<ReaderSlot> {
         if !self.is_shared() || self.is_reader() {
             return None;
         }
         let asker = self.asker.borrow();
         let now_ms = self.now_ms();
         let is_lost = |reader| asker.is_lost(reader, now_ms);
-        self.readers.borrow().vacancy(&self.zone, &is_lost)
+        self.readers.borrow().vacant_slot(&self.zone, &is_lost)
     }
 }
--- a/crates/log/src/readers.rs
+++ b/crates/log/src/readers.rs
@@ -13,7 +13,7 @@
 
 /// Places of a zone. One reader may be lost at any moment, and another serves until its place
 /// is taken again.
-pub const PLACES: u8 = 2;
+pub const SLOTS_PER_ZONE: u8 = 2;
 
 /// Beginning of the keys of places; the number and the zone follow. The key of a partition's
 /// claim has four bytes, and this alone has more.
@@ -21,14 +21,14 @@
 
 /// One place of a zone.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct ReaderSlot {
     /// Zone.
     pub zone: String,
     /// Number of the place, from 0.
     pub number: u8,
 }
 
-impl Place {
+impl ReaderSlot {
     fn key(&self) -> Vec<u8> {
         let mut key = KEY.to_vec();
         key.push(self.number);
@@ -36,7 +36,7 @@
         key
     }
 
-    fn of_key(key: &[u8]) -> Option<Self> {
+    fn from_key(key: &[u8]) -> Option<Self> {
         let (number, zone) = key.strip_prefix(KEY)?.split_first()?;
         Some(Self {
             zone: String::from_utf8(zone.to_vec()).ok()?,
@@ -48,12 +48,12 @@
 /// The places that are taken, as far as the topic of claims was read.
 #[derive(Clone, Debug, Default)]
 pub struct Readers {
-    places: BTreeMap<Place, (u64, SocketAddr)>,
+    places: BTreeMap<ReaderSlot, (u64, SocketAddr)>,
 }
 
 impl Readers {
     /// The record by which whoever listens at an address takes a place.
-    pub fn record(place: &Place, address: SocketAddr) -> KeyedRecord {
+    pub fn record(place: &ReaderSlot, address: SocketAddr) -> KeyedRecord {
         KeyedRecord {
             key: place.key(),
             value: address.to_string().into_bytes(),
@@ -61,8 +61,8 @@
     }
 
     /// Takes in a record of the topic of claims; true if it changes who holds a place.
-    pub fn take(&mut self, offset: u64, record: &KeyedRecord) -> bool {
-        let Some(place) = Place::of_key(&record.key) else {
+    pub fn apply(&mut self, offset: u64, record: &KeyedRecord) -> bool {
+        let Some(place) = ReaderSlot::from_key(&record.key) else {
             return false;
         };
         let said = std::str::from_utf8(&record.value).ok();
@@ -84,11 +84,11 @@
 
     /// Whether a daemon that listens at an address reads for a zone.
     pub fn is_reader(&self, zone: &str, address: SocketAddr) -> bool {
-        self.of_zone(zone).any(|(_, holder)| holder == address)
+        self.in_zone(zone).any(|(_, holder)| holder == address)
     }
 
     /// The places of a zone that are taken, and by whom.
-    pub fn of_zone(&self, zone: &str) -> impl Iterator<Item = (u8, SocketAddr)> {
+    pub fn in_zone(&self, zone: &str) -> impl Iterator<Item = (u8, SocketAddr)> {
         let places = self.places.iter();
         places
             .filter(move |(place, _)| place.zone == zone)
@@ -96,7 +96,7 @@
     }
 
     /// Readers of all other zones.
-    pub fn elsewhere(&self, zone: &str) -> impl Iterator<Item = SocketAddr> {
+    pub fn outside_zone(&self, zone: &str) -> impl Iterator<Item = SocketAddr> {
         let places = self.places.iter();
         places
             .filter(move |(place, _)| place.zone != zone)
@@ -104,12 +104,16 @@
     }
 
     /// A place of a zone that nobody holds, or whose holder does not answer as `is_lost` says.
-    pub fn vacancy(&self, zone: &str, is_lost: &dyn Fn(SocketAddr) -> bool) -> Option<Place> {
-        let held: BTreeMap<u8, SocketAddr> = self.of_zone(zone).collect();
+    pub fn vacant_slot(
+        &self,
+        zone: &str,
+        is_lost: &dyn Fn(SocketAddr) -> bool,
+    ) -> Option<ReaderSlot> {
+        let held: BTreeMap<u8, SocketAddr> = self.in_zone(zone).collect();
         let is_vacant = |number: &u8| held.get(number).is_none_or(|holder| is_lost(*holder));
-        Some(Place {
+        Some(ReaderSlot {
             zone: zone.to_owned(),
-            number: (0..PLACES).find(is_vacant)?,
+            number: (0..SLOTS_PER_ZONE).find(is_vacant)?,
         })
     }
 }
--- a/crates/log/tests/reader_selector.rs
+++ b/crates/log/tests/reader_selector.rs
@@ -3,7 +3,7 @@
 use fieldhook_log::lottery::{delay, longest};
 use fieldhook_log::ownership::Ownership;
 use fieldhook_log::reader_selector::ReaderSelector;
-use fieldhook_log::readers::{PLACES, Place, Readers};
+use fieldhook_log::readers::{ReaderSlot, Readers, SLOTS_PER_ZONE};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -11,8 +11,8 @@
     SocketAddr::from(([10, 0, 0, 1], port))
 }
 
-fn place(zone: &str, number: u8) -> Place {
-    Place {
+fn place(zone: &str, number: u8) -> ReaderSlot {
+    ReaderSlot {
         zone: zone.to_owned(),
         number,
     }
@@ -22,7 +22,7 @@
 fn places_are_taken_in_the_order_of_their_records() {
     let mut readers = Readers::default();
     let mut take = |offset, zone: &str, number, port| {
-        readers.take(offset, &Readers::record(&place(zone, number), at(port)))
+        readers.apply(offset, &Readers::record(&place(zone, number), at(port)))
     };
     assert!(take(5, "z1", 0, 1));
     assert!(take(6, "z1", 1, 2));
@@ -31,14 +31,14 @@
     assert!(!take(9, "z1", 0, 1), "nothing new");
     assert!(readers.is_reader("z1", at(2)));
     assert!(!readers.is_reader("z2", at(2)));
-    let of_z1: Vec<_> = readers.of_zone("z1").collect();
+    let of_z1: Vec<_> = readers.in_zone("z1").collect();
     assert_eq!(of_z1, [(0, at(1)), (1, at(2))]);
-    assert_eq!(readers.elsewhere("z1").collect::<Vec<_>>(), [at(3)]);
-    assert_eq!(readers.vacancy("z1", &|_| false), None);
-    assert_eq!(readers.vacancy("z2", &|_| false), Some(place("z2", 1)));
-    assert_eq!(readers.vacancy("z3", &|_| false), Some(place("z3", 0)));
+    assert_eq!(readers.outside_zone("z1").collect::<Vec<_>>(), [at(3)]);
+    assert_eq!(readers.vacant_slot("z1", &|_| false), None);
+    assert_eq!(readers.vacant_slot("z2", &|_| false), Some(place("z2", 1)));
+    assert_eq!(readers.vacant_slot("z3", &|_| false), Some(place("z3", 0)));
     let is_lost = |reader| reader == at(2);
-    assert_eq!(readers.vacancy("z1", &is_lost), Some(place("z1", 1)));
+    assert_eq!(readers.vacant_slot("z1", &is_lost), Some(place("z1", 1)));
 }
 
 /// They share a topic, and a daemon of before knows nothing of places.
@@ -48,10 +48,10 @@
     let mut ownership = Ownership::default();
     let claim = Ownership::claim_record(7, at(1), 1);
     let reader = Readers::record(&place("", 0), at(2));
-    assert!(!readers.take(0, &claim));
+    assert!(!readers.apply(0, &claim));
     assert_eq!(ownership.take(1, &reader), None);
     assert_eq!(ownership.end(), 2);
-    assert!(readers.take(1, &reader));
+    assert!(readers.apply(1, &reader));
 }
 
 #[test]
@@ -100,7 +100,7 @@
     }
     assert!(at_once.iter().all(|count| *count < 200), "{at_once:?}");
     assert_eq!(
-        PLACES, 2,
+        SLOTS_PER_ZONE, 2,
         "askers are divided between the readers of their zone"
     );
 }
