--- a/crates/gateway/src/relay/places.rs
+++ b/crates/gateway/src/relay/places.rs
@@ -3,8 +3,8 @@
 
 use super::Relay;
 use crate::daemon::Daemon;
-use fieldhook_log::lottery;
 use fieldhook_log::patience::{Capacity, before_claim};
+use fieldhook_log::random_delay;
 use fieldhook_log::readers::{ReaderSlot, Readers};
 use std::rc::Rc;
 use std::time::Duration;
@@ -22,7 +22,7 @@
         let Some(place) = relay.vacancy() else {
             continue;
         };
-        sleep(patience + lottery::delay(fastrand::u64(..))).await;
+        sleep(patience + random_delay::draw(fastrand::u64(..))).await;
         let is_vacant = || relay.vacancy().as_ref() == Some(&place);
         if !is_vacant() || daemon.is_stopping() {
             continue;
@@ -43,7 +43,7 @@
 fn patience(capacity: Capacity) -> Duration {
     match before_claim(capacity, 0).is_zero() {
         true => Duration::ZERO,
-        false => lottery::longest(),
+        false => random_delay::max(),
     }
 }
 
--- a/crates/log/src/lib.rs
+++ b/crates/log/src/lib.rs
@@ -5,7 +5,7 @@
 //! - [`api`]: the calls and their outcomes.
 //! - [`readers`]: who reads the followed topics for others; [`reader_selector`]: whom these ask;
 //!   [`mirror`]: what a reader keeps for them.
-//! - [`lottery`]: who of many goes first.
+//! - [`random_delay`]: who of many goes first.
 //! - [`contact`]: when the service last answered.
 //! - [`follow`]: following one compacted partition.
 //! - [`ownership`]: the table of owners.
@@ -28,10 +28,10 @@
 pub mod follow;
 pub mod hedge;
 pub mod lease;
-pub mod lottery;
 pub mod mirror;
 pub mod ownership;
 pub mod patience;
+pub mod random_delay;
 pub mod reach;
 pub mod reader_selector;
 pub mod readers;
--- a/crates/log/src/lottery.rs
+++ b/crates/log/src/random_delay.rs
@@ -13,7 +13,7 @@
 const FIRST_POWER: u32 = 8;
 
 /// The time after which whoever drew `random` goes, where nobody has gone before.
-pub fn delay(random: u64) -> Duration {
+pub fn draw(random: u64) -> Duration {
     let (draw, within) = (random >> 32, random & u64::from(u32::MAX));
     // A draw of half of all falls into the last round, a quarter into the one before.
     let round = (0..FIRST_POWER)
@@ -23,6 +23,6 @@
 }
 
 /// The time after which everybody has gone.
-pub fn longest() -> Duration {
+pub fn max() -> Duration {
     ROUND * (FIRST_POWER + 1)
 }
--- a/crates/log/tests/reader_selector.rs
+++ b/crates/log/tests/reader_selector.rs
@@ -1,7 +1,7 @@
 //! Who reads for whom, and whom a daemon asks.
 
-use fieldhook_log::lottery::{delay, longest};
 use fieldhook_log::ownership::Ownership;
+use fieldhook_log::random_delay::{draw, max};
 use fieldhook_log::reader_selector::ReaderSelector;
 use fieldhook_log::readers::{ReaderSlot, Readers, SLOTS_PER_ZONE};
 use std::net::SocketAddr;
@@ -110,13 +110,13 @@
 fn few_of_many_claim_before_it_is_known_that_one_did() {
     let mut random = fastrand::Rng::with_seed(9);
     for count in [1, 2, 30, 1_000, 2_000] {
-        let mut delays: Vec<_> = (0..count).map(|_| delay(random.u64(..))).collect();
+        let mut delays: Vec<_> = (0..count).map(|_| draw(random.u64(..))).collect();
         delays.sort();
-        assert!(delays[0] <= longest());
+        assert!(delays[0] <= max());
         // What a claim and the news of it take.
         let known = delays[0] + Duration::from_millis(50);
         let claims = delays.iter().filter(|delay| **delay <= known).count();
         assert!(claims <= 12, "{claims} of {count}");
-        assert!(count < 30 || delays[0] <= longest() / 2, "{:?}", delays[0]);
+        assert!(count < 30 || delays[0] <= max() / 2, "{:?}", delays[0]);
     }
 }
