--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -556,6 +556,6 @@
 
 impl Topic {
     fn is_whole(&self) -> bool {
-        self.mirror.borrow().is_whole()
+        self.mirror.borrow().is_complete()
     }
 }
--- a/crates/gateway/src/relay/reading.rs
+++ b/crates/gateway/src/relay/reading.rs
@@ -4,7 +4,7 @@
 use fieldhook_ledger::message::{FollowTopic, LedgerReply, ListTopic, TopicRecords};
 use fieldhook_log::api::{KeyedRecord, NewestPage, ReadBatch};
 use fieldhook_log::follow::READ_SLACK;
-use fieldhook_log::mirror::{Behind, Mirror};
+use fieldhook_log::mirror::{Mirror, ReadResult};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
@@ -59,7 +59,7 @@
 impl Topic {
     /// Takes in a page of a listing.
     pub fn take_page(&self, after: Option<&[u8]>, page: &NewestPage) {
-        self.mirror.borrow_mut().take_page(after, page);
+        self.mirror.borrow_mut().apply_page(after, page);
         if page.more_after.is_none() {
             self.confirmed.set(Some(Instant::now()));
             self.changed.notify_waiters();
@@ -69,7 +69,7 @@
     /// Takes in an answer to a read that was asked then, to wait so long. One that lay there while
     /// this process was stopped is as old as the question.
     pub fn take_batch(&self, from: u64, batch: &ReadBatch, asked: Instant, wait: Duration) {
-        self.mirror.borrow_mut().take_batch(from, batch);
+        self.mirror.borrow_mut().apply_batch(from, batch);
         let is_late = asked.elapsed() > wait + READ_SLACK;
         let confirmed = if is_late { asked } else { Instant::now() };
         self.confirmed.set(Some(confirmed));
@@ -78,7 +78,7 @@
 
     /// Takes in what another reader told.
     pub fn take_told(&self, from: u64, batch: &ReadBatch) {
-        self.mirror.borrow_mut().take_batch(from, batch);
+        self.mirror.borrow_mut().apply_batch(from, batch);
         let age = Duration::from_millis(batch.age_ms);
         if let Some(at) = Instant::now().checked_sub(age)
             && self.confirmed.get().is_none_or(|known| known < at)
@@ -109,8 +109,8 @@
         let mirror = self.mirror.borrow();
         let mut pages = self.pages.borrow_mut();
         if let Some(page) = pages.get(&after)
-            && mirror.is_whole()
-            && page.end >= mirror.first()
+            && mirror.is_complete()
+            && page.end >= mirror.first_offset()
         {
             return Some(page.clone());
         }
@@ -172,16 +172,18 @@
         let until = Instant::now() + hold;
         loop {
             let changed = topic.changed.notified();
-            let behind = topic.mirror.borrow().behind(question.from);
+            let behind = topic.mirror.borrow().read(question.from);
             let is_over = Instant::now() >= until;
             match behind {
-                Behind::Records(records) => return topic.reply(&records, question.from),
-                Behind::Gone => return LedgerReply::TopicGone(topic.mirror.borrow().first()),
-                Behind::Nothing if is_over || topic.age_ms() > most_age_ms => {
+                ReadResult::Records(records) => return topic.reply(&records, question.from),
+                ReadResult::Truncated => {
+                    return LedgerReply::TopicGone(topic.mirror.borrow().first_offset());
+                }
+                ReadResult::Empty if is_over || topic.age_ms() > most_age_ms => {
                     return topic.reply(&[], question.from);
                 }
-                Behind::Unread if is_over => return LedgerReply::NotReader,
-                Behind::Nothing | Behind::Unread => {}
+                ReadResult::Ahead if is_over => return LedgerReply::NotReader,
+                ReadResult::Empty | ReadResult::Ahead => {}
             }
             let old_at = topic.old_at(most_age_ms).filter(|at| *at > Instant::now());
             let next = old_at.map_or(until, |at| at.min(until));
--- a/crates/log/src/mirror.rs
+++ b/crates/log/src/mirror.rs
@@ -12,15 +12,15 @@
 
 /// What is known behind an offset.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Behind {
+pub enum ReadResult {
     /// These records.
     Records(Vec<(u64, KeyedRecord)>),
     /// Nothing yet.
-    Nothing,
+    Empty,
     /// The records are not kept any more; the topic has to be listed.
-    Gone,
+    Truncated,
     /// The offset lies behind all that was read: whoever asks knows more.
-    Unread,
+    Ahead,
 }
 
 /// A followed topic as it was read.
@@ -32,7 +32,7 @@
     end: u64,
     /// Offset of the first record that is kept in order, or would be.
     first: u64,
-    is_whole: bool,
+    is_complete: bool,
     listing: Option<Listing>,
 }
 
@@ -45,8 +45,8 @@
 
 impl Mirror {
     /// Whether all of the topic was read.
-    pub fn is_whole(&self) -> bool {
-        self.is_whole
+    pub fn is_complete(&self) -> bool {
+        self.is_complete
     }
 
     /// Offset behind the last record read.
@@ -55,12 +55,12 @@
     }
 
     /// Offset from which on records are kept in order.
-    pub fn first(&self) -> u64 {
+    pub fn first_offset(&self) -> u64 {
         self.first
     }
 
     /// Takes in a page of a listing that was read behind a key, or is the first.
-    pub fn take_page(&mut self, after: Option<&[u8]>, page: &NewestPage) {
+    pub fn apply_page(&mut self, after: Option<&[u8]>, page: &NewestPage) {
         let mut listing = match (after, self.listing.take()) {
             (None, _) => Listing {
                 end: page.end,
@@ -84,13 +84,13 @@
         self.recent.clear();
         self.end = listing.end;
         self.first = listing.end;
-        self.is_whole = true;
+        self.is_complete = true;
     }
 
     /// Takes in what was read from an offset on. What leaves a gap makes it useless until it is
     /// listed anew.
-    pub fn take_batch(&mut self, from: u64, batch: &ReadBatch) {
-        if !self.is_whole {
+    pub fn apply_batch(&mut self, from: u64, batch: &ReadBatch) {
+        if !self.is_complete {
             return;
         }
         if from > self.end {
@@ -125,7 +125,7 @@
     /// A page of the newest records by key; none before all was read.
     pub fn page(&self, after: Option<&[u8]>) -> Option<NewestPage> {
         use std::ops::Bound::{Excluded, Unbounded};
-        if !self.is_whole {
+        if !self.is_complete {
             return None;
         }
         let from = after.map_or(Unbounded, Excluded);
@@ -151,18 +151,18 @@
     }
 
     /// What is known behind an offset.
-    pub fn behind(&self, from: u64) -> Behind {
-        if !self.is_whole || from > self.end {
-            return Behind::Unread;
+    pub fn read(&self, from: u64) -> ReadResult {
+        if !self.is_complete || from > self.end {
+            return ReadResult::Ahead;
         }
         if from < self.first {
-            return Behind::Gone;
+            return ReadResult::Truncated;
         }
         let skipped = (from - self.first) as usize;
         let records: Vec<(u64, KeyedRecord)> = self.recent.iter().skip(skipped).cloned().collect();
         match records.is_empty() {
-            true => Behind::Nothing,
-            false => Behind::Records(records),
+            true => ReadResult::Empty,
+            false => ReadResult::Records(records),
         }
     }
 }
--- a/crates/log/tests/mirror.rs
+++ b/crates/log/tests/mirror.rs
@@ -2,7 +2,7 @@
 
 use fieldhook_emulator::log::core::LogCore;
 use fieldhook_log::api::{Append, KeyedRecord, Partition};
-use fieldhook_log::mirror::{Behind, Mirror};
+use fieldhook_log::mirror::{Mirror, ReadResult};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -60,15 +60,15 @@
     fn ask(&mut self, mirror: &Mirror) {
         match self.next {
             None => self.list(mirror),
-            Some(from) => match mirror.behind(from) {
-                Behind::Records(records) => {
+            Some(from) => match mirror.read(from) {
+                ReadResult::Records(records) => {
                     for (offset, record) in records {
                         take(&mut self.newest, &record);
                         self.next = Some(offset + 1);
                     }
                 }
-                Behind::Gone => self.next = None,
-                Behind::Nothing | Behind::Unread => {}
+                ReadResult::Truncated => self.next = None,
+                ReadResult::Empty | ReadResult::Ahead => {}
             },
         }
     }
@@ -147,12 +147,12 @@
     }
 
     fn read(&mut self) {
-        if !self.mirror.is_whole() {
+        if !self.mirror.is_complete() {
             return self.read_page();
         }
         let from = self.mirror.end();
         match self.log.read(&topic(), from) {
-            Ok(batch) => self.mirror.take_batch(from, &batch),
+            Ok(batch) => self.mirror.apply_batch(from, &batch),
             Err(_) => self.mirror = Mirror::default(),
         }
     }
@@ -160,7 +160,7 @@
     fn read_page(&mut self) {
         let after = self.page.take().flatten();
         let page = self.log.newest(&topic(), after.as_deref());
-        self.mirror.take_page(after.as_deref(), &page);
+        self.mirror.apply_page(after.as_deref(), &page);
         self.page = page.more_after.map(Some);
     }
 
@@ -195,11 +195,11 @@
     let mut run = Run::default();
     run.write(&[(1, false), (2, false)]);
     run.read();
-    assert!(run.mirror.is_whole());
+    assert!(run.mirror.is_complete());
     run.write(&[(3, false), (4, false)]);
     let batch = run.log.read(&topic(), 3).expect("read");
-    run.mirror.take_batch(3, &batch);
-    assert!(!run.mirror.is_whole());
-    assert_eq!(run.mirror.behind(2), Behind::Unread);
+    run.mirror.apply_batch(3, &batch);
+    assert!(!run.mirror.is_complete());
+    assert_eq!(run.mirror.read(2), ReadResult::Ahead);
     assert!(run.settles());
 }
