--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -9,7 +9,7 @@
 use fieldhook_http::HttpClient;
 use fieldhook_log::api::LogStore;
 use fieldhook_log::claims::Claims;
-use fieldhook_log::contact::Contact;
+use fieldhook_log::log_health::LogHealth;
 use fieldhook_membership::{Detector, Fact};
 use fieldhook_model::address::{Address, ProcessId};
 use fieldhook_model::config_log::ConfigState;
@@ -60,7 +60,7 @@
     /// Machines and their load.
     pub fleet: RefCell<Fleet>,
     /// When the log last answered.
-    pub log_contact: Rc<Contact>,
+    pub log_contact: Rc<LogHealth>,
     /// When most peers were last in touch.
     pub peer_contact: Cell<Instant>,
     phase: Cell<Phase>,
@@ -82,7 +82,7 @@
             address,
             incarnation: since_epoch.as_millis() as u64,
         };
-        let log_contact = Rc::new(Contact::default());
+        let log_contact = Rc::new(LogHealth::default());
         let log = HttpLog::new(&settings.platform.log, client.clone(), log_contact.clone());
         let store: Rc<dyn LogStore> = Rc::new(log);
         let claims = Claims::new(
@@ -150,7 +150,7 @@
     /// touch with the log or with most peers, from whom it would have heard of
     /// a newer configuration.
     pub fn may_admit(&self) -> bool {
-        let log_recent = self.log_contact.within(ISOLATION_LIMIT);
+        let log_recent = self.log_contact.answered_within(ISOLATION_LIMIT);
         let peers_recent = self.peer_contact.get().elapsed() < ISOLATION_LIMIT;
         self.phase() == Phase::Serving && (log_recent || peers_recent)
     }
--- a/crates/daemon/src/platform/log_client.rs
+++ b/crates/daemon/src/platform/log_client.rs
@@ -11,7 +11,7 @@
 
 fn note_contact<T>(node: &Node, result: &Result<T, SendError>) {
     if result.is_ok() {
-        node.log_contact.answered();
+        node.log_contact.record_answer();
     }
 }
 
--- a/crates/daemon/src/platform/log_store.rs
+++ b/crates/daemon/src/platform/log_store.rs
@@ -4,7 +4,7 @@
 use fieldhook_log::api::{
     Append, Appended, LogStore, NewestPage, Partition, ReadBatch, StoreError, Trim,
 };
-use fieldhook_log::contact::Contact;
+use fieldhook_log::log_health::LogHealth;
 use fieldhook_log::wire::{AppendCall, NewestCall, ReadCall, StoreCall, StoreReply, TrimCall};
 use futures_util::future::LocalBoxFuture;
 use std::rc::Rc;
@@ -14,12 +14,12 @@
 pub struct HttpLog {
     url: String,
     client: HttpClient,
-    contact: Rc<Contact>,
+    contact: Rc<LogHealth>,
 }
 
 impl HttpLog {
     /// A client of the log.
-    pub fn new(address: &str, client: HttpClient, contact: Rc<Contact>) -> Self {
+    pub fn new(address: &str, client: HttpClient, contact: Rc<LogHealth>) -> Self {
         Self {
             url: format!("http://{address}/v1/topics"),
             client,
@@ -34,15 +34,15 @@
             .await;
         match reply {
             Ok(reply) => {
-                self.contact.answered();
+                self.contact.record_answer();
                 Ok(reply)
             }
             Err(SendError::NotSent(_) | SendError::Status { .. }) => {
-                self.contact.failed();
+                self.contact.record_failure();
                 Err(StoreError::NotDone)
             }
             Err(SendError::Unknown(_)) => {
-                self.contact.failed();
+                self.contact.record_failure();
                 Err(StoreError::Unknown)
             }
         }
--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -14,7 +14,7 @@
 use crate::settings::GatewaySettings;
 use crate::upstream::pool::Pools;
 use fieldhook_log::api::LogStore;
-use fieldhook_log::contact::Contact;
+use fieldhook_log::log_health::LogHealth;
 use fieldhook_log::reach::Reach;
 use fieldhook_traffic::assignment::prefix_hash;
 use fieldhook_traffic::directory::Directory;
@@ -54,7 +54,7 @@
     /// Topics of the platform.
     pub topics: Topics,
     /// Contact with the log service.
-    pub contact: Rc<Contact>,
+    pub contact: Rc<LogHealth>,
     /// Routes in force.
     pub routes: RefCell<Option<Rc<RouteTable>>>,
     /// Told when there are new ones.
@@ -106,7 +106,7 @@
     /// Topics of the platform.
     pub topics: Topics,
     /// Contact with the log service, kept by the store.
-    pub contact: Rc<Contact>,
+    pub contact: Rc<LogHealth>,
     /// Figures, counted into by the store.
     pub metrics: Rc<Metrics>,
 }
--- a/crates/gateway/src/follow/config.rs
+++ b/crates/gateway/src/follow/config.rs
@@ -98,7 +98,7 @@
         sleep(PEER_PERIOD).await;
         let is_outage = daemon.ledger.reach.get() == Reach::Outage;
         let is_doubtful = daemon.is_doubtful();
-        let may_be_behind = daemon.contact.failing() && !is_outage;
+        let may_be_behind = daemon.contact.is_failing() && !is_outage;
         if !may_be_behind && !is_doubtful {
             continue;
         }
--- a/crates/gateway/src/ledger/client.rs
+++ b/crates/gateway/src/ledger/client.rs
@@ -7,7 +7,7 @@
 use fieldhook_ledger::message::{
     CloseTurn, FindChain, LedgerReply, LedgerRequest, OpenTurn, Shortage,
 };
-use fieldhook_log::contact::Contact;
+use fieldhook_log::log_health::LogHealth;
 use fieldhook_log::reach::Reach;
 use fieldhook_topology::region::Set;
 use futures_util::StreamExt;
@@ -101,7 +101,7 @@
     /// The partitions owned here.
     pub owner: Rc<Owner>,
     /// Contact with the log.
-    pub contact: Rc<Contact>,
+    pub contact: Rc<LogHealth>,
     /// What this daemon reaches, kept by [`super::reach`].
     pub reach: Rc<Cell<Reach>>,
     pub(super) peers: Peers,
@@ -121,7 +121,7 @@
 
 impl LedgerClient {
     /// A client beside this daemon's own partitions.
-    pub fn new(owner: Rc<Owner>, contact: Rc<Contact>) -> Self {
+    pub fn new(owner: Rc<Owner>, contact: Rc<LogHealth>) -> Self {
         Self {
             reach: owner.reach.clone(),
             owner,
@@ -306,7 +306,7 @@
     /// Ends once this daemon is cut off from the log with the minority: nothing can be recorded
     /// from here then.
     pub async fn wait_cut_off(&self) {
-        while self.reach.get() != Reach::Minority || !self.contact.failing() {
+        while self.reach.get() != Reach::Minority || !self.contact.is_failing() {
             sleep(MINORITY_PERIOD).await;
         }
     }
--- a/crates/gateway/src/ledger/owner.rs
+++ b/crates/gateway/src/ledger/owner.rs
@@ -17,7 +17,7 @@
 use fieldhook_log::api::{LogStore, Partition as LogPartition, StoreError};
 use fieldhook_log::appender::fence;
 use fieldhook_log::claims::Claims;
-use fieldhook_log::contact::Contact;
+use fieldhook_log::log_health::LogHealth;
 use fieldhook_log::ownership::Claim;
 use fieldhook_log::patience::{Capacity, before_claim};
 use fieldhook_log::reach::Reach;
@@ -46,7 +46,7 @@
     pub claims: Rc<Claims>,
     relay: Rc<Relay>,
     pub(super) store: Rc<dyn LogStore>,
-    pub(super) contact: Rc<Contact>,
+    pub(super) contact: Rc<LogHealth>,
     pub(super) metrics: Rc<Metrics>,
     pub(super) held: RefCell<HashMap<u32, Hold>>,
     capacity: Capacity,
@@ -70,7 +70,7 @@
     /// An owner of nothing.
     pub fn new(
         relay: Rc<Relay>,
-        contact: Rc<Contact>,
+        contact: Rc<LogHealth>,
         metrics: Rc<Metrics>,
         settings: &GatewaySettings,
         assigner: Rc<Assigner>,
@@ -146,11 +146,11 @@
         let partition = request.partition(self.places.layout.free());
         match request {
             LedgerRequest::HasLog => {
-                let has_log = self.contact.within(FRESH) && !self.contact.failing();
+                let has_log = self.contact.answered_within(FRESH) && !self.contact.is_failing();
                 let _ = sender.send(LedgerReply::HasLog(has_log));
             }
             LedgerRequest::KeepsLog => {
-                let _ = sender.send(LedgerReply::HasLog(!self.contact.lost()));
+                let _ = sender.send(LedgerReply::HasLog(!self.contact.is_lost()));
             }
             LedgerRequest::Config(version) => {
                 let _ = sender.send(LedgerReply::Config(
@@ -194,7 +194,7 @@
             Some(Hold::Serving(owned)) => owned.handle(request, sender),
             // Awaited as an owner that reads, it would keep programs waiting for as long as the
             // log serves others and not this daemon.
-            Some(Hold::Loading(_)) if self.contact.lost() => {
+            Some(Hold::Loading(_)) if self.contact.is_lost() => {
                 let _ = sender.send(LedgerReply::Unreadable);
             }
             Some(Hold::Loading(_) | Hold::Releasing(_)) => {
--- a/crates/gateway/src/ledger/reach.rs
+++ b/crates/gateway/src/ledger/reach.rs
@@ -31,7 +31,7 @@
         daemon
             .away
             .send_if_modified(|now| std::mem::replace(now, away) != away);
-        let round = match ledger.contact.lost() {
+        let round = match ledger.contact.is_lost() {
             true => ledger.ask_who_reaches_log().await,
             false => Round::Heard,
         };
@@ -50,7 +50,7 @@
             ?reach,
             ?round,
             ?look,
-            log_age_ms = ledger.contact.age_ms()
+            log_age_ms = ledger.contact.ms_since_answer()
         );
         if matches!(reach, Reach::CutOff | Reach::Minority) {
             ledger.owner.claims.changed.notify_waiters();
@@ -103,7 +103,7 @@
 /// Whether the log answered a moment ago, or does now.
 async fn reaches_log(daemon: &Daemon) -> bool {
     let ledger = &daemon.ledger;
-    ledger.contact.within(PERIOD) || ledger.reaches(ANY_PARTITION).await
+    ledger.contact.answered_within(PERIOD) || ledger.reaches(ANY_PARTITION).await
 }
 
 /// Whether one of some servers lets itself be reached.
--- a/crates/gateway/src/ledger/replace.rs
+++ b/crates/gateway/src/ledger/replace.rs
@@ -201,7 +201,7 @@
         if self.have_unowned_claimed(partition).await {
             return true;
         }
-        if !self.contact.failing() || !self.learn_from_peers(partition, epoch).await {
+        if !self.contact.is_failing() || !self.learn_from_peers(partition, epoch).await {
             let _ = timeout(CHANGE_WAIT, self.owner.claims.changed.notified()).await;
         }
         true
@@ -257,9 +257,9 @@
         if self.left_to_region(partition, Some(epoch)).await {
             return;
         }
-        let may_claim = self.contact.steady_for(STEADY)
+        let may_claim = self.contact.no_failure_for(STEADY)
             && self.reaches(partition).await
-            && (self.contact.steady_for(SETTLED) || !self.owner_answers(partition).await);
+            && (self.contact.no_failure_for(SETTLED) || !self.owner_answers(partition).await);
         if may_claim {
             self.replace(partition, Some(epoch)).await;
         } else if !self.learn_from_peers(partition, Some(epoch)).await {
@@ -279,7 +279,7 @@
             let _ = timeout(CHANGE_WAIT, self.owner.claims.changed.notified()).await;
             return;
         }
-        if self.contact.failing() && self.learn_from_peers(partition, epoch).await {
+        if self.contact.is_failing() && self.learn_from_peers(partition, epoch).await {
             return;
         }
         if self.reach.get() == Reach::CutOff
@@ -288,7 +288,7 @@
         {
             return;
         }
-        if self.contact.failing() || !self.claiming.borrow_mut().insert(partition) {
+        if self.contact.is_failing() || !self.claiming.borrow_mut().insert(partition) {
             let _ = timeout(CHANGE_WAIT, self.owner.claims.changed.notified()).await;
             return;
         }
--- a/crates/gateway/src/serve/opening.rs
+++ b/crates/gateway/src/serve/opening.rs
@@ -158,7 +158,7 @@
         request = context.meta.id,
         program = context.meta.program,
         cause,
-        log_age_ms = context.daemon.ledger.contact.age_ms()
+        log_age_ms = context.daemon.ledger.contact.ms_since_answer()
     );
     Err(TurnRefusal::Unavailable)
 }
--- a/crates/gateway/src/store_exchange.rs
+++ b/crates/gateway/src/store_exchange.rs
@@ -6,7 +6,7 @@
 use crate::upstream::connection::prepare;
 use bytes::{Bytes, BytesMut};
 use fieldhook_log::api::StoreError;
-use fieldhook_log::contact::Contact;
+use fieldhook_log::log_health::LogHealth;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -50,13 +50,13 @@
 /// Connections that wait for calls.
 pub struct StoreConnections {
     address: SocketAddr,
-    contact: Rc<Contact>,
+    contact: Rc<LogHealth>,
     idle: RefCell<Vec<Connection>>,
 }
 
 impl StoreConnections {
     /// Connections to an address.
-    pub fn new(address: SocketAddr, contact: Rc<Contact>) -> Self {
+    pub fn new(address: SocketAddr, contact: Rc<LogHealth>) -> Self {
         Self {
             address,
             contact,
@@ -72,7 +72,7 @@
         let mut connection = match self.connection().await {
             Ok(connection) => connection,
             Err(_) => {
-                self.contact.failed();
+                self.contact.record_failure();
                 return Err(StoreError::NotDone);
             }
         };
@@ -85,12 +85,12 @@
                 Ok(answer)
             }
             Ok(Err(error)) => {
-                self.contact.failed();
+                self.contact.record_failure();
                 self.idle.borrow_mut().clear();
                 Err(error)
             }
             Err(_) => {
-                self.contact.failed();
+                self.contact.record_failure();
                 // Where one connection fell silent, others may have: the next call is not
                 // to wait for that as well.
                 self.idle.borrow_mut().clear();
@@ -102,9 +102,9 @@
     /// A service that is busy answers, but does not serve.
     fn note(&self, answer: &StoreAnswer) {
         if answer.status == 503 {
-            self.contact.failed();
+            self.contact.record_failure();
         } else {
-            self.contact.answered();
+            self.contact.record_answer();
         }
     }
 
--- a/crates/gateway/tests/gateway/reading.rs
+++ b/crates/gateway/tests/gateway/reading.rs
@@ -101,14 +101,14 @@
         let contact = other.daemon.contact.clone();
         ntex::rt::spawn(async move {
             loop {
-                contact.answered();
+                contact.record_answer();
                 sleep(Duration::from_millis(100)).await;
             }
         });
         cut.store.set_fault(LogFault::Silent);
-        cut.daemon.contact.failed();
+        cut.daemon.contact.record_failure();
         sleep(Duration::from_millis(850)).await;
-        cut.daemon.contact.failed();
+        cut.daemon.contact.record_failure();
         let outcome = served(&other, "p").await;
         assert!(outcome.is_ok(), "{outcome:?}");
     });
--- a/crates/gateway/tests/gateway/store.rs
+++ b/crates/gateway/tests/gateway/store.rs
@@ -3,7 +3,7 @@
 use crate::support::run;
 use fieldhook_gateway::store_exchange::{Exchange, StoreConnections};
 use fieldhook_log::api::StoreError;
-use fieldhook_log::contact::Contact;
+use fieldhook_log::log_health::LogHealth;
 use futures_util::future::join_all;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -47,7 +47,7 @@
                 ntex::rt::spawn(serve(stream, of_server.clone()));
             }
         });
-        let store = StoreConnections::new(address, Rc::new(Contact::default()));
+        let store = StoreConnections::new(address, Rc::new(LogHealth::default()));
         let together = join_all((0..4).map(|_| store.exchange(call()))).await;
         assert!(together.iter().all(Result::is_ok));
         silent.set(1);
--- a/crates/gateway/tests/gateway/support/world.rs
+++ b/crates/gateway/tests/gateway/support/world.rs
@@ -13,7 +13,7 @@
 use fieldhook_gateway::metrics::Metrics;
 use fieldhook_gateway::settings::{Bounds, GatewaySettings, Quota, SlowPeers};
 use fieldhook_log::api::{Append, KeyedRecord, LogStore, Partition};
-use fieldhook_log::contact::Contact;
+use fieldhook_log::log_health::LogHealth;
 use fieldhook_log::ownership::Ownership;
 use fieldhook_log::patience::Capacity;
 use fieldhook_topology::region;
@@ -268,7 +268,7 @@
                 evacuations: b"closed/".to_vec(),
                 servers: SERVERS.to_owned(),
             },
-            contact: Rc::new(Contact::default()),
+            contact: Rc::new(LogHealth::default()),
             metrics: Rc::new(Metrics::default()),
         };
         let daemon = Daemon::new(settings, adapter);
--- a/crates/log/src/appender.rs
+++ b/crates/log/src/appender.rs
@@ -2,8 +2,8 @@
 //! append, fenced by the owner's epoch.
 
 use crate::api::{Append, KeyedRecord, LogStore, Partition, Producer, StoreError};
-use crate::contact::Contact;
 use crate::hedge;
+use crate::log_health::LogHealth;
 use crate::trimmer::Trimmer;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -49,7 +49,7 @@
     partition: Partition,
     epoch: u64,
     store: Rc<dyn LogStore>,
-    contact: Rc<Contact>,
+    health: Rc<LogHealth>,
     /// Drops the history that the appends leave, where it is [run](Trimmer::run).
     pub trimmer: Trimmer,
     queue: RefCell<Vec<Entry>>,
@@ -98,14 +98,14 @@
         partition: Partition,
         epoch: u64,
         store: Rc<dyn LogStore>,
-        contact: Rc<Contact>,
+        health: Rc<LogHealth>,
     ) -> Self {
         Self {
             trimmer: Trimmer::new(partition.clone(), store.clone()),
             partition,
             epoch,
             store,
-            contact,
+            health,
             queue: RefCell::default(),
             urgent: Cell::new(false),
             wake: Notify::new(),
@@ -209,7 +209,7 @@
             expected_end: None,
             timeout: Duration::ZERO,
         };
-        let appended = hedge::append(self.store.as_ref(), &self.contact, append).await?;
+        let appended = hedge::append(self.store.as_ref(), &self.health, append).await?;
         if !empty {
             let end = appended.map(|appended| appended.end);
             self.trimmer.appended(end, bytes);
--- a/crates/log/src/claims.rs
+++ b/crates/log/src/claims.rs
@@ -1,9 +1,9 @@
 //! Learning who owns the partitions of a topic, and becoming an owner.
 
 use crate::api::{Append, KeyedRecord, LogStore, Partition, StoreError};
-use crate::contact::Contact;
 use crate::eligibility::Eligibility;
 use crate::follow::{Follower, Update};
+use crate::log_health::LogHealth;
 use crate::ownership::{Claim, Ownership};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -41,7 +41,7 @@
 /// The claims of one topic, and this daemon's way to make some.
 pub struct Claims {
     store: Rc<dyn LogStore>,
-    contact: Rc<Contact>,
+    health: Rc<LogHealth>,
     topic: &'static str,
     partitions: u32,
     /// Where this daemon listens for others.
@@ -61,7 +61,7 @@
     /// Claims on a topic; none is known yet.
     pub fn new(
         store: Rc<dyn LogStore>,
-        contact: Rc<Contact>,
+        health: Rc<LogHealth>,
         topic: &'static str,
         partitions: u32,
         address: SocketAddr,
@@ -69,7 +69,7 @@
     ) -> Self {
         Self {
             store,
-            contact,
+            health,
             topic,
             partitions,
             address,
@@ -306,7 +306,7 @@
     pub async fn run_follow(self: Rc<Self>) {
         let mut follower = Follower::new(
             self.store.clone(),
-            self.contact.clone(),
+            self.health.clone(),
             self.place(),
             FOLLOW_WAIT,
         );
--- a/crates/log/src/follow.rs
+++ b/crates/log/src/follow.rs
@@ -1,7 +1,7 @@
 //! Following one compacted partition: the newest of each key, then what comes.
 
 use crate::api::{KeyedRecord, LogStore, NewestPage, Partition, StoreError};
-use crate::contact::Contact;
+use crate::log_health::LogHealth;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
@@ -68,7 +68,7 @@
 /// Follows a partition.
 pub struct Follower {
     store: Rc<dyn LogStore>,
-    contact: Rc<Contact>,
+    health: Rc<LogHealth>,
     partition: Partition,
     next: Option<u64>,
     wait: Duration,
@@ -86,13 +86,13 @@
     /// A follower that holds reads for `wait` until something comes.
     pub fn new(
         store: Rc<dyn LogStore>,
-        contact: Rc<Contact>,
+        health: Rc<LogHealth>,
         partition: Partition,
         wait: Duration,
     ) -> Self {
         Self {
             store,
-            contact,
+            health,
             partition,
             next: None,
             wait,
@@ -130,10 +130,10 @@
         loop {
             // A read that hangs since an outage is left once the service is known to
             // answer again.
-            let contact = self.contact.clone();
+            let health = self.health.clone();
             let result = tokio::select! {
                 result = self.attempt() => result,
-                () = contact.regained.notified() => {
+                () = health.recovered.notified() => {
                     self.is_behind = true;
                     continue;
                 }
--- a/crates/log/src/hedge.rs
+++ b/crates/log/src/hedge.rs
@@ -7,7 +7,7 @@
 //! connection silent. So an overdue try stays out beside the next one.
 
 use crate::api::{Append, Appended, LogStore, StoreError};
-use crate::contact::Contact;
+use crate::log_health::LogHealth;
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
 use std::time::Duration;
@@ -65,7 +65,7 @@
 /// Only [`StoreError::Fenced`]: a later owner is in force.
 pub async fn append(
     store: &dyn LogStore,
-    contact: &Contact,
+    health: &LogHealth,
     append: Append,
 ) -> Result<Option<Appended>, StoreError> {
     let append = Append {
@@ -80,13 +80,13 @@
     };
     let mut tries = FuturesUnordered::new();
     tries.push(attempt());
-    let mut schedule = Schedule::new(contact.appends.overdue_after());
+    let mut schedule = Schedule::new(health.append_time.overdue_after());
     let mut refusals = 0;
     loop {
         tokio::select! {
             Some((result, took)) = tries.next() => match result {
                 Ok(appended) => {
-                    contact.appends.observe(took);
+                    health.append_time.observe(took);
                     return Ok(Some(appended));
                 }
                 Err(StoreError::Fenced) => return Err(StoreError::Fenced),
@@ -102,13 +102,13 @@
             },
             () = sleep_until(schedule.next) => {
                 if started.elapsed() >= FAILING_AFTER && !tries.is_empty() {
-                    contact.failed();
+                    health.record_failure();
                 }
                 tries.push(attempt());
                 schedule.advance();
             }
             // Somebody heard from the service again: what hangs since is not waited for.
-            () = contact.regained.notified() => tries.push(attempt()),
+            () = health.recovered.notified() => tries.push(attempt()),
         }
     }
 }
--- a/crates/log/src/lib.rs
+++ b/crates/log/src/lib.rs
@@ -6,7 +6,7 @@
 //! - [`readers`]: who reads the followed topics for others; [`reader_selector`]: whom these ask;
 //!   [`mirror`]: what a reader keeps for them.
 //! - [`random_delay`]: who of many goes first.
-//! - [`contact`]: when the service last answered.
+//! - [`log_health`]: when the service last answered.
 //! - [`follow`]: following one compacted partition.
 //! - [`ownership`]: the table of owners.
 //! - [`claims`]: learning of owners and becoming one.
@@ -23,11 +23,11 @@
 pub mod api;
 pub mod appender;
 pub mod claims;
-pub mod contact;
 pub mod eligibility;
 pub mod follow;
 pub mod hedge;
 pub mod lease;
+pub mod log_health;
 pub mod mirror;
 pub mod ownership;
 pub mod patience;
--- a/crates/log/tests/follow.rs
+++ b/crates/log/tests/follow.rs
@@ -3,8 +3,8 @@
 use fieldhook_log::api::{
     Append, Appended, LogStore, NewestPage, Partition, ReadBatch, StoreError, Trim,
 };
-use fieldhook_log::contact::Contact;
 use fieldhook_log::follow::Follower;
+use fieldhook_log::log_health::LogHealth;
 use futures_util::future::LocalBoxFuture;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -71,12 +71,12 @@
             topic: "topic".to_owned(),
             number: 0,
         };
-        let contact = Rc::new(Contact::default());
+        let health = Rc::new(LogHealth::default());
         // Calls made when something was confirmed.
         let confirmed = Rc::new(RefCell::new(Vec::new()));
         let (calls, seen) = (store.clone(), confirmed.clone());
         let mut follower =
-            Follower::new(store.clone(), contact, partition, WAIT).on_answer(Box::new(move |_| {
+            Follower::new(store.clone(), health, partition, WAIT).on_answer(Box::new(move |_| {
                 seen.borrow_mut().push(calls.waits.borrow().len())
             }));
         let updates = Cell::new(0);
--- a/crates/log/tests/owners.rs
+++ b/crates/log/tests/owners.rs
@@ -6,7 +6,7 @@
 use fieldhook_log::api::{KeyedRecord, LogStore, Partition};
 use fieldhook_log::appender::{AppendEnd, Appender, Outcome, Urgency, fence};
 use fieldhook_log::claims::{ClaimError, Claims};
-use fieldhook_log::contact::Contact;
+use fieldhook_log::log_health::LogHealth;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -229,8 +229,8 @@
     run(async {
         let log = Rc::new(SharedLog::default());
         let store = Rc::new(MemoryLog::new(log.clone()));
-        let contact = Rc::new(Contact::default());
-        let appender = Rc::new(Appender::new(place(), 1, store.clone(), contact.clone()));
+        let health = Rc::new(LogHealth::default());
+        let appender = Rc::new(Appender::new(place(), 1, store.clone(), health.clone()));
         let running = appender.clone();
         ntex::rt::spawn(async move {
             running.run(|_| {}).await;
@@ -243,17 +243,17 @@
         appender.push(vec![record("k", "v")], Urgency::Now, Box::new(done));
         // By now the append waits 600 ms for an answer.
         sleep(Duration::from_millis(600)).await;
-        contact.failed();
+        health.record_failure();
         store.set_fault(LogFault::None);
-        contact.answered();
+        health.record_answer();
         let ended = timeout(Duration::from_millis(100), receiver).await;
         assert_eq!(ended.ok(), Some(Ok(Outcome::Durable)));
     });
 }
 
 /// Pushes one record, waits until it is durable and says how long that took.
-async fn time_of_append(store: &Rc<MemoryLog>, contact: &Rc<Contact>) -> Duration {
-    let appender = Rc::new(Appender::new(place(), 1, store.clone(), contact.clone()));
+async fn time_of_append(store: &Rc<MemoryLog>, health: &Rc<LogHealth>) -> Duration {
+    let appender = Rc::new(Appender::new(place(), 1, store.clone(), health.clone()));
     let running = appender.clone();
     ntex::rt::spawn(async move {
         running.run(|_| {}).await;
@@ -291,12 +291,12 @@
     run(async {
         let log = Rc::new(SharedLog::default());
         let store = Rc::new(MemoryLog::new(log.clone()));
-        let contact = Rc::new(Contact::default());
+        let health = Rc::new(LogHealth::default());
         store.set_fault(LogFault::Slow(Duration::from_millis(240)));
-        let took = time_of_append(&store, &contact).await;
+        let took = time_of_append(&store, &health).await;
         assert!(took < Duration::from_millis(300), "{took:?}");
         let before = store.calls.get();
-        time_of_append(&store, &contact).await;
+        time_of_append(&store, &health).await;
         assert_eq!(store.calls.get() - before, 1);
     });
 }
