--- a/crates/gateway/src/ledger/cold.rs
+++ b/crates/gateway/src/ledger/cold.rs
@@ -9,7 +9,7 @@
 use fieldhook_log::api::StoreError;
 use fieldhook_log::appender::fence;
 use fieldhook_log::lease::{Lease, State, TERM_MS};
-use fieldhook_log::ownership::{Claim, Former};
+use fieldhook_log::ownership::{Claim, PreviousOwner};
 use fieldhook_traffic::cold::{BOUNDS, PERMIT_MS};
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -79,7 +79,7 @@
             .get(&partition)
             .is_some_and(|lease| lease.epoch == claim.epoch);
         if !is_known {
-            let lease = Lease::new(claim.epoch, claim.former != Former::None);
+            let lease = Lease::new(claim.epoch, claim.previous_owner != PreviousOwner::None);
             leases.insert(partition, lease);
         }
         if let Some(lease) = leases.get_mut(&partition) {
--- a/crates/gateway/src/ledger/hold.rs
+++ b/crates/gateway/src/ledger/hold.rs
@@ -7,7 +7,7 @@
 use fieldhook_ledger::partition::Partition;
 use fieldhook_log::api::StoreError;
 use fieldhook_log::appender::{AppendEnd, Appender};
-use fieldhook_log::ownership::Former;
+use fieldhook_log::ownership::PreviousOwner;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -38,10 +38,10 @@
 /// Reads a claimed partition; `None` once it is another's.
 async fn read(owner: &Owner, partition: u32, epoch: u64) -> Option<Loaded> {
     let claim = owner.claims.claim(partition);
-    let state = match claim.map_or(Former::Lost, |claim| claim.former) {
-        Former::None => Partition::default(),
-        Former::Settled { doubt_ms } => Partition::handed_over(unix_ms(), doubt_ms),
-        Former::Lost => Partition::taken_over(unix_ms(), owner.doubt_after_loss_ms()),
+    let state = match claim.map_or(PreviousOwner::Lost, |claim| claim.previous_owner) {
+        PreviousOwner::None => Partition::default(),
+        PreviousOwner::Settled { doubt_ms } => Partition::handed_over(unix_ms(), doubt_ms),
+        PreviousOwner::Lost => Partition::taken_over(unix_ms(), owner.doubt_after_loss_ms()),
     };
     let mut load = Load::new(owner.place(partition), epoch, state);
     loop {
--- a/crates/gateway/src/ledger/limits.rs
+++ b/crates/gateway/src/ledger/limits.rs
@@ -103,9 +103,9 @@
 
 /// A former owner's grants are not told, whether or not it gave the partition up in order.
 fn former(claim: &Claim) -> Former {
-    match claim.former {
-        ownership::Former::None => Former::None,
-        ownership::Former::Settled { .. } | ownership::Former::Lost => Former::Lost,
+    match claim.previous_owner {
+        ownership::PreviousOwner::None => Former::None,
+        ownership::PreviousOwner::Settled { .. } | ownership::PreviousOwner::Lost => Former::Lost,
     }
 }
 
--- a/crates/gateway/src/ledger/replace.rs
+++ b/crates/gateway/src/ledger/replace.rs
@@ -5,7 +5,7 @@
     ClaimPartition, ConfigNews, KnownOwner, LedgerReply, LedgerRequest,
 };
 use fieldhook_log::api::StoreError;
-use fieldhook_log::ownership::{Claim, Former};
+use fieldhook_log::ownership::{Claim, PreviousOwner};
 use fieldhook_log::reach::{Reach, Round};
 use futures_util::future::join_all;
 use std::cell::RefCell;
@@ -56,7 +56,7 @@
             address: Some(address),
             incarnation: known.incarnation,
             epoch: known.epoch,
-            former: Former::Lost,
+            previous_owner: PreviousOwner::Lost,
             settled_doubt_ms: None,
         };
         self.owner.claims.learn(partition, claim)
--- a/crates/log/src/claims.rs
+++ b/crates/log/src/claims.rs
@@ -140,10 +140,10 @@
     }
 
     /// Gives a partition up, so that others may take it at once. `settled_doubt_ms` says
-    /// that all that was granted is durable: see [`Former::Settled`]. What is another's by
+    /// that all that was granted is durable: see [`PreviousOwner::Settled`]. What is another's by
     /// now is left alone.
     ///
-    /// [`Former::Settled`]: crate::ownership::Former::Settled
+    /// [`PreviousOwner::Settled`]: crate::ownership::PreviousOwner::Settled
     ///
     /// # Errors
     /// As the log service says.
@@ -247,7 +247,7 @@
             timeout: CLAIM_TIMEOUT,
         };
         let appended = self.store.append(append).await?;
-        let changed = self.ownership.borrow_mut().take(appended.offset, &record);
+        let changed = self.ownership.borrow_mut().apply(appended.offset, &record);
         self.tell(changed.into_iter().collect());
         Ok(())
     }
@@ -283,9 +283,9 @@
             let changed = batch
                 .records
                 .iter()
-                .filter_map(|(offset, record)| ownership.take(*offset, record))
+                .filter_map(|(offset, record)| ownership.apply(*offset, record))
                 .collect();
-            ownership.read_to(batch.next);
+            ownership.mark_read_to(batch.next);
             changed
         };
         self.tell(changed);
@@ -319,10 +319,10 @@
                 let mut ownership = self.ownership.borrow_mut();
                 let changed = records
                     .iter()
-                    .filter_map(|(offset, record)| ownership.take(*offset, record))
+                    .filter_map(|(offset, record)| ownership.apply(*offset, record))
                     .collect();
                 if listed {
-                    ownership.read_to(follower.position());
+                    ownership.mark_read_to(follower.position());
                 }
                 changed
             };
--- a/crates/log/src/ownership.rs
+++ b/crates/log/src/ownership.rs
@@ -14,13 +14,13 @@
 struct ClaimRecord {
     address: String,
     incarnation: u64,
-    /// Of a release after which nothing is left unsaid: see [`Former::Settled`].
+    /// Of a release after which nothing is left unsaid: see [`PreviousOwner::Settled`].
     settled_doubt_ms: Option<u64>,
 }
 
 /// What the owner before a claim may have left unsaid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Former {
+pub enum PreviousOwner {
     /// There was none.
     None,
     /// It gave the partition up after all that it had granted was durable.
@@ -44,7 +44,7 @@
     pub epoch: u64,
     /// The owner before, as far as this daemon knows. Certain for its own claims: they are
     /// appended only where the topic was read to its end.
-    pub former: Former,
+    pub previous_owner: PreviousOwner,
     /// Of a settled release: what its successor has to doubt, and for how long.
     pub settled_doubt_ms: Option<u64>,
 }
@@ -94,7 +94,7 @@
     }
 
     /// Takes in a record; tells the partition if its claim is new.
-    pub fn take(&mut self, offset: u64, record: &KeyedRecord) -> Option<u32> {
+    pub fn apply(&mut self, offset: u64, record: &KeyedRecord) -> Option<u32> {
         self.end = self.end.max(offset + 1);
         let key: [u8; 4] = record.key.as_slice().try_into().ok()?;
         let partition = u32::from_be_bytes(key);
@@ -104,10 +104,10 @@
             address: said.address.parse().ok(),
             incarnation: said.incarnation,
             epoch: offset + 1,
-            former: match former.map(|former| former.settled_doubt_ms) {
-                None => Former::None,
-                Some(Some(doubt_ms)) => Former::Settled { doubt_ms },
-                Some(None) => Former::Lost,
+            previous_owner: match former.map(|former| former.settled_doubt_ms) {
+                None => PreviousOwner::None,
+                Some(Some(doubt_ms)) => PreviousOwner::Settled { doubt_ms },
+                Some(None) => PreviousOwner::Lost,
             },
             settled_doubt_ms: said.settled_doubt_ms,
         };
@@ -141,7 +141,7 @@
     }
 
     /// The topic was read up to here.
-    pub fn read_to(&mut self, end: u64) {
+    pub fn mark_read_to(&mut self, end: u64) {
         self.end = self.end.max(end);
         self.known = true;
     }
--- a/crates/log/tests/reader_selector.rs
+++ b/crates/log/tests/reader_selector.rs
@@ -49,7 +49,7 @@
     let claim = Ownership::claim_record(7, at(1), 1);
     let reader = Readers::record(&place("", 0), at(2));
     assert!(!readers.apply(0, &claim));
-    assert_eq!(ownership.take(1, &reader), None);
+    assert_eq!(ownership.apply(1, &reader), None);
     assert_eq!(ownership.end(), 2);
     assert!(readers.apply(1, &reader));
 }
