--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -110,7 +110,7 @@
     node.claims
         .set_on_change(Rc::new(move |shard| act_on_claim(&claimed, shard as u16)));
     ntex::rt::spawn(node.claims.clone().run_follow());
-    ntex::rt::spawn(node.claims.clone().run_unowned(Duration::ZERO));
+    ntex::rt::spawn(node.claims.clone().run_claim_unowned(Duration::ZERO));
     ntex::rt::spawn(run_management(node.clone()));
     ntex::rt::spawn(run_upkeep(node.clone()));
     ntex::rt::spawn(config_follow::run_config_from_log(node.clone()));
@@ -137,7 +137,7 @@
         let claim = node.claims.claim(u32::from(shard));
         claim.is_some_and(|claim| claim.address.is_some())
     };
-    !node.claims.is_known() || (0..node.settings.shards).all(is_owned)
+    !node.claims.is_loaded() || (0..node.settings.shards).all(is_owned)
 }
 
 async fn stop_on_signal(node: Rc<Node>, drained: oneshot::Sender<()>) {
--- a/crates/daemon/src/shard/manage.rs
+++ b/crates/daemon/src/shard/manage.rs
@@ -46,7 +46,7 @@
         tracing::info!(event = "shard_lost", shard, epoch = claim.epoch, owner = ?claim.address);
         give_up(node, shard);
     }
-    if mine && held_epoch != Some(claim.epoch) && !node.claims.is_released() {
+    if mine && held_epoch != Some(claim.epoch) && !node.claims.has_stopped_claiming() {
         ntex::rt::spawn(hold(node.clone(), shard, claim.epoch));
     }
 }
--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -254,7 +254,7 @@
         ntex::rt::spawn(self.owner.claims.clone().run_follow());
         ntex::rt::spawn(relay::places::run(self.clone()));
         let patience = self.owner.patience();
-        ntex::rt::spawn(self.owner.claims.clone().run_unowned(patience));
+        ntex::rt::spawn(self.owner.claims.clone().run_claim_unowned(patience));
         ntex::rt::spawn(crate::ledger::owner::run_expiry(self.owner.clone()));
         ntex::rt::spawn(crate::ledger::reach::run(self.clone()));
         ntex::rt::spawn(crate::ledger::homes::run_watch(self.ledger.clone()));
--- a/crates/gateway/src/ledger/homes.rs
+++ b/crates/gateway/src/ledger/homes.rs
@@ -39,7 +39,7 @@
     loop {
         let jitter = Duration::from_millis(fastrand::u64(0..LOOK_JITTER_MS));
         sleep(LOOK_PERIOD + jitter).await;
-        if ledger.owner.claims.is_released() {
+        if ledger.owner.claims.has_stopped_claiming() {
             return;
         }
         for partition in ledger.owner.places.layout.homes() {
--- a/crates/gateway/src/ledger/owner.rs
+++ b/crates/gateway/src/ledger/owner.rs
@@ -256,7 +256,7 @@
         };
         let held_epoch = self.held.borrow().get(&partition).map(Hold::epoch);
         let mine = self.claims.is_mine(&claim);
-        if mine && held_epoch != Some(claim.epoch) && !self.claims.is_released() {
+        if mine && held_epoch != Some(claim.epoch) && !self.claims.has_stopped_claiming() {
             self.held
                 .borrow_mut()
                 .insert(partition, Hold::Loading(claim.epoch));
--- a/crates/log/src/claims.rs
+++ b/crates/log/src/claims.rs
@@ -54,7 +54,7 @@
     pub eligibility: Eligibility,
     ownership: RefCell<Ownership>,
     on_change: RefCell<Option<OnChange>>,
-    released: Cell<bool>,
+    stopped: Cell<bool>,
 }
 
 impl Claims {
@@ -78,7 +78,7 @@
             eligibility: Eligibility::default(),
             ownership: RefCell::default(),
             on_change: RefCell::default(),
-            released: Cell::new(false),
+            stopped: Cell::new(false),
         }
     }
 
@@ -125,18 +125,18 @@
     }
 
     /// Whether the claims were read at all.
-    pub fn is_known(&self) -> bool {
-        self.ownership.borrow().is_known()
+    pub fn is_loaded(&self) -> bool {
+        self.ownership.borrow().is_loaded()
     }
 
     /// From now on nothing is claimed any more: the daemon is about to stop.
     pub fn stop_claiming(&self) {
-        self.released.set(true);
+        self.stopped.set(true);
     }
 
     /// Whether nothing is claimed any more.
-    pub fn is_released(&self) -> bool {
-        self.released.get()
+    pub fn has_stopped_claiming(&self) -> bool {
+        self.stopped.get()
     }
 
     /// Gives a partition up, so that others may take it at once. `settled_doubt_ms` says
@@ -184,7 +184,7 @@
         suspected_epoch: Option<u64>,
     ) -> Result<(), ClaimError> {
         for _ in 0..MOST_ROUNDS {
-            if self.released.get() || !self.is_known() {
+            if self.stopped.get() || !self.is_loaded() {
                 return Err(ClaimError::NotNow);
             }
             if !self.is_eligible(partition) {
@@ -221,7 +221,7 @@
         is_wanted: &dyn Fn() -> bool,
     ) -> Result<(), ClaimError> {
         for _ in 0..MOST_ROUNDS {
-            if self.released.get() || !self.is_known() {
+            if self.stopped.get() || !self.is_loaded() {
                 return Err(ClaimError::NotNow);
             }
             if !is_wanted() {
@@ -332,12 +332,12 @@
 
     /// Claims partitions that nobody owns, soon after the start of the daemons: those
     /// that own fewer come first, and each waits longer by its `patience`.
-    pub async fn run_unowned(self: Rc<Self>, patience: Duration) {
+    pub async fn run_claim_unowned(self: Rc<Self>, patience: Duration) {
         loop {
             let owned = self.ownership.borrow().count(|claim| self.is_mine(claim)) as u32;
             let jitter = Duration::from_millis(fastrand::u64(0..DELAY_JITTER_MS));
             sleep(DELAY_PER_PARTITION * (owned + 1) + patience * 4 + jitter).await;
-            if self.released.get() {
+            if self.stopped.get() {
                 return;
             }
             let Some(partition) = self.unowned() else {
@@ -358,7 +358,7 @@
     /// A partition without an owner, or whose owner was an earlier life of this
     /// process.
     fn unowned(&self) -> Option<u32> {
-        if !self.is_known() {
+        if !self.is_loaded() {
             return None;
         }
         let is_unowned = |partition: &u32| match self.claim(*partition) {
--- a/crates/log/src/ownership.rs
+++ b/crates/log/src/ownership.rs
@@ -54,7 +54,7 @@
 pub struct Ownership {
     claims: HashMap<u32, Claim>,
     end: u64,
-    known: bool,
+    is_loaded: bool,
 }
 
 impl Ownership {
@@ -143,12 +143,12 @@
     /// The topic was read up to here.
     pub fn mark_read_to(&mut self, end: u64) {
         self.end = self.end.max(end);
-        self.known = true;
+        self.is_loaded = true;
     }
 
     /// Whether the topic was read at all.
-    pub fn is_known(&self) -> bool {
-        self.known
+    pub fn is_loaded(&self) -> bool {
+        self.is_loaded
     }
 
     /// Where the topic ends, as far as known.
--- a/crates/log/tests/owners.rs
+++ b/crates/log/tests/owners.rs
@@ -158,7 +158,7 @@
         let log = Rc::new(SharedLog::default());
         let daemons: Vec<Daemon> = (1..=4).map(|number| daemon(&log, number)).collect();
         for daemon in &daemons {
-            ntex::rt::spawn(daemon.claims.clone().run_unowned(Duration::ZERO));
+            ntex::rt::spawn(daemon.claims.clone().run_claim_unowned(Duration::ZERO));
         }
         sleep(Duration::from_millis(1_500)).await;
         for partition in 0..PARTITIONS {
@@ -475,7 +475,7 @@
         inside.claims.release(0, None).await.expect("released");
         for daemon in [&inside, &outside] {
             let claims = daemon.claims.clone();
-            ntex::rt::spawn(claims.run_unowned(Duration::ZERO));
+            ntex::rt::spawn(claims.run_claim_unowned(Duration::ZERO));
         }
         inside.claims.stop_claiming();
         sleep(Duration::from_millis(3_000)).await;
