--- a/crates/gateway/src/ledger/reach.rs
+++ b/crates/gateway/src/ledger/reach.rs
@@ -3,7 +3,7 @@
 
 use crate::daemon::Daemon;
 use crate::upstream::probe::{self, Probed};
-use fieldhook_log::reach::{Judge, Look, Reach, Round};
+use fieldhook_log::reach::{Look, Reach, ReachTracker, Round};
 use fieldhook_traffic::directory::ServerEntry;
 use futures_util::future::join_all;
 use std::collections::BTreeMap;
@@ -23,7 +23,7 @@
 /// Judges for good. Nobody is asked while the log and the owners answer.
 pub async fn run(daemon: Rc<Daemon>) {
     let ledger = daemon.ledger.clone();
-    let mut judge = Judge::default();
+    let mut tracker = ReachTracker::default();
     let mut changed = Instant::now();
     loop {
         sleep(PERIOD).await;
@@ -35,12 +35,12 @@
             true => ledger.ask_who_reaches_log().await,
             false => Round::Heard,
         };
-        let in_doubt = ledger.silent_owner.take() || judge.reach() == Reach::Minority;
+        let in_doubt = ledger.silent_owner.take() || tracker.reach() == Reach::Minority;
         let look = match in_doubt {
             true => Some(look_around(&daemon).await),
             false => None,
         };
-        let Some(reach) = judge.step_with(round, look) else {
+        let Some(reach) = tracker.update_with(round, look) else {
             continue;
         };
         ledger.reach.set(reach);
--- a/crates/log/src/reach.rs
+++ b/crates/log/src/reach.rs
@@ -106,25 +106,25 @@
 
 /// Judges rounds.
 #[derive(Debug, Default)]
-pub struct Judge {
+pub struct ReachTracker {
     reach: Reach,
     rounds_alone: u32,
 }
 
-impl Judge {
+impl ReachTracker {
     /// The present belief.
     pub fn reach(&self) -> Reach {
         self.reach
     }
 
     /// Takes in a round; tells the new belief if it changed.
-    pub fn step(&mut self, round: Round) -> Option<Reach> {
-        self.step_with(round, None)
+    pub fn update(&mut self, round: Round) -> Option<Reach> {
+        self.update_with(round, None)
     }
 
     /// The same, with a look around where one was taken. Whoever hears of a daemon that has
     /// the log is no part of a minority.
-    pub fn step_with(&mut self, round: Round, look: Option<Look>) -> Option<Reach> {
+    pub fn update_with(&mut self, round: Round, look: Option<Look>) -> Option<Reach> {
         let alone = matches!(round, Round::Asked { asked, answered: 0, .. } if asked > 0);
         self.rounds_alone = if alone { self.rounds_alone + 1 } else { 0 };
         let next = match round {
--- a/crates/log/tests/reach.rs
+++ b/crates/log/tests/reach.rs
@@ -1,6 +1,6 @@
 //! A daemon without the log tells an outage from being cut off.
 
-use fieldhook_log::reach::{Judge, Look, Reach, Round};
+use fieldhook_log::reach::{Look, Reach, ReachTracker, Round};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 fn asked(answered: usize, reach_log: usize) -> Round {
@@ -13,32 +13,32 @@
 
 #[test]
 fn the_log_that_answers_others_means_cut_off() {
-    let mut judge = Judge::default();
-    assert_eq!(judge.step(Round::Heard), None);
-    assert_eq!(judge.step(asked(3, 0)), Some(Reach::Outage));
-    assert_eq!(judge.step(asked(2, 1)), Some(Reach::CutOff));
-    assert_eq!(judge.step(Round::Heard), Some(Reach::Log));
+    let mut tracker = ReachTracker::default();
+    assert_eq!(tracker.update(Round::Heard), None);
+    assert_eq!(tracker.update(asked(3, 0)), Some(Reach::Outage));
+    assert_eq!(tracker.update(asked(2, 1)), Some(Reach::CutOff));
+    assert_eq!(tracker.update(Round::Heard), Some(Reach::Log));
 }
 
 #[test]
 fn silence_of_all_is_believed_after_two_rounds() {
-    let mut judge = Judge::default();
-    assert_eq!(judge.step(asked(0, 0)), Some(Reach::Outage));
-    assert_eq!(judge.step(asked(0, 0)), Some(Reach::Isolated));
-    assert_eq!(judge.step(asked(0, 0)), None);
-    assert_eq!(judge.step(asked(1, 0)), Some(Reach::Outage));
+    let mut tracker = ReachTracker::default();
+    assert_eq!(tracker.update(asked(0, 0)), Some(Reach::Outage));
+    assert_eq!(tracker.update(asked(0, 0)), Some(Reach::Isolated));
+    assert_eq!(tracker.update(asked(0, 0)), None);
+    assert_eq!(tracker.update(asked(1, 0)), Some(Reach::Outage));
 }
 
 #[test]
 fn a_daemon_that_knows_no_other_does_not_hold_itself_isolated() {
-    let mut judge = Judge::default();
+    let mut tracker = ReachTracker::default();
     let nobody = Round::Asked {
         asked: 0,
         answered: 0,
         reach_log: 0,
     };
-    assert_eq!(judge.step(nobody), Some(Reach::Outage));
-    assert_eq!(judge.step(nobody), None);
+    assert_eq!(tracker.update(nobody), Some(Reach::Outage));
+    assert_eq!(tracker.update(nobody), None);
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -59,13 +59,13 @@
 #[test]
 fn the_belief_follows_the_last_round() {
     fn holds(rounds: Vec<Any>) -> bool {
-        let mut judge = Judge::default();
+        let mut tracker = ReachTracker::default();
         rounds.into_iter().all(|Any(round)| {
-            judge.step(round);
+            tracker.update(round);
             match round {
-                Round::Heard => judge.reach() == Reach::Log,
-                Round::Asked { reach_log: 0, .. } => judge.reach() != Reach::Log,
-                Round::Asked { .. } => judge.reach() == Reach::CutOff,
+                Round::Heard => tracker.reach() == Reach::Log,
+                Round::Asked { reach_log: 0, .. } => tracker.reach() != Reach::Log,
+                Round::Asked { .. } => tracker.reach() == Reach::CutOff,
             }
         })
     }
@@ -90,17 +90,17 @@
 #[test]
 fn a_zone_cut_off_from_the_others_is_a_minority_with_and_without_the_log() {
     for log in [false, true] {
-        let mut judge = Judge::default();
+        let mut tracker = ReachTracker::default();
         let cut = look(1, 4, log);
         assert_eq!(
-            judge.step_with(Round::Heard, Some(cut)),
+            tracker.update_with(Round::Heard, Some(cut)),
             Some(Reach::Minority)
         );
-        assert!(judge.reach().others_are_better_off());
-        assert_eq!(judge.step_with(Round::Heard, Some(cut)), None);
+        assert!(tracker.reach().others_are_better_off());
+        assert_eq!(tracker.update_with(Round::Heard, Some(cut)), None);
         let healed = look(3, 8, true);
         assert_eq!(
-            judge.step_with(Round::Heard, Some(healed)),
+            tracker.update_with(Round::Heard, Some(healed)),
             Some(Reach::Log)
         );
     }
@@ -123,20 +123,23 @@
     assert!(look(3, 2, false).is_minority());
     assert!(!look(3, 2, true).is_minority());
     assert!(!look(3, 5, false).is_minority());
-    let mut judge = Judge::default();
+    let mut tracker = ReachTracker::default();
     let cut = look(3, 2, false);
     assert_eq!(
-        judge.step_with(asked(1, 0), Some(cut)),
+        tracker.update_with(asked(1, 0), Some(cut)),
         Some(Reach::Minority)
     );
     // One of those that answer has the log.
-    assert_eq!(judge.step_with(asked(1, 1), Some(cut)), Some(Reach::CutOff));
+    assert_eq!(
+        tracker.update_with(asked(1, 1), Some(cut)),
+        Some(Reach::CutOff)
+    );
 }
 
 #[test]
 fn an_outage_with_one_owner_lost_is_no_minority() {
-    let mut judge = Judge::default();
-    let round = judge.step_with(asked(3, 0), Some(look(3, 7, false)));
+    let mut tracker = ReachTracker::default();
+    let round = tracker.update_with(asked(3, 0), Some(look(3, 7, false)));
     assert_eq!(round, Some(Reach::Outage));
 }
 
@@ -162,13 +165,16 @@
 
 #[test]
 fn a_sample_of_owners_that_answers_a_little_better_ends_no_minority() {
-    let mut judge = Judge::default();
-    judge.step_with(Round::Heard, Some(look(3, 3, false)));
-    assert_eq!(judge.reach(), Reach::Minority);
-    assert_eq!(judge.step_with(asked(1, 0), Some(look(3, 4, false))), None);
-    let outage = judge.step_with(asked(3, 0), Some(look(3, 6, false)));
+    let mut tracker = ReachTracker::default();
+    tracker.update_with(Round::Heard, Some(look(3, 3, false)));
+    assert_eq!(tracker.reach(), Reach::Minority);
+    assert_eq!(
+        tracker.update_with(asked(1, 0), Some(look(3, 4, false))),
+        None
+    );
+    let outage = tracker.update_with(asked(3, 0), Some(look(3, 6, false)));
     assert_eq!(outage, Some(Reach::Outage));
-    judge.step_with(asked(1, 0), Some(look(3, 3, false)));
-    let regained = judge.step_with(Round::Heard, Some(look(3, 4, true)));
+    tracker.update_with(asked(1, 0), Some(look(3, 3, false)));
+    let regained = tracker.update_with(Round::Heard, Some(look(3, 4, true)));
     assert_eq!(regained, Some(Reach::Log));
 }
