--- a/crates/gateway/src/follow/config.rs
+++ b/crates/gateway/src/follow/config.rs
@@ -47,7 +47,7 @@
         partition,
         super::wait::of_config(&daemon.settings),
     )
-    .on_answer(Box::new(move |age_ms| known.confirm(age_ms)));
+    .on_caught_up(Box::new(move |age_ms| known.confirm(age_ms)));
     loop {
         let (records, is_listing) = match follower.next_update().await {
             Update::Listing(records) => (records, true),
--- a/crates/gateway/src/follow/wait.rs
+++ b/crates/gateway/src/follow/wait.rs
@@ -10,7 +10,7 @@
 //! well tells of a change at once.
 
 use crate::settings::GatewaySettings;
-use fieldhook_log::follow::{READ_SLACK, RESUME};
+use fieldhook_log::follow::{READ_MARGIN, RESUME_DELAY};
 use std::time::Duration;
 
 /// Reads wait for this at least: shorter ones would cost more calls than they are worth on
@@ -25,7 +25,7 @@
 
 /// Longest wait of reads that follow each other after a pause.
 pub fn of_reads(contact: Duration, pause: Duration) -> Duration {
-    let wait = contact.saturating_sub(READ_SLACK + RESUME + pause);
+    let wait = contact.saturating_sub(READ_MARGIN + RESUME_DELAY + pause);
     wait.clamp(SHORTEST, LONGEST)
 }
 
--- a/crates/gateway/src/relay/reading.rs
+++ b/crates/gateway/src/relay/reading.rs
@@ -3,7 +3,7 @@
 use super::{Relay, packed};
 use fieldhook_ledger::message::{FollowTopic, LedgerReply, ListTopic, TopicRecords};
 use fieldhook_log::api::{KeyedRecord, NewestPage, ReadBatch};
-use fieldhook_log::follow::READ_SLACK;
+use fieldhook_log::follow::READ_MARGIN;
 use fieldhook_log::mirror::{Mirror, ReadResult};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -70,7 +70,7 @@
     /// this process was stopped is as old as the question.
     pub fn take_batch(&self, from: u64, batch: &ReadBatch, asked: Instant, wait: Duration) {
         self.mirror.borrow_mut().apply_batch(from, batch);
-        let is_late = asked.elapsed() > wait + READ_SLACK;
+        let is_late = asked.elapsed() > wait + READ_MARGIN;
         let confirmed = if is_late { asked } else { Instant::now() };
         self.confirmed.set(Some(confirmed));
         self.changed.notify_waiters();
--- a/crates/gateway/tests/gateway/readers.rs
+++ b/crates/gateway/tests/gateway/readers.rs
@@ -3,7 +3,7 @@
 use crate::support::{Act, CONFIG, SERVERS, Server, World, config, run};
 use fieldhook_gateway::follow::wait;
 use fieldhook_gateway::settings::Bounds;
-use fieldhook_log::follow::{READ_SLACK, RESUME};
+use fieldhook_log::follow::{READ_MARGIN, RESUME_DELAY};
 use futures_util::future::join_all;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
@@ -18,9 +18,9 @@
         for pause_ms in [0, 150] {
             let (contact, pause) = (ms(contact_ms), ms(pause_ms));
             let wait = wait::of_reads(contact, pause);
-            let made_up = pause + wait + READ_SLACK + RESUME;
+            let made_up = pause + wait + READ_MARGIN + RESUME_DELAY;
             // On any sheet on which a wait worth the call leaves room for it.
-            let has_room = contact >= pause + ms(500) + READ_SLACK + RESUME;
+            let has_room = contact >= pause + ms(500) + READ_MARGIN + RESUME_DELAY;
             assert!(!has_room || made_up <= contact, "{contact_ms} {pause_ms}");
         }
     }
--- a/crates/log/src/follow.rs
+++ b/crates/log/src/follow.rs
@@ -13,11 +13,11 @@
 /// more than it can, a page that is given up is sent in vain, and none would ever come.
 const LONGEST_LIST_TIMEOUT: Duration = Duration::from_millis(4_800);
 /// How much longer than the wait it asked for a read may take.
-pub const READ_SLACK: Duration = Duration::from_millis(700);
+pub const READ_MARGIN: Duration = Duration::from_millis(700);
 const FIRST_PAUSE: Duration = Duration::from_millis(30);
 /// From a read that is given up until the next one tells what was missed, where the log is
 /// well: the first pause at its longest, a new connection of at most 300 ms, and an answer.
-pub const RESUME: Duration = Duration::from_millis(400);
+pub const RESUME_DELAY: Duration = Duration::from_millis(400);
 const LONGEST_PAUSE: Duration = Duration::from_millis(400);
 
 /// What a follower learned.
@@ -63,7 +63,7 @@
 }
 
 /// What is done when all that there is was told, as it was so many milliseconds ago.
-type OnAnswer = Box<dyn Fn(u64)>;
+type OnCaughtUp = Box<dyn Fn(u64)>;
 
 /// Follows a partition.
 pub struct Follower {
@@ -79,7 +79,7 @@
     listing: Listing,
     /// How old the last answer was, in milliseconds.
     age_ms: u64,
-    on_answer: Option<OnAnswer>,
+    on_caught_up: Option<OnCaughtUp>,
 }
 
 impl Follower {
@@ -100,23 +100,23 @@
             is_behind: false,
             listing: Listing::default(),
             age_ms: 0,
-            on_answer: None,
+            on_caught_up: None,
         }
     }
 
     /// Calls this whenever what was told so far is all that there is, with how old that is, in
     /// milliseconds.
-    pub fn on_answer(mut self, on_answer: OnAnswer) -> Self {
-        self.on_answer = Some(on_answer);
+    pub fn on_caught_up(mut self, on_caught_up: OnCaughtUp) -> Self {
+        self.on_caught_up = Some(on_caught_up);
         self
     }
 
-    fn tell_answer(&self) {
+    fn notify_caught_up(&self) {
         if self.is_behind {
             return;
         }
-        if let Some(on_answer) = &self.on_answer {
-            on_answer(self.age_ms);
+        if let Some(on_caught_up) = &self.on_caught_up {
+            on_caught_up(self.age_ms);
         }
     }
 
@@ -141,14 +141,14 @@
             match result {
                 Ok(Update::Records(records)) if records.is_empty() => {
                     self.pause = FIRST_PAUSE;
-                    self.tell_answer();
+                    self.notify_caught_up();
                     if self.wait.is_zero() {
                         return Update::Records(records);
                     }
                 }
                 Ok(update) => {
                     self.pause = FIRST_PAUSE;
-                    self.tell_answer();
+                    self.notify_caught_up();
                     return update;
                 }
                 Err(StoreError::Gone(_)) => self.next = None,
@@ -199,7 +199,7 @@
             true => Duration::ZERO,
             false => self.wait,
         };
-        let limit = wait + READ_SLACK;
+        let limit = wait + READ_MARGIN;
         let asked = Instant::now();
         let batch = self
             .store
--- a/crates/log/tests/follow.rs
+++ b/crates/log/tests/follow.rs
@@ -75,10 +75,9 @@
         // Calls made when something was confirmed.
         let confirmed = Rc::new(RefCell::new(Vec::new()));
         let (calls, seen) = (store.clone(), confirmed.clone());
-        let mut follower =
-            Follower::new(store.clone(), health, partition, WAIT).on_answer(Box::new(move |_| {
-                seen.borrow_mut().push(calls.waits.borrow().len())
-            }));
+        let mut follower = Follower::new(store.clone(), health, partition, WAIT).on_caught_up(
+            Box::new(move |_| seen.borrow_mut().push(calls.waits.borrow().len())),
+        );
         let updates = Cell::new(0);
         let follow = async {
             loop {
