--- a/crates/gateway/src/ledger/owner.rs
+++ b/crates/gateway/src/ledger/owner.rs
@@ -16,10 +16,10 @@
 use fieldhook_ledger::partition::doubt_after_loss;
 use fieldhook_log::api::{LogStore, Partition as LogPartition, StoreError};
 use fieldhook_log::appender::fence;
+use fieldhook_log::claim_delay::{Capacity, claim_delay};
 use fieldhook_log::claims::Claims;
 use fieldhook_log::log_health::LogHealth;
 use fieldhook_log::ownership::Claim;
-use fieldhook_log::patience::{Capacity, before_claim};
 use fieldhook_log::reach::Reach;
 use fieldhook_traffic::window::Bounds;
 use std::cell::{Cell, RefCell};
@@ -119,7 +119,7 @@
         let reading = held
             .values()
             .filter(|hold| matches!(hold, Hold::Loading(_)));
-        before_claim(self.capacity, reading.count() as u32)
+        claim_delay(self.capacity, reading.count() as u32)
     }
 
     /// Takes in how long turns may take.
--- a/crates/gateway/src/relay/places.rs
+++ b/crates/gateway/src/relay/places.rs
@@ -3,7 +3,7 @@
 
 use super::Relay;
 use crate::daemon::Daemon;
-use fieldhook_log::patience::{Capacity, before_claim};
+use fieldhook_log::claim_delay::{Capacity, claim_delay};
 use fieldhook_log::random_delay;
 use fieldhook_log::readers::{ReaderSlot, Readers};
 use std::rc::Rc;
@@ -41,7 +41,7 @@
 
 /// Small machines let all large ones go first.
 fn patience(capacity: Capacity) -> Duration {
-    match before_claim(capacity, 0).is_zero() {
+    match claim_delay(capacity, 0).is_zero() {
         true => Duration::ZERO,
         false => random_delay::max(),
     }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,6 +1,6 @@
 //! What a daemon is told at its start.
 
-use fieldhook_log::patience::Capacity;
+use fieldhook_log::claim_delay::Capacity;
 use fieldhook_topology::zone::Map;
 use std::net::SocketAddr;
 
--- a/crates/gateway/tests/gateway/support/world.rs
+++ b/crates/gateway/tests/gateway/support/world.rs
@@ -13,9 +13,9 @@
 use fieldhook_gateway::metrics::Metrics;
 use fieldhook_gateway::settings::{Bounds, GatewaySettings, Quota, SlowPeers};
 use fieldhook_log::api::{Append, KeyedRecord, LogStore, Partition};
+use fieldhook_log::claim_delay::Capacity;
 use fieldhook_log::log_health::LogHealth;
 use fieldhook_log::ownership::Ownership;
-use fieldhook_log::patience::Capacity;
 use fieldhook_topology::region;
 use fieldhook_topology::zone::Map;
 use fieldhook_traffic::config::{
--- a/crates/log/src/patience.rs
+++ b/crates/log/src/claim_delay.rs
@@ -36,7 +36,7 @@
 /// Time to wait before a claim, with so many others being read by this daemon. It reads one
 /// after another, which takes a small machine 4 s each where a minute of turns is kept: one
 /// that claimed three at once had the last of them read after 12 s.
-pub fn before_claim(capacity: Capacity, reading: u32) -> Duration {
+pub fn claim_delay(capacity: Capacity, reading: u32) -> Duration {
     let small = capacity.cores < SMALL_CORES || capacity.link_mbps < NARROW_LINK_MBPS;
     let reading = reading.min(MOST_STEPS);
     let steps = if small { 1 + 2 * reading } else { reading };
--- a/crates/log/src/lib.rs
+++ b/crates/log/src/lib.rs
@@ -14,7 +14,7 @@
 //! - [`appender`]: group commit of one owned partition.
 //! - [`lease`]: how long an owner may act as the only one.
 //! - [`hedge`]: one append, repeated until its outcome is known.
-//! - [`patience`]: who claims first.
+//! - [`claim_delay`]: who claims first.
 //! - [`reach`]: whether the log is down or this daemon cut off.
 //! - [`round_trip`]: how long an answer takes.
 //! - [`trimmer`]: dropping the history of one owned partition.
@@ -22,6 +22,7 @@
 
 pub mod api;
 pub mod appender;
+pub mod claim_delay;
 pub mod claims;
 pub mod eligibility;
 pub mod follow;
@@ -30,7 +31,6 @@
 pub mod log_health;
 pub mod mirror;
 pub mod ownership;
-pub mod patience;
 pub mod random_delay;
 pub mod reach;
 pub mod reader_selector;
