--- a/crates/gateway/src/ledger/cold.rs
+++ b/crates/gateway/src/ledger/cold.rs
@@ -63,7 +63,7 @@
         let lease = leases
             .get(&partition)
             .filter(|lease| lease.epoch == claim.epoch);
-        lease.map_or(State::Lapsed, |lease| lease.state(self.now_ms()))
+        lease.map_or(State::Expired, |lease| lease.state(self.now_ms()))
     }
 
     /// Whether the log is better left alone for a moment.
@@ -101,23 +101,23 @@
             break LedgerReply::NotOwner(owner.known_owner(partition));
         };
         match owner.counts.state(partition, &claim) {
-            State::Holds { is_ageing } => {
-                if is_ageing {
+            State::Held { needs_renewal } => {
+                if needs_renewal {
                     ntex::rt::spawn(confirm(owner.clone(), partition, claim));
                 }
                 let question = limits::of_cold(&question);
                 let limits = &owner.counts.limits;
                 break LedgerReply::Quota(limits.ask(partition, &claim, &question));
             }
-            State::Waits(retry_after_ms) => {
+            State::Waiting(retry_after_ms) => {
                 break LedgerReply::Quota(QuotaAnswer::Refused { retry_after_ms });
             }
             // Whoever asks would not take a later answer.
-            State::Lapsed if asked.elapsed() >= PERMIT => break LedgerReply::Unavailable,
-            State::Lapsed if owner.counts.has_just_failed(partition) => {
+            State::Expired if asked.elapsed() >= PERMIT => break LedgerReply::Unavailable,
+            State::Expired if owner.counts.has_just_failed(partition) => {
                 break LedgerReply::Unavailable;
             }
-            State::Lapsed => {
+            State::Expired => {
                 let until = asked + PERMIT;
                 let confirmed = owner.counts.confirmed.notified();
                 ntex::rt::spawn(confirm(owner.clone(), partition, claim));
--- a/crates/gateway/tests/cold_bound.rs
+++ b/crates/gateway/tests/cold_bound.rs
@@ -141,7 +141,7 @@
         let owner = &mut self.owners[index];
         let state = owner.lease.state(now_ms);
         let was_confirmed = owner.book.is_some() && sabotage == Sabotage::NoTerm;
-        if !matches!(state, State::Holds { .. }) && !was_confirmed {
+        if !matches!(state, State::Held { .. }) && !was_confirmed {
             return;
         }
         let former = match owner.epoch == 1 || sabotage == Sabotage::NoWait {
--- a/crates/log/src/lease.rs
+++ b/crates/log/src/lease.rs
@@ -19,13 +19,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     /// Nothing before it is confirmed.
-    Lapsed,
+    Expired,
     /// It is the owner, but an earlier one may still act for so long, in milliseconds.
-    Waits(u64),
+    Waiting(u64),
     /// It acts alone.
-    Holds {
+    Held {
         /// It should have itself confirmed again.
-        is_ageing: bool,
+        needs_renewal: bool,
     },
 }
 
@@ -34,17 +34,17 @@
 pub struct Lease {
     /// Epoch of the claim.
     pub epoch: u64,
-    has_former: bool,
+    has_previous_owner: bool,
     begins_ms: Option<u64>,
     asked_ms: u64,
 }
 
 impl Lease {
-    /// Nothing is confirmed. `has_former` says that there was an owner before this claim.
-    pub fn new(epoch: u64, has_former: bool) -> Self {
+    /// Nothing is confirmed. `has_previous_owner` says that there was an owner before this claim.
+    pub fn new(epoch: u64, has_previous_owner: bool) -> Self {
         Self {
             epoch,
-            has_former,
+            has_previous_owner,
             begins_ms: None,
             asked_ms: 0,
         }
@@ -52,7 +52,7 @@
 
     /// The log took what was sent to it at `asked_ms`, and said so by now.
     pub fn confirm(&mut self, asked_ms: u64, now_ms: u64) {
-        let wait_ms = match self.has_former {
+        let wait_ms = match self.has_previous_owner {
             true => TERM_MS,
             false => 0,
         };
@@ -63,16 +63,16 @@
     /// What the owner may do now.
     pub fn state(&self, now_ms: u64) -> State {
         let Some(begins_ms) = self.begins_ms else {
-            return State::Lapsed;
+            return State::Expired;
         };
         if now_ms < begins_ms {
-            return State::Waits(begins_ms - now_ms);
+            return State::Waiting(begins_ms - now_ms);
         }
         if now_ms >= self.asked_ms + TERM_MS {
-            return State::Lapsed;
+            return State::Expired;
         }
-        State::Holds {
-            is_ageing: now_ms >= self.asked_ms + RENEW_MS,
+        State::Held {
+            needs_renewal: now_ms >= self.asked_ms + RENEW_MS,
         }
     }
 }
