--- a/crates/gateway/src/ledger/hold.rs
+++ b/crates/gateway/src/ledger/hold.rs
@@ -119,7 +119,7 @@
         .insert(partition, Hold::Serving(owned));
     owner.note_held(&owner.held.borrow());
     owner.claims.changed.notify_waiters();
-    appender.trimmer.inherited(loaded.end);
+    appender.trimmer.inherit_history(loaded.end);
     let end = tokio::select! {
         end = appender.run(|took| owner.metrics.append_seconds.observe(took.as_secs_f64())) => end,
         never = appender.trimmer.run() => match never {},
--- a/crates/log/src/appender.rs
+++ b/crates/log/src/appender.rs
@@ -212,7 +212,7 @@
         let appended = hedge::append(self.store.as_ref(), &self.health, append).await?;
         if !empty {
             let end = appended.map(|appended| appended.end);
-            self.trimmer.appended(end, bytes);
+            self.trimmer.record_append(end, bytes);
             self.next_sequence.set(sequence + 1);
         }
         Ok(())
--- a/crates/log/src/trimmer.rs
+++ b/crates/log/src/trimmer.rs
@@ -16,7 +16,7 @@
 /// Bytes of history after which it is dropped. Sixteen partitions then hold 16 MB of it, a part in
 /// twenty-five of the 400 MB that the service takes; at the 3 MB a second that the busiest
 /// deployment measured appends, this makes three calls a second.
-pub const MOST_HISTORY: usize = 1 << 20;
+pub const MAX_HISTORY_BYTES: usize = 1 << 20;
 /// Time for a call.
 const TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Pause after a call that failed: room is short only minutes after the last one that did not.
@@ -47,7 +47,7 @@
 
     /// The partition was read up to here: how much history earlier owners left is not known, so
     /// what there is, is dropped at once.
-    pub fn inherited(&self, end: u64) {
+    pub fn inherit_history(&self, end: u64) {
         self.note_end(end);
         if end > 0 {
             self.wake.notify_one();
@@ -55,10 +55,10 @@
     }
 
     /// So many bytes were appended; their end is not known where the answer was lost.
-    pub fn appended(&self, end: Option<u64>, bytes: usize) {
+    pub fn record_append(&self, end: Option<u64>, bytes: usize) {
         end.into_iter().for_each(|end| self.note_end(end));
         self.bytes.set(self.bytes.get() + bytes);
-        if self.bytes.get() >= MOST_HISTORY {
+        if self.bytes.get() >= MAX_HISTORY_BYTES {
             self.wake.notify_one();
         }
     }
--- a/crates/log/tests/trimmer.rs
+++ b/crates/log/tests/trimmer.rs
@@ -4,19 +4,19 @@
 use fieldhook_emulator::log::memory::{LogFault, MemoryLog, SharedLog};
 use fieldhook_log::api::{Append, KeyedRecord, LogStore, Partition, StoreError, Trim};
 use fieldhook_log::appender::{Appender, Outcome, Urgency, fence};
-use fieldhook_log::trimmer::MOST_HISTORY;
+use fieldhook_log::trimmer::MAX_HISTORY_BYTES;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// Bytes of a value; sixteen of them make [`MOST_HISTORY`].
-const VALUE: usize = MOST_HISTORY / 16;
+/// Bytes of a value; sixteen of them make [`MAX_HISTORY_BYTES`].
+const VALUE: usize = MAX_HISTORY_BYTES / 16;
 /// Keys that are written again and again.
 const KEYS: usize = 20;
 /// Room for the newest of each key, and for the history of some seconds beside them.
-const ROOM: usize = 8 * MOST_HISTORY;
+const ROOM: usize = 8 * MAX_HISTORY_BYTES;
 /// Bytes that are appended: four times the room.
 const APPENDS: usize = 4 * ROOM / VALUE;
 /// Longer than any of it takes, and than a pause of the trimmer.
@@ -116,7 +116,7 @@
             // Half of it: what is appended while a call is under way, beside the bound.
             let history = log.core.borrow().kept() - KEYS.min(number + 1) * (VALUE + 3);
             assert!(
-                history <= MOST_HISTORY * 3 / 2,
+                history <= MAX_HISTORY_BYTES * 3 / 2,
                 "{history} bytes of history"
             );
         }
@@ -135,7 +135,7 @@
         let before = newest(&store).await;
         let appender = owner(&store, 1).await;
         trims(&appender);
-        appender.trimmer.inherited(filled as u64);
+        appender.trimmer.inherit_history(filled as u64);
         assert!(append(&appender, filled).await);
         let mut after = before;
         after.insert(record(filled).key, record(filled).value);
@@ -152,7 +152,7 @@
         let appender = owner(&store, 1).await;
         trims(&appender);
         store.set_fault(LogFault::Down);
-        appender.trimmer.inherited(filled as u64);
+        appender.trimmer.inherit_history(filled as u64);
         tokio::time::sleep(Duration::from_millis(50)).await;
         store.set_fault(LogFault::None);
         assert!(append(&appender, filled).await);
@@ -167,7 +167,7 @@
         let former = fill(&store).await;
         let appender = owner(&store, 2).await;
         trims(&appender);
-        appender.trimmer.inherited(former as u64);
+        appender.trimmer.inherit_history(former as u64);
         for number in former..former + KEYS {
             assert!(append(&appender, number).await);
         }
