--- a/crates/log/src/appender.rs
+++ b/crates/log/src/appender.rs
@@ -37,11 +37,11 @@
 }
 
 /// Told of the outcome, in the order of the queue.
-pub type Done = Box<dyn FnOnce(Outcome)>;
+pub type OnOutcome = Box<dyn FnOnce(Outcome)>;
 
 struct Entry {
     records: Vec<KeyedRecord>,
-    done: Done,
+    done: OnOutcome,
 }
 
 /// Queue of one owned partition.
@@ -116,7 +116,7 @@
 
     /// Queues records; `done` hears of them once they and all before are durable.
     /// Without records, it hears whether the fence still holds.
-    pub fn push(&self, records: Vec<KeyedRecord>, urgency: Urgency, done: Done) {
+    pub fn push(&self, records: Vec<KeyedRecord>, urgency: Urgency, done: OnOutcome) {
         self.queue.borrow_mut().push(Entry { records, done });
         if urgency == Urgency::Now {
             self.urgent.set(true);
@@ -131,7 +131,7 @@
     }
 
     /// Records that are queued and not yet on their way.
-    pub fn waiting(&self) -> usize {
+    pub fn pending(&self) -> usize {
         self.queue.borrow().len()
     }
 
