--- a/crates/daemon/src/shard/manage.rs
+++ b/crates/daemon/src/shard/manage.rs
@@ -159,7 +159,7 @@
     let dead = table
         .member(owner.address)
         .is_some_and(|member| member.id == owner && member.state >= MemberState::Dead);
-    dead || table.is_surely_gone(owner)
+    dead || table.is_confirmed_gone(owner)
 }
 
 /// One daemon claims a shard, to spare the log a race: the live one that the shard
--- a/crates/membership/src/detector.rs
+++ b/crates/membership/src/detector.rs
@@ -44,7 +44,7 @@
     queue: Queue,
     now_ms: u64,
     next_probe_ms: u64,
-    next_compare_ms: u64,
+    next_sync_ms: u64,
     sequence: u64,
     probe: Option<Probe>,
     round: Vec<Address>,
@@ -78,7 +78,7 @@
             queue: Queue::default(),
             now_ms: 0,
             next_probe_ms: 0,
-            next_compare_ms: settings.compare_ms,
+            next_sync_ms: settings.sync_ms,
             sequence: 0,
             probe: None,
             round: Vec::new(),
@@ -189,8 +189,8 @@
             self.next_probe_ms = now_ms + self.settings.probe_ms;
             self.start_probe();
         }
-        if now_ms >= self.next_compare_ms {
-            self.next_compare_ms = now_ms + self.settings.compare_ms;
+        if now_ms >= self.next_sync_ms {
+            self.next_sync_ms = now_ms + self.settings.sync_ms;
             self.compare();
         }
         std::mem::take(&mut self.packets_out)
@@ -201,7 +201,7 @@
         let others = self.others();
         if let Some(peer) = self.random.choice(&others) {
             let digests = self.table.digests();
-            self.push_packet(*peer, Question::Compare { digests }, Vec::new());
+            self.push_packet(*peer, Question::Digests { digests }, Vec::new());
         }
     }
 
@@ -247,10 +247,10 @@
 
     fn send(&mut self, to: Address, question: Question) {
         let size = self.table.live().count().max(2);
-        let limit = self.settings.repeats * (usize::BITS - size.leading_zeros());
+        let limit = self.settings.retransmit_factor * (usize::BITS - size.leading_zeros());
         let mut facts = self
             .queue
-            .take(&self.table, self.settings.packet_bytes, limit);
+            .take(&self.table, self.settings.max_packet_bytes, limit);
         let own = Fact::Member(self.own.clone());
         if !facts.contains(&own) {
             // The receiver may never have heard of this daemon, or may hold it
--- a/crates/membership/src/detector/packet.rs
+++ b/crates/membership/src/detector/packet.rs
@@ -22,13 +22,13 @@
                 self.send(from, Question::Ack { sequence });
                 self.tell(from, self.table.all());
             }
-            Question::Tell => {}
-            Question::Compare { digests } => {
+            Question::Facts => {}
+            Question::Digests { digests } => {
                 let differing = self.table.differing(&digests);
                 self.tell(from, differing);
             }
             Question::Ack { sequence } => self.take_answer(sequence),
-            Question::PingFor { sequence, target } => {
+            Question::PingRequest { sequence, target } => {
                 self.sequence += 1;
                 self.errands.insert(
                     self.sequence,
@@ -53,15 +53,15 @@
         let mut facts = Vec::new();
         let mut size = 0;
         for fact in told {
-            if size + fact.size() > self.settings.packet_bytes {
-                self.push_packet(to, Question::Tell, std::mem::take(&mut facts));
+            if size + fact.size() > self.settings.max_packet_bytes {
+                self.push_packet(to, Question::Facts, std::mem::take(&mut facts));
                 size = 0;
             }
             size += fact.size();
             facts.push(fact);
         }
         if !facts.is_empty() {
-            self.push_packet(to, Question::Tell, facts);
+            self.push_packet(to, Question::Facts, facts);
         }
     }
 
--- a/crates/membership/src/detector/probe.rs
+++ b/crates/membership/src/detector/probe.rs
@@ -92,8 +92,8 @@
         let mut helpers = self.others();
         helpers.retain(|helper| *helper != probe.target);
         self.random.shuffle(&mut helpers);
-        for helper in helpers.into_iter().take(self.settings.helpers) {
-            let question = Question::PingFor {
+        for helper in helpers.into_iter().take(self.settings.indirect_probes) {
+            let question = Question::PingRequest {
                 sequence: probe.sequence,
                 target: probe.target,
             };
--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -25,14 +25,14 @@
         sequence: u64,
     },
     /// No question: part of the answer to `Join` or `Compare`.
-    Tell,
+    Facts,
     /// Which of my facts are outdated? Digests of all facts, by bucket.
-    Compare {
+    Digests {
         /// See `FactTable::digests`.
         digests: Vec<u64>,
     },
     /// Please ping another and pass its answer on.
-    PingFor {
+    PingRequest {
         /// Sequence of the asker.
         sequence: u64,
         /// Whom to ping.
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -10,16 +10,16 @@
     /// Time to wait for a direct answer, in milliseconds.
     pub answer_ms: u64,
     /// Members asked to probe in one's stead.
-    pub helpers: usize,
+    pub indirect_probes: usize,
     /// Time that a suspected member has to object, in milliseconds.
     pub suspicion_ms: u64,
     /// How often a fact is passed on, times the logarithm of the group's size.
-    pub repeats: u32,
+    pub retransmit_factor: u32,
     /// Time between two comparisons with a random member, which repair what
     /// gossip missed, in milliseconds.
-    pub compare_ms: u64,
+    pub sync_ms: u64,
     /// Most bytes of facts in a packet.
-    pub packet_bytes: usize,
+    pub max_packet_bytes: usize,
 }
 
 impl Default for Settings {
@@ -27,11 +27,11 @@
         Self {
             probe_ms: 500,
             answer_ms: 200,
-            helpers: 3,
+            indirect_probes: 3,
             suspicion_ms: 2_000,
-            repeats: 1,
-            compare_ms: 5_000,
-            packet_bytes: 1_100,
+            retransmit_factor: 1,
+            sync_ms: 5_000,
+            max_packet_bytes: 1_100,
         }
     }
 }
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -87,7 +87,7 @@
 
     /// Whether a process is surely gone: another one runs at its address, or it
     /// left. Silence is no evidence.
-    pub fn is_surely_gone(&self, id: ProcessId) -> bool {
+    pub fn is_confirmed_gone(&self, id: ProcessId) -> bool {
         self.member(id.address).is_some_and(|member| {
             member.id.incarnation > id.incarnation
                 || (member.id == id && member.state == MemberState::Left)
