--- a/crates/log/src/appender.rs
+++ b/crates/log/src/appender.rs
@@ -2,8 +2,8 @@
 //! append, fenced by the owner's epoch.
 
 use crate::api::{Append, KeyedRecord, LogStore, Partition, Producer, StoreError};
-use crate::contact::Contact;
 use crate::hedge;
+use crate::log_health::LogHealth;
 use crate::trimmer::Trimmer;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -37,11 +37,11 @@
 }
 
 /// Told of the outcome, in the order of the queue.
-pub type Done = Box<dyn FnOnce(Outcome)>;
+pub type OnOutcome = Box<dyn FnOnce(Outcome)>;
 
 struct Entry {
     records: Vec<KeyedRecord>,
-    done: Done,
+    done: OnOutcome,
 }
 
 /// Queue of one owned partition.
@@ -49,7 +49,7 @@
     partition: Partition,
     epoch: u64,
     store: Rc<dyn LogStore>,
-    contact: Rc<Contact>,
+    health: Rc<LogHealth>,
     /// Drops the history that the appends leave, where it is [run](Trimmer::run).
     pub trimmer: Trimmer,
     queue: RefCell<Vec<Entry>>,
@@ -98,14 +98,14 @@
         partition: Partition,
         epoch: u64,
         store: Rc<dyn LogStore>,
-        contact: Rc<Contact>,
+        health: Rc<LogHealth>,
     ) -> Self {
         Self {
             trimmer: Trimmer::new(partition.clone(), store.clone()),
             partition,
             epoch,
             store,
-            contact,
+            health,
             queue: RefCell::default(),
             urgent: Cell::new(false),
             wake: Notify::new(),
@@ -116,7 +116,7 @@
 
     /// Queues records; `done` hears of them once they and all before are durable.
     /// Without records, it hears whether the fence still holds.
-    pub fn push(&self, records: Vec<KeyedRecord>, urgency: Urgency, done: Done) {
+    pub fn push(&self, records: Vec<KeyedRecord>, urgency: Urgency, done: OnOutcome) {
         self.queue.borrow_mut().push(Entry { records, done });
         if urgency == Urgency::Now {
             self.urgent.set(true);
@@ -131,7 +131,7 @@
     }
 
     /// Records that are queued and not yet on their way.
-    pub fn waiting(&self) -> usize {
+    pub fn pending(&self) -> usize {
         self.queue.borrow().len()
     }
 
@@ -209,10 +209,10 @@
             expected_end: None,
             timeout: Duration::ZERO,
         };
-        let appended = hedge::append(self.store.as_ref(), &self.contact, append).await?;
+        let appended = hedge::append(self.store.as_ref(), &self.health, append).await?;
         if !empty {
             let end = appended.map(|appended| appended.end);
-            self.trimmer.appended(end, bytes);
+            self.trimmer.record_append(end, bytes);
             self.next_sequence.set(sequence + 1);
         }
         Ok(())
