--- a/crates/gateway/src/ledger/client.rs
+++ b/crates/gateway/src/ledger/client.rs
@@ -198,11 +198,11 @@
         let layout = &self.owner.places.layout;
         let home = request
             .keeper
-            .unwrap_or_else(|| layout.order(&request.program));
+            .unwrap_or_else(|| layout.program_partition(&request.program));
         let was_claimed = |partition: &u32| self.owner.claims.claim(*partition).is_some();
         let turn = request.name(request.previous.as_deref().unwrap_or_default());
-        let questions: Vec<LedgerRequest> = (0..layout.free())
-            .chain(layout.homes().filter(was_claimed))
+        let questions: Vec<LedgerRequest> = (0..layout.global_count())
+            .chain(layout.home_partitions().filter(was_claimed))
             .filter(|partition| *partition != home)
             .map(|partition| {
                 LedgerRequest::Find(FindChain {
@@ -213,7 +213,7 @@
             .collect();
         let until = deadline.min(Instant::now() + SILENCE_LIMIT);
         let asked = questions.iter().map(|question| {
-            let is_home = question.partition(layout.free()) >= layout.free();
+            let is_home = question.partition(layout.global_count()) >= layout.global_count();
             self.ask(question, if is_home { until } else { deadline })
         });
         let mut answers: FuturesUnordered<_> = asked.collect();
@@ -236,7 +236,7 @@
         deadline: Instant,
     ) -> Result<OpenedTurn, OpenFailure> {
         let request = LedgerRequest::Open(request.clone());
-        let partition = request.partition(self.owner.places.layout.free());
+        let partition = request.partition(self.owner.places.layout.global_count());
         let answer = tokio::select! {
             biased;
             answer = self.ask_for(&request, in_doubt, deadline) => answer,
@@ -295,12 +295,12 @@
 
     /// The partition that orders a program.
     pub fn partition_of(&self, program: &str) -> u32 {
-        self.owner.places.layout.order(program)
+        self.owner.places.layout.program_partition(program)
     }
 
     /// The home partition that keeps the contents of a program, where homes bind these.
     pub fn keeper(&self, program: &str, homes: &Set) -> Option<u32> {
-        self.owner.places.layout.keeper(program, homes)
+        self.owner.places.layout.home_partition(program, homes)
     }
 
     /// Ends once this daemon is cut off from the log with the minority: nothing can be recorded
@@ -314,7 +314,7 @@
     /// Records the end of a turn. True once it is durable.
     pub async fn close(&self, request: &CloseTurn, deadline: Instant) -> bool {
         let request = LedgerRequest::Close(request.clone());
-        let partition = request.partition(self.owner.places.layout.free());
+        let partition = request.partition(self.owner.places.layout.global_count());
         while Instant::now() < deadline {
             let answer = self.ask(&request, deadline).await;
             let Some((LedgerReply::Noted, mut replies)) = answer else {
@@ -351,7 +351,7 @@
         in_doubt: &Cell<bool>,
         deadline: Instant,
     ) -> Option<(LedgerReply, mpsc::UnboundedReceiver<LedgerReply>)> {
-        let partition = request.partition(self.owner.places.layout.free());
+        let partition = request.partition(self.owner.places.layout.global_count());
         loop {
             let exchange = self.exchange_for(partition, request, in_doubt, ANSWER_LIMIT);
             let exchange = timeout_at(deadline, exchange).await;
--- a/crates/gateway/src/ledger/cold.rs
+++ b/crates/gateway/src/ledger/cold.rs
@@ -173,7 +173,7 @@
         if let Ok(Some(answer)) = answer {
             return Some(answer);
         }
-        let partition = request.partition(self.owner.places.layout.free());
+        let partition = request.partition(self.owner.places.layout.global_count());
         if self.searching.borrow_mut().insert(partition) {
             let ledger = self.clone();
             ntex::rt::spawn(async move {
@@ -189,7 +189,7 @@
     }
 
     async fn ask_cold_owner(&self, request: &LedgerRequest) -> Option<QuotaAnswer> {
-        let partition = request.partition(self.owner.places.layout.free());
+        let partition = request.partition(self.owner.places.layout.global_count());
         loop {
             match self.exchange(partition, request, PERMIT).await {
                 Exchange::Answered(LedgerReply::Quota(answer), _) => return Some(answer),
--- a/crates/gateway/src/ledger/homes.rs
+++ b/crates/gateway/src/ledger/homes.rs
@@ -42,7 +42,7 @@
         if ledger.owner.claims.is_released() {
             return;
         }
-        for partition in ledger.owner.places.layout.homes() {
+        for partition in ledger.owner.places.layout.home_partitions() {
             look(&ledger, partition).await;
         }
     }
--- a/crates/gateway/src/ledger/owner.rs
+++ b/crates/gateway/src/ledger/owner.rs
@@ -143,7 +143,7 @@
         request: LedgerRequest,
         sender: mpsc::UnboundedSender<LedgerReply>,
     ) {
-        let partition = request.partition(self.places.layout.free());
+        let partition = request.partition(self.places.layout.global_count());
         match request {
             LedgerRequest::HasLog => {
                 let has_log = self.contact.within(FRESH) && !self.contact.failing();
@@ -295,7 +295,7 @@
     pub(super) fn note_held(&self, held: &HashMap<u32, Hold>) {
         self.metrics.partitions_owned.set(held.len() as i64);
         // Engines are assigned where programs are ordered.
-        let free = self.places.layout.free();
+        let free = self.places.layout.global_count();
         let ordering = held.keys().copied().filter(|partition| *partition < free);
         self.assigner.set_owned(ordering.collect());
     }
@@ -315,7 +315,7 @@
 
     /// Where the records of a partition are.
     pub(super) fn place(&self, partition: u32) -> LogPartition {
-        let place = self.places.layout.place(partition);
+        let place = self.places.layout.location(partition);
         LogPartition {
             topic: match place.region {
                 Some(region) => format!("{HOME_TOPIC}{region}"),
--- a/crates/gateway/src/ledger/region.rs
+++ b/crates/gateway/src/ledger/region.rs
@@ -131,7 +131,7 @@
         let layout = &self.owner.places.layout;
         let region = layout.region(partition);
         let mut owners: Vec<SocketAddr> = layout
-            .homes()
+            .home_partitions()
             .filter(|other| layout.region(*other) == region)
             .filter_map(|other| claims.claim(other)?.address)
             .collect();
--- a/crates/gateway/src/serve/homes.rs
+++ b/crates/gateway/src/serve/homes.rs
@@ -22,7 +22,7 @@
     tenant: Option<&Tenant>,
 ) -> Result<Set, OwnAnswer> {
     let homes = homes::of(route, tenant);
-    if daemon.places.layout.has_home(&homes) {
+    if daemon.places.layout.has_allowed_region(&homes) {
         return Ok(homes);
     }
     count(daemon, "no_region");
--- a/crates/gateway/src/serve/record.rs
+++ b/crates/gateway/src/serve/record.rs
@@ -123,11 +123,11 @@
         let layout = &self.ledger.owner.places.layout;
         let program = &self.request.program;
         let kept_at = self.request.keeper;
-        let partition = kept_at.unwrap_or_else(|| layout.order(program));
-        if layout.may_keep(partition, homes) {
+        let partition = kept_at.unwrap_or_else(|| layout.program_partition(program));
+        if layout.may_store(partition, homes) {
             return true;
         }
-        self.request.keeper = layout.keeper(program, homes);
+        self.request.keeper = layout.home_partition(program, homes);
         self.request.brings_chain = true;
         self.input = self.prompt.clone();
         self.request.keeper.is_some()
--- a/crates/ledger/src/layout.rs
+++ b/crates/ledger/src/layout.rs
@@ -14,11 +14,11 @@
 
 /// Home partitions of a region at most. Each costs a claim that all daemons read, and a region
 /// has but a part of the daemons; four let as many of them take over at once.
-const MOST_HOME_PARTITIONS: u32 = 4;
+const MAX_HOME_PARTITIONS: u32 = 4;
 
 /// Where a partition stands in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Location {
     /// Number of its region, in the order of their names; `None` for a free partition.
     pub region: Option<u32>,
     /// Its number within its topic.
@@ -39,13 +39,13 @@
         let free = partitions.max(1);
         Self {
             free,
-            per_region: free.min(MOST_HOME_PARTITIONS),
+            per_region: free.min(MAX_HOME_PARTITIONS),
             regions: map.regions(),
         }
     }
 
     /// Number of free partitions.
-    pub fn free(&self) -> u32 {
+    pub fn global_count(&self) -> u32 {
         self.free
     }
 
@@ -55,19 +55,19 @@
     }
 
     /// The numbers of the home partitions.
-    pub fn homes(&self) -> std::ops::Range<u32> {
+    pub fn home_partitions(&self) -> std::ops::Range<u32> {
         self.free..self.count()
     }
 
     /// Where a partition stands in the log.
-    pub fn place(&self, partition: u32) -> Place {
+    pub fn location(&self, partition: u32) -> Location {
         let Some(home) = partition.checked_sub(self.free) else {
-            return Place {
+            return Location {
                 region: None,
                 number: partition,
             };
         };
-        Place {
+        Location {
             region: Some(home / self.per_region),
             number: home % self.per_region,
         }
@@ -75,12 +75,12 @@
 
     /// The region that a partition belongs to; `None` for a free one.
     pub fn region(&self, partition: u32) -> Option<&Rc<str>> {
-        let region = self.place(partition).region?;
+        let region = self.location(partition).region?;
         self.regions.get(region as usize)
     }
 
     /// Whether contents of a program may be kept in a partition.
-    pub fn may_keep(&self, partition: u32, homes: &Set) -> bool {
+    pub fn may_store(&self, partition: u32, homes: &Set) -> bool {
         match self.region(partition) {
             Some(region) => homes.contains(Some(region)),
             None => homes.is_all(),
@@ -88,13 +88,13 @@
     }
 
     /// Whether some region of the deployment is allowed.
-    pub fn has_home(&self, homes: &Set) -> bool {
+    pub fn has_allowed_region(&self, homes: &Set) -> bool {
         homes.is_all() || self.allowed(homes).next().is_some()
     }
 
     /// The partition that orders a program, counts its budget and assigns its engine, and
     /// keeps its contents where nothing bounds these.
-    pub fn order(&self, program: &str) -> u32 {
+    pub fn program_partition(&self, program: &str) -> u32 {
         partition_of(program, self.free)
     }
 
@@ -104,7 +104,7 @@
     /// Of the allowed regions the one of the greatest weight is taken, and weights depend on
     /// the program and the region alone: when a region leaves the set, only its own programs
     /// move; when one joins, only those move that it takes.
-    pub fn keeper(&self, program: &str, homes: &Set) -> Option<u32> {
+    pub fn home_partition(&self, program: &str, homes: &Set) -> Option<u32> {
         if homes.is_all() {
             return None;
         }
--- a/crates/ledger/tests/layout.rs
+++ b/crates/ledger/tests/layout.rs
@@ -53,15 +53,15 @@
         let allowed = known.iter().any(|region| homes.contains(Some(region)));
         (0..PROGRAMS).all(|number| {
             let program = format!("p{number}");
-            match layout.keeper(&program, &homes) {
-                None => !allowed && !layout.has_home(&homes),
+            match layout.home_partition(&program, &homes) {
+                None => !allowed && !layout.has_allowed_region(&homes),
                 Some(partition) => {
                     let region = layout.region(partition).expect("a region");
                     allowed
-                        && layout.homes().contains(&partition)
+                        && layout.home_partitions().contains(&partition)
                         && homes.contains(Some(region))
-                        && layout.may_keep(partition, &homes)
-                        && layout.keeper(&program, &homes) == Some(partition)
+                        && layout.may_store(partition, &homes)
+                        && layout.home_partition(&program, &homes) == Some(partition)
                 }
             }
         })
@@ -77,9 +77,9 @@
         let (wide, narrow) = (homes(bits | changed), homes(bits));
         (0..PROGRAMS).all(|number| {
             let program = format!("p{number}");
-            let before = layout.keeper(&program, &wide);
-            let after = layout.keeper(&program, &narrow);
-            let stays = before.is_some_and(|partition| layout.may_keep(partition, &narrow));
+            let before = layout.home_partition(&program, &wide);
+            let after = layout.home_partition(&program, &narrow);
+            let stays = before.is_some_and(|partition| layout.may_store(partition, &narrow));
             !stays || before == after
         })
     }
@@ -91,10 +91,13 @@
     let layout = Layout::new(8, &map(3));
     for number in 0..PROGRAMS {
         let program = format!("p{number}");
-        assert_eq!(layout.keeper(&program, &Set::All), None);
-        assert_eq!(layout.order(&program), partition_of(&program, 8));
-        assert!(layout.may_keep(layout.order(&program), &Set::All));
-        assert!(!layout.may_keep(layout.order(&program), &homes(1)));
+        assert_eq!(layout.home_partition(&program, &Set::All), None);
+        assert_eq!(
+            layout.program_partition(&program),
+            partition_of(&program, 8)
+        );
+        assert!(layout.may_store(layout.program_partition(&program), &Set::All));
+        assert!(!layout.may_store(layout.program_partition(&program), &homes(1)));
     }
     assert_eq!(Layout::new(8, &Map::default()).count(), 8);
 }
@@ -105,7 +108,7 @@
         let partitions = u32::from(partitions % 12);
         let layout = Layout::new(partitions, &map(usize::from(regions % 7)));
         let mut places: Vec<_> = (0..layout.count())
-            .map(|partition| layout.place(partition))
+            .map(|partition| layout.location(partition))
             .map(|place| (place.region, place.number))
             .collect();
         let fits = places.iter().all(|(_, number)| *number < partitions.max(1));
@@ -122,7 +125,7 @@
     let homes = Set::of(["ash", "elm"]);
     for region in ["ash", "elm"] {
         let kept = (0..PROGRAMS).filter(|number| {
-            let partition = layout.keeper(&format!("p{number}"), &homes);
+            let partition = layout.home_partition(&format!("p{number}"), &homes);
             let kept_in = partition.and_then(|partition| layout.region(partition));
             kept_in.is_some_and(|name| &**name == region)
         });
