--- a/crates/gateway/src/ledger/client.rs
+++ b/crates/gateway/src/ledger/client.rs
@@ -150,7 +150,7 @@
         in_doubt: &Cell<bool>,
         deadline: Instant,
     ) -> Result<OpenedTurn, OpenFailure> {
-        if request.keeper.is_none() {
+        if request.home_partition.is_none() {
             return self.open_whole(request, in_doubt, deadline).await;
         }
         // Asked also where a program begins: without an owner that keeps what it says, it
@@ -197,7 +197,7 @@
     ) -> Result<Vec<u8>, OpenFailure> {
         let layout = &self.owner.places.layout;
         let home = request
-            .keeper
+            .home_partition
             .unwrap_or_else(|| layout.program_partition(&request.program));
         let was_claimed = |partition: &u32| self.owner.claims.claim(*partition).is_some();
         let turn = request.name(request.previous.as_deref().unwrap_or_default());
--- a/crates/gateway/src/serve/opening.rs
+++ b/crates/gateway/src/serve/opening.rs
@@ -80,7 +80,11 @@
         ))),
         Err(failure) => {
             opening.note_refusal(context, &failure);
-            Err(refusal_of(&failure, context, opening.request.keeper))
+            Err(refusal_of(
+                &failure,
+                context,
+                opening.request.home_partition,
+            ))
         }
     }
 }
@@ -109,7 +113,7 @@
         budget: meta.budget,
         most_tokens: meta.most_tokens,
         placement: placement(context, homes),
-        keeper,
+        home_partition: keeper,
     })
 }
 
@@ -167,8 +171,8 @@
 fn begin(context: &RequestContext, request: &OpenTurn, opened: OpenedTurn, took_ms: u64) -> Turn {
     let ledger = context.daemon.ledger.clone();
     let meta = &context.meta;
-    if request.brings_chain && request.keeper.is_some() {
-        homes::note_chain_brought(context, request.keeper);
+    if request.brings_chain && request.home_partition.is_some() {
+        homes::note_chain_brought(context, request.home_partition);
     }
     tracing::info!(
         event = "turn_opened",
@@ -178,7 +182,7 @@
         budget = meta.budget,
         most = meta.most_tokens,
         partition = ledger.partition_of(&request.program),
-        keeper = request.keeper,
+        keeper = request.home_partition,
         durable = opened.is_durable(),
         allowed = opened.allowed(),
         engine = opened.engine,
--- a/crates/gateway/src/serve/record.rs
+++ b/crates/gateway/src/serve/record.rs
@@ -46,7 +46,7 @@
     /// Whether another partition orders it and counts its tokens than the one that keeps its
     /// content.
     fn is_apart(&self) -> bool {
-        self.request.keeper.is_some()
+        self.request.home_partition.is_some()
     }
 
     /// Records its content and its tokens. Where two partitions do so, the answer waits for both:
@@ -122,15 +122,15 @@
     fn stay_home(&mut self, homes: &Set) -> bool {
         let layout = &self.ledger.owner.places.layout;
         let program = &self.request.program;
-        let kept_at = self.request.keeper;
+        let kept_at = self.request.home_partition;
         let partition = kept_at.unwrap_or_else(|| layout.program_partition(program));
         if layout.may_store(partition, homes) {
             return true;
         }
-        self.request.keeper = layout.home_partition(program, homes);
+        self.request.home_partition = layout.home_partition(program, homes);
         self.request.brings_chain = true;
         self.input = self.prompt.clone();
-        self.request.keeper.is_some()
+        self.request.home_partition.is_some()
     }
 
     fn kept_previous(&self) -> Option<String> {
--- a/crates/gateway/src/serve/turn.rs
+++ b/crates/gateway/src/serve/turn.rs
@@ -85,7 +85,7 @@
     /// The turn ends with what was handed out. Said before an answer that sends its client back:
     /// the next try may be there before the end of this one.
     pub fn break_off(&mut self) {
-        let is_apart = self.request.keeper.is_some();
+        let is_apart = self.request.home_partition.is_some();
         if self.closed || (self.request.budget.is_none() && !is_apart) {
             return;
         }
@@ -97,7 +97,7 @@
     /// ordered it.
     pub(super) fn close_request(&self, content: Option<TurnContent>) -> CloseTurn {
         let has_content = content.is_some();
-        let is_apart = has_content && self.request.keeper.is_some();
+        let is_apart = has_content && self.request.home_partition.is_some();
         CloseTurn {
             tenant: self.request.tenant.clone(),
             turn: self.request.turn.clone(),
@@ -108,7 +108,7 @@
             tokens: self.tokens,
             content,
             engine: self.ran_at.borrow().clone(),
-            keeper: self.request.keeper.filter(|_| has_content),
+            home_partition: self.request.home_partition.filter(|_| has_content),
             awaited: has_content,
         }
     }
--- a/crates/gateway/tests/gateway/abandoned.rs
+++ b/crates/gateway/tests/gateway/abandoned.rs
@@ -130,7 +130,7 @@
         budget: Some(60),
         most_tokens: 40,
         placement: None,
-        keeper: None,
+        home_partition: None,
     };
     let ledger = &gateway.daemon.ledger;
     let deadline = Instant::now() + KNOWN_WITHIN;
--- a/crates/gateway/tests/gateway/reserved_at_home.rs
+++ b/crates/gateway/tests/gateway/reserved_at_home.rs
@@ -63,7 +63,7 @@
         budget: Some(BUDGET),
         most_tokens: MOST,
         placement: None,
-        keeper: None,
+        home_partition: None,
     }
 }
 
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -48,7 +48,7 @@
     /// For the choice of its engine, where it needs one.
     pub placement: Option<Placement>,
     /// Home partition that keeps its chain apart from its order, where homes bound it.
-    pub keeper: Option<u32>,
+    pub home_partition: Option<u32>,
 }
 
 impl OpenTurn {
@@ -66,9 +66,9 @@
     /// counts and assigns. All of it where one partition does both.
     pub fn order(&self) -> Self {
         Self {
-            wants_chain: self.wants_chain && self.keeper.is_none(),
-            keeps_context: self.keeps_context && self.keeper.is_none(),
-            keeper: None,
+            wants_chain: self.wants_chain && self.home_partition.is_none(),
+            keeps_context: self.keeps_context && self.home_partition.is_none(),
+            home_partition: None,
             ..self.clone()
         }
     }
@@ -106,7 +106,7 @@
             tokens: 0,
             content: None,
             engine: None,
-            keeper: None,
+            home_partition: None,
             awaited: false,
         }
     }
@@ -169,7 +169,7 @@
     /// Engine that it ran at last.
     pub engine: Option<String>,
     /// Home partition that keeps its content apart from its order, where homes bound it.
-    pub keeper: Option<u32>,
+    pub home_partition: Option<u32>,
     /// Its client's answer ends only once this is durable.
     pub awaited: bool,
 }
@@ -358,10 +358,10 @@
     pub fn partition(&self, partitions: u32) -> u32 {
         match self {
             Self::Open(open) => open
-                .keeper
+                .home_partition
                 .unwrap_or_else(|| partition_of(&open.program, partitions)),
             Self::Close(close) => close
-                .keeper
+                .home_partition
                 .unwrap_or_else(|| partition_of(&close.program, partitions)),
             Self::Find(find) => find.partition,
             // A tenant has its limit where a program of that name would be.
--- a/crates/ledger/tests/abandoned.rs
+++ b/crates/ledger/tests/abandoned.rs
@@ -27,7 +27,7 @@
         budget: Some(BUDGET),
         most_tokens: MOST,
         placement: None,
-        keeper: None,
+        home_partition: None,
     }
 }
 
--- a/crates/ledger/tests/budget_fuzz/world.rs
+++ b/crates/ledger/tests/budget_fuzz/world.rs
@@ -125,7 +125,7 @@
             budget: Some(BUDGET),
             most_tokens: MOST,
             placement: None,
-            keeper: None,
+            home_partition: None,
         }
     }
 
@@ -189,7 +189,7 @@
             tokens: running.tokens,
             content: None,
             engine: None,
-            keeper: None,
+            home_partition: None,
             awaited: false,
         };
         let records = self.owner.close(&request, NOW_MS);
--- a/crates/ledger/tests/budget_room/world.rs
+++ b/crates/ledger/tests/budget_room/world.rs
@@ -186,7 +186,7 @@
             budget: Some(self.budget),
             most_tokens: MOST,
             placement: None,
-            keeper: None,
+            home_partition: None,
         }
     }
 
@@ -284,7 +284,7 @@
                 retention_ms: 60_000,
             }),
             engine: None,
-            keeper: None,
+            home_partition: None,
             awaited: false,
         };
         let records = self.owner.close(&request, self.now_ms);
--- a/crates/ledger/tests/chain_fuzz.rs
+++ b/crates/ledger/tests/chain_fuzz.rs
@@ -90,7 +90,7 @@
             budget: None,
             most_tokens: 10,
             placement: None,
-            keeper: None,
+            home_partition: None,
         };
         self.owner.open(&request, self.now_ms)
     }
@@ -144,7 +144,7 @@
                 retention_ms: RETENTION_MS,
             }),
             engine: None,
-            keeper: None,
+            home_partition: None,
             awaited: true,
         };
         let records = self.owner.close(&close, self.now_ms);
--- a/crates/ledger/tests/doubt.rs
+++ b/crates/ledger/tests/doubt.rs
@@ -22,7 +22,7 @@
         budget: Some(BUDGET),
         most_tokens: MOST,
         placement: None,
-        keeper: None,
+        home_partition: None,
     }
 }
 
--- a/crates/ledger/tests/in_doubt.rs
+++ b/crates/ledger/tests/in_doubt.rs
@@ -30,7 +30,7 @@
         budget: Some(BUDGET),
         most_tokens: MOST,
         placement: None,
-        keeper: None,
+        home_partition: None,
     }
 }
 
--- a/crates/ledger/tests/told_in_rounds.rs
+++ b/crates/ledger/tests/told_in_rounds.rs
@@ -35,7 +35,7 @@
         budget: Some(BUDGET),
         most_tokens: MOST,
         placement: None,
-        keeper: None,
+        home_partition: None,
     }
 }
 
