--- a/crates/gateway/src/serve/turn.rs
+++ b/crates/gateway/src/serve/turn.rs
@@ -104,7 +104,7 @@
             attempt: self.request.attempt,
             program: self.request.program.clone(),
             budget: self.request.budget.filter(|_| !is_apart),
-            most_tokens: self.request.most_tokens,
+            max_tokens: self.request.max_tokens,
             tokens: self.tokens,
             content,
             engine: self.ran_at.borrow().clone(),
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -32,7 +32,7 @@
     pub program: String,
     /// Line of turns of its program that it belongs to: its client takes the turns of one line
     /// one after another, so it waits for none of them any more that it asked for earlier.
-    pub line: Option<String>,
+    pub session: Option<String>,
     /// Turn that it goes on from.
     pub previous: Option<String>,
     /// The gateway needs the contents of the chain.
@@ -44,7 +44,7 @@
     /// Tokens that all turns of the program may generate, where bounded.
     pub budget: Option<u64>,
     /// Most tokens that this turn may generate.
-    pub most_tokens: u64,
+    pub max_tokens: u64,
     /// For the choice of its engine, where it needs one.
     pub placement: Option<Placement>,
     /// Home partition that keeps its chain apart from its order, where homes bound it.
@@ -88,8 +88,8 @@
     pub fn of_budget<'a>(&'a self, reservation: &'a str) -> Request<'a> {
         Request {
             turn: reservation,
-            most: self.most_tokens,
-            line: self.line.as_deref(),
+            most: self.max_tokens,
+            line: self.session.as_deref(),
             ends_here: self.keeps_context,
         }
     }
@@ -102,7 +102,7 @@
             attempt: self.attempt,
             program: self.program.clone(),
             budget: self.budget,
-            most_tokens: self.most_tokens,
+            max_tokens: self.max_tokens,
             tokens: 0,
             content: None,
             engine: None,
@@ -161,7 +161,7 @@
     /// Budget of the program, where bounded.
     pub budget: Option<u64>,
     /// Most tokens that it might have generated.
-    pub most_tokens: u64,
+    pub max_tokens: u64,
     /// Tokens handed to the client.
     pub tokens: u64,
     /// Its content, where it ended whole and is to be kept.
--- a/crates/ledger/src/partition.rs
+++ b/crates/ledger/src/partition.rs
@@ -179,23 +179,23 @@
             return OpenOutcome::Opened {
                 chain,
                 durable: true,
-                allowed: request.most_tokens,
+                allowed: request.max_tokens,
                 begins: request.previous.is_none(),
                 records: Vec::new(),
             };
         };
         let name = request.name(&request.program);
         let program = self.program(name.clone(), budget, now_ms);
-        program.observe(request.most_tokens, Some(ahead_for(request)));
+        program.observe(request.max_tokens, Some(ahead_for(request)));
         let turn = request.reservation();
         let allowed = match program.reserve(&request.of_budget(&turn), budget, now_ms) {
-            Reservation::Durable => request.most_tokens,
+            Reservation::Durable => request.max_tokens,
             Reservation::Pending { allowed } => allowed,
             Reservation::Spent => return OpenOutcome::BudgetSpent(program.shortage(now_ms)),
             Reservation::Ended => return OpenOutcome::Ended,
         };
         let begins = request.previous.is_none() && program.begins_with(&turn);
-        let durable = allowed == request.most_tokens;
+        let durable = allowed == request.max_tokens;
         let mut records = Vec::new();
         if !durable {
             let record = program.record(budget);
@@ -217,7 +217,7 @@
         if let Some(budget) = request.budget {
             let name = request.name(&request.program);
             let program = self.program(name.clone(), budget, now_ms);
-            program.observe(request.most_tokens, None);
+            program.observe(request.max_tokens, None);
             let record = match program.settle(&request.reservation(), request.tokens, now_ms) {
                 End::Known => None,
                 End::Unasked => Some(program.record_as_reserved()),
--- a/crates/ledger/tests/budget_room/world.rs
+++ b/crates/ledger/tests/budget_room/world.rs
@@ -178,13 +178,13 @@
             turn,
             attempt: self.next_turn,
             program: PROGRAM.to_owned(),
-            line: line.map(str::to_owned),
+            session: line.map(str::to_owned),
             previous: None,
             wants_chain: self.keeps_context,
             keeps_context: self.keeps_context,
             brings_chain: false,
             budget: Some(self.budget),
-            most_tokens: MOST,
+            max_tokens: MOST,
             placement: None,
             home_partition: None,
         }
@@ -231,7 +231,7 @@
             durable_at,
             recorded_at: usize::MAX,
             gateway_lives: true,
-            line: request.line,
+            line: request.session,
             standing,
         });
     }
@@ -275,7 +275,7 @@
             attempt,
             program: PROGRAM.to_owned(),
             budget: Some(self.budget),
-            most_tokens: MOST,
+            max_tokens: MOST,
             tokens,
             content: self.keeps_context.then(|| TurnContent {
                 previous: None,
--- a/crates/ledger/tests/budget_room/world/questions.rs
+++ b/crates/ledger/tests/budget_room/world/questions.rs
@@ -133,10 +133,14 @@
         let Some(index) = self.question(which) else {
             return;
         };
-        let OpenTurn { turn, line, .. } = self.questions[index].request.clone();
+        let OpenTurn {
+            turn,
+            session: line,
+            ..
+        } = self.questions[index].request.clone();
         let request = OpenTurn {
             turn,
-            line,
+            session: line,
             ..self.request()
         };
         self.push_question(request);
--- a/crates/ledger/tests/budget_room/world/standing.rs
+++ b/crates/ledger/tests/budget_room/world/standing.rs
@@ -63,17 +63,17 @@
     /// A turn was asked for: the client waits for no other of its line. Only where the answer
     /// of a turn ends with its record does that say that the client gave up.
     pub(super) fn pass(&mut self, further: &OpenTurn) {
-        if !self.keeps_context || further.line.is_none() {
+        if !self.keeps_context || further.session.is_none() {
             return;
         }
         for turn in &mut self.turns {
-            if turn.line == further.line && turn.attempt != further.attempt {
+            if turn.line == further.session && turn.attempt != further.attempt {
                 turn.standing = turn.standing.passed();
             }
         }
         for question in &mut self.questions {
             let request = &question.request;
-            if request.line == further.line && request.attempt != further.attempt {
+            if request.session == further.session && request.attempt != further.attempt {
                 question.standing = question.standing.passed();
             }
         }
