--- a/crates/gateway/src/ledger/assigner.rs
+++ b/crates/gateway/src/ledger/assigner.rs
@@ -86,7 +86,7 @@
         let turn = Turn {
             id: &open.turn,
             program: &open.program,
-            prefix: placement.prefix,
+            prefix: placement.prefix_hash,
         };
         let engine = self
             .table
@@ -133,7 +133,7 @@
             let from = |arc| Draw {
                 zone: &placement.zone,
                 arc,
-                number: placement.prefix,
+                number: placement.prefix_hash,
             };
             let drawn = draw(serving, &from(arc), &is_usable).servers;
             match drawn.len() >= FEWEST_DRAWN {
--- a/crates/gateway/src/ledger/client.rs
+++ b/crates/gateway/src/ledger/client.rs
@@ -155,15 +155,15 @@
         }
         // Asked also where a program begins: without an owner that keeps what it says, it
         // must not run.
-        let mut contents = request.contents();
+        let mut contents = request.home_partition_request();
         // The partition that keeps what is said reserves nothing.
         let nothing = Cell::default();
         let kept = match self.open_whole(&mut contents, &nothing, deadline).await {
             Err(OpenFailure::Unavailable) => return Err(OpenFailure::HomeUnavailable),
             kept => kept?,
         };
-        request.brings_chain = contents.brings_chain;
-        let order = request.order();
+        request.supplies_chain = contents.supplies_chain;
+        let order = request.program_partition_request();
         let opened = self.open_at_home(&order, in_doubt, deadline).await?;
         Ok(OpenedTurn {
             chain: kept.chain,
@@ -183,7 +183,7 @@
             outcome => return outcome,
         }
         let chain = self.find_elsewhere(request, deadline).await?;
-        request.brings_chain = true;
+        request.supplies_chain = true;
         let opened = self.open_at_home(request, in_doubt, deadline).await?;
         Ok(OpenedTurn { chain, ..opened })
     }
@@ -200,7 +200,7 @@
             .home_partition
             .unwrap_or_else(|| layout.program_partition(&request.program));
         let was_claimed = |partition: &u32| self.owner.claims.claim(*partition).is_some();
-        let turn = request.name(request.previous.as_deref().unwrap_or_default());
+        let turn = request.qualified_name(request.previous.as_deref().unwrap_or_default());
         let questions: Vec<LedgerRequest> = (0..layout.global_count())
             .chain(layout.home_partitions().filter(was_claimed))
             .filter(|partition| *partition != home)
@@ -282,7 +282,7 @@
                 Ok(_) => {
                     // Its end is told in any case.
                     let in_doubt = Cell::default();
-                    let order = request.order();
+                    let order = request.program_partition_request();
                     match self.open_at_home(&order, &in_doubt, deadline).await {
                         Ok(again) => *opened = again,
                         Err(_) => return false,
--- a/crates/gateway/src/ledger/ending.rs
+++ b/crates/gateway/src/ledger/ending.rs
@@ -37,7 +37,7 @@
                     event = "turn_end_untold",
                     request = close.turn,
                     program = close.program,
-                    reservation = close.reservation(),
+                    reservation = close.reservation_id(),
                     "its most stays reserved where no owner has noted it"
                 );
             }
--- a/crates/gateway/src/ledger/owned.rs
+++ b/crates/gateway/src/ledger/owned.rs
@@ -87,7 +87,7 @@
                     event = "turn_asked_late",
                     request = open.turn,
                     program = open.program,
-                    reservation = open.reservation(),
+                    reservation = open.reservation_id(),
                     epoch = self.epoch
                 );
                 let _ = sender.send(LedgerReply::Unavailable);
--- a/crates/gateway/src/serve/opening.rs
+++ b/crates/gateway/src/serve/opening.rs
@@ -60,7 +60,9 @@
     }
     let homes = homes::now(context);
     let request = request(context, &homes)?;
-    if !request.name(&request.turn).fits() || !request.name(&request.program).fits() {
+    if !request.qualified_name(&request.turn).fits_record_key()
+        || !request.qualified_name(&request.program).fits_record_key()
+    {
         return Err(TurnRefusal::TooLarge);
     }
     let deadline = patience(context)?;
@@ -109,7 +111,7 @@
         previous: meta.previous.clone(),
         wants_chain: route.keeps_context,
         keeps_context: route.keeps_context,
-        brings_chain: false,
+        supplies_chain: false,
         budget: meta.budget,
         max_tokens: meta.most_tokens,
         placement: placement(context, homes),
@@ -131,7 +133,7 @@
     let beginning = meta.prefix.as_ref().or(meta.program.as_ref())?;
     Some(Placement {
         service: context.service()?.to_owned(),
-        prefix: fieldhook_traffic::assignment::prefix_hash(beginning),
+        prefix_hash: fieldhook_traffic::assignment::prefix_hash(beginning),
         zone: context.daemon.settings.zone.clone(),
         regions: region_names(homes),
     })
@@ -171,7 +173,7 @@
 fn begin(context: &RequestContext, request: &OpenTurn, opened: OpenedTurn, took_ms: u64) -> Turn {
     let ledger = context.daemon.ledger.clone();
     let meta = &context.meta;
-    if request.brings_chain && request.home_partition.is_some() {
+    if request.supplies_chain && request.home_partition.is_some() {
         homes::note_chain_brought(context, request.home_partition);
     }
     tracing::info!(
@@ -186,7 +188,7 @@
         durable = opened.is_durable(),
         allowed = opened.allowed(),
         engine = opened.engine,
-        reservation = request.reservation(),
+        reservation = request.reservation_id(),
         took_ms
     );
     Turn {
@@ -284,10 +286,10 @@
             request = self.request.turn,
             program = self.request.program,
             partition = self.ledger.partition_of(&self.request.program),
-            reservation = self.request.reservation(),
+            reservation = self.request.reservation_id(),
             took_ms = self.took_ms(),
             "an owner may have opened it; its end is told"
         );
-        self.ledger.tell_end(self.request.withdrawn());
+        self.ledger.tell_end(self.request.cancellation());
     }
 }
--- a/crates/gateway/src/serve/record.rs
+++ b/crates/gateway/src/serve/record.rs
@@ -73,7 +73,7 @@
     /// the end of it goes into records of their own before, as turns that it goes on from.
     async fn record(&self, deadline: Instant) -> bool {
         let mut pieces = vec![&self.input[..]];
-        if self.request.brings_chain && self.input.len() > LARGEST_KEPT {
+        if self.request.supplies_chain && self.input.len() > LARGEST_KEPT {
             pieces = self.input.chunks(LARGEST_KEPT).collect();
         }
         let last = pieces.len() - 1;
@@ -128,13 +128,13 @@
             return true;
         }
         self.request.home_partition = layout.home_partition(program, homes);
-        self.request.brings_chain = true;
+        self.request.supplies_chain = true;
         self.input = self.prompt.clone();
         self.request.home_partition.is_some()
     }
 
     fn kept_previous(&self) -> Option<String> {
         let previous = self.request.previous.clone();
-        previous.filter(|_| !self.request.brings_chain)
+        previous.filter(|_| !self.request.supplies_chain)
     }
 }
--- a/crates/gateway/src/serve/turn.rs
+++ b/crates/gateway/src/serve/turn.rs
@@ -43,7 +43,7 @@
         prompt.extend_from_slice(input);
         let prompt = prompt.freeze();
         self.prompt = prompt.clone();
-        if self.request.brings_chain {
+        if self.request.supplies_chain {
             self.input = prompt.clone();
         }
         prompt
--- a/crates/gateway/tests/gateway/abandoned.rs
+++ b/crates/gateway/tests/gateway/abandoned.rs
@@ -126,7 +126,7 @@
         previous: None,
         wants_chain: true,
         keeps_context: true,
-        brings_chain: false,
+        supplies_chain: false,
         budget: Some(60),
         max_tokens: 40,
         placement: None,
@@ -177,7 +177,7 @@
             let reply = b.ask("POST", "/chat/1", &next, "x").await;
             assert_eq!(reply.head.status, 200, "{program}");
             let ledger = &a.daemon.ledger;
-            let end = left.withdrawn();
+            let end = left.cancellation();
             let is_told = ledger.close(&end, Instant::now() + KNOWN_WITHIN).await;
             assert!(is_told, "its end is not known");
             // Ten tokens are used: the budget holds one more turn.
--- a/crates/gateway/tests/gateway/reserved_at_home.rs
+++ b/crates/gateway/tests/gateway/reserved_at_home.rs
@@ -59,7 +59,7 @@
         previous: Some("t1".to_owned()),
         wants_chain: false,
         keeps_context: false,
-        brings_chain: false,
+        supplies_chain: false,
         budget: Some(BUDGET),
         max_tokens: MOST,
         placement: None,
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -11,7 +11,7 @@
     /// Service whose engines may run it.
     pub service: String,
     /// Hash of the beginning of its prompt that other programs share.
-    pub prefix: u64,
+    pub prefix_hash: u64,
     /// Zone that the turn comes through.
     pub zone: String,
     /// Regions that it may run in, where they are bounded.
@@ -40,7 +40,7 @@
     /// The chain must be known for the turn to begin.
     pub keeps_context: bool,
     /// The gateway brings the chain itself: it belongs to another program.
-    pub brings_chain: bool,
+    pub supplies_chain: bool,
     /// Tokens that all turns of the program may generate, where bounded.
     pub budget: Option<u64>,
     /// Most tokens that this turn may generate.
@@ -54,7 +54,7 @@
 impl OpenTurn {
     /// The part of it that needs what was said: for the partition that keeps the chain, which
     /// neither counts nor assigns.
-    pub fn contents(&self) -> Self {
+    pub fn home_partition_request(&self) -> Self {
         Self {
             budget: None,
             placement: None,
@@ -64,7 +64,7 @@
 
     /// The part of it that needs names alone: for the program's own partition, which orders,
     /// counts and assigns. All of it where one partition does both.
-    pub fn order(&self) -> Self {
+    pub fn program_partition_request(&self) -> Self {
         Self {
             wants_chain: self.wants_chain && self.home_partition.is_none(),
             keeps_context: self.keeps_context && self.home_partition.is_none(),
@@ -74,12 +74,12 @@
     }
 
     /// A name within its tenant.
-    pub fn name(&self, text: &str) -> Name {
+    pub fn qualified_name(&self, text: &str) -> Name {
         Name::new(self.tenant.as_deref(), text)
     }
 
     /// The name of what it reserves.
-    pub fn reservation(&self) -> String {
+    pub fn reservation_id(&self) -> String {
         reservation(self.attempt)
     }
 
@@ -95,7 +95,7 @@
     }
 
     /// Its end where it was asked for and does not begin.
-    pub fn withdrawn(&self) -> CloseTurn {
+    pub fn cancellation(&self) -> CloseTurn {
         CloseTurn {
             tenant: self.tenant.clone(),
             turn: self.turn.clone(),
@@ -176,12 +176,12 @@
 
 impl CloseTurn {
     /// A name within its tenant.
-    pub fn name(&self, text: &str) -> Name {
+    pub fn qualified_name(&self, text: &str) -> Name {
         Name::new(self.tenant.as_deref(), text)
     }
 
     /// The name of what it had reserved.
-    pub fn reservation(&self) -> String {
+    pub fn reservation_id(&self) -> String {
         reservation(self.attempt)
     }
 }
--- a/crates/ledger/src/open.rs
+++ b/crates/ledger/src/open.rs
@@ -73,7 +73,7 @@
     /// took it for waited for would refuse what the one before it granted.
     fn recorded(reservation: &OpenReservation, since_ms: u64) -> Self {
         Self {
-            name: reservation.turn.clone(),
+            name: reservation.id.clone(),
             most: reservation.tokens,
             allowed: reservation.tokens,
             since_ms,
@@ -116,7 +116,7 @@
 
     fn reservation(&self) -> OpenReservation {
         OpenReservation {
-            turn: self.name.clone(),
+            id: self.name.clone(),
             tokens: self.most,
             in_doubt: self.is_in_doubt(),
         }
--- a/crates/ledger/src/partition.rs
+++ b/crates/ledger/src/partition.rs
@@ -55,7 +55,7 @@
     /// The turn that this one, of the given name, went on from.
     fn previous_of(&self, name: &Name) -> Option<Name> {
         let previous = self.record.previous.as_deref()?;
-        Some(name.beside(previous))
+        Some(name.in_same_tenant(previous))
     }
 }
 
@@ -184,10 +184,10 @@
                 records: Vec::new(),
             };
         };
-        let name = request.name(&request.program);
+        let name = request.qualified_name(&request.program);
         let program = self.program(name.clone(), budget, now_ms);
         program.observe(request.max_tokens, Some(ahead_for(request)));
-        let turn = request.reservation();
+        let turn = request.reservation_id();
         let allowed = match program.reserve(&request.of_budget(&turn), budget, now_ms) {
             Reservation::Durable => request.max_tokens,
             Reservation::Pending { allowed } => allowed,
@@ -215,17 +215,17 @@
     pub fn close(&mut self, request: &CloseTurn, now_ms: u64) -> Vec<Record> {
         let mut records = Vec::new();
         if let Some(budget) = request.budget {
-            let name = request.name(&request.program);
+            let name = request.qualified_name(&request.program);
             let program = self.program(name.clone(), budget, now_ms);
             program.observe(request.max_tokens, None);
-            let record = match program.settle(&request.reservation(), request.tokens, now_ms) {
+            let record = match program.settle(&request.reservation_id(), request.tokens, now_ms) {
                 End::Known => None,
                 End::Unasked => Some(program.record_as_reserved()),
                 End::Counted => Some(program.record(budget)),
             };
             records.extend(record.map(|record| Record::Program(name, Some(record))));
         }
-        let turn = request.name(&request.turn);
+        let turn = request.qualified_name(&request.turn);
         if let Some(content) = &request.content
             && !self.turns.contains_key(&turn)
         {
@@ -320,16 +320,17 @@
         let Some(previous) = &request.previous else {
             return Some(Vec::new());
         };
-        if !request.keeps_context || request.brings_chain {
+        if !request.keeps_context || request.supplies_chain {
             return Some(Vec::new());
         }
-        self.contents(&request.name(previous)).map(|contents| {
-            if request.wants_chain {
-                contents
-            } else {
-                Vec::new()
-            }
-        })
+        self.contents(&request.qualified_name(previous))
+            .map(|contents| {
+                if request.wants_chain {
+                    contents
+                } else {
+                    Vec::new()
+                }
+            })
     }
 
     /// Inputs and outputs of the chain that ends with a turn, oldest first.
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct OpenReservation {
     /// Its name: the number of the try that it is for, in hexadecimal.
-    pub turn: String,
+    pub id: String,
     /// Tokens reserved for it.
     pub tokens: u64,
     /// Nobody may wait for it: see [`crate::open`]. A planned stop hands this on.
--- a/crates/ledger/src/scope.rs
+++ b/crates/ledger/src/scope.rs
@@ -25,13 +25,13 @@
 
     /// Whether it fits into the key of a record: the log holds the key's length in one byte,
     /// and the key has two bytes of its own.
-    pub fn fits(&self) -> bool {
+    pub fn fits_record_key(&self) -> bool {
         let tenant = self.tenant.as_ref().map_or(0, String::len);
         tenant + self.text.len() + 2 <= usize::from(u8::MAX)
     }
 
     /// Another name within the same tenant.
-    pub fn beside(&self, text: &str) -> Self {
+    pub fn in_same_tenant(&self, text: &str) -> Self {
         Self::new(self.tenant.as_deref(), text)
     }
 }
--- a/crates/ledger/tests/abandoned.rs
+++ b/crates/ledger/tests/abandoned.rs
@@ -23,7 +23,7 @@
         previous: None,
         wants_chain: true,
         keeps_context: true,
-        brings_chain: false,
+        supplies_chain: false,
         budget: Some(BUDGET),
         max_tokens: MOST,
         placement: None,
@@ -44,7 +44,7 @@
     let mut partition = Partition::default();
     let left = turn("t1", 1);
     assert!(is_opened(&mut partition, &left));
-    partition.close(&left.withdrawn(), 2);
+    partition.close(&left.cancellation(), 2);
     assert_eq!(counted(&partition), 0);
     assert!(is_opened(&mut partition, &turn("t2", 2)));
 }
@@ -53,7 +53,7 @@
 fn a_turn_that_is_asked_for_after_its_end_is_not_opened() {
     let mut partition = Partition::default();
     let late = turn("t1", 1);
-    partition.close(&late.withdrawn(), 1);
+    partition.close(&late.cancellation(), 1);
     assert_eq!(partition.open(&late, 2), OpenOutcome::Ended);
     assert_eq!(counted(&partition), 0);
     assert!(is_opened(&mut partition, &turn("t2", 2)));
@@ -64,7 +64,7 @@
     let mut partition = Partition::default();
     let whole = turn("t1", 1);
     assert!(is_opened(&mut partition, &whole));
-    let mut end = whole.withdrawn();
+    let mut end = whole.cancellation();
     end.tokens = 200;
     partition.close(&end, 2);
     assert_eq!(partition.open(&whole, 3), OpenOutcome::Ended);
@@ -77,7 +77,7 @@
     for attempt in [1, 2] {
         let again = turn("t1", attempt);
         assert!(is_opened(&mut partition, &again), "attempt {attempt}");
-        let mut end = again.withdrawn();
+        let mut end = again.cancellation();
         end.tokens = 100;
         partition.close(&end, 2);
     }
@@ -97,7 +97,7 @@
         .into_iter()
         .for_each(|record| successor.load(record));
     successor.loaded();
-    successor.close(&left.withdrawn(), 3);
+    successor.close(&left.cancellation(), 3);
     assert!(is_opened(&mut successor, &turn("t2", 2)));
 }
 
@@ -107,7 +107,7 @@
 fn an_end_that_came_before_its_question_is_remembered_while_time_goes_on() {
     let mut partition = Partition::default();
     let late = turn("t1", 1);
-    partition.close(&late.withdrawn(), NOW_MS);
+    partition.close(&late.cancellation(), NOW_MS);
     assert_eq!(partition.expire(NOW_MS + 10_000), []);
     assert_eq!(partition.open(&late, NOW_MS + 11_000), OpenOutcome::Ended);
     assert_eq!(counted(&partition), 0);
@@ -118,7 +118,7 @@
 #[test]
 fn a_program_that_asked_in_doubt_is_counted_as_such_after_it() {
     let mut successor = Partition::taken_over(NOW_MS, 5_000);
-    successor.close(&turn("t1", 1).withdrawn(), NOW_MS);
+    successor.close(&turn("t1", 1).cancellation(), NOW_MS);
     let in_doubt = counted(&successor);
     assert_eq!(in_doubt, BUDGET / 3);
     successor.expire(NOW_MS + 1_000);
@@ -132,7 +132,7 @@
 fn a_successor_knows_of_an_end_that_came_before_its_question() {
     let mut partition = Partition::default();
     let late = turn("t1", 1);
-    let mut records = partition.close(&late.withdrawn(), NOW_MS);
+    let mut records = partition.close(&late.cancellation(), NOW_MS);
     records.extend(partition.hand_over());
     let mut successor = Partition::handed_over(NOW_MS, 0);
     for record in records {
@@ -148,7 +148,7 @@
 #[test]
 fn the_record_of_an_end_that_came_before_its_question_reserves_nothing_further() {
     let mut partition = Partition::default();
-    let records = partition.close(&turn("t1", 1).withdrawn(), NOW_MS);
+    let records = partition.close(&turn("t1", 1).cancellation(), NOW_MS);
     assert_eq!(records.len(), 1);
     let mut successor = Partition::taken_over(NOW_MS, 5_000);
     for record in records {
@@ -157,9 +157,9 @@
     successor.loaded();
     let told = counted(&successor);
     let mut without = Partition::taken_over(NOW_MS, 5_000);
-    without.close(&turn("t2", 2).withdrawn(), NOW_MS);
+    without.close(&turn("t2", 2).cancellation(), NOW_MS);
     assert_eq!(told, counted(&without));
-    let again = successor.close(&turn("t3", 3).withdrawn(), NOW_MS);
+    let again = successor.close(&turn("t3", 3).cancellation(), NOW_MS);
     let mut next = Partition::taken_over(NOW_MS, 5_000);
     for record in again {
         next.load(record);
@@ -175,7 +175,7 @@
     let whole = turn("t0", 1_000);
     let lost = turn("t1", 1_001);
     assert!(is_opened(&mut partition, &whole));
-    let mut end = whole.withdrawn();
+    let mut end = whole.cancellation();
     end.tokens = 100;
     let records = partition.close(&end, NOW_MS);
     let mut successor = Partition::taken_over(NOW_MS, 0);
@@ -186,7 +186,7 @@
     let handed_out = MOST;
     assert!(is_opened(&mut partition, &lost));
     for early in 0..60 {
-        successor.close(&turn("early", early).withdrawn(), NOW_MS);
+        successor.close(&turn("early", early).cancellation(), NOW_MS);
         assert!(counted(&successor) >= 100 + handed_out, "{early}");
     }
     successor.close(&end, NOW_MS);
--- a/crates/ledger/tests/budget_fuzz/world.rs
+++ b/crates/ledger/tests/budget_fuzz/world.rs
@@ -121,7 +121,7 @@
             previous: None,
             wants_chain: false,
             keeps_context,
-            brings_chain: false,
+            supplies_chain: false,
             budget: Some(BUDGET),
             max_tokens: MOST,
             placement: None,
--- a/crates/ledger/tests/budget_fuzz/world/questions.rs
+++ b/crates/ledger/tests/budget_fuzz/world/questions.rs
@@ -133,7 +133,7 @@
 
     fn withdraw(&mut self, which: u8) {
         if let Some(request) = self.leave(which) {
-            let records = self.owner.close(&request.withdrawn(), NOW_MS);
+            let records = self.owner.close(&request.cancellation(), NOW_MS);
             self.push(records);
         }
     }
@@ -142,7 +142,7 @@
         let request = self.leave(which);
         let former = usize::from(former).checked_rem(self.formers.len());
         if let (Some(request), Some(former)) = (request, former) {
-            self.formers[former].close(&request.withdrawn(), NOW_MS);
+            self.formers[former].close(&request.cancellation(), NOW_MS);
         }
     }
 
--- a/crates/ledger/tests/budget_room/world.rs
+++ b/crates/ledger/tests/budget_room/world.rs
@@ -182,7 +182,7 @@
             previous: None,
             wants_chain: self.keeps_context,
             keeps_context: self.keeps_context,
-            brings_chain: false,
+            supplies_chain: false,
             budget: Some(self.budget),
             max_tokens: MOST,
             placement: None,
--- a/crates/ledger/tests/budget_room/world/questions.rs
+++ b/crates/ledger/tests/budget_room/world/questions.rs
@@ -260,7 +260,7 @@
         let Some(index) = self.left(which) else {
             return;
         };
-        let end = self.questions[index].request.withdrawn();
+        let end = self.questions[index].request.cancellation();
         let records = self.owner.close(&end, self.now_ms);
         self.push(records);
         self.questions[index].told_at.get_or_insert(self.queued);
@@ -270,7 +270,7 @@
         let Some(index) = self.left(which) else {
             return;
         };
-        let end = self.questions[index].request.withdrawn();
+        let end = self.questions[index].request.cancellation();
         if let Some(former) = usize::from(former).checked_rem(self.formers.len()) {
             self.formers[former].close(&end, self.now_ms);
         }
@@ -283,7 +283,7 @@
         for question in &mut self.questions {
             question.gateway_lives &= gateways_live;
             question.told_at = question.told_at.filter(|told| *told <= self.appended);
-            question.reserved &= recorded.contains(&question.request.reservation());
+            question.reserved &= recorded.contains(&question.request.reservation_id());
             let attempt = question.request.attempt;
             if let Some(turn) = never_begun.iter().find(|turn| turn.attempt == attempt) {
                 question.asker = if turn.ended {
@@ -309,7 +309,7 @@
         };
         match Record::read(&key, value) {
             Ok(Record::Program(_, Some(record))) => {
-                record.open.into_iter().map(|open| open.turn).collect()
+                record.open.into_iter().map(|open| open.id).collect()
             }
             _ => Vec::new(),
         }
--- a/crates/ledger/tests/budget_room/world/standing.rs
+++ b/crates/ledger/tests/budget_room/world/standing.rs
@@ -86,7 +86,7 @@
         is_turn
             || self
                 .recorded_reservations()
-                .contains(&request.reservation())
+                .contains(&request.reservation_id())
     }
 
     /// A turn that had begun is asked for again.
@@ -117,7 +117,7 @@
             turn.standing = turn.standing.handed_over(is_recorded);
         }
         for question in &mut self.questions {
-            let is_recorded = recorded.contains(&question.request.reservation());
+            let is_recorded = recorded.contains(&question.request.reservation_id());
             question.standing = question.standing.handed_over(is_recorded);
         }
     }
--- a/crates/ledger/tests/chain_fuzz.rs
+++ b/crates/ledger/tests/chain_fuzz.rs
@@ -86,7 +86,7 @@
             previous,
             wants_chain: true,
             keeps_context: true,
-            brings_chain: false,
+            supplies_chain: false,
             budget: None,
             max_tokens: 10,
             placement: None,
--- a/crates/ledger/tests/doubt.rs
+++ b/crates/ledger/tests/doubt.rs
@@ -18,7 +18,7 @@
         previous: None,
         wants_chain: false,
         keeps_context: false,
-        brings_chain: false,
+        supplies_chain: false,
         budget: Some(BUDGET),
         max_tokens: MOST,
         placement: None,
--- a/crates/ledger/tests/expiry.rs
+++ b/crates/ledger/tests/expiry.rs
@@ -21,7 +21,7 @@
         previous: None,
         wants_chain: false,
         keeps_context: false,
-        brings_chain: false,
+        supplies_chain: false,
         budget: Some(BUDGET),
         max_tokens: MOST,
         placement: None,
@@ -43,7 +43,7 @@
 fn a_program_that_comes_back_before_its_deletion_is_durable_waits_for_its_record() {
     let mut owner = Partition::default();
     open(&mut owner, 1, NOW_MS);
-    let told = owner.close(&turn(1).withdrawn(), NOW_MS);
+    let told = owner.close(&turn(1).cancellation(), NOW_MS);
     told.iter().for_each(|record| owner.appended(record));
     let deletions = owner.expire(LATER_MS);
     assert_eq!(deletions.len(), 1);
@@ -59,7 +59,7 @@
 fn a_record_of_a_forgotten_program_is_not_taken_for_one_of_its_next_life() {
     let mut owner = Partition::default();
     open(&mut owner, 1, NOW_MS);
-    let told = owner.close(&turn(1).withdrawn(), NOW_MS);
+    let told = owner.close(&turn(1).cancellation(), NOW_MS);
     assert_eq!(told.len(), 1);
     let deletions = owner.expire(LATER_MS);
     for attempt in 2..5 {
--- a/crates/ledger/tests/in_doubt.rs
+++ b/crates/ledger/tests/in_doubt.rs
@@ -26,7 +26,7 @@
         previous: None,
         wants_chain: true,
         keeps_context: true,
-        brings_chain: false,
+        supplies_chain: false,
         budget: Some(BUDGET),
         max_tokens: MOST,
         placement: None,
@@ -54,7 +54,7 @@
 }
 
 fn end(partition: &mut Partition, turn: &OpenTurn, tokens: u64) {
-    let mut end = turn.withdrawn();
+    let mut end = turn.cancellation();
     end.tokens = tokens;
     partition.close(&end, NOW_MS);
 }
@@ -189,7 +189,7 @@
     let mut log = opened(&mut first, &turn(1, Some("a"))).expect("the first turn of its program");
     let mut successor = reads(Partition::taken_over(NOW_MS, DOUBT_MS), log.clone());
     log.extend(opened(&mut successor, &turn(2, Some("b"))).expect("turn 1 is in doubt"));
-    let withdrawn = turn(2, Some("b")).withdrawn();
+    let withdrawn = turn(2, Some("b")).cancellation();
     log.extend(successor.close(&withdrawn, NOW_MS));
     log.extend(successor.hand_over());
     let mut next = reads(Partition::handed_over(NOW_MS, DOUBT_MS), log);
--- a/crates/ledger/tests/told_in_rounds.rs
+++ b/crates/ledger/tests/told_in_rounds.rs
@@ -31,7 +31,7 @@
         previous: None,
         wants_chain: false,
         keeps_context: false,
-        brings_chain: false,
+        supplies_chain: false,
         budget: Some(BUDGET),
         max_tokens: MOST,
         placement: None,
@@ -45,13 +45,13 @@
     for attempt in 0..TURNS {
         let opened = owner.open(&turn(attempt), NOW_MS);
         assert!(matches!(opened, OpenOutcome::Opened { .. }));
-        let mut end = turn(attempt).withdrawn();
+        let mut end = turn(attempt).cancellation();
         end.tokens = TOKENS;
         owner.close(&end, NOW_MS);
     }
     for _ in 0..ROUNDS {
         for attempt in 0..TURNS {
-            let mut end = turn(attempt).withdrawn();
+            let mut end = turn(attempt).cancellation();
             end.tokens = TOKENS;
             owner.close(&end, NOW_MS);
         }
