--- a/crates/ledger/src/budget.rs
+++ b/crates/ledger/src/budget.rs
@@ -216,14 +216,14 @@
     pub fn shortage(&self, now_ms: u64) -> Shortage {
         let oldest = self.open.iter().min_by_key(|open| open.since_ms);
         Shortage {
-            settled: self.settled,
+            settled_tokens: self.settled,
             open_turns: self.open.iter().count() as u32,
-            open: self.open.most(),
+            open_tokens: self.open.most(),
             in_doubt_turns: self.open.in_doubt().count() as u32,
-            in_doubt: self.open.most() - self.open.most_waited_for(),
-            oldest: oldest.map(|open| open.name.clone()),
-            oldest_ms: oldest.map(|open| now_ms.saturating_sub(open.since_ms)),
-            inherited: self.inherited,
+            in_doubt_tokens: self.open.most() - self.open.most_waited_for(),
+            oldest_reservation: oldest.map(|open| open.name.clone()),
+            oldest_age_ms: oldest.map(|open| now_ms.saturating_sub(open.since_ms)),
+            inherited_tokens: self.inherited,
         }
     }
 
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -130,21 +130,21 @@
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct Shortage {
     /// Tokens of ended turns.
-    pub settled: u64,
+    pub settled_tokens: u64,
     /// Turns under way.
     pub open_turns: u32,
     /// Tokens that they may hand out at their most.
-    pub open: u64,
+    pub open_tokens: u64,
     /// Those of them that nobody may wait for: see [`crate::open`].
     pub in_doubt_turns: u32,
     /// Tokens that these may hand out at their most.
-    pub in_doubt: u64,
+    pub in_doubt_tokens: u64,
     /// The reservation of the one that has been under way for longest.
-    pub oldest: Option<String>,
+    pub oldest_reservation: Option<String>,
     /// How long it has, in milliseconds.
-    pub oldest_ms: Option<u64>,
+    pub oldest_age_ms: Option<u64>,
     /// Reserved ahead by earlier owners.
-    pub inherited: u64,
+    pub inherited_tokens: u64,
 }
 
 /// A turn has ended, whole or not.
--- a/crates/ledger/tests/in_doubt.rs
+++ b/crates/ledger/tests/in_doubt.rs
@@ -84,8 +84,11 @@
     assert!(counted(&successor) >= 2 * MOST, "the lost one counts");
     // What may have been used leaves no room for a third.
     let shortage = shortage(&mut successor, &turn(3, Some("b")));
-    assert_eq!((shortage.open_turns, shortage.open), (2, 2 * MOST));
-    assert_eq!((shortage.in_doubt_turns, shortage.in_doubt), (1, MOST));
+    assert_eq!((shortage.open_turns, shortage.open_tokens), (2, 2 * MOST));
+    assert_eq!(
+        (shortage.in_doubt_turns, shortage.in_doubt_tokens),
+        (1, MOST)
+    );
 }
 
 #[test]
@@ -137,7 +140,7 @@
     assert!(opened(&mut partition, &first).is_some());
     assert_eq!(shortage(&mut partition, &next).in_doubt_turns, 0);
     end(&mut partition, &first, MOST);
-    assert_eq!(shortage(&mut partition, &next).settled, MOST);
+    assert_eq!(shortage(&mut partition, &next).settled_tokens, MOST);
 }
 
 /// Nothing is lost with a planned stop: a turn that is under way over it is waited for.
