--- a/crates/gateway/src/ledger/limits.rs
+++ b/crates/gateway/src/ledger/limits.rs
@@ -130,8 +130,8 @@
         version: question.version,
         program: question.program.as_deref(),
         route: &question.route,
-        begins: question.begins,
-        patience_ms: question.patience_ms,
+        begins: question.starts_program,
+        patience_ms: question.max_wait_ms,
         leaves: 0,
     }
 }
--- a/crates/gateway/src/ledger/owner.rs
+++ b/crates/gateway/src/ledger/owner.rs
@@ -219,12 +219,12 @@
         let may_be_replaced = self.reach.get() == Reach::CutOff;
         let claim = self.own_claim(partition).filter(|_| !may_be_replaced);
         let reply = match claim {
-            Some(claim) => LedgerReply::Quota(match question.matter {
+            Some(claim) => LedgerReply::Quota(match question.event {
                 QuotaMatter::Request => {
                     let question = limits::of_tenant(question);
                     self.limits.ask(partition, &claim, &question)
                 }
-                QuotaMatter::ClientLeft => self.limits.client_left(partition, &claim, question),
+                QuotaMatter::Interrupted => self.limits.client_left(partition, &claim, question),
             }),
             None if may_be_replaced => LedgerReply::NotOwner(None),
             None => LedgerReply::NotOwner(self.known_owner(partition)),
--- a/crates/gateway/src/serve/quota.rs
+++ b/crates/gateway/src/serve/quota.rs
@@ -30,7 +30,7 @@
         let program = question.program.as_ref();
         let told = program.map(|_| {
             let question = QuotaQuestion {
-                matter: QuotaMatter::ClientLeft,
+                event: QuotaMatter::Interrupted,
                 ..question.clone()
             };
             (context.daemon.clone(), question)
@@ -70,15 +70,15 @@
         return Ok(Taken::default());
     };
     let mut question = QuotaQuestion {
-        matter: QuotaMatter::Request,
+        event: QuotaMatter::Request,
         tenant,
         rate_per_s: limit.rate_per_s,
         burst: limit.burst,
         version,
         program: context.meta.program.clone(),
         route: context.entry.route.name.clone(),
-        begins,
-        patience_ms: 0,
+        starts_program: begins,
+        max_wait_ms: 0,
     };
     let taken = Taken::new(context, &question);
     let outcome = ask(context, &mut question).await;
@@ -105,13 +105,13 @@
 async fn ask(context: &RequestContext, question: &mut QuotaQuestion) -> Outcome {
     let daemon = &context.daemon;
     loop {
-        let patience = patience(context, question.begins);
-        question.patience_ms = patience.map_or(0, |patience| patience.as_millis() as u64);
+        let patience = patience(context, question.starts_program);
+        question.max_wait_ms = patience.map_or(0, |patience| patience.as_millis() as u64);
         let outcome = daemon.quota.take(&daemon.ledger, question).await;
         let Outcome::Refused { retry_after_ms } = outcome else {
             return outcome;
         };
-        if retry_after_ms.max(1) > question.patience_ms {
+        if retry_after_ms.max(1) > question.max_wait_ms {
             return outcome;
         }
         daemon.metrics.quota.with_label_values(&["waits"]).inc();
@@ -159,9 +159,9 @@
         program = context.meta.program,
         route = context.entry.route.name,
         tenant = context.tenant_name(),
-        begins = question.begins,
+        begins = question.starts_program,
         wait_ms,
-        patience_ms = question.patience_ms,
+        patience_ms = question.max_wait_ms,
         rate_per_s = question.rate_per_s,
         burst = question.burst,
         version = question.version,
--- a/crates/gateway/tests/gateway/ownership.rs
+++ b/crates/gateway/tests/gateway/ownership.rs
@@ -174,15 +174,15 @@
 /// What an owner says to a request of tenant `p`, whose limit is counted where program `p` is.
 async fn quota_reply(owner: &Gateway) -> LedgerReply {
     let question = QuotaQuestion {
-        matter: QuotaMatter::Request,
+        event: QuotaMatter::Request,
         tenant: "p".to_owned(),
         rate_per_s: 1.0,
         burst: 10.0,
         version: 1,
         program: None,
         route: "r".to_owned(),
-        begins: false,
-        patience_ms: 0,
+        starts_program: false,
+        max_wait_ms: 0,
     };
     let (sender, mut replies) = mpsc::unbounded_channel();
     let owner = &owner.daemon.owner;
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -207,14 +207,14 @@
     Request,
     /// The client of the program's last request left in the middle of it, or got no whole answer.
     /// Nothing is taken, and the answer says what is used.
-    ClientLeft,
+    Interrupted,
 }
 
 /// Asks the owner of a tenant's limit for a request.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub struct QuotaQuestion {
     /// What it is about.
-    pub matter: QuotaMatter,
+    pub event: QuotaMatter,
     /// Name of the tenant.
     pub tenant: String,
     /// Requests a second that it may send, as the asking daemon knows.
@@ -228,10 +228,10 @@
     /// Route of the request.
     pub route: String,
     /// It is the first request of its program.
-    pub begins: bool,
+    pub starts_program: bool,
     /// How long the request would wait for a place from now on, in milliseconds. A place that
     /// comes later is not kept for it.
-    pub patience_ms: u64,
+    pub max_wait_ms: u64,
 }
 
 /// Asks the owner of a cold server's count whether a request may be sent there now.
