--- a/crates/gateway/src/ledger/client.rs
+++ b/crates/gateway/src/ledger/client.rs
@@ -317,7 +317,7 @@
         let partition = request.partition(self.owner.places.layout.global_count());
         while Instant::now() < deadline {
             let answer = self.ask(&request, deadline).await;
-            let Some((LedgerReply::Noted, mut replies)) = answer else {
+            let Some((LedgerReply::Accepted, mut replies)) = answer else {
                 if self.reach.get() != Reach::Minority {
                     return false;
                 }
--- a/crates/gateway/src/ledger/exchange.rs
+++ b/crates/gateway/src/ledger/exchange.rs
@@ -151,7 +151,7 @@
         in_doubt.set(was_in_doubt);
         match reply {
             LedgerReply::Unavailable => Exchange::Loading(claim.epoch),
-            LedgerReply::Unreadable => Exchange::Silent(claim.epoch),
+            LedgerReply::NotLoaded => Exchange::Silent(claim.epoch),
             LedgerReply::NotOwner(Some(known)) if self.learn(partition, &known) => Exchange::Again,
             LedgerReply::NotOwner(_) if self.owner.claims.is_mine(&claim) => Exchange::Again,
             LedgerReply::NotOwner(_) => Exchange::Suspect(Some(claim.epoch)),
--- a/crates/gateway/src/ledger/homes.rs
+++ b/crates/gateway/src/ledger/homes.rs
@@ -59,11 +59,11 @@
         return;
     }
     let exchange = ledger
-        .exchange(partition, &LedgerRequest::KeepsLog, ANSWER_LIMIT)
+        .exchange(partition, &LedgerRequest::HasLogContact, ANSWER_LIMIT)
         .await;
     ledger.note(partition, Some(&exchange));
     match exchange {
-        Exchange::Answered(LedgerReply::HasLog(false), _) => {
+        Exchange::Answered(LedgerReply::LogContact(false), _) => {
             ledger.replace_silent(partition, claim.epoch).await;
         }
         doubtful => ledger.act_on_doubt(partition, &doubtful).await,
--- a/crates/gateway/src/ledger/owned.rs
+++ b/crates/gateway/src/ledger/owned.rs
@@ -38,9 +38,9 @@
             LedgerRequest::Open(open) => self.open(&open, sender),
             LedgerRequest::Close(close) => self.close(&close, sender),
             LedgerRequest::Find(find) => self.find(&find.turn, sender),
-            LedgerRequest::WhoOwns(_)
-            | LedgerRequest::HasLog
-            | LedgerRequest::KeepsLog
+            LedgerRequest::FindOwner(_)
+            | LedgerRequest::HasRecentLogContact
+            | LedgerRequest::HasLogContact
             | LedgerRequest::Config(_)
             | LedgerRequest::Quota(_)
             | LedgerRequest::Cold(_)
@@ -99,7 +99,7 @@
     fn close(&self, close: &CloseTurn, sender: mpsc::UnboundedSender<LedgerReply>) {
         self.assigner.end(close);
         let records = self.state.borrow_mut().close(close, unix_ms());
-        let _ = sender.send(LedgerReply::Noted);
+        let _ = sender.send(LedgerReply::Accepted);
         let reply = LedgerReply::Closed;
         let urgency = match close.awaited {
             true => Urgency::Now,
--- a/crates/gateway/src/ledger/owner.rs
+++ b/crates/gateway/src/ledger/owner.rs
@@ -145,12 +145,12 @@
     ) {
         let partition = request.partition(self.places.layout.global_count());
         match request {
-            LedgerRequest::HasLog => {
+            LedgerRequest::HasRecentLogContact => {
                 let has_log = self.contact.within(FRESH) && !self.contact.failing();
-                let _ = sender.send(LedgerReply::HasLog(has_log));
+                let _ = sender.send(LedgerReply::LogContact(has_log));
             }
-            LedgerRequest::KeepsLog => {
-                let _ = sender.send(LedgerReply::HasLog(!self.contact.lost()));
+            LedgerRequest::HasLogContact => {
+                let _ = sender.send(LedgerReply::LogContact(!self.contact.lost()));
             }
             LedgerRequest::Config(version) => {
                 let _ = sender.send(LedgerReply::Config(
@@ -176,7 +176,7 @@
             LedgerRequest::Cold(question) => {
                 ntex::rt::spawn(cold::answer(self.clone(), partition, question, sender));
             }
-            LedgerRequest::WhoOwns(_) => {
+            LedgerRequest::FindOwner(_) => {
                 let _ = sender.send(LedgerReply::NotOwner(self.known_owner(partition)));
             }
             request => self.handle_held(partition, request, sender),
@@ -195,7 +195,7 @@
             // Awaited as an owner that reads, it would keep programs waiting for as long as the
             // log serves others and not this daemon.
             Some(Hold::Loading(_)) if self.contact.lost() => {
-                let _ = sender.send(LedgerReply::Unreadable);
+                let _ = sender.send(LedgerReply::NotLoaded);
             }
             Some(Hold::Loading(_) | Hold::Releasing(_)) => {
                 let _ = sender.send(LedgerReply::Unavailable);
--- a/crates/gateway/src/ledger/peer.rs
+++ b/crates/gateway/src/ledger/peer.rs
@@ -103,12 +103,15 @@
     let mut buffer = BytesMut::new();
     while let Ok(envelope) = next_frame::<LedgerRequest>(&mut reader, &mut buffer).await {
         let (sender, mut replies) = mpsc::unbounded_channel();
-        let call = envelope.call;
+        let call = envelope.call_id;
         owner.handle(envelope.body, sender);
         let frames = frames.clone();
         ntex::rt::spawn(async move {
             while let Some(body) = replies.recv().await {
-                let _ = frames.send(encode(&Envelope { call, body }));
+                let _ = frames.send(encode(&Envelope {
+                    call_id: call,
+                    body,
+                }));
             }
         });
     }
@@ -163,12 +166,12 @@
                 break;
             };
             let mut calls = self.calls.borrow_mut();
-            let more = envelope.body.has_more();
-            if let Some(sender) = calls.get(&envelope.call) {
+            let more = envelope.body.is_interim();
+            if let Some(sender) = calls.get(&envelope.call_id) {
                 let _ = sender.send(envelope.body);
             }
             if !more {
-                calls.remove(&envelope.call);
+                calls.remove(&envelope.call_id);
             }
         }
         self.closed.set(true);
@@ -205,7 +208,15 @@
         let call = self.next_call.get();
         self.next_call.set(call + 1);
         self.calls.borrow_mut().insert(call, sender);
-        if self.closed.get() || self.frames.send(encode(&Envelope { call, body })).is_err() {
+        if self.closed.get()
+            || self
+                .frames
+                .send(encode(&Envelope {
+                    call_id: call,
+                    body,
+                }))
+                .is_err()
+        {
             self.calls.borrow_mut().remove(&call);
         }
         replies
--- a/crates/gateway/src/ledger/replace.rs
+++ b/crates/gateway/src/ledger/replace.rs
@@ -70,7 +70,7 @@
             .claims
             .claim(partition)
             .and_then(|claim| claim.address);
-        let question = LedgerRequest::WhoOwns(partition);
+        let question = LedgerRequest::FindOwner(partition);
         let answers = self
             .ask_peers(suspected, &question, PEER_ANSWER_LIMIT)
             .await;
@@ -123,9 +123,9 @@
     /// Asks some daemons whether the log answers them.
     pub async fn ask_who_reaches_log(&self) -> Round {
         let answers = self
-            .ask_peers(None, &LedgerRequest::HasLog, PEER_ANSWER_LIMIT)
+            .ask_peers(None, &LedgerRequest::HasRecentLogContact, PEER_ANSWER_LIMIT)
             .await;
-        let reach_log = |answer: &&LedgerReply| matches!(answer, LedgerReply::HasLog(true));
+        let reach_log = |answer: &&LedgerReply| matches!(answer, LedgerReply::LogContact(true));
         Round::Asked {
             asked: answers.len(),
             answered: answers.iter().flatten().count(),
@@ -135,7 +135,7 @@
 
     /// Asks more daemons whether they answer at all: how many were asked, and how many did.
     pub async fn ask_who_answers(&self) -> (usize, usize) {
-        let question = LedgerRequest::HasLog;
+        let question = LedgerRequest::HasRecentLogContact;
         let answers = self
             .ask_so_many(OWNERS_LOOKED_AT, None, &question, PEER_ANSWER_LIMIT)
             .await;
@@ -217,12 +217,12 @@
         let Some(address) = claim.address.filter(|_| !claims.is_mine(&claim)) else {
             return;
         };
-        let question = LedgerRequest::HasLog;
+        let question = LedgerRequest::HasRecentLogContact;
         let answer = self.ask_peer(address, &question, PEER_ANSWER_LIMIT).await;
         match answer {
-            Some(LedgerReply::HasLog(true)) => {}
+            Some(LedgerReply::LogContact(true)) => {}
             // By the owner's own word: a daemon of its region may claim without a look.
-            Some(LedgerReply::HasLog(false)) if !claims.is_eligible(partition) => {
+            Some(LedgerReply::LogContact(false)) if !claims.is_eligible(partition) => {
                 if !self.have_region_claim(partition, claim.epoch).await {
                     let _ = timeout(CHANGE_WAIT, claims.changed.notified()).await;
                 }
@@ -247,7 +247,11 @@
             return false;
         };
         self.peers.forget(address);
-        let answer = self.ask_peer(address, &LedgerRequest::HasLog, CONNECTED_ANSWER_LIMIT);
+        let answer = self.ask_peer(
+            address,
+            &LedgerRequest::HasRecentLogContact,
+            CONNECTED_ANSWER_LIMIT,
+        );
         answer.await.is_some()
     }
 
--- a/crates/gateway/tests/gateway/peers.rs
+++ b/crates/gateway/tests/gateway/peers.rs
@@ -59,8 +59,8 @@
     while stream.read(&mut read).await.is_ok_and(|size| size > 0) {
         if answers {
             sleep(ANSWERS_AFTER).await;
-            let body = LedgerReply::HasLog(true);
-            let body = Envelope { call: 0, body }.serialize_bin();
+            let body = LedgerReply::LogContact(true);
+            let body = Envelope { call_id: 0, body }.serialize_bin();
             let mut frame = (body.len() as u32).to_be_bytes().to_vec();
             frame.extend_from_slice(&body);
             let _ = stream.write_all(&frame).await;
@@ -91,10 +91,10 @@
         let daemon = StandIn::start(true).await;
         let peers = Peers::default();
         let connection = peers.connection(daemon.address).await.expect("connects");
-        let mut replies = connection.call(LedgerRequest::HasLog);
+        let mut replies = connection.call(LedgerRequest::HasRecentLogContact);
         drop(connection);
         peers.forget(daemon.address);
-        assert_eq!(replies.recv().await, Some(LedgerReply::HasLog(true)));
+        assert_eq!(replies.recv().await, Some(LedgerReply::LogContact(true)));
         daemon.wait_open(0).await;
     });
 }
@@ -105,7 +105,7 @@
         let daemon = StandIn::start(false).await;
         let peers = Peers::default();
         let connection = peers.connection(daemon.address).await.expect("connects");
-        let replies = connection.call(LedgerRequest::HasLog);
+        let replies = connection.call(LedgerRequest::HasRecentLogContact);
         drop(connection);
         peers.forget(daemon.address);
         daemon.wait_open(1).await;
--- a/crates/gateway/tests/gateway/zones.rs
+++ b/crates/gateway/tests/gateway/zones.rs
@@ -332,7 +332,7 @@
         stream.read_exact(&mut frame).await.expect("a frame");
         let asked = Envelope::<LedgerRequest>::deserialize_bin(&frame).expect("a request");
         let answer = Envelope {
-            call: asked.call,
+            call_id: asked.call_id,
             body: LedgerReply::Unavailable,
         };
         let answer = answer.serialize_bin();
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -336,12 +336,12 @@
     /// Tell whether a request may be sent to a cold server now.
     Cold(ColdQuestion),
     /// Tell who owns a partition, as far as known.
-    WhoOwns(u32),
+    FindOwner(u32),
     /// Tell whether the log answers you.
-    HasLog,
+    HasRecentLogContact,
     /// Tell whether the log answers you, or was silent for a moment only: an owner with nothing
     /// to append need not have heard of it.
-    KeepsLog,
+    HasLogContact,
     /// Tell the newest configuration, if it is newer than this version.
     Config(u64),
     /// Claim a partition from the owner of this epoch: the sender is cut off the log,
@@ -367,9 +367,13 @@
             // A tenant has its limit where a program of that name would be.
             Self::Quota(question) => partition_of(&question.tenant, partitions),
             Self::Cold(question) => partition_of(&question.server, partitions),
-            Self::WhoOwns(partition) => *partition,
+            Self::FindOwner(partition) => *partition,
             Self::Claim(claim) => claim.partition,
-            Self::HasLog | Self::KeepsLog | Self::Config(_) | Self::Follow(_) | Self::List(_) => 0,
+            Self::HasRecentLogContact
+            | Self::HasLogContact
+            | Self::Config(_)
+            | Self::Follow(_)
+            | Self::List(_) => 0,
         }
     }
 }
@@ -436,20 +440,20 @@
     UnknownTurn,
     /// The end of the turn is known here, but not durable yet. [`LedgerReply::Closed`]
     /// follows: an owner whose appends wait for the log is not a silent one.
-    Noted,
+    Accepted,
     /// The end of the turn is durable.
     Closed,
     /// This daemon does not own the partition; who does, as far as it knows.
     NotOwner(Option<KnownOwner>),
     /// Whether the log answers the daemon that was asked.
-    HasLog(bool),
+    LogContact(bool),
     /// The configuration as the daemon that was asked knows it.
     Config(ConfigNews),
     /// The owner cannot tell now; nothing was done.
     Unavailable,
     /// The owner has not read the partition, and the log does not answer it: nothing was done,
     /// and another owner could do it sooner.
-    Unreadable,
+    NotLoaded,
     /// Records of a followed topic.
     Topic(TopicRecords),
     /// Records of a followed topic from there on are not kept here any more; the first that are
@@ -461,8 +465,8 @@
 
 impl LedgerReply {
     /// Whether another answer to the same request follows.
-    pub fn has_more(&self) -> bool {
-        matches!(self, Self::Opened { durable: false, .. } | Self::Noted)
+    pub fn is_interim(&self) -> bool {
+        matches!(self, Self::Opened { durable: false, .. } | Self::Accepted)
     }
 }
 
@@ -470,7 +474,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct Envelope<T> {
     /// Number of the call on its connection.
-    pub call: u64,
+    pub call_id: u64,
     /// What is said.
     pub body: T,
 }
