--- a/crates/gateway/src/ledger/client.rs
+++ b/crates/gateway/src/ledger/client.rs
@@ -249,7 +249,7 @@
                     durable,
                     allowed,
                     engine,
-                    begins,
+                    is_first_turn: begins,
                 } => Ok(OpenedTurn {
                     chain,
                     engine,
--- a/crates/gateway/src/ledger/owned.rs
+++ b/crates/gateway/src/ledger/owned.rs
@@ -57,7 +57,7 @@
                 chain,
                 durable,
                 allowed,
-                begins,
+                is_first_turn: begins,
                 records,
             } => {
                 let engine = self.assigner.assign(open);
@@ -66,7 +66,7 @@
                     durable,
                     allowed,
                     engine,
-                    begins,
+                    is_first_turn: begins,
                 });
                 let waiter = (!durable).then_some(Waiter {
                     sender,
--- a/crates/gateway/src/ledger/owner.rs
+++ b/crates/gateway/src/ledger/owner.rs
@@ -343,12 +343,12 @@
     let partition = claim.partition;
     let claimed = owner
         .claims
-        .take_over(partition, claim.former_epoch())
+        .take_over(partition, claim.replaced_epoch())
         .await;
     tracing::info!(
         event = "claimed_for_another",
         partition,
-        epoch = claim.epoch,
+        epoch = claim.replaced_epoch,
         ?claimed
     );
     let _ = sender.send(LedgerReply::NotOwner(owner.known_owner(partition)));
--- a/crates/gateway/src/ledger/region.rs
+++ b/crates/gateway/src/ledger/region.rs
@@ -98,7 +98,7 @@
             asked = asked.len(),
             known
         );
-        let question = LedgerRequest::Claim(ClaimPartition::after(partition, epoch));
+        let question = LedgerRequest::Claim(ClaimPartition::replacing(partition, epoch));
         let calls = asked
             .into_iter()
             .map(|other| self.ask_peer(other, &question, ASK_LIMIT));
--- a/crates/gateway/src/ledger/replace.rs
+++ b/crates/gateway/src/ledger/replace.rs
@@ -160,7 +160,7 @@
         if self.owner.places.layout.region(partition).is_some() {
             return self.have_region_claim(partition, epoch).await;
         }
-        let question = LedgerRequest::Claim(ClaimPartition::after(partition, Some(epoch)));
+        let question = LedgerRequest::Claim(ClaimPartition::replacing(partition, Some(epoch)));
         let answers = self.ask_peers(None, &question, CLAIM_ANSWER_LIMIT).await;
         let mut news = false;
         for answer in answers.into_iter().flatten() {
@@ -178,7 +178,7 @@
         let suspected = claim.and_then(|claim| claim.address);
         let mut others = self.owners_in_region_of(partition);
         others.retain(|other| Some(*other) != suspected);
-        let question = LedgerRequest::Claim(ClaimPartition::after(partition, Some(epoch)));
+        let question = LedgerRequest::Claim(ClaimPartition::replacing(partition, Some(epoch)));
         for other in others {
             let answer = self.ask_peer(other, &question, CLAIM_ANSWER_LIMIT).await;
             if let Some(LedgerReply::NotOwner(Some(known))) = answer
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -269,21 +269,21 @@
     pub partition: u32,
     /// Epoch of the owner that is to be replaced, or that gave it up; 0 where there was none,
     /// as epochs begin with 1.
-    pub epoch: u64,
+    pub replaced_epoch: u64,
 }
 
 impl ClaimPartition {
     /// A partition whose newest claim known has this epoch.
-    pub fn after(partition: u32, former_epoch: Option<u64>) -> Self {
+    pub fn replacing(partition: u32, former_epoch: Option<u64>) -> Self {
         Self {
             partition,
-            epoch: former_epoch.unwrap_or(0),
+            replaced_epoch: former_epoch.unwrap_or(0),
         }
     }
 
     /// Epoch of the newest claim that the sender knows.
-    pub fn former_epoch(&self) -> Option<u64> {
-        Some(self.epoch).filter(|epoch| *epoch > 0)
+    pub fn replaced_epoch(&self) -> Option<u64> {
+        Some(self.replaced_epoch).filter(|epoch| *epoch > 0)
     }
 }
 
@@ -426,7 +426,7 @@
         /// Engine that its program is assigned to.
         engine: Option<String>,
         /// It is the first turn of its program.
-        begins: bool,
+        is_first_turn: bool,
     },
     /// What the limit of the tenant, or of the cold server, lets through.
     Quota(QuotaAnswer),
--- a/crates/ledger/src/partition.rs
+++ b/crates/ledger/src/partition.rs
@@ -34,7 +34,7 @@
         /// Where it has to, tokens that may be handed out before.
         allowed: u64,
         /// It is the first turn of its program.
-        begins: bool,
+        is_first_turn: bool,
         /// To append.
         records: Vec<Record>,
     },
@@ -180,7 +180,7 @@
                 chain,
                 durable: true,
                 allowed: request.max_tokens,
-                begins: request.previous.is_none(),
+                is_first_turn: request.previous.is_none(),
                 records: Vec::new(),
             };
         };
@@ -205,7 +205,7 @@
             chain,
             durable,
             allowed,
-            begins,
+            is_first_turn: begins,
             records,
         }
     }
