--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -299,13 +299,13 @@
     ) -> Result<NewestPage, StoreError> {
         let question = LedgerRequest::List(ListTopic {
             topic: partition.topic.clone(),
-            after: after.clone(),
+            after_key: after.clone(),
         });
         match self.ask(&partition.topic, &question, PAGE_LIMIT).await {
             Some(Told::Records(told, records)) => Ok(NewestPage {
                 records,
                 more_after: told.more_after,
-                end: told.end,
+                end: told.end_offset,
                 age_ms: told.age_ms,
             }),
             Some(Told::Gone(first)) => Err(StoreError::Gone(first)),
@@ -409,14 +409,14 @@
         let wait = wait.min(self.hold);
         let question = LedgerRequest::Follow(FollowTopic {
             topic: topic.to_owned(),
-            from,
+            from_offset: from,
             wait_ms: wait.as_millis() as u64,
         });
         match self.ask(topic, &question, wait + ANSWER_SLACK).await {
             Some(Told::Records(told, records)) => Ok(Some(ReadBatch {
-                end: told.end,
+                end: told.end_offset,
                 records,
-                next: told.next,
+                next: told.next_offset,
                 age_ms: told.age_ms,
             })),
             Some(Told::Gone(first)) => Err(StoreError::Gone(first)),
--- a/crates/gateway/src/relay/reading.rs
+++ b/crates/gateway/src/relay/reading.rs
@@ -131,8 +131,8 @@
         let next = records.last().map_or(from, |(offset, _)| offset + 1);
         LedgerReply::Topic(TopicRecords {
             packed: self.packed(records, from, next),
-            end: self.mirror.borrow().end(),
-            next,
+            end_offset: self.mirror.borrow().end(),
+            next_offset: next,
             more_after: None,
             age_ms: self.age_ms(),
         })
@@ -172,13 +172,13 @@
         let until = Instant::now() + hold;
         loop {
             let changed = topic.changed.notified();
-            let behind = topic.mirror.borrow().behind(question.from);
+            let behind = topic.mirror.borrow().behind(question.from_offset);
             let is_over = Instant::now() >= until;
             match behind {
-                Behind::Records(records) => return topic.reply(&records, question.from),
+                Behind::Records(records) => return topic.reply(&records, question.from_offset),
                 Behind::Gone => return LedgerReply::TopicGone(topic.mirror.borrow().first()),
                 Behind::Nothing if is_over || topic.age_ms() > most_age_ms => {
-                    return topic.reply(&[], question.from);
+                    return topic.reply(&[], question.from_offset);
                 }
                 Behind::Unread if is_over => return LedgerReply::NotReader,
                 Behind::Nothing | Behind::Unread => {}
@@ -201,11 +201,11 @@
         let until = Instant::now() + LIST_HOLD;
         loop {
             let changed = topic.changed.notified();
-            if let Some(page) = topic.page(question.after.clone()) {
+            if let Some(page) = topic.page(question.after_key.clone()) {
                 return LedgerReply::Topic(TopicRecords {
                     packed: page.packed.clone(),
-                    end: page.end,
-                    next: page.end,
+                    end_offset: page.end,
+                    next_offset: page.end,
                     more_after: page.more_after.clone(),
                     age_ms: topic.age_ms(),
                 });
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -293,7 +293,7 @@
     /// Name of the topic.
     pub topic: String,
     /// Offset from which on records are wanted.
-    pub from: u64,
+    pub from_offset: u64,
     /// How long to wait for one, in milliseconds.
     pub wait_ms: u64,
 }
@@ -304,7 +304,7 @@
     /// Name of the topic.
     pub topic: String,
     /// The page behind this key is wanted.
-    pub after: Option<Vec<u8>>,
+    pub after_key: Option<Vec<u8>>,
 }
 
 /// Records of a followed topic, as a reader knows them.
@@ -313,9 +313,9 @@
     /// The records, packed.
     pub packed: Vec<u8>,
     /// Where the topic ends.
-    pub end: u64,
+    pub end_offset: u64,
     /// Where to read on, of records behind an offset.
-    pub next: u64,
+    pub next_offset: u64,
     /// Behind which key the next page begins, of a listing.
     pub more_after: Option<Vec<u8>>,
     /// Time since the log confirmed that this is all, in milliseconds.
