--- a/crates/gateway/src/ledger/hold.rs
+++ b/crates/gateway/src/ledger/hold.rs
@@ -40,8 +40,8 @@
     let claim = owner.claims.claim(partition);
     let state = match claim.map_or(Former::Lost, |claim| claim.former) {
         Former::None => Partition::default(),
-        Former::Settled { doubt_ms } => Partition::handed_over(unix_ms(), doubt_ms),
-        Former::Lost => Partition::taken_over(unix_ms(), owner.doubt_after_loss_ms()),
+        Former::Settled { doubt_ms } => Partition::after_handover(unix_ms(), doubt_ms),
+        Former::Lost => Partition::after_loss(unix_ms(), owner.doubt_after_loss_ms()),
     };
     let mut load = Load::new(owner.place(partition), epoch, state);
     loop {
@@ -101,9 +101,9 @@
         event = "partition_owned",
         partition,
         epoch,
-        turns = state.borrow().turns(),
-        programs = state.borrow().programs(),
-        doubt_ms = state.borrow().doubt_ms(unix_ms()),
+        turns = state.borrow().turn_count(),
+        programs = state.borrow().program_count(),
+        doubt_ms = state.borrow().uncertainty_ms(unix_ms()),
         took_ms = started.elapsed().as_millis() as u64,
     );
     let owned = Owned {
--- a/crates/gateway/src/ledger/load.rs
+++ b/crates/gateway/src/ledger/load.rs
@@ -89,7 +89,7 @@
         if self.after.is_some() {
             return Ok(None);
         }
-        self.state.loaded();
+        self.state.finish_loading();
         Ok(Some(Loaded {
             state: std::mem::take(&mut self.state),
             end: self.end,
--- a/crates/gateway/src/ledger/owned.rs
+++ b/crates/gateway/src/ledger/owned.rs
@@ -82,7 +82,7 @@
                 self.answer_fenced(sender, LedgerReply::BudgetSpent(shortage));
             }
             // Whoever asked has left: the answer is for nobody.
-            OpenOutcome::Ended => {
+            OpenOutcome::AlreadyEnded => {
                 tracing::info!(
                     event = "turn_asked_late",
                     request = open.turn,
@@ -113,9 +113,9 @@
     /// in milliseconds; `None` if another owner is in force.
     pub(super) fn settle(&self) -> oneshot::Receiver<Option<u64>> {
         let (sender, settled) = oneshot::channel();
-        let records = self.state.borrow_mut().hand_over();
+        let records = self.state.borrow_mut().handover_records();
         let keyed = records.iter().map(keyed_record).collect();
-        let doubt_ms = self.state.borrow().doubt_ms(unix_ms());
+        let doubt_ms = self.state.borrow().uncertainty_ms(unix_ms());
         let done = move |outcome| {
             let _ = sender.send((outcome == Outcome::Durable).then_some(doubt_ms));
         };
@@ -125,7 +125,7 @@
 
     /// Appends what lets programs begin without the log while unknown ones are in doubt.
     pub(super) fn claim_part(&self) {
-        let records = self.state.borrow().claim_part(unix_ms());
+        let records = self.state.borrow().claim_unrecorded_share(unix_ms());
         if !records.is_empty() {
             self.push(records, None, Urgency::Now);
         }
@@ -140,7 +140,7 @@
     }
 
     fn find(&self, turn: &Name, sender: mpsc::UnboundedSender<LedgerReply>) {
-        match self.state.borrow().contents(turn) {
+        match self.state.borrow().chain_contents(turn) {
             Some(chain) => {
                 let _ = sender.send(LedgerReply::Chain(chain));
             }
@@ -159,7 +159,9 @@
         let done = move |outcome| {
             if outcome == Outcome::Durable {
                 let mut state = state.borrow_mut();
-                records.iter().for_each(|record| state.appended(record));
+                records
+                    .iter()
+                    .for_each(|record| state.record_appended(record));
             }
             if let Some(waiter) = waiter {
                 let reply = match outcome {
--- a/crates/gateway/tests/gateway/reserved_at_home.rs
+++ b/crates/gateway/tests/gateway/reserved_at_home.rs
@@ -41,11 +41,11 @@
         number: partition_of(program, FREE),
     };
     let page = world.log.core.borrow_mut().newest(&place, None);
-    let mut owner = Partition::taken_over(now_ms(), DOUBT_MS);
+    let mut owner = Partition::after_loss(now_ms(), DOUBT_MS);
     for (_, record) in &page.records {
         owner.load(Record::read(&record.key, &record.value).expect("a record"));
     }
-    owner.loaded();
+    owner.finish_loading();
     owner
 }
 
--- a/crates/ledger/src/partition.rs
+++ b/crates/ledger/src/partition.rs
@@ -43,7 +43,7 @@
     /// A turn of its chain is not kept.
     UnknownTurn,
     /// Its end was told already: the question was under way when its asker left.
-    Ended,
+    AlreadyEnded,
 }
 
 struct Turn {
@@ -76,16 +76,16 @@
 impl Partition {
     /// A partition whose last owner was lost. For `doubt_ms` from now on it may have granted
     /// turns which no record tells of: see [`doubt_after_loss`].
-    pub fn taken_over(now_ms: u64, doubt_ms: u64) -> Self {
+    pub fn after_loss(now_ms: u64, doubt_ms: u64) -> Self {
         Self {
             is_after_loss: true,
-            ..Self::handed_over(now_ms, doubt_ms)
+            ..Self::after_handover(now_ms, doubt_ms)
         }
     }
 
     /// A partition whose last owner recorded all that it granted before it gave the partition
     /// up. For `doubt_ms` from now on unknown programs are in doubt, as they were for it.
-    pub fn handed_over(now_ms: u64, doubt_ms: u64) -> Self {
+    pub fn after_handover(now_ms: u64, doubt_ms: u64) -> Self {
         Self {
             doubt: Doubt::until(now_ms + doubt_ms),
             ..Self::default()
@@ -93,20 +93,20 @@
     }
 
     /// How long unknown programs are in doubt from now on, in milliseconds.
-    pub fn doubt_ms(&self, now_ms: u64) -> u64 {
+    pub fn uncertainty_ms(&self, now_ms: u64) -> u64 {
         self.doubt.left_ms(now_ms)
     }
 
     /// What to append once the partition was read, so that programs may begin without the log
     /// while unknown ones are in doubt.
-    pub fn claim_part(&self, now_ms: u64) -> Vec<Record> {
+    pub fn claim_unrecorded_share(&self, now_ms: u64) -> Vec<Record> {
         let claimed = self.doubt.claim_part(now_ms);
         claimed.map(Record::Doubt).into_iter().collect()
     }
 
     /// Records to be appended before the partition is given up: nothing is reserved ahead
     /// after them, and every program has one.
-    pub fn hand_over(&mut self) -> Vec<Record> {
+    pub fn handover_records(&mut self) -> Vec<Record> {
         self.record_programs(Budget::last_record)
     }
 
@@ -156,7 +156,7 @@
     }
 
     /// All records are in: a chain is kept as long as its latest turn.
-    pub fn loaded(&mut self) {
+    pub fn finish_loading(&mut self) {
         if self.is_after_loss {
             self.programs.values_mut().for_each(Budget::doubt_open);
         }
@@ -192,7 +192,7 @@
             Reservation::Durable => request.max_tokens,
             Reservation::Pending { allowed } => allowed,
             Reservation::Spent => return OpenOutcome::BudgetSpent(program.shortage(now_ms)),
-            Reservation::Ended => return OpenOutcome::Ended,
+            Reservation::Ended => return OpenOutcome::AlreadyEnded,
         };
         let begins = request.previous.is_none() && program.begins_with(&turn);
         let durable = allowed == request.max_tokens;
@@ -245,7 +245,7 @@
     }
 
     /// A record was appended.
-    pub fn appended(&mut self, record: &Record) {
+    pub fn record_appended(&mut self, record: &Record) {
         match record {
             // Before the deletion it is one of the program's life before.
             Record::Program(name, Some(_)) if !self.forgotten.contains_key(name) => {
@@ -302,17 +302,17 @@
     }
 
     /// Turns kept.
-    pub fn turns(&self) -> usize {
+    pub fn turn_count(&self) -> usize {
         self.turns.len()
     }
 
     /// Programs known.
-    pub fn programs(&self) -> usize {
+    pub fn program_count(&self) -> usize {
         self.programs.len()
     }
 
     /// The record of a program as it stands, for checks.
-    pub fn committed(&self, program: &Name) -> u64 {
+    pub fn committed_tokens(&self, program: &Name) -> u64 {
         self.programs.get(program).map_or(0, Budget::committed)
     }
 
@@ -323,7 +323,7 @@
         if !request.keeps_context || request.supplies_chain {
             return Some(Vec::new());
         }
-        self.contents(&request.qualified_name(previous))
+        self.chain_contents(&request.qualified_name(previous))
             .map(|contents| {
                 if request.wants_chain {
                     contents
@@ -334,7 +334,7 @@
     }
 
     /// Inputs and outputs of the chain that ends with a turn, oldest first.
-    pub fn contents(&self, last: &Name) -> Option<Vec<u8>> {
+    pub fn chain_contents(&self, last: &Name) -> Option<Vec<u8>> {
         let chain = self.chain(last)?;
         let mut contents = Vec::new();
         for turn in chain.iter().rev() {
--- a/crates/ledger/tests/abandoned.rs
+++ b/crates/ledger/tests/abandoned.rs
@@ -36,7 +36,7 @@
 }
 
 fn counted(partition: &Partition) -> u64 {
-    partition.committed(&Name::new(None, "p"))
+    partition.committed_tokens(&Name::new(None, "p"))
 }
 
 #[test]
@@ -54,7 +54,7 @@
     let mut partition = Partition::default();
     let late = turn("t1", 1);
     partition.close(&late.cancellation(), 1);
-    assert_eq!(partition.open(&late, 2), OpenOutcome::Ended);
+    assert_eq!(partition.open(&late, 2), OpenOutcome::AlreadyEnded);
     assert_eq!(counted(&partition), 0);
     assert!(is_opened(&mut partition, &turn("t2", 2)));
 }
@@ -67,7 +67,7 @@
     let mut end = whole.cancellation();
     end.tokens = 200;
     partition.close(&end, 2);
-    assert_eq!(partition.open(&whole, 3), OpenOutcome::Ended);
+    assert_eq!(partition.open(&whole, 3), OpenOutcome::AlreadyEnded);
     assert_eq!(counted(&partition), 200);
 }
 
@@ -91,12 +91,12 @@
     let OpenOutcome::Opened { records, .. } = partition.open(&left, 1) else {
         panic!("not opened");
     };
-    let mut successor = Partition::taken_over(2, 0);
+    let mut successor = Partition::after_loss(2, 0);
     // Nothing of it was recorded where the owner's mark held it.
     records
         .into_iter()
         .for_each(|record| successor.load(record));
-    successor.loaded();
+    successor.finish_loading();
     successor.close(&left.cancellation(), 3);
     assert!(is_opened(&mut successor, &turn("t2", 2)));
 }
@@ -109,7 +109,10 @@
     let late = turn("t1", 1);
     partition.close(&late.cancellation(), NOW_MS);
     assert_eq!(partition.expire(NOW_MS + 10_000), []);
-    assert_eq!(partition.open(&late, NOW_MS + 11_000), OpenOutcome::Ended);
+    assert_eq!(
+        partition.open(&late, NOW_MS + 11_000),
+        OpenOutcome::AlreadyEnded
+    );
     assert_eq!(counted(&partition), 0);
 }
 
@@ -117,7 +120,7 @@
 /// its question came to nothing.
 #[test]
 fn a_program_that_asked_in_doubt_is_counted_as_such_after_it() {
-    let mut successor = Partition::taken_over(NOW_MS, 5_000);
+    let mut successor = Partition::after_loss(NOW_MS, 5_000);
     successor.close(&turn("t1", 1).cancellation(), NOW_MS);
     let in_doubt = counted(&successor);
     assert_eq!(in_doubt, BUDGET / 3);
@@ -133,13 +136,13 @@
     let mut partition = Partition::default();
     let late = turn("t1", 1);
     let mut records = partition.close(&late.cancellation(), NOW_MS);
-    records.extend(partition.hand_over());
-    let mut successor = Partition::handed_over(NOW_MS, 0);
+    records.extend(partition.handover_records());
+    let mut successor = Partition::after_handover(NOW_MS, 0);
     for record in records {
         successor.load(record);
     }
-    successor.loaded();
-    assert_eq!(successor.open(&late, NOW_MS), OpenOutcome::Ended);
+    successor.finish_loading();
+    assert_eq!(successor.open(&late, NOW_MS), OpenOutcome::AlreadyEnded);
     assert_eq!(counted(&successor), 0);
 }
 
@@ -150,17 +153,17 @@
     let mut partition = Partition::default();
     let records = partition.close(&turn("t1", 1).cancellation(), NOW_MS);
     assert_eq!(records.len(), 1);
-    let mut successor = Partition::taken_over(NOW_MS, 5_000);
+    let mut successor = Partition::after_loss(NOW_MS, 5_000);
     for record in records {
         successor.load(record);
     }
-    successor.loaded();
+    successor.finish_loading();
     let told = counted(&successor);
-    let mut without = Partition::taken_over(NOW_MS, 5_000);
+    let mut without = Partition::after_loss(NOW_MS, 5_000);
     without.close(&turn("t2", 2).cancellation(), NOW_MS);
     assert_eq!(told, counted(&without));
     let again = successor.close(&turn("t3", 3).cancellation(), NOW_MS);
-    let mut next = Partition::taken_over(NOW_MS, 5_000);
+    let mut next = Partition::after_loss(NOW_MS, 5_000);
     for record in again {
         next.load(record);
     }
@@ -178,7 +181,7 @@
     let mut end = whole.cancellation();
     end.tokens = 100;
     let records = partition.close(&end, NOW_MS);
-    let mut successor = Partition::taken_over(NOW_MS, 0);
+    let mut successor = Partition::after_loss(NOW_MS, 0);
     for record in records {
         successor.load(record);
     }
--- a/crates/ledger/tests/budget_fuzz/world.rs
+++ b/crates/ledger/tests/budget_fuzz/world.rs
@@ -87,8 +87,8 @@
 
     /// What the owner counts, if it knows the program.
     pub fn counted(&self) -> Option<u64> {
-        let is_known = self.owner.programs() > 0;
-        is_known.then(|| self.owner.committed(&Name::new(None, PROGRAM)))
+        let is_known = self.owner.program_count() > 0;
+        is_known.then(|| self.owner.committed_tokens(&Name::new(None, PROGRAM)))
     }
 
     /// One where each turn has a line of its own: no client goes on before its answer ended.
@@ -211,7 +211,7 @@
         };
         self.appended += 1;
         self.log.insert(record.key(), record.value());
-        self.owner.appended(&record);
+        self.owner.record_appended(&record);
         let appended = self.appended;
         let (done, waiting) = std::mem::take(&mut self.waiting)
             .into_iter()
@@ -226,20 +226,20 @@
     }
 
     fn hand_over(&mut self) {
-        let records = self.owner.hand_over();
+        let records = self.owner.handover_records();
         self.push(records);
         while !self.queue.is_empty() {
             self.append();
         }
-        let doubt_ms = self.owner.doubt_ms(NOW_MS);
-        self.owner = Partition::handed_over(NOW_MS, doubt_ms);
+        let doubt_ms = self.owner.uncertainty_ms(NOW_MS);
+        self.owner = Partition::after_handover(NOW_MS, doubt_ms);
         self.read_back();
     }
 
     /// The next owner begins from the log. Turns whose reservation was not durable
     /// are asked for again by their gateways before they hand anything out.
     fn lose_owner(&mut self) {
-        let former = std::mem::replace(&mut self.owner, Partition::taken_over(NOW_MS, DOUBT_MS));
+        let former = std::mem::replace(&mut self.owner, Partition::after_loss(NOW_MS, DOUBT_MS));
         self.formers.push(former);
         self.queue.clear();
         self.queued = self.appended;
@@ -258,7 +258,7 @@
                 self.owner.load(record);
             }
         }
-        self.owner.loaded();
+        self.owner.finish_loading();
     }
 
     fn lose_gateway(&mut self, which: u8) {
--- a/crates/ledger/tests/budget_room/world.rs
+++ b/crates/ledger/tests/budget_room/world.rs
@@ -156,12 +156,12 @@
     }
 
     pub fn counted(&self) -> u64 {
-        self.owner.committed(&Name::new(None, PROGRAM))
+        self.owner.committed_tokens(&Name::new(None, PROGRAM))
     }
 
     /// An owner that knows the program counts all that was handed out of it, by whomever.
     pub fn counts_all(&self) -> bool {
-        self.owner.programs() == 0 || self.counted() >= self.handed_out()
+        self.owner.program_count() == 0 || self.counted() >= self.handed_out()
     }
 
     fn push(&mut self, records: Vec<Record>) {
@@ -301,7 +301,7 @@
         };
         self.appended += 1;
         self.log.insert(record.key(), record.value());
-        self.owner.appended(&record);
+        self.owner.record_appended(&record);
         let appended = self.appended;
         for turn in &mut self.turns {
             if turn.durable_at <= appended {
@@ -321,8 +321,8 @@
             let record = Record::read(key, value).expect("a record as it was written");
             self.owner.load(record);
         }
-        self.owner.loaded();
-        let records = self.owner.claim_part(self.now_ms);
+        self.owner.finish_loading();
+        let records = self.owner.claim_unrecorded_share(self.now_ms);
         self.push(records);
     }
 
@@ -340,12 +340,12 @@
     /// Takes nothing of a program that the owner knows. One that it does not know may have used
     /// what unknown programs are given in doubt.
     fn hand_over(&mut self) {
-        let is_known = self.owner.programs() > 0;
-        let records = self.owner.hand_over();
+        let is_known = self.owner.program_count() > 0;
+        let records = self.owner.handover_records();
         self.push(records);
         self.append_all();
-        let doubt_ms = self.owner.doubt_ms(self.now_ms);
-        self.owner = Partition::handed_over(self.now_ms, doubt_ms);
+        let doubt_ms = self.owner.uncertainty_ms(self.now_ms);
+        self.owner = Partition::after_handover(self.now_ms, doubt_ms);
         if !is_known {
             self.count_loss();
         }
@@ -364,7 +364,7 @@
     fn lose_owner(&mut self, gateways_live: bool) {
         let former = std::mem::replace(
             &mut self.owner,
-            Partition::taken_over(self.now_ms, DOUBT_MS),
+            Partition::after_loss(self.now_ms, DOUBT_MS),
         );
         if gateways_live {
             self.formers.push(former);
--- a/crates/ledger/tests/budget_room/world/questions.rs
+++ b/crates/ledger/tests/budget_room/world/questions.rs
@@ -116,7 +116,7 @@
     }
 
     fn end_doubt(&mut self) {
-        let is_known = self.owner.programs() > 0 || self.turns.is_empty();
+        let is_known = self.owner.program_count() > 0 || self.turns.is_empty();
         if is_known && self.now_ms < NOW_MS + DOUBTS * DOUBT_MS {
             self.now_ms += DOUBT_MS;
             self.formers.clear();
@@ -172,7 +172,7 @@
         let question = &self.questions[index];
         let (request, waits) = (question.request.clone(), question.waits());
         let outcome = self.owner.open(&request, self.now_ms);
-        if outcome != OpenOutcome::Ended {
+        if outcome != OpenOutcome::AlreadyEnded {
             self.pass(&request);
         }
         let may_refuse = self.may_refuse();
--- a/crates/ledger/tests/chain_fuzz.rs
+++ b/crates/ledger/tests/chain_fuzz.rs
@@ -184,7 +184,7 @@
                 self.owner.load(record);
             }
         }
-        self.owner.loaded();
+        self.owner.finish_loading();
     }
 
     fn step(&mut self, step: Step) -> bool {
@@ -236,6 +236,6 @@
             owner.load(Record::Turn(name, Some(record)));
         }
     }
-    owner.loaded();
-    assert_eq!(owner.contents(&Name::new(None, "t0")), None);
+    owner.finish_loading();
+    assert_eq!(owner.chain_contents(&Name::new(None, "t0")), None);
 }
--- a/crates/ledger/tests/doubt.rs
+++ b/crates/ledger/tests/doubt.rs
@@ -36,7 +36,7 @@
 #[test]
 fn a_program_that_begins_after_the_doubt_spends_its_whole_budget_and_needs_no_log() {
     let doubt_ms = doubt_after_loss(TURN_MS);
-    let mut partition = Partition::taken_over(TAKEN_OVER_MS, doubt_ms);
+    let mut partition = Partition::after_loss(TAKEN_OVER_MS, doubt_ms);
     let before = TAKEN_OVER_MS + doubt_ms - 1;
     assert_eq!(
         is_durable(&mut partition, &turn("old", 0), before),
--- a/crates/ledger/tests/expiry.rs
+++ b/crates/ledger/tests/expiry.rs
@@ -44,14 +44,18 @@
     let mut owner = Partition::default();
     open(&mut owner, 1, NOW_MS);
     let told = owner.close(&turn(1).cancellation(), NOW_MS);
-    told.iter().for_each(|record| owner.appended(record));
+    told.iter().for_each(|record| owner.record_appended(record));
     let deletions = owner.expire(LATER_MS);
     assert_eq!(deletions.len(), 1);
     let (allowed, records) = open(&mut owner, 2, LATER_MS);
     assert_eq!(allowed, 0, "a successor may read the old record alone");
-    deletions.iter().for_each(|record| owner.appended(record));
+    deletions
+        .iter()
+        .for_each(|record| owner.record_appended(record));
     assert_eq!(open(&mut owner, 2, LATER_MS).0, 0);
-    records.iter().for_each(|record| owner.appended(record));
+    records
+        .iter()
+        .for_each(|record| owner.record_appended(record));
     assert_eq!(open(&mut owner, 2, LATER_MS).0, MOST);
 }
 
@@ -68,7 +72,7 @@
     let before = open(&mut owner, 4, LATER_MS).0;
     assert!(before < MOST);
     for record in told.iter().chain(&deletions) {
-        owner.appended(record);
+        owner.record_appended(record);
     }
     assert_eq!(open(&mut owner, 4, LATER_MS).0, before);
 }
@@ -78,6 +82,8 @@
     let mut owner = Partition::default();
     open(&mut owner, 1, NOW_MS);
     let deletions = owner.expire(LATER_MS);
-    deletions.iter().for_each(|record| owner.appended(record));
+    deletions
+        .iter()
+        .for_each(|record| owner.record_appended(record));
     assert_eq!(open(&mut owner, 2, LATER_MS).0, MOST);
 }
--- a/crates/ledger/tests/in_doubt.rs
+++ b/crates/ledger/tests/in_doubt.rs
@@ -50,7 +50,7 @@
 }
 
 fn counted(partition: &Partition) -> u64 {
-    partition.committed(&Name::new(None, "p"))
+    partition.committed_tokens(&Name::new(None, "p"))
 }
 
 fn end(partition: &mut Partition, turn: &OpenTurn, tokens: u64) {
@@ -64,16 +64,16 @@
     for record in records {
         successor.load(record);
     }
-    successor.loaded();
+    successor.finish_loading();
     successor
 }
 
 /// The owner of a turn is lost once the record of it is durable.
 fn after_a_loss(turn: &OpenTurn) -> Partition {
-    let mut partition = Partition::taken_over(NOW_MS, DOUBT_MS);
+    let mut partition = Partition::after_loss(NOW_MS, DOUBT_MS);
     let records = opened(&mut partition, turn).expect("the first turn of its program");
     assert!(!records.is_empty(), "nothing tells of it");
-    reads(Partition::taken_over(NOW_MS, DOUBT_MS), records)
+    reads(Partition::after_loss(NOW_MS, DOUBT_MS), records)
 }
 
 #[test]
@@ -148,8 +148,8 @@
 fn a_turn_under_way_over_a_planned_stop_is_waited_for() {
     let mut partition = Partition::default();
     let mut records = opened(&mut partition, &turn(1, Some("a"))).expect("the first turn");
-    records.extend(partition.hand_over());
-    let mut successor = reads(Partition::handed_over(NOW_MS, 0), records);
+    records.extend(partition.handover_records());
+    let mut successor = reads(Partition::after_handover(NOW_MS, 0), records);
     assert_eq!(counted(&successor), MOST);
     let shortage = shortage(&mut successor, &turn(2, Some("b")));
     assert_eq!(shortage.in_doubt_turns, 0);
@@ -188,14 +188,14 @@
 /// that tells of a turn under way and not that it is in doubt.
 #[test]
 fn a_turn_in_doubt_stays_so_over_a_planned_stop() {
-    let mut first = Partition::taken_over(NOW_MS, DOUBT_MS);
+    let mut first = Partition::after_loss(NOW_MS, DOUBT_MS);
     let mut log = opened(&mut first, &turn(1, Some("a"))).expect("the first turn of its program");
-    let mut successor = reads(Partition::taken_over(NOW_MS, DOUBT_MS), log.clone());
+    let mut successor = reads(Partition::after_loss(NOW_MS, DOUBT_MS), log.clone());
     log.extend(opened(&mut successor, &turn(2, Some("b"))).expect("turn 1 is in doubt"));
     let withdrawn = turn(2, Some("b")).cancellation();
     log.extend(successor.close(&withdrawn, NOW_MS));
-    log.extend(successor.hand_over());
-    let mut next = reads(Partition::handed_over(NOW_MS, DOUBT_MS), log);
+    log.extend(successor.handover_records());
+    let mut next = reads(Partition::after_handover(NOW_MS, DOUBT_MS), log);
     let outcome = next.open(&turn(3, Some("c")), NOW_MS);
     assert!(matches!(outcome, OpenOutcome::Opened { .. }), "{outcome:?}");
 }
@@ -203,11 +203,11 @@
 /// The same, where the program asks only after the planned stop.
 #[test]
 fn a_turn_of_a_lost_gateway_refuses_nobody_after_a_planned_stop() {
-    let mut first = Partition::taken_over(NOW_MS, DOUBT_MS);
+    let mut first = Partition::after_loss(NOW_MS, DOUBT_MS);
     let mut log = opened(&mut first, &turn(1, Some("a"))).expect("the first turn of its program");
-    let mut successor = reads(Partition::taken_over(NOW_MS, DOUBT_MS), log.clone());
-    log.extend(successor.hand_over());
-    let mut next = reads(Partition::handed_over(NOW_MS, DOUBT_MS), log);
+    let mut successor = reads(Partition::after_loss(NOW_MS, DOUBT_MS), log.clone());
+    log.extend(successor.handover_records());
+    let mut next = reads(Partition::after_handover(NOW_MS, DOUBT_MS), log);
     let outcome = next.open(&turn(3, Some("a")), NOW_MS);
     assert!(matches!(outcome, OpenOutcome::Opened { .. }), "{outcome:?}");
 }
--- a/crates/ledger/tests/told_in_rounds.rs
+++ b/crates/ledger/tests/told_in_rounds.rs
@@ -57,7 +57,7 @@
         }
     }
     let next = owner.open(&turn(TURNS), NOW_MS);
-    let counted = owner.committed(&Name::new(None, "p"));
+    let counted = owner.committed_tokens(&Name::new(None, "p"));
     let used = TURNS * TOKENS;
     assert!(
         matches!(next, OpenOutcome::Opened { .. }),
