--- a/crates/gateway/src/ledger/owner.rs
+++ b/crates/gateway/src/ledger/owner.rs
@@ -13,7 +13,7 @@
 use fieldhook_ledger::message::{
     ClaimPartition, KnownOwner, LedgerReply, LedgerRequest, QuotaMatter, QuotaQuestion,
 };
-use fieldhook_ledger::partition::doubt_after_loss;
+use fieldhook_ledger::partition::uncertainty_after_loss_ms;
 use fieldhook_log::api::{LogStore, Partition as LogPartition, StoreError};
 use fieldhook_log::appender::fence;
 use fieldhook_log::claims::Claims;
@@ -129,7 +129,7 @@
 
     /// How long programs without a record are in doubt once an owner was lost.
     pub(super) fn doubt_after_loss_ms(&self) -> u64 {
-        doubt_after_loss(self.longest_turn_ms.get())
+        uncertainty_after_loss_ms(self.longest_turn_ms.get())
     }
 
     /// Whether a partition is held but not read yet.
--- a/crates/ledger/src/budget.rs
+++ b/crates/ledger/src/budget.rs
@@ -4,7 +4,7 @@
 //! therefore reserved before its first token, and no more is handed out than a successor
 //! will count without a word from this owner. That is a mark: what the newest durable record
 //! tells, and a part of what that leaves, reserved ahead. A program without a record has a
-//! mark as well ([`crate::doubt`]): a part of its whole budget. So programs go on, and new ones
+//! mark as well ([`crate::uncertainty`]): a part of its whole budget. So programs go on, and new ones
 //! begin, while the log is away; a record raises the mark again once it is back. Turns mostly
 //! take much less than their most, so a turn that the mark does not hold whole begins with
 //! what is left of it, and needs the record only if it comes to that.
@@ -21,11 +21,11 @@
 //! than what is counted, and the last turn adds its most to that at the most (docs/PROOF.md,
 //! BUDGET; docs/design/losses.md).
 
-use crate::doubt::Unrecorded;
 use crate::ended::Ends;
 use crate::message::Shortage;
 use crate::open::{Request, Turns};
 use crate::record::ProgramRecord;
+use crate::uncertainty::Unrecorded;
 use std::collections::VecDeque;
 
 /// Part of what is left of a budget that is reserved ahead where turns end without the log:
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -10,12 +10,11 @@
 //! - [`record`]: what is appended, and its keys.
 //! - [`budget`]: how much of its budget a program may still hand out.
 //! - [`open`]: the turns under way of a program, and which of them are in doubt.
-//! - [`doubt`]: programs that no record tells of after a take-over.
+//! - [`uncertainty`]: programs that no record tells of after a take-over.
 //! - [`ended`]: ends of turns that are remembered.
 //! - [`partition`]: the state machine of one partition.
 
 pub mod budget;
-pub mod doubt;
 pub mod ended;
 pub mod layout;
 pub mod message;
@@ -23,6 +22,7 @@
 pub mod partition;
 pub mod record;
 pub mod scope;
+pub mod uncertainty;
 
 use xxhash_rust::xxh3::xxh3_64;
 
--- a/crates/ledger/src/partition.rs
+++ b/crates/ledger/src/partition.rs
@@ -1,11 +1,11 @@
 //! The state machine of one partition, as its owner runs it.
 
 use crate::budget::{Ahead, Budget, End, Reservation};
-use crate::doubt::Doubt;
-pub use crate::doubt::doubt_after_loss;
 use crate::message::{CloseTurn, OpenTurn, Shortage};
 use crate::record::{ProgramRecord, Record, TurnRecord};
 use crate::scope::Name;
+use crate::uncertainty::Uncertainty;
+pub use crate::uncertainty::uncertainty_after_loss_ms;
 use std::collections::HashMap;
 
 /// How much longer than promised a turn is kept, in milliseconds: clocks of
@@ -68,14 +68,14 @@
     /// read the record of before, and would count that alone.
     forgotten: HashMap<Name, u32>,
     /// Whether a program that no record tells of may be an earlier owner's.
-    doubt: Doubt,
+    doubt: Uncertainty,
     /// The owner before was lost: gateways of turns that it told of may be lost with it.
     is_after_loss: bool,
 }
 
 impl Partition {
     /// A partition whose last owner was lost. For `doubt_ms` from now on it may have granted
-    /// turns which no record tells of: see [`doubt_after_loss`].
+    /// turns which no record tells of: see [`uncertainty_after_loss_ms`].
     pub fn after_loss(now_ms: u64, doubt_ms: u64) -> Self {
         Self {
             is_after_loss: true,
@@ -87,7 +87,7 @@
     /// up. For `doubt_ms` from now on unknown programs are in doubt, as they were for it.
     pub fn after_handover(now_ms: u64, doubt_ms: u64) -> Self {
         Self {
-            doubt: Doubt::until(now_ms + doubt_ms),
+            doubt: Uncertainty::until(now_ms + doubt_ms),
             ..Self::default()
         }
     }
@@ -101,7 +101,7 @@
     /// while unknown ones are in doubt.
     pub fn claim_unrecorded_share(&self, now_ms: u64) -> Vec<Record> {
         let claimed = self.doubt.claim_part(now_ms);
-        claimed.map(Record::Doubt).into_iter().collect()
+        claimed.map(Record::UnrecordedShares).into_iter().collect()
     }
 
     /// Records to be appended before the partition is given up: nothing is reserved ahead
@@ -145,7 +145,7 @@
                     },
                 );
             }
-            Record::Doubt(successors) => self.doubt.load(successors),
+            Record::UnrecordedShares(successors) => self.doubt.load(successors),
             Record::Program(name, None) => {
                 self.programs.remove(&name);
             }
@@ -254,7 +254,7 @@
                 }
             }
             Record::Program(name, None) => self.deleted(name),
-            Record::Doubt(successors) => self.doubt.appended(*successors),
+            Record::UnrecordedShares(successors) => self.doubt.appended(*successors),
             _ => {}
         }
     }
@@ -297,7 +297,7 @@
             return Vec::new();
         }
         let mut records = self.record_programs(Budget::first_record);
-        records.push(Record::Doubt(0));
+        records.push(Record::UnrecordedShares(0));
         records
     }
 
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -61,8 +61,8 @@
     /// Content of a turn.
     Turn(Name, Option<TurnRecord>),
     /// Successors in a row that may have handed out their part of programs without a record:
-    /// see [`crate::doubt`].
-    Doubt(u32),
+    /// see [`crate::uncertainty`].
+    UnrecordedShares(u32),
 }
 
 /// A record that cannot be read.
@@ -75,7 +75,7 @@
         let (kind, tenant_kind, name) = match self {
             Self::Program(name, _) => (PROGRAM_KEY, TENANT_PROGRAM_KEY, name),
             Self::Turn(name, _) => (TURN_KEY, TENANT_TURN_KEY, name),
-            Self::Doubt(_) => return vec![DOUBT_KEY],
+            Self::UnrecordedShares(_) => return vec![DOUBT_KEY],
         };
         let mut key = Vec::with_capacity(name.text.len() + 1);
         match &name.tenant {
@@ -95,7 +95,7 @@
         match self {
             Self::Program(_, Some(record)) => record.serialize_bin(),
             Self::Turn(_, Some(record)) => record.serialize_bin(),
-            Self::Doubt(successors) => successors.serialize_bin(),
+            Self::UnrecordedShares(successors) => successors.serialize_bin(),
             _ => Vec::new(),
         }
     }
@@ -108,7 +108,7 @@
         let (kind, name) = key.split_first().ok_or(UnreadableRecord)?;
         if *kind == DOUBT_KEY && name.is_empty() {
             let successors = u32::deserialize_bin(value).map_err(|_| UnreadableRecord)?;
-            return Ok(Self::Doubt(successors));
+            return Ok(Self::UnrecordedShares(successors));
         }
         let (kind, name) = match *kind {
             TENANT_PROGRAM_KEY => (PROGRAM_KEY, tenants_name(name)?),
--- a/crates/ledger/src/doubt.rs
+++ b/crates/ledger/src/uncertainty.rs
@@ -25,7 +25,7 @@
 
 /// How long after a take-over an unknown program may have begun under the earlier owner, in
 /// milliseconds, where a turn takes `longest_turn_ms` at most.
-pub fn doubt_after_loss(longest_turn_ms: u64) -> u64 {
+pub fn uncertainty_after_loss_ms(longest_turn_ms: u64) -> u64 {
     let out_of_sight = longest_turn_ms.saturating_mul(TURNS_OUT_OF_SIGHT);
     out_of_sight
         .saturating_add(FORMER_OWNER_MS)
@@ -61,7 +61,7 @@
 
 /// The doubt of one owner.
 #[derive(Debug, Default)]
-pub struct Doubt {
+pub struct Uncertainty {
     until_ms: u64,
     /// Successors that may hand out their part, by the newest record.
     recorded: u32,
@@ -69,7 +69,7 @@
     is_recorded: bool,
 }
 
-impl Doubt {
+impl Uncertainty {
     /// In doubt until a time.
     pub fn until(until_ms: u64) -> Self {
         Self {
--- a/crates/ledger/tests/doubt.rs
+++ b/crates/ledger/tests/uncertainty.rs
@@ -1,7 +1,7 @@
 //! How long a new owner counts what earlier ones may have granted without a record.
 
 use fieldhook_ledger::message::OpenTurn;
-use fieldhook_ledger::partition::{OpenOutcome, Partition, doubt_after_loss};
+use fieldhook_ledger::partition::{OpenOutcome, Partition, uncertainty_after_loss_ms};
 
 const TURN_MS: u64 = 4_000;
 const TAKEN_OVER_MS: u64 = 1_000_000;
@@ -35,7 +35,7 @@
 
 #[test]
 fn a_program_that_begins_after_the_doubt_spends_its_whole_budget_and_needs_no_log() {
-    let doubt_ms = doubt_after_loss(TURN_MS);
+    let doubt_ms = uncertainty_after_loss_ms(TURN_MS);
     let mut partition = Partition::after_loss(TAKEN_OVER_MS, doubt_ms);
     let before = TAKEN_OVER_MS + doubt_ms - 1;
     assert_eq!(
@@ -54,8 +54,8 @@
 
 #[test]
 fn the_doubt_outlasts_three_tries_of_a_turn_and_the_calls_of_tools_after_it() {
-    assert_eq!(doubt_after_loss(TURN_MS), 20_000);
-    assert!(doubt_after_loss(500) > 4 * 500);
-    assert_eq!(doubt_after_loss(30_000), 60_000);
-    assert_eq!(doubt_after_loss(u64::MAX), 60_000);
+    assert_eq!(uncertainty_after_loss_ms(TURN_MS), 20_000);
+    assert!(uncertainty_after_loss_ms(500) > 4 * 500);
+    assert_eq!(uncertainty_after_loss_ms(30_000), 60_000);
+    assert_eq!(uncertainty_after_loss_ms(u64::MAX), 60_000);
 }
