--- a/crates/gateway/src/ledger/cold.rs
+++ b/crates/gateway/src/ledger/cold.rs
@@ -5,7 +5,7 @@
 use super::exchange::Exchange;
 use super::limits::{self, Limits};
 use super::owner::Owner;
-use fieldhook_ledger::message::{ColdQuestion, LedgerReply, LedgerRequest, QuotaAnswer};
+use fieldhook_ledger::message::{ColdServerRequest, LedgerReply, LedgerRequest, QuotaReply};
 use fieldhook_log::api::StoreError;
 use fieldhook_log::appender::fence;
 use fieldhook_log::lease::{Lease, State, TERM_MS};
@@ -92,7 +92,7 @@
 pub(super) async fn answer(
     owner: Rc<Owner>,
     partition: u32,
-    question: ColdQuestion,
+    question: ColdServerRequest,
     sender: mpsc::UnboundedSender<LedgerReply>,
 ) {
     let asked = Instant::now();
@@ -110,7 +110,7 @@
                 break LedgerReply::Quota(limits.ask(partition, &claim, &question));
             }
             State::Waits(retry_after_ms) => {
-                break LedgerReply::Quota(QuotaAnswer::Refused { retry_after_ms });
+                break LedgerReply::Quota(QuotaReply::Refused { retry_after_ms });
             }
             // Whoever asks would not take a later answer.
             State::Lapsed if asked.elapsed() >= PERMIT => break LedgerReply::Unavailable,
@@ -167,7 +167,10 @@
 impl LedgerClient {
     /// Asks once whether a request may be sent to a cold server; `None` where no owner
     /// answers in time. That one is looked for then, for the requests that follow.
-    pub(crate) async fn ask_cold(self: &Rc<Self>, question: &ColdQuestion) -> Option<QuotaAnswer> {
+    pub(crate) async fn ask_cold(
+        self: &Rc<Self>,
+        question: &ColdServerRequest,
+    ) -> Option<QuotaReply> {
         let request = LedgerRequest::Cold(question.clone());
         let answer = timeout(PERMIT, self.ask_cold_owner(&request)).await;
         if let Ok(Some(answer)) = answer {
@@ -188,7 +191,7 @@
         None
     }
 
-    async fn ask_cold_owner(&self, request: &LedgerRequest) -> Option<QuotaAnswer> {
+    async fn ask_cold_owner(&self, request: &LedgerRequest) -> Option<QuotaReply> {
         let partition = request.partition(self.owner.places.layout.global_count());
         loop {
             match self.exchange(partition, request, PERMIT).await {
--- a/crates/gateway/src/ledger/limits.rs
+++ b/crates/gateway/src/ledger/limits.rs
@@ -1,7 +1,7 @@
 //! What tenants may send, and what cold servers may get, counted where their partitions are
 //! owned.
 
-use fieldhook_ledger::message::{ColdQuestion, QuotaAnswer, QuotaQuestion};
+use fieldhook_ledger::message::{ColdServerRequest, QuotaReply, QuotaRequest};
 use fieldhook_log::ownership::{self, Claim};
 use fieldhook_traffic::cold;
 use fieldhook_traffic::quota::{Answer, Book, Former, Question};
@@ -49,12 +49,7 @@
     }
 
     /// Answers a question about what is counted in a partition that this daemon has claimed.
-    pub(super) fn ask(
-        &self,
-        partition: u32,
-        claim: &Claim,
-        question: &Question<'_>,
-    ) -> QuotaAnswer {
+    pub(super) fn ask(&self, partition: u32, claim: &Claim, question: &Question<'_>) -> QuotaReply {
         self.with_book(partition, claim, |book, now_ms| {
             answer(book.ask(question, now_ms))
         })
@@ -65,12 +60,12 @@
         &self,
         partition: u32,
         claim: &Claim,
-        question: &QuotaQuestion,
-    ) -> QuotaAnswer {
+        question: &QuotaRequest,
+    ) -> QuotaReply {
         let (tenant, program) = (&question.tenant, question.program.as_deref());
         self.with_book(partition, claim, |book, now_ms| {
             book.left(tenant, program, now_ms);
-            QuotaAnswer::Granted {
+            QuotaReply::Granted {
                 used: book.used_by(tenant, now_ms),
             }
         })
@@ -80,8 +75,8 @@
         &self,
         partition: u32,
         claim: &Claim,
-        act: impl FnOnce(&mut Book, u64) -> QuotaAnswer,
-    ) -> QuotaAnswer {
+        act: impl FnOnce(&mut Book, u64) -> QuotaReply,
+    ) -> QuotaReply {
         let now_ms = self.started.elapsed().as_millis() as u64;
         let mut books = self.books.borrow_mut();
         let is_current = books
@@ -95,7 +90,7 @@
             books.insert(partition, kept);
         }
         let Some(kept) = books.get_mut(&partition) else {
-            return QuotaAnswer::Refused { retry_after_ms: 0 };
+            return QuotaReply::Refused { retry_after_ms: 0 };
         };
         act(&mut kept.book, now_ms)
     }
@@ -110,7 +105,7 @@
 }
 
 /// A question about a cold server.
-pub(super) fn of_cold(question: &ColdQuestion) -> Question<'_> {
+pub(super) fn of_cold(question: &ColdServerRequest) -> Question<'_> {
     cold::question(
         &question.server,
         question.rate_per_s,
@@ -120,7 +115,7 @@
 }
 
 /// A question about a tenant.
-pub(super) fn of_tenant(question: &QuotaQuestion) -> Question<'_> {
+pub(super) fn of_tenant(question: &QuotaRequest) -> Question<'_> {
     Question {
         tenant: &question.tenant,
         limit: Limit {
@@ -136,9 +131,9 @@
     }
 }
 
-fn answer(answer: Answer) -> QuotaAnswer {
+fn answer(answer: Answer) -> QuotaReply {
     match answer {
-        Answer::Granted { used } => QuotaAnswer::Granted { used },
-        Answer::Refused { retry_after_ms } => QuotaAnswer::Refused { retry_after_ms },
+        Answer::Granted { used } => QuotaReply::Granted { used },
+        Answer::Refused { retry_after_ms } => QuotaReply::Refused { retry_after_ms },
     }
 }
--- a/crates/gateway/src/ledger/owner.rs
+++ b/crates/gateway/src/ledger/owner.rs
@@ -11,7 +11,7 @@
 use crate::relay::Relay;
 use crate::settings::{GatewaySettings, Quota};
 use fieldhook_ledger::message::{
-    ClaimPartition, KnownOwner, LedgerReply, LedgerRequest, QuotaMatter, QuotaQuestion,
+    ClaimPartition, KnownOwner, LedgerReply, LedgerRequest, QuotaEvent, QuotaRequest,
 };
 use fieldhook_ledger::partition::uncertainty_after_loss_ms;
 use fieldhook_log::api::{LogStore, Partition as LogPartition, StoreError};
@@ -213,18 +213,18 @@
     fn handle_quota(
         &self,
         partition: u32,
-        question: &QuotaQuestion,
+        question: &QuotaRequest,
         sender: &mpsc::UnboundedSender<LedgerReply>,
     ) {
         let may_be_replaced = self.reach.get() == Reach::CutOff;
         let claim = self.own_claim(partition).filter(|_| !may_be_replaced);
         let reply = match claim {
             Some(claim) => LedgerReply::Quota(match question.event {
-                QuotaMatter::Request => {
+                QuotaEvent::Request => {
                     let question = limits::of_tenant(question);
                     self.limits.ask(partition, &claim, &question)
                 }
-                QuotaMatter::Interrupted => self.limits.client_left(partition, &claim, question),
+                QuotaEvent::Interrupted => self.limits.client_left(partition, &claim, question),
             }),
             None if may_be_replaced => LedgerReply::NotOwner(None),
             None => LedgerReply::NotOwner(self.known_owner(partition)),
--- a/crates/gateway/src/ledger/quota.rs
+++ b/crates/gateway/src/ledger/quota.rs
@@ -2,7 +2,7 @@
 
 use super::client::LedgerClient;
 use super::exchange::Exchange;
-use fieldhook_ledger::message::{LedgerReply, LedgerRequest, QuotaAnswer, QuotaQuestion};
+use fieldhook_ledger::message::{LedgerReply, LedgerRequest, QuotaReply, QuotaRequest};
 use fieldhook_log::reach::Reach;
 use fieldhook_traffic::share::Share;
 use std::cell::RefCell;
@@ -79,7 +79,7 @@
     }
 
     /// Takes one request of a tenant by asking `ledger`.
-    pub async fn take(&self, ledger: &LedgerClient, question: &QuotaQuestion) -> Outcome {
+    pub async fn take(&self, ledger: &LedgerClient, question: &QuotaRequest) -> Outcome {
         let tenant = &question.tenant;
         let partition = ledger.partition_of(tenant);
         if self.is_silent(partition) && self.take_unasked(tenant) {
@@ -92,7 +92,7 @@
         };
         let deadline = Instant::now() + limit;
         match ledger.ask(&request, deadline).await {
-            Some((LedgerReply::Quota(QuotaAnswer::Granted { used }), _)) => {
+            Some((LedgerReply::Quota(QuotaReply::Granted { used }), _)) => {
                 self.silent_until.borrow_mut().remove(&partition);
                 let window_s = self.window_ms as f64 / 1_000.0;
                 let held = question.rate_per_s * window_s + question.burst;
@@ -102,7 +102,7 @@
                 });
                 Outcome::Granted
             }
-            Some((LedgerReply::Quota(QuotaAnswer::Refused { retry_after_ms }), _)) => {
+            Some((LedgerReply::Quota(QuotaReply::Refused { retry_after_ms }), _)) => {
                 Outcome::Refused { retry_after_ms }
             }
             _ => {
@@ -121,7 +121,7 @@
     /// Tells the owner of a limit that a client left, beside its request and once: clients leave
     /// by hundreds where owners are silent, and an owner that does not hear of it counts the
     /// program as a short one, nothing worse.
-    pub(crate) fn tell_client_left(self: &Rc<Self>, question: QuotaQuestion) {
+    pub(crate) fn tell_client_left(self: &Rc<Self>, question: QuotaRequest) {
         let ledger = self.clone();
         ntex::rt::spawn(async move {
             let partition = ledger.partition_of(&question.tenant);
--- a/crates/gateway/src/serve/cold.rs
+++ b/crates/gateway/src/serve/cold.rs
@@ -3,7 +3,7 @@
 use super::answer::OwnAnswer;
 use super::attempt::Tried;
 use super::request::{RETRY_SOON_MS, RequestContext};
-use fieldhook_ledger::message::{ColdQuestion, QuotaAnswer};
+use fieldhook_ledger::message::{ColdServerRequest, QuotaReply};
 use fieldhook_traffic::cold::PERMIT_MS;
 use fieldhook_traffic::config::Cold;
 use fieldhook_traffic::directory::ServerEntry;
@@ -25,7 +25,7 @@
 /// the server is passed over for a while then.
 pub async fn permit(context: &RequestContext, server: &ServerEntry, cold: &Cold) -> bool {
     let daemon = &context.daemon;
-    let question = ColdQuestion {
+    let question = ColdServerRequest {
         server: server.id.clone(),
         rate_per_s: cold.rate_per_s,
         version: daemon.cold.version(),
@@ -35,9 +35,9 @@
     let answer = daemon.ledger.ask_cold(&question).await;
     let is_late = asked.elapsed() >= Duration::from_millis(PERMIT_MS);
     let (outcome, wait_ms) = match answer {
-        Some(QuotaAnswer::Granted { .. }) if !is_late => ("granted", None),
-        Some(QuotaAnswer::Granted { .. }) => ("late", Some(LATE_MS)),
-        Some(QuotaAnswer::Refused { retry_after_ms }) => ("refused", Some(retry_after_ms)),
+        Some(QuotaReply::Granted { .. }) if !is_late => ("granted", None),
+        Some(QuotaReply::Granted { .. }) => ("late", Some(LATE_MS)),
+        Some(QuotaReply::Refused { retry_after_ms }) => ("refused", Some(retry_after_ms)),
         None => ("no_owner", Some(NO_OWNER_MS)),
     };
     let permits = &daemon.metrics.cold_permits;
--- a/crates/gateway/src/serve/quota.rs
+++ b/crates/gateway/src/serve/quota.rs
@@ -4,7 +4,7 @@
 use super::request::{RequestContext, Served};
 use crate::daemon::Daemon;
 use crate::ledger::quota::Outcome;
-use fieldhook_ledger::message::{QuotaMatter, QuotaQuestion};
+use fieldhook_ledger::message::{QuotaEvent, QuotaRequest};
 use fieldhook_traffic::tenants::Limit;
 use fieldhook_traffic::wait;
 use std::rc::Rc;
@@ -20,17 +20,17 @@
 /// need, and does not need what it was charged.
 #[derive(Default)]
 pub struct Taken {
-    told: Option<(Rc<Daemon>, QuotaQuestion)>,
+    told: Option<(Rc<Daemon>, QuotaRequest)>,
 }
 
 impl Taken {
     /// Before the owner is asked, as its answer may be under way when the client leaves. Only
     /// programs have an end to be told.
-    fn new(context: &RequestContext, question: &QuotaQuestion) -> Self {
+    fn new(context: &RequestContext, question: &QuotaRequest) -> Self {
         let program = question.program.as_ref();
         let told = program.map(|_| {
-            let question = QuotaQuestion {
-                event: QuotaMatter::Interrupted,
+            let question = QuotaRequest {
+                event: QuotaEvent::Interrupted,
                 ..question.clone()
             };
             (context.daemon.clone(), question)
@@ -69,8 +69,8 @@
     let Some((tenant, limit, version)) = limit_of(context) else {
         return Ok(Taken::default());
     };
-    let mut question = QuotaQuestion {
-        event: QuotaMatter::Request,
+    let mut question = QuotaRequest {
+        event: QuotaEvent::Request,
         tenant,
         rate_per_s: limit.rate_per_s,
         burst: limit.burst,
@@ -102,7 +102,7 @@
 /// Asks until there is a place, or the next one comes too late for the answer. The owner is
 /// told how late that is, and keeps no place that would be too late: where this request leaves
 /// while it waits, its place lapses at its time.
-async fn ask(context: &RequestContext, question: &mut QuotaQuestion) -> Outcome {
+async fn ask(context: &RequestContext, question: &mut QuotaRequest) -> Outcome {
     let daemon = &context.daemon;
     loop {
         let patience = patience(context, question.starts_program);
@@ -140,7 +140,7 @@
     Some((name.to_owned(), limit, table.config.version))
 }
 
-fn tell(context: &RequestContext, outcome: Outcome, question: &QuotaQuestion) {
+fn tell(context: &RequestContext, outcome: Outcome, question: &QuotaRequest) {
     let (label, wait_ms) = match outcome {
         Outcome::Granted => ("granted", 0),
         Outcome::Unasked => ("unasked", 0),
--- a/crates/gateway/tests/gateway/ownership.rs
+++ b/crates/gateway/tests/gateway/ownership.rs
@@ -3,7 +3,7 @@
 use crate::support::{Act, Gateway, Server, World, run};
 use fieldhook_emulator::log::memory::LogFault;
 use fieldhook_gateway::ledger::owner::LEDGER_TOPIC;
-use fieldhook_ledger::message::{LedgerReply, LedgerRequest, QuotaMatter, QuotaQuestion};
+use fieldhook_ledger::message::{LedgerReply, LedgerRequest, QuotaEvent, QuotaRequest};
 use fieldhook_log::api::Partition;
 use fieldhook_log::reach::Reach;
 use std::time::Duration;
@@ -173,8 +173,8 @@
 
 /// What an owner says to a request of tenant `p`, whose limit is counted where program `p` is.
 async fn quota_reply(owner: &Gateway) -> LedgerReply {
-    let question = QuotaQuestion {
-        event: QuotaMatter::Request,
+    let question = QuotaRequest {
+        event: QuotaEvent::Request,
         tenant: "p".to_owned(),
         rate_per_s: 1.0,
         burst: 10.0,
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -202,7 +202,7 @@
 
 /// What the owner of a tenant's limit is told by a question.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
-pub enum QuotaMatter {
+pub enum QuotaEvent {
     /// One request more is to be sent.
     Request,
     /// The client of the program's last request left in the middle of it, or got no whole answer.
@@ -212,9 +212,9 @@
 
 /// Asks the owner of a tenant's limit for a request.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
-pub struct QuotaQuestion {
+pub struct QuotaRequest {
     /// What it is about.
-    pub event: QuotaMatter,
+    pub event: QuotaEvent,
     /// Name of the tenant.
     pub tenant: String,
     /// Requests a second that it may send, as the asking daemon knows.
@@ -236,7 +236,7 @@
 
 /// Asks the owner of a cold server's count whether a request may be sent there now.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
-pub struct ColdQuestion {
+pub struct ColdServerRequest {
     /// Identity of the server.
     pub server: String,
     /// Requests a second that it bears, as the asking daemon knows.
@@ -249,7 +249,7 @@
 
 /// The owner's answer to a question about a limit.
 #[derive(Clone, Copy, Debug, PartialEq, SerBin, DeBin)]
-pub enum QuotaAnswer {
+pub enum QuotaReply {
     /// The request may be sent.
     Granted {
         /// Part of the limit that is used up now, 0 to 1.
@@ -332,9 +332,9 @@
     /// Find a chain of another program.
     Find(FindChain),
     /// Tell whether a tenant's limit lets a request through.
-    Quota(QuotaQuestion),
+    Quota(QuotaRequest),
     /// Tell whether a request may be sent to a cold server now.
-    Cold(ColdQuestion),
+    Cold(ColdServerRequest),
     /// Tell who owns a partition, as far as known.
     FindOwner(u32),
     /// Tell whether the log answers you.
@@ -429,7 +429,7 @@
         is_first_turn: bool,
     },
     /// What the limit of the tenant, or of the cold server, lets through.
-    Quota(QuotaAnswer),
+    Quota(QuotaReply),
     /// The reservation of an opened turn is durable now.
     Durable,
     /// Inputs and outputs of a chain that was asked for.
