--- a/crates/gateway/src/follow/known.rs
+++ b/crates/gateway/src/follow/known.rs
@@ -4,7 +4,7 @@
 //! taken away, and would turn away those of new ones (docs/design/tenants.md).
 
 use crate::places::Places;
-use fieldhook_ledger::message::ConfigNews;
+use fieldhook_ledger::message::ConfigUpdate;
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -77,10 +77,10 @@
     }
 
     /// What a daemon that knows a version has missed.
-    pub fn news_after(&self, version: u64, places: &Places) -> ConfigNews {
+    pub fn news_after(&self, version: u64, places: &Places) -> ConfigUpdate {
         let newest = self.newest.borrow();
         let newer = newest.as_ref().filter(|known| known.version > version);
-        ConfigNews {
+        ConfigUpdate {
             document: newer.map(|known| known.bytes.to_vec()),
             age_ms: self.age_ms(),
             evacuations: places.news(),
--- a/crates/gateway/src/ledger/assigner.rs
+++ b/crates/gateway/src/ledger/assigner.rs
@@ -3,7 +3,7 @@
 use crate::cold::ColdServers;
 use crate::places::Places;
 use crate::upstream::pool::Pools;
-use fieldhook_ledger::message::{CloseTurn, OpenTurn, Placement};
+use fieldhook_ledger::message::{CloseTurn, OpenTurn, PlacementRequest};
 use fieldhook_ledger::partition_of;
 use fieldhook_topology::region::Set;
 use fieldhook_topology::zone::Distance;
@@ -121,7 +121,7 @@
         directory: &'a Directory,
         serving: &'a Serving,
         open: &OpenTurn,
-        placement: &Placement,
+        placement: &PlacementRequest,
         partition: u32,
     ) -> (Vec<Engine<'a>>, f64) {
         let count = group_count(serving.all.len(), self.partitions);
@@ -157,7 +157,7 @@
     }
 
     /// Keeps engines whose places may serve the turn, and tells how far they are from it.
-    fn keep_allowed(&self, engines: &mut Vec<Engine<'_>>, placement: &Placement) {
+    fn keep_allowed(&self, engines: &mut Vec<Engine<'_>>, placement: &PlacementRequest) {
         let homes = homes(placement);
         self.places.with_rule(&homes, &placement.zone, |rule| {
             engines.retain_mut(|engine| match rule.serve(engine.zone) {
@@ -220,7 +220,7 @@
     }
 }
 
-fn homes(placement: &Placement) -> Set {
+fn homes(placement: &PlacementRequest) -> Set {
     match &placement.regions {
         Some(regions) => Set::Only(regions.iter().map(|region| Rc::from(&**region)).collect()),
         None => Set::All,
--- a/crates/gateway/src/ledger/client.rs
+++ b/crates/gateway/src/ledger/client.rs
@@ -5,7 +5,7 @@
 use super::peer::Peers;
 use super::region::{SILENCE_LIMIT, Signs};
 use fieldhook_ledger::message::{
-    CloseTurn, FindChain, LedgerReply, LedgerRequest, OpenTurn, Shortage,
+    BudgetUsage, CloseTurn, FindChain, LedgerReply, LedgerRequest, OpenTurn,
 };
 use fieldhook_log::contact::Contact;
 use fieldhook_log::reach::Reach;
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OpenFailure {
     /// The budget does not hold it.
-    BudgetSpent(Shortage),
+    BudgetSpent(BudgetUsage),
     /// No such turn is kept.
     UnknownTurn,
     /// No owner answered in time.
@@ -58,7 +58,7 @@
     }
 
     /// What the budget counts that does not hold the turn.
-    pub fn shortage(&self) -> Option<&Shortage> {
+    pub fn shortage(&self) -> Option<&BudgetUsage> {
         match self {
             Self::BudgetSpent(shortage) => Some(shortage),
             _ => None,
--- a/crates/gateway/src/ledger/owned.rs
+++ b/crates/gateway/src/ledger/owned.rs
@@ -4,9 +4,9 @@
 use super::assigner::Assigner;
 use crate::daemon::unix_ms;
 use fieldhook_ledger::message::{CloseTurn, LedgerReply, LedgerRequest, OpenTurn};
+use fieldhook_ledger::name::QualifiedName;
 use fieldhook_ledger::partition::{OpenOutcome, Partition};
 use fieldhook_ledger::record::Record;
-use fieldhook_ledger::scope::Name;
 use fieldhook_log::api::KeyedRecord;
 use fieldhook_log::appender::{Appender, Outcome, Urgency};
 use std::cell::RefCell;
@@ -139,7 +139,7 @@
         }
     }
 
-    fn find(&self, turn: &Name, sender: mpsc::UnboundedSender<LedgerReply>) {
+    fn find(&self, turn: &QualifiedName, sender: mpsc::UnboundedSender<LedgerReply>) {
         match self.state.borrow().chain_contents(turn) {
             Some(chain) => {
                 let _ = sender.send(LedgerReply::Chain(chain));
--- a/crates/gateway/src/ledger/replace.rs
+++ b/crates/gateway/src/ledger/replace.rs
@@ -2,7 +2,7 @@
 
 use super::client::{CHANGE_WAIT, LedgerClient, PAUSE};
 use fieldhook_ledger::message::{
-    ClaimPartition, ConfigNews, KnownOwner, LedgerReply, LedgerRequest,
+    ClaimPartition, ConfigUpdate, KnownOwner, LedgerReply, LedgerRequest,
 };
 use fieldhook_log::api::StoreError;
 use fieldhook_log::ownership::{Claim, Former};
@@ -143,7 +143,7 @@
     }
 
     /// Asks some daemons for a configuration newer than this version.
-    pub async fn ask_for_config(&self, version: u64) -> Vec<ConfigNews> {
+    pub async fn ask_for_config(&self, version: u64) -> Vec<ConfigUpdate> {
         let question = LedgerRequest::Config(version);
         let answers = self.ask_peers(None, &question, PEER_ANSWER_LIMIT).await;
         let news = answers.into_iter().flatten();
--- a/crates/gateway/src/places.rs
+++ b/crates/gateway/src/places.rs
@@ -3,7 +3,7 @@
 
 use crate::settings::GatewaySettings;
 use fieldhook_ledger::layout::Layout;
-use fieldhook_ledger::message::EvacuationNews;
+use fieldhook_ledger::message::EvacuationStatus;
 use fieldhook_topology::belief::Belief;
 use fieldhook_topology::evacuation::{State, Zones};
 use fieldhook_topology::place::Rule;
@@ -159,9 +159,9 @@
     }
 
     /// All that is known of evacuations, for daemons that cannot read it themselves.
-    pub fn news(&self) -> Vec<EvacuationNews> {
+    pub fn news(&self) -> Vec<EvacuationStatus> {
         let evacuations = self.evacuations.borrow();
-        let news = evacuations.records().map(|record| EvacuationNews {
+        let news = evacuations.records().map(|record| EvacuationStatus {
             zone: record.zone.to_string(),
             is_evacuated: record.state == State::Evacuated,
             revision: record.revision,
@@ -170,7 +170,7 @@
     }
 
     /// Takes in what another daemon knows.
-    pub fn learn(&self, news: &EvacuationNews) {
+    pub fn learn(&self, news: &EvacuationStatus) {
         let state = match news.is_evacuated {
             true => State::Evacuated,
             false => State::Open,
--- a/crates/gateway/src/serve/opening.rs
+++ b/crates/gateway/src/serve/opening.rs
@@ -6,7 +6,7 @@
 use crate::ledger::client::{LedgerClient, OpenFailure, OpenedTurn};
 use crate::metrics::Metrics;
 use bytes::BytesMut;
-use fieldhook_ledger::message::{OpenTurn, Placement};
+use fieldhook_ledger::message::{OpenTurn, PlacementRequest};
 use fieldhook_log::reach::Reach;
 use fieldhook_topology::region::Set;
 use std::cell::Cell;
@@ -128,10 +128,10 @@
 }
 
 /// What the owner needs to assign an engine.
-fn placement(context: &RequestContext, homes: &Set) -> Option<Placement> {
+fn placement(context: &RequestContext, homes: &Set) -> Option<PlacementRequest> {
     let meta = &context.meta;
     let beginning = meta.prefix.as_ref().or(meta.program.as_ref())?;
-    Some(Placement {
+    Some(PlacementRequest {
         service: context.service()?.to_owned(),
         prefix_hash: fieldhook_traffic::assignment::prefix_hash(beginning),
         zone: context.daemon.settings.zone.clone(),
--- a/crates/gateway/tests/gateway/evacuation.rs
+++ b/crates/gateway/tests/gateway/evacuation.rs
@@ -3,7 +3,7 @@
 use crate::support::{Act, CONFIG, Gateway, Reply, Server, World, run};
 use fieldhook_emulator::log::memory::LogFault;
 use fieldhook_gateway::settings::Bounds;
-use fieldhook_ledger::message::EvacuationNews;
+use fieldhook_ledger::message::EvacuationStatus;
 use fieldhook_log::api::Partition;
 use fieldhook_log::reach::Reach;
 use fieldhook_topology::evacuation::State;
@@ -302,7 +302,7 @@
         // that knows the state before.
         places.retain_listed(&[], end - 1);
         for revision in 0..end - 1 {
-            places.learn(&EvacuationNews {
+            places.learn(&EvacuationStatus {
                 zone: "z1".to_owned(),
                 is_evacuated: false,
                 revision,
@@ -326,7 +326,7 @@
         log.borrow_mut().forget_history();
         gateway.store.set_fault(LogFault::None);
         wait_state(&gateway, "z1", false).await;
-        places.learn(&EvacuationNews {
+        places.learn(&EvacuationStatus {
             zone: "z1".to_owned(),
             is_evacuated: true,
             revision: end - 1,
--- a/crates/ledger/src/budget.rs
+++ b/crates/ledger/src/budget.rs
@@ -22,7 +22,7 @@
 //! BUDGET; docs/design/losses.md).
 
 use crate::ended::Ends;
-use crate::message::Shortage;
+use crate::message::BudgetUsage;
 use crate::open::{Request, Turns};
 use crate::record::ProgramRecord;
 use crate::uncertainty::Unrecorded;
@@ -213,9 +213,9 @@
     }
 
     /// What is counted, for one whose turn it does not hold.
-    pub fn shortage(&self, now_ms: u64) -> Shortage {
+    pub fn shortage(&self, now_ms: u64) -> BudgetUsage {
         let oldest = self.open.iter().min_by_key(|open| open.since_ms);
-        Shortage {
+        BudgetUsage {
             settled_tokens: self.settled,
             open_turns: self.open.iter().count() as u32,
             open_tokens: self.open.most(),
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -4,7 +4,7 @@
 //! partition in memory and appends what must outlive it; a later owner begins
 //! from the newest record of each key.
 //!
-//! - [`scope`]: names of programs and turns within their tenants.
+//! - [`name`]: names of programs and turns within their tenants.
 //! - [`layout`]: which partition keeps what, and which region may own it.
 //! - [`message`]: what gateways ask an owner, and its answers.
 //! - [`record`]: what is appended, and its keys.
@@ -18,10 +18,10 @@
 pub mod ended;
 pub mod layout;
 pub mod message;
+pub mod name;
 pub mod open;
 pub mod partition;
 pub mod record;
-pub mod scope;
 pub mod uncertainty;
 
 use xxhash_rust::xxh3::xxh3_64;
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -1,13 +1,13 @@
 //! Messages between gateways and the owner of a partition.
 
+use crate::name::QualifiedName;
 use crate::open::Request;
 use crate::partition_of;
-use crate::scope::Name;
 use nanoserde::{DeBin, SerBin};
 
 /// What the choice of an engine for a turn depends on.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
-pub struct Placement {
+pub struct PlacementRequest {
     /// Service whose engines may run it.
     pub service: String,
     /// Hash of the beginning of its prompt that other programs share.
@@ -46,7 +46,7 @@
     /// Most tokens that this turn may generate.
     pub max_tokens: u64,
     /// For the choice of its engine, where it needs one.
-    pub placement: Option<Placement>,
+    pub placement: Option<PlacementRequest>,
     /// Home partition that keeps its chain apart from its order, where homes bound it.
     pub home_partition: Option<u32>,
 }
@@ -74,8 +74,8 @@
     }
 
     /// A name within its tenant.
-    pub fn qualified_name(&self, text: &str) -> Name {
-        Name::new(self.tenant.as_deref(), text)
+    pub fn qualified_name(&self, text: &str) -> QualifiedName {
+        QualifiedName::new(self.tenant.as_deref(), text)
     }
 
     /// The name of what it reserves.
@@ -128,7 +128,7 @@
 /// What a budget counts that does not hold a turn: without it nobody could tell a budget that
 /// is used up from one that is reserved.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
-pub struct Shortage {
+pub struct BudgetUsage {
     /// Tokens of ended turns.
     pub settled_tokens: u64,
     /// Turns under way.
@@ -176,8 +176,8 @@
 
 impl CloseTurn {
     /// A name within its tenant.
-    pub fn qualified_name(&self, text: &str) -> Name {
-        Name::new(self.tenant.as_deref(), text)
+    pub fn qualified_name(&self, text: &str) -> QualifiedName {
+        QualifiedName::new(self.tenant.as_deref(), text)
     }
 
     /// The name of what it had reserved.
@@ -197,7 +197,7 @@
     /// Partition that is asked.
     pub partition: u32,
     /// Last turn of the chain.
-    pub turn: Name,
+    pub turn: QualifiedName,
 }
 
 /// What the owner of a tenant's limit is told by a question.
@@ -380,7 +380,7 @@
 
 /// What a daemon knows of one zone: whether its servers get nothing for now.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
-pub struct EvacuationNews {
+pub struct EvacuationStatus {
     /// The zone.
     pub zone: String,
     /// Whether its servers get nothing.
@@ -391,13 +391,13 @@
 
 /// What a daemon knows of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
-pub struct ConfigNews {
+pub struct ConfigUpdate {
     /// The document, as the adapter reads it; `None` if it is not newer than the one asked about.
     pub document: Option<Vec<u8>>,
     /// Time since it was seen to be the newest, in milliseconds; `None` if it never was.
     pub age_ms: Option<u64>,
     /// All that is known of evacuations.
-    pub evacuations: Vec<EvacuationNews>,
+    pub evacuations: Vec<EvacuationStatus>,
 }
 
 /// An owner as another daemon knows it.
@@ -435,7 +435,7 @@
     /// Inputs and outputs of a chain that was asked for.
     Chain(Vec<u8>),
     /// The budget does not hold this turn.
-    BudgetSpent(Shortage),
+    BudgetSpent(BudgetUsage),
     /// No such turn is kept.
     UnknownTurn,
     /// The end of the turn is known here, but not durable yet. [`LedgerReply::Closed`]
@@ -448,7 +448,7 @@
     /// Whether the log answers the daemon that was asked.
     LogContact(bool),
     /// The configuration as the daemon that was asked knows it.
-    Config(ConfigNews),
+    Config(ConfigUpdate),
     /// The owner cannot tell now; nothing was done.
     Unavailable,
     /// The owner has not read the partition, and the log does not answer it: nothing was done,
--- a/crates/ledger/src/scope.rs
+++ b/crates/ledger/src/name.rs
@@ -7,14 +7,14 @@
 
 /// A name within its tenant.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, SerBin, DeBin)]
-pub struct Name {
+pub struct QualifiedName {
     /// Tenant; `None` where requests belong to nobody.
     pub tenant: Option<String>,
     /// The name itself.
     pub text: String,
 }
 
-impl Name {
+impl QualifiedName {
     /// A name within a tenant.
     pub fn new(tenant: Option<&str>, text: &str) -> Self {
         Self {
--- a/crates/ledger/src/partition.rs
+++ b/crates/ledger/src/partition.rs
@@ -1,9 +1,9 @@
 //! The state machine of one partition, as its owner runs it.
 
 use crate::budget::{Ahead, Budget, End, Reservation};
-use crate::message::{CloseTurn, OpenTurn, Shortage};
+use crate::message::{BudgetUsage, CloseTurn, OpenTurn};
+use crate::name::QualifiedName;
 use crate::record::{ProgramRecord, Record, TurnRecord};
-use crate::scope::Name;
 use crate::uncertainty::Uncertainty;
 pub use crate::uncertainty::uncertainty_after_loss_ms;
 use std::collections::HashMap;
@@ -39,7 +39,7 @@
         records: Vec<Record>,
     },
     /// The budget does not hold it.
-    BudgetSpent(Shortage),
+    BudgetSpent(BudgetUsage),
     /// A turn of its chain is not kept.
     UnknownTurn,
     /// Its end was told already: the question was under way when its asker left.
@@ -53,7 +53,7 @@
 
 impl Turn {
     /// The turn that this one, of the given name, went on from.
-    fn previous_of(&self, name: &Name) -> Option<Name> {
+    fn previous_of(&self, name: &QualifiedName) -> Option<QualifiedName> {
         let previous = self.record.previous.as_deref()?;
         Some(name.in_same_tenant(previous))
     }
@@ -62,11 +62,11 @@
 /// Programs and turns of one partition.
 #[derive(Default)]
 pub struct Partition {
-    programs: HashMap<Name, Budget>,
-    turns: HashMap<Name, Turn>,
+    programs: HashMap<QualifiedName, Budget>,
+    turns: HashMap<QualifiedName, Turn>,
     /// Programs that were forgotten, with the deletions that are not durable yet: a successor may
     /// read the record of before, and would count that alone.
-    forgotten: HashMap<Name, u32>,
+    forgotten: HashMap<QualifiedName, u32>,
     /// Whether a program that no record tells of may be an earlier owner's.
     doubt: Uncertainty,
     /// The owner before was lost: gateways of turns that it told of may be lost with it.
@@ -121,7 +121,7 @@
         records.collect()
     }
 
-    fn program(&mut self, name: Name, budget: u64, now_ms: u64) -> &mut Budget {
+    fn program(&mut self, name: QualifiedName, budget: u64, now_ms: u64) -> &mut Budget {
         let mut unrecorded = self.doubt.unrecorded(now_ms);
         unrecorded.may &= !self.forgotten.contains_key(&name);
         self.programs
@@ -160,7 +160,7 @@
         if self.is_after_loss {
             self.programs.values_mut().for_each(Budget::doubt_open);
         }
-        let ends: Vec<(Name, u64)> = self
+        let ends: Vec<(QualifiedName, u64)> = self
             .turns
             .iter()
             .map(|(name, turn)| (name.clone(), turn.keep_until_ms))
@@ -260,7 +260,7 @@
     }
 
     /// The deletion of a forgotten program is durable.
-    fn deleted(&mut self, name: &Name) {
+    fn deleted(&mut self, name: &QualifiedName) {
         let Some(deletions) = self.forgotten.get_mut(name) else {
             return;
         };
@@ -312,7 +312,7 @@
     }
 
     /// The record of a program as it stands, for checks.
-    pub fn committed_tokens(&self, program: &Name) -> u64 {
+    pub fn committed_tokens(&self, program: &QualifiedName) -> u64 {
         self.programs.get(program).map_or(0, Budget::committed)
     }
 
@@ -334,7 +334,7 @@
     }
 
     /// Inputs and outputs of the chain that ends with a turn, oldest first.
-    pub fn chain_contents(&self, last: &Name) -> Option<Vec<u8>> {
+    pub fn chain_contents(&self, last: &QualifiedName) -> Option<Vec<u8>> {
         let chain = self.chain(last)?;
         let mut contents = Vec::new();
         for turn in chain.iter().rev() {
@@ -345,7 +345,7 @@
     }
 
     /// The turns from this one back to the first.
-    fn chain(&self, last: &Name) -> Option<Vec<&Turn>> {
+    fn chain(&self, last: &QualifiedName) -> Option<Vec<&Turn>> {
         let mut chain = Vec::new();
         let mut next = Some(last.clone());
         while let Some(name) = next {
@@ -359,7 +359,7 @@
         Some(chain)
     }
 
-    fn keep_chain(&mut self, last: &Name, until_ms: u64) {
+    fn keep_chain(&mut self, last: &QualifiedName, until_ms: u64) {
         let mut next = Some(last.clone());
         let mut steps = 0;
         while let Some(name) = next {
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -1,6 +1,6 @@
 //! Records of the compacted topic: the newest of each key is kept for good.
 
-use crate::scope::Name;
+use crate::name::QualifiedName;
 use nanoserde::{DeBin, SerBin};
 
 /// Kinds of keys. Those of tenants' names have the tenant's length and name before the name.
@@ -57,9 +57,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Record {
     /// Budget of a program.
-    Program(Name, Option<ProgramRecord>),
+    Program(QualifiedName, Option<ProgramRecord>),
     /// Content of a turn.
-    Turn(Name, Option<TurnRecord>),
+    Turn(QualifiedName, Option<TurnRecord>),
     /// Successors in a row that may have handed out their part of programs without a record:
     /// see [`crate::uncertainty`].
     UnrecordedShares(u32),
@@ -113,7 +113,7 @@
         let (kind, name) = match *kind {
             TENANT_PROGRAM_KEY => (PROGRAM_KEY, tenants_name(name)?),
             TENANT_TURN_KEY => (TURN_KEY, tenants_name(name)?),
-            kind => (kind, Name::new(None, text(name)?)),
+            kind => (kind, QualifiedName::new(None, text(name)?)),
         };
         match (kind, value.is_empty()) {
             (PROGRAM_KEY, true) => Ok(Self::Program(name, None)),
@@ -134,10 +134,10 @@
 }
 
 /// The tenant's length, the tenant, and a name of its own.
-fn tenants_name(key: &[u8]) -> Result<Name, UnreadableRecord> {
+fn tenants_name(key: &[u8]) -> Result<QualifiedName, UnreadableRecord> {
     let (length, rest) = key.split_first().ok_or(UnreadableRecord)?;
     let (tenant, name) = rest
         .split_at_checked(usize::from(*length))
         .ok_or(UnreadableRecord)?;
-    Ok(Name::new(Some(text(tenant)?), text(name)?))
+    Ok(QualifiedName::new(Some(text(tenant)?), text(name)?))
 }
--- a/crates/ledger/tests/abandoned.rs
+++ b/crates/ledger/tests/abandoned.rs
@@ -3,8 +3,8 @@
 //! reservation that nobody ends. The story that showed it is told in the gateway's tests.
 
 use fieldhook_ledger::message::OpenTurn;
+use fieldhook_ledger::name::QualifiedName;
 use fieldhook_ledger::partition::{OpenOutcome, Partition};
-use fieldhook_ledger::scope::Name;
 
 /// Holds one turn and no second one beside it.
 const BUDGET: u64 = 900;
@@ -36,7 +36,7 @@
 }
 
 fn counted(partition: &Partition) -> u64 {
-    partition.committed_tokens(&Name::new(None, "p"))
+    partition.committed_tokens(&QualifiedName::new(None, "p"))
 }
 
 #[test]
--- a/crates/ledger/tests/budget_fuzz/world.rs
+++ b/crates/ledger/tests/budget_fuzz/world.rs
@@ -3,9 +3,9 @@
 pub mod questions;
 
 use fieldhook_ledger::message::{CloseTurn, OpenTurn};
+use fieldhook_ledger::name::QualifiedName;
 use fieldhook_ledger::partition::{OpenOutcome, Partition};
 use fieldhook_ledger::record::Record;
-use fieldhook_ledger::scope::Name;
 use questions::Question;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -88,7 +88,10 @@
     /// What the owner counts, if it knows the program.
     pub fn counted(&self) -> Option<u64> {
         let is_known = self.owner.program_count() > 0;
-        is_known.then(|| self.owner.committed_tokens(&Name::new(None, PROGRAM)))
+        is_known.then(|| {
+            self.owner
+                .committed_tokens(&QualifiedName::new(None, PROGRAM))
+        })
     }
 
     /// One where each turn has a line of its own: no client goes on before its answer ended.
--- a/crates/ledger/tests/budget_room/world.rs
+++ b/crates/ledger/tests/budget_room/world.rs
@@ -4,9 +4,9 @@
 mod standing;
 
 use fieldhook_ledger::message::{CloseTurn, OpenTurn, TurnContent};
+use fieldhook_ledger::name::QualifiedName;
 use fieldhook_ledger::partition::{OpenOutcome, Partition};
 use fieldhook_ledger::record::Record;
-use fieldhook_ledger::scope::Name;
 use questions::Question;
 use quickcheck::{Arbitrary, Gen};
 use standing::Standing;
@@ -156,7 +156,8 @@
     }
 
     pub fn counted(&self) -> u64 {
-        self.owner.committed_tokens(&Name::new(None, PROGRAM))
+        self.owner
+            .committed_tokens(&QualifiedName::new(None, PROGRAM))
     }
 
     /// An owner that knows the program counts all that was handed out of it, by whomever.
--- a/crates/ledger/tests/budget_room/world/questions.rs
+++ b/crates/ledger/tests/budget_room/world/questions.rs
@@ -4,9 +4,9 @@
 use super::standing::Standing;
 use super::{DOUBT_MS, MOST, NOW_MS, PROGRAM, Turn, World};
 use fieldhook_ledger::message::OpenTurn;
+use fieldhook_ledger::name::QualifiedName;
 use fieldhook_ledger::partition::OpenOutcome;
 use fieldhook_ledger::record::{ProgramRecord, Record};
-use fieldhook_ledger::scope::Name;
 use quickcheck::{Arbitrary, Gen};
 
 /// Questions that late ones are taken from as often as from all others.
@@ -303,7 +303,11 @@
     }
 
     pub(super) fn recorded_reservations(&self) -> Vec<String> {
-        let key = Record::Program(Name::new(None, PROGRAM), Some(ProgramRecord::default())).key();
+        let key = Record::Program(
+            QualifiedName::new(None, PROGRAM),
+            Some(ProgramRecord::default()),
+        )
+        .key();
         let Some(value) = self.log.get(&key) else {
             return Vec::new();
         };
--- a/crates/ledger/tests/chain_fuzz.rs
+++ b/crates/ledger/tests/chain_fuzz.rs
@@ -4,9 +4,9 @@
 //! for their turns; none ever goes on from a turn of another.
 
 use fieldhook_ledger::message::{CloseTurn, OpenTurn, TurnContent};
+use fieldhook_ledger::name::QualifiedName;
 use fieldhook_ledger::partition::{OpenOutcome, Partition};
 use fieldhook_ledger::record::Record;
-use fieldhook_ledger::scope::Name;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeMap;
 
@@ -237,5 +237,5 @@
         }
     }
     owner.finish_loading();
-    assert_eq!(owner.chain_contents(&Name::new(None, "t0")), None);
+    assert_eq!(owner.chain_contents(&QualifiedName::new(None, "t0")), None);
 }
--- a/crates/ledger/tests/in_doubt.rs
+++ b/crates/ledger/tests/in_doubt.rs
@@ -2,10 +2,10 @@
 //! count in full for what may have been used, and refuse no turn that the budget holds beside
 //! those that are waited for.
 
-use fieldhook_ledger::message::{OpenTurn, Shortage};
+use fieldhook_ledger::message::{BudgetUsage, OpenTurn};
+use fieldhook_ledger::name::QualifiedName;
 use fieldhook_ledger::partition::{OpenOutcome, Partition};
 use fieldhook_ledger::record::Record;
-use fieldhook_ledger::scope::Name;
 
 /// Holds one turn, and no second one beside it.
 const BUDGET: u64 = 900;
@@ -42,7 +42,7 @@
     }
 }
 
-fn shortage(partition: &mut Partition, turn: &OpenTurn) -> Shortage {
+fn shortage(partition: &mut Partition, turn: &OpenTurn) -> BudgetUsage {
     match partition.open(turn, NOW_MS) {
         OpenOutcome::BudgetSpent(shortage) => shortage,
         outcome => panic!("{outcome:?}"),
@@ -50,7 +50,7 @@
 }
 
 fn counted(partition: &Partition) -> u64 {
-    partition.committed_tokens(&Name::new(None, "p"))
+    partition.committed_tokens(&QualifiedName::new(None, "p"))
 }
 
 fn end(partition: &mut Partition, turn: &OpenTurn, tokens: u64) {
--- a/crates/ledger/tests/records.rs
+++ b/crates/ledger/tests/records.rs
@@ -1,7 +1,7 @@
 //! Records as the log holds them.
 
+use fieldhook_ledger::name::QualifiedName;
 use fieldhook_ledger::record::{ProgramRecord, Record, TurnRecord};
-use fieldhook_ledger::scope::Name;
 
 fn turn_record() -> TurnRecord {
     TurnRecord {
@@ -20,8 +20,11 @@
     let mut keys = Vec::new();
     for tenant in tenants {
         for text in ["t", "bt", "at", ""] {
-            let turn = Record::Turn(Name::new(tenant, text), Some(turn_record()));
-            let program = Record::Program(Name::new(tenant, text), Some(ProgramRecord::default()));
+            let turn = Record::Turn(QualifiedName::new(tenant, text), Some(turn_record()));
+            let program = Record::Program(
+                QualifiedName::new(tenant, text),
+                Some(ProgramRecord::default()),
+            );
             for record in [turn, program] {
                 assert_eq!(
                     Record::read(&record.key(), &record.value()),
@@ -36,11 +39,14 @@
 
 #[test]
 fn records_from_before_there_were_tenants_are_nobodys() {
-    let value = Record::Turn(Name::new(None, "t1"), Some(turn_record())).value();
+    let value = Record::Turn(QualifiedName::new(None, "t1"), Some(turn_record())).value();
     let read = Record::read(b"tt1", &value);
     assert_eq!(
         read,
-        Ok(Record::Turn(Name::new(None, "t1"), Some(turn_record())))
+        Ok(Record::Turn(
+            QualifiedName::new(None, "t1"),
+            Some(turn_record())
+        ))
     );
 }
 
--- a/crates/ledger/tests/told_in_rounds.rs
+++ b/crates/ledger/tests/told_in_rounds.rs
@@ -8,8 +8,8 @@
 //! bounded by a number, while the rounds are bounded by time.
 
 use fieldhook_ledger::message::OpenTurn;
+use fieldhook_ledger::name::QualifiedName;
 use fieldhook_ledger::partition::{OpenOutcome, Partition};
-use fieldhook_ledger::scope::Name;
 
 const BUDGET: u64 = 10_000;
 const MOST: u64 = 100;
@@ -57,7 +57,7 @@
         }
     }
     let next = owner.open(&turn(TURNS), NOW_MS);
-    let counted = owner.committed_tokens(&Name::new(None, "p"));
+    let counted = owner.committed_tokens(&QualifiedName::new(None, "p"));
     let used = TURNS * TOKENS;
     assert!(
         matches!(next, OpenOutcome::Opened { .. }),
