--- a/crates/gateway/src/ledger/client.rs
+++ b/crates/gateway/src/ledger/client.rs
@@ -5,7 +5,7 @@
 use super::peer::Peers;
 use super::region::{SILENCE_LIMIT, Signs};
 use fieldhook_ledger::message::{
-    CloseTurn, FindChain, LedgerReply, LedgerRequest, OpenTurn, Shortage,
+    BudgetUsage, CloseTurn, FindChain, LedgerReply, LedgerRequest, OpenTurn,
 };
 use fieldhook_log::log_health::LogHealth;
 use fieldhook_log::reach::Reach;
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OpenFailure {
     /// The budget does not hold it.
-    BudgetSpent(Shortage),
+    BudgetSpent(BudgetUsage),
     /// No such turn is kept.
     UnknownTurn,
     /// No owner answered in time.
@@ -58,7 +58,7 @@
     }
 
     /// What the budget counts that does not hold the turn.
-    pub fn shortage(&self) -> Option<&Shortage> {
+    pub fn shortage(&self) -> Option<&BudgetUsage> {
         match self {
             Self::BudgetSpent(shortage) => Some(shortage),
             _ => None,
@@ -150,20 +150,20 @@
         in_doubt: &Cell<bool>,
         deadline: Instant,
     ) -> Result<OpenedTurn, OpenFailure> {
-        if request.keeper.is_none() {
+        if request.home_partition.is_none() {
             return self.open_whole(request, in_doubt, deadline).await;
         }
         // Asked also where a program begins: without an owner that keeps what it says, it
         // must not run.
-        let mut contents = request.contents();
+        let mut contents = request.home_partition_request();
         // The partition that keeps what is said reserves nothing.
         let nothing = Cell::default();
         let kept = match self.open_whole(&mut contents, &nothing, deadline).await {
             Err(OpenFailure::Unavailable) => return Err(OpenFailure::HomeUnavailable),
             kept => kept?,
         };
-        request.brings_chain = contents.brings_chain;
-        let order = request.order();
+        request.supplies_chain = contents.supplies_chain;
+        let order = request.program_partition_request();
         let opened = self.open_at_home(&order, in_doubt, deadline).await?;
         Ok(OpenedTurn {
             chain: kept.chain,
@@ -183,7 +183,7 @@
             outcome => return outcome,
         }
         let chain = self.find_elsewhere(request, deadline).await?;
-        request.brings_chain = true;
+        request.supplies_chain = true;
         let opened = self.open_at_home(request, in_doubt, deadline).await?;
         Ok(OpenedTurn { chain, ..opened })
     }
@@ -197,12 +197,12 @@
     ) -> Result<Vec<u8>, OpenFailure> {
         let layout = &self.owner.places.layout;
         let home = request
-            .keeper
-            .unwrap_or_else(|| layout.order(&request.program));
+            .home_partition
+            .unwrap_or_else(|| layout.program_partition(&request.program));
         let was_claimed = |partition: &u32| self.owner.claims.claim(*partition).is_some();
-        let turn = request.name(request.previous.as_deref().unwrap_or_default());
-        let questions: Vec<LedgerRequest> = (0..layout.free())
-            .chain(layout.homes().filter(was_claimed))
+        let turn = request.qualified_name(request.previous.as_deref().unwrap_or_default());
+        let questions: Vec<LedgerRequest> = (0..layout.global_count())
+            .chain(layout.home_partitions().filter(was_claimed))
             .filter(|partition| *partition != home)
             .map(|partition| {
                 LedgerRequest::Find(FindChain {
@@ -213,7 +213,7 @@
             .collect();
         let until = deadline.min(Instant::now() + SILENCE_LIMIT);
         let asked = questions.iter().map(|question| {
-            let is_home = question.partition(layout.free()) >= layout.free();
+            let is_home = question.partition(layout.global_count()) >= layout.global_count();
             self.ask(question, if is_home { until } else { deadline })
         });
         let mut answers: FuturesUnordered<_> = asked.collect();
@@ -236,7 +236,7 @@
         deadline: Instant,
     ) -> Result<OpenedTurn, OpenFailure> {
         let request = LedgerRequest::Open(request.clone());
-        let partition = request.partition(self.owner.places.layout.free());
+        let partition = request.partition(self.owner.places.layout.global_count());
         let answer = tokio::select! {
             biased;
             answer = self.ask_for(&request, in_doubt, deadline) => answer,
@@ -249,7 +249,7 @@
                     durable,
                     allowed,
                     engine,
-                    begins,
+                    is_first_turn: begins,
                 } => Ok(OpenedTurn {
                     chain,
                     engine,
@@ -282,7 +282,7 @@
                 Ok(_) => {
                     // Its end is told in any case.
                     let in_doubt = Cell::default();
-                    let order = request.order();
+                    let order = request.program_partition_request();
                     match self.open_at_home(&order, &in_doubt, deadline).await {
                         Ok(again) => *opened = again,
                         Err(_) => return false,
@@ -295,12 +295,12 @@
 
     /// The partition that orders a program.
     pub fn partition_of(&self, program: &str) -> u32 {
-        self.owner.places.layout.order(program)
+        self.owner.places.layout.program_partition(program)
     }
 
     /// The home partition that keeps the contents of a program, where homes bind these.
     pub fn home_partition(&self, program: &str, homes: &Set) -> Option<u32> {
-        self.owner.places.layout.keeper(program, homes)
+        self.owner.places.layout.home_partition(program, homes)
     }
 
     /// Ends once this daemon is cut off from the log with the minority: nothing can be recorded
@@ -314,10 +314,10 @@
     /// Records the end of a turn. True once it is durable.
     pub async fn close(&self, request: &CloseTurn, deadline: Instant) -> bool {
         let request = LedgerRequest::Close(request.clone());
-        let partition = request.partition(self.owner.places.layout.free());
+        let partition = request.partition(self.owner.places.layout.global_count());
         while Instant::now() < deadline {
             let answer = self.ask(&request, deadline).await;
-            let Some((LedgerReply::Noted, mut replies)) = answer else {
+            let Some((LedgerReply::Accepted, mut replies)) = answer else {
                 if self.reach.get() != Reach::Minority {
                     return false;
                 }
@@ -351,7 +351,7 @@
         in_doubt: &Cell<bool>,
         deadline: Instant,
     ) -> Option<(LedgerReply, mpsc::UnboundedReceiver<LedgerReply>)> {
-        let partition = request.partition(self.owner.places.layout.free());
+        let partition = request.partition(self.owner.places.layout.global_count());
         loop {
             let exchange = self.exchange_for(partition, request, in_doubt, ANSWER_LIMIT);
             let exchange = timeout_at(deadline, exchange).await;
--- a/crates/gateway/src/ledger/homes.rs
+++ b/crates/gateway/src/ledger/homes.rs
@@ -42,7 +42,7 @@
         if ledger.owner.claims.has_stopped_claiming() {
             return;
         }
-        for partition in ledger.owner.places.layout.homes() {
+        for partition in ledger.owner.places.layout.home_partitions() {
             look(&ledger, partition).await;
         }
     }
@@ -59,11 +59,11 @@
         return;
     }
     let exchange = ledger
-        .exchange(partition, &LedgerRequest::KeepsLog, ANSWER_LIMIT)
+        .exchange(partition, &LedgerRequest::HasLogContact, ANSWER_LIMIT)
         .await;
     ledger.note(partition, Some(&exchange));
     match exchange {
-        Exchange::Answered(LedgerReply::HasLog(false), _) => {
+        Exchange::Answered(LedgerReply::LogContact(false), _) => {
             ledger.replace_silent(partition, claim.epoch).await;
         }
         doubtful => ledger.act_on_doubt(partition, &doubtful).await,
--- a/crates/gateway/src/ledger/owner.rs
+++ b/crates/gateway/src/ledger/owner.rs
@@ -11,9 +11,9 @@
 use crate::relay::Relay;
 use crate::settings::{GatewaySettings, Quota};
 use fieldhook_ledger::message::{
-    ClaimPartition, KnownOwner, LedgerReply, LedgerRequest, QuotaMatter, QuotaQuestion,
+    ClaimPartition, KnownOwner, LedgerReply, LedgerRequest, QuotaEvent, QuotaRequest,
 };
-use fieldhook_ledger::partition::doubt_after_loss;
+use fieldhook_ledger::partition::uncertainty_after_loss_ms;
 use fieldhook_log::api::{LogStore, Partition as LogPartition, StoreError};
 use fieldhook_log::appender::fence;
 use fieldhook_log::claim_delay::{Capacity, claim_delay};
@@ -129,7 +129,7 @@
 
     /// How long programs without a record are in doubt once an owner was lost.
     pub(super) fn doubt_after_loss_ms(&self) -> u64 {
-        doubt_after_loss(self.longest_turn_ms.get())
+        uncertainty_after_loss_ms(self.longest_turn_ms.get())
     }
 
     /// Whether a partition is held but not read yet.
@@ -143,14 +143,14 @@
         request: LedgerRequest,
         sender: mpsc::UnboundedSender<LedgerReply>,
     ) {
-        let partition = request.partition(self.places.layout.free());
+        let partition = request.partition(self.places.layout.global_count());
         match request {
-            LedgerRequest::HasLog => {
+            LedgerRequest::HasRecentLogContact => {
                 let has_log = self.contact.answered_within(FRESH) && !self.contact.is_failing();
-                let _ = sender.send(LedgerReply::HasLog(has_log));
+                let _ = sender.send(LedgerReply::LogContact(has_log));
             }
-            LedgerRequest::KeepsLog => {
-                let _ = sender.send(LedgerReply::HasLog(!self.contact.is_lost()));
+            LedgerRequest::HasLogContact => {
+                let _ = sender.send(LedgerReply::LogContact(!self.contact.is_lost()));
             }
             LedgerRequest::Config(version) => {
                 let _ = sender.send(LedgerReply::Config(
@@ -176,7 +176,7 @@
             LedgerRequest::Cold(question) => {
                 ntex::rt::spawn(cold::answer(self.clone(), partition, question, sender));
             }
-            LedgerRequest::WhoOwns(_) => {
+            LedgerRequest::FindOwner(_) => {
                 let _ = sender.send(LedgerReply::NotOwner(self.known_owner(partition)));
             }
             request => self.handle_held(partition, request, sender),
@@ -195,7 +195,7 @@
             // Awaited as an owner that reads, it would keep programs waiting for as long as the
             // log serves others and not this daemon.
             Some(Hold::Loading(_)) if self.contact.is_lost() => {
-                let _ = sender.send(LedgerReply::Unreadable);
+                let _ = sender.send(LedgerReply::NotLoaded);
             }
             Some(Hold::Loading(_) | Hold::Releasing(_)) => {
                 let _ = sender.send(LedgerReply::Unavailable);
@@ -213,18 +213,18 @@
     fn handle_quota(
         &self,
         partition: u32,
-        question: &QuotaQuestion,
+        question: &QuotaRequest,
         sender: &mpsc::UnboundedSender<LedgerReply>,
     ) {
         let may_be_replaced = self.reach.get() == Reach::CutOff;
         let claim = self.own_claim(partition).filter(|_| !may_be_replaced);
         let reply = match claim {
-            Some(claim) => LedgerReply::Quota(match question.matter {
-                QuotaMatter::Request => {
+            Some(claim) => LedgerReply::Quota(match question.event {
+                QuotaEvent::Request => {
                     let question = limits::of_tenant(question);
                     self.limits.ask(partition, &claim, &question)
                 }
-                QuotaMatter::ClientLeft => self.limits.client_left(partition, &claim, question),
+                QuotaEvent::Interrupted => self.limits.client_left(partition, &claim, question),
             }),
             None if may_be_replaced => LedgerReply::NotOwner(None),
             None => LedgerReply::NotOwner(self.known_owner(partition)),
@@ -295,7 +295,7 @@
     pub(super) fn note_held(&self, held: &HashMap<u32, Hold>) {
         self.metrics.partitions_owned.set(held.len() as i64);
         // Engines are assigned where programs are ordered.
-        let free = self.places.layout.free();
+        let free = self.places.layout.global_count();
         let ordering = held.keys().copied().filter(|partition| *partition < free);
         self.assigner.set_owned(ordering.collect());
     }
@@ -315,7 +315,7 @@
 
     /// Where the records of a partition are.
     pub(super) fn place(&self, partition: u32) -> LogPartition {
-        let place = self.places.layout.place(partition);
+        let place = self.places.layout.location(partition);
         LogPartition {
             topic: match place.region {
                 Some(region) => format!("{HOME_TOPIC}{region}"),
@@ -343,12 +343,12 @@
     let partition = claim.partition;
     let claimed = owner
         .claims
-        .take_over(partition, claim.former_epoch())
+        .take_over(partition, claim.replaced_epoch())
         .await;
     tracing::info!(
         event = "claimed_for_another",
         partition,
-        epoch = claim.epoch,
+        epoch = claim.replaced_epoch,
         ?claimed
     );
     let _ = sender.send(LedgerReply::NotOwner(owner.known_owner(partition)));
--- a/crates/gateway/src/ledger/replace.rs
+++ b/crates/gateway/src/ledger/replace.rs
@@ -2,7 +2,7 @@
 
 use super::client::{CHANGE_WAIT, LedgerClient, PAUSE};
 use fieldhook_ledger::message::{
-    ClaimPartition, ConfigNews, KnownOwner, LedgerReply, LedgerRequest,
+    ClaimPartition, ConfigUpdate, KnownOwner, LedgerReply, LedgerRequest,
 };
 use fieldhook_log::api::StoreError;
 use fieldhook_log::ownership::{Claim, PreviousOwner};
@@ -70,7 +70,7 @@
             .claims
             .claim(partition)
             .and_then(|claim| claim.address);
-        let question = LedgerRequest::WhoOwns(partition);
+        let question = LedgerRequest::FindOwner(partition);
         let answers = self
             .ask_peers(suspected, &question, PEER_ANSWER_LIMIT)
             .await;
@@ -123,9 +123,9 @@
     /// Asks some daemons whether the log answers them.
     pub async fn ask_who_reaches_log(&self) -> Round {
         let answers = self
-            .ask_peers(None, &LedgerRequest::HasLog, PEER_ANSWER_LIMIT)
+            .ask_peers(None, &LedgerRequest::HasRecentLogContact, PEER_ANSWER_LIMIT)
             .await;
-        let reach_log = |answer: &&LedgerReply| matches!(answer, LedgerReply::HasLog(true));
+        let reach_log = |answer: &&LedgerReply| matches!(answer, LedgerReply::LogContact(true));
         Round::Asked {
             asked: answers.len(),
             answered: answers.iter().flatten().count(),
@@ -135,7 +135,7 @@
 
     /// Asks more daemons whether they answer at all: how many were asked, and how many did.
     pub async fn ask_who_answers(&self) -> (usize, usize) {
-        let question = LedgerRequest::HasLog;
+        let question = LedgerRequest::HasRecentLogContact;
         let answers = self
             .ask_so_many(OWNERS_LOOKED_AT, None, &question, PEER_ANSWER_LIMIT)
             .await;
@@ -143,7 +143,7 @@
     }
 
     /// Asks some daemons for a configuration newer than this version.
-    pub async fn ask_for_config(&self, version: u64) -> Vec<ConfigNews> {
+    pub async fn ask_for_config(&self, version: u64) -> Vec<ConfigUpdate> {
         let question = LedgerRequest::Config(version);
         let answers = self.ask_peers(None, &question, PEER_ANSWER_LIMIT).await;
         let news = answers.into_iter().flatten();
@@ -160,7 +160,7 @@
         if self.owner.places.layout.region(partition).is_some() {
             return self.have_region_claim(partition, epoch).await;
         }
-        let question = LedgerRequest::Claim(ClaimPartition::after(partition, Some(epoch)));
+        let question = LedgerRequest::Claim(ClaimPartition::replacing(partition, Some(epoch)));
         let answers = self.ask_peers(None, &question, CLAIM_ANSWER_LIMIT).await;
         let mut news = false;
         for answer in answers.into_iter().flatten() {
@@ -178,7 +178,7 @@
         let suspected = claim.and_then(|claim| claim.address);
         let mut others = self.owners_in_region_of(partition);
         others.retain(|other| Some(*other) != suspected);
-        let question = LedgerRequest::Claim(ClaimPartition::after(partition, Some(epoch)));
+        let question = LedgerRequest::Claim(ClaimPartition::replacing(partition, Some(epoch)));
         for other in others {
             let answer = self.ask_peer(other, &question, CLAIM_ANSWER_LIMIT).await;
             if let Some(LedgerReply::NotOwner(Some(known))) = answer
@@ -217,12 +217,12 @@
         let Some(address) = claim.address.filter(|_| !claims.is_mine(&claim)) else {
             return;
         };
-        let question = LedgerRequest::HasLog;
+        let question = LedgerRequest::HasRecentLogContact;
         let answer = self.ask_peer(address, &question, PEER_ANSWER_LIMIT).await;
         match answer {
-            Some(LedgerReply::HasLog(true)) => {}
+            Some(LedgerReply::LogContact(true)) => {}
             // By the owner's own word: a daemon of its region may claim without a look.
-            Some(LedgerReply::HasLog(false)) if !claims.is_eligible(partition) => {
+            Some(LedgerReply::LogContact(false)) if !claims.is_eligible(partition) => {
                 if !self.have_region_claim(partition, claim.epoch).await {
                     let _ = timeout(CHANGE_WAIT, claims.changed.notified()).await;
                 }
@@ -247,7 +247,11 @@
             return false;
         };
         self.peers.discard(address);
-        let answer = self.ask_peer(address, &LedgerRequest::HasLog, CONNECTED_ANSWER_LIMIT);
+        let answer = self.ask_peer(
+            address,
+            &LedgerRequest::HasRecentLogContact,
+            CONNECTED_ANSWER_LIMIT,
+        );
         answer.await.is_some()
     }
 
--- a/crates/gateway/src/serve/record.rs
+++ b/crates/gateway/src/serve/record.rs
@@ -46,7 +46,7 @@
     /// Whether another partition orders it and counts its tokens than the one that keeps its
     /// content.
     fn is_apart(&self) -> bool {
-        self.request.keeper.is_some()
+        self.request.home_partition.is_some()
     }
 
     /// Records its content and its tokens. Where two partitions do so, the answer waits for both:
@@ -73,7 +73,7 @@
     /// the end of it goes into records of their own before, as turns that it goes on from.
     async fn record(&self, deadline: Instant) -> bool {
         let mut pieces = vec![&self.input[..]];
-        if self.request.brings_chain && self.input.len() > LARGEST_KEPT {
+        if self.request.supplies_chain && self.input.len() > LARGEST_KEPT {
             pieces = self.input.chunks(LARGEST_KEPT).collect();
         }
         let last = pieces.len() - 1;
@@ -122,19 +122,19 @@
     fn stay_home(&mut self, homes: &Set) -> bool {
         let layout = &self.ledger.owner.places.layout;
         let program = &self.request.program;
-        let kept_at = self.request.keeper;
-        let partition = kept_at.unwrap_or_else(|| layout.order(program));
-        if layout.may_keep(partition, homes) {
+        let kept_at = self.request.home_partition;
+        let partition = kept_at.unwrap_or_else(|| layout.program_partition(program));
+        if layout.may_store(partition, homes) {
             return true;
         }
-        self.request.keeper = layout.keeper(program, homes);
-        self.request.brings_chain = true;
+        self.request.home_partition = layout.home_partition(program, homes);
+        self.request.supplies_chain = true;
         self.input = self.prompt.clone();
-        self.request.keeper.is_some()
+        self.request.home_partition.is_some()
     }
 
     fn kept_previous(&self) -> Option<String> {
         let previous = self.request.previous.clone();
-        previous.filter(|_| !self.request.brings_chain)
+        previous.filter(|_| !self.request.supplies_chain)
     }
 }
--- a/crates/gateway/tests/gateway/reserved_at_home.rs
+++ b/crates/gateway/tests/gateway/reserved_at_home.rs
@@ -41,11 +41,11 @@
         number: partition_of(program, FREE),
     };
     let page = world.log.core.borrow_mut().newest(&place, None);
-    let mut owner = Partition::taken_over(now_ms(), DOUBT_MS);
+    let mut owner = Partition::after_loss(now_ms(), DOUBT_MS);
     for (_, record) in &page.records {
         owner.load(Record::read(&record.key, &record.value).expect("a record"));
     }
-    owner.loaded();
+    owner.finish_loading();
     owner
 }
 
@@ -55,15 +55,15 @@
         turn: "t2".to_owned(),
         attempt: 1,
         program: program.to_owned(),
-        line: None,
+        session: None,
         previous: Some("t1".to_owned()),
         wants_chain: false,
         keeps_context: false,
-        brings_chain: false,
+        supplies_chain: false,
         budget: Some(BUDGET),
-        most_tokens: MOST,
+        max_tokens: MOST,
         placement: None,
-        keeper: None,
+        home_partition: None,
     }
 }
 
--- a/crates/ledger/tests/told_in_rounds.rs
+++ b/crates/ledger/tests/told_in_rounds.rs
@@ -8,8 +8,8 @@
 //! bounded by a number, while the rounds are bounded by time.
 
 use fieldhook_ledger::message::OpenTurn;
+use fieldhook_ledger::name::QualifiedName;
 use fieldhook_ledger::partition::{OpenOutcome, Partition};
-use fieldhook_ledger::scope::Name;
 
 const BUDGET: u64 = 10_000;
 const MOST: u64 = 100;
@@ -27,15 +27,15 @@
         turn: format!("t{attempt}"),
         attempt,
         program: "p".to_owned(),
-        line: None,
+        session: None,
         previous: None,
         wants_chain: false,
         keeps_context: false,
-        brings_chain: false,
+        supplies_chain: false,
         budget: Some(BUDGET),
-        most_tokens: MOST,
+        max_tokens: MOST,
         placement: None,
-        keeper: None,
+        home_partition: None,
     }
 }
 
@@ -45,19 +45,19 @@
     for attempt in 0..TURNS {
         let opened = owner.open(&turn(attempt), NOW_MS);
         assert!(matches!(opened, OpenOutcome::Opened { .. }));
-        let mut end = turn(attempt).withdrawn();
+        let mut end = turn(attempt).cancellation();
         end.tokens = TOKENS;
         owner.close(&end, NOW_MS);
     }
     for _ in 0..ROUNDS {
         for attempt in 0..TURNS {
-            let mut end = turn(attempt).withdrawn();
+            let mut end = turn(attempt).cancellation();
             end.tokens = TOKENS;
             owner.close(&end, NOW_MS);
         }
     }
     let next = owner.open(&turn(TURNS), NOW_MS);
-    let counted = owner.committed(&Name::new(None, "p"));
+    let counted = owner.committed_tokens(&QualifiedName::new(None, "p"));
     let used = TURNS * TOKENS;
     assert!(
         matches!(next, OpenOutcome::Opened { .. }),
