--- a/crates/gateway/src/ledger/exchange.rs
+++ b/crates/gateway/src/ledger/exchange.rs
@@ -65,7 +65,7 @@
         };
         if doubts.insert(partition, doubt) != Some(doubt) {
             let (epoch, state) = doubt;
-            let log_age_ms = self.contact.age_ms();
+            let log_age_ms = self.contact.ms_since_answer();
             tracing::info!(event = "owner_doubted", partition, epoch, state, log_age_ms);
         }
     }
@@ -119,7 +119,7 @@
                     connection.call(request.clone())
                 }
                 // Nothing came back: the owner's machine is gone, or either side is cut off.
-                Err(error) if probe::is_unanswered(error.kind()) => {
+                Err(error) if probe::is_unreachable(error.kind()) => {
                     self.silent_owner.set(true);
                     return Exchange::Silent(claim.epoch);
                 }
@@ -134,11 +134,11 @@
             // A connection that was kept may have ended in a cut that is over: a new one tells
             // whether the owner is gone.
             Ok(Heard::Reply(None)) if was_connected => {
-                self.peers.forget(address);
+                self.peers.discard(address);
                 return Exchange::Moved;
             }
             Ok(Heard::Reply(None)) => {
-                self.peers.forget(address);
+                self.peers.discard(address);
                 return Exchange::Suspect(Some(claim.epoch));
             }
             // Woken from a freeze, this process is what was late.
@@ -151,7 +151,7 @@
         in_doubt.set(was_in_doubt);
         match reply {
             LedgerReply::Unavailable => Exchange::Loading(claim.epoch),
-            LedgerReply::Unreadable => Exchange::Silent(claim.epoch),
+            LedgerReply::NotLoaded => Exchange::Silent(claim.epoch),
             LedgerReply::NotOwner(Some(known)) if self.learn(partition, &known) => Exchange::Again,
             LedgerReply::NotOwner(_) if self.owner.claims.is_mine(&claim) => Exchange::Again,
             LedgerReply::NotOwner(_) => Exchange::Suspect(Some(claim.epoch)),
--- a/crates/gateway/src/ledger/limits.rs
+++ b/crates/gateway/src/ledger/limits.rs
@@ -1,10 +1,10 @@
 //! What tenants may send, and what cold servers may get, counted where their partitions are
 //! owned.
 
-use fieldhook_ledger::message::{ColdQuestion, QuotaAnswer, QuotaQuestion};
+use fieldhook_ledger::message::{ColdServerRequest, QuotaReply, QuotaRequest};
 use fieldhook_log::ownership::{self, Claim};
 use fieldhook_traffic::cold;
-use fieldhook_traffic::quota::{PreviousOwner, QuotaDecision, QuotaRequest, QuotaTracker};
+use fieldhook_traffic::quota::{PreviousOwner, QuotaDecision, QuotaQuery, QuotaTracker};
 use fieldhook_traffic::sliding_window::Bounds;
 use fieldhook_traffic::tenants::Limit;
 use std::cell::RefCell;
@@ -53,8 +53,8 @@
         &self,
         partition: u32,
         claim: &Claim,
-        question: &QuotaRequest<'_>,
-    ) -> QuotaAnswer {
+        question: &QuotaQuery<'_>,
+    ) -> QuotaReply {
         self.with_book(partition, claim, |book, now_ms| {
             answer(book.decide(question, now_ms))
         })
@@ -65,12 +65,12 @@
         &self,
         partition: u32,
         claim: &Claim,
-        question: &QuotaQuestion,
-    ) -> QuotaAnswer {
+        question: &QuotaRequest,
+    ) -> QuotaReply {
         let (tenant, program) = (&question.tenant, question.program.as_deref());
         self.with_book(partition, claim, |book, now_ms| {
             book.record_disconnect(tenant, program, now_ms);
-            QuotaAnswer::Granted {
+            QuotaReply::Granted {
                 used: book.usage_of(tenant, now_ms),
             }
         })
@@ -80,8 +80,8 @@
         &self,
         partition: u32,
         claim: &Claim,
-        act: impl FnOnce(&mut QuotaTracker, u64) -> QuotaAnswer,
-    ) -> QuotaAnswer {
+        act: impl FnOnce(&mut QuotaTracker, u64) -> QuotaReply,
+    ) -> QuotaReply {
         let now_ms = self.started.elapsed().as_millis() as u64;
         let mut books = self.books.borrow_mut();
         let is_current = books
@@ -95,7 +95,7 @@
             books.insert(partition, kept);
         }
         let Some(kept) = books.get_mut(&partition) else {
-            return QuotaAnswer::Refused { retry_after_ms: 0 };
+            return QuotaReply::Refused { retry_after_ms: 0 };
         };
         act(&mut kept.book, now_ms)
     }
@@ -103,15 +103,17 @@
 
 /// A former owner's grants are not told, whether or not it gave the partition up in order.
 fn former(claim: &Claim) -> PreviousOwner {
-    match claim.former {
-        ownership::Former::None => PreviousOwner::None,
-        ownership::Former::Settled { .. } | ownership::Former::Lost => PreviousOwner::Lost,
+    match claim.previous_owner {
+        ownership::PreviousOwner::None => PreviousOwner::None,
+        ownership::PreviousOwner::Settled { .. } | ownership::PreviousOwner::Lost => {
+            PreviousOwner::Lost
+        }
     }
 }
 
 /// A question about a cold server.
-pub(super) fn of_cold(question: &ColdQuestion) -> QuotaRequest<'_> {
-    cold::permit_request(
+pub(super) fn of_cold(question: &ColdServerRequest) -> QuotaQuery<'_> {
+    cold::permit_query(
         &question.server,
         question.rate_per_s,
         question.version,
@@ -120,8 +122,8 @@
 }
 
 /// A question about a tenant.
-pub(super) fn of_tenant(question: &QuotaQuestion) -> QuotaRequest<'_> {
-    QuotaRequest {
+pub(super) fn of_tenant(question: &QuotaRequest) -> QuotaQuery<'_> {
+    QuotaQuery {
         tenant: &question.tenant,
         limit: Limit {
             rate_per_s: question.rate_per_s,
@@ -130,15 +132,15 @@
         version: question.version,
         program: question.program.as_deref(),
         route: &question.route,
-        is_first: question.begins,
-        max_wait_ms: question.patience_ms,
+        starts_program: question.starts_program,
+        max_wait_ms: question.max_wait_ms,
         reserved: 0,
     }
 }
 
-fn answer(answer: QuotaDecision) -> QuotaAnswer {
+fn answer(answer: QuotaDecision) -> QuotaReply {
     match answer {
-        QuotaDecision::Granted { used } => QuotaAnswer::Granted { used },
-        QuotaDecision::Refused { retry_after_ms } => QuotaAnswer::Refused { retry_after_ms },
+        QuotaDecision::Granted { used } => QuotaReply::Granted { used },
+        QuotaDecision::Refused { retry_after_ms } => QuotaReply::Refused { retry_after_ms },
     }
 }
--- a/crates/gateway/src/ledger/quota.rs
+++ b/crates/gateway/src/ledger/quota.rs
@@ -2,7 +2,7 @@
 
 use super::client::LedgerClient;
 use super::exchange::Exchange;
-use fieldhook_ledger::message::{LedgerReply, LedgerRequest, QuotaAnswer, QuotaQuestion};
+use fieldhook_ledger::message::{LedgerReply, LedgerRequest, QuotaReply, QuotaRequest};
 use fieldhook_log::reach::Reach;
 use fieldhook_traffic::fallback_quota::FallbackQuota;
 use std::cell::RefCell;
@@ -25,7 +25,7 @@
     /// The owner granted it.
     Granted,
     /// No owner answers; it is within the part that may be sent all the same.
-    Unasked,
+    AdmittedLocally,
     /// The limit does not hold it.
     Refused {
         /// When it could, in milliseconds from now.
@@ -36,7 +36,7 @@
 }
 
 /// What this daemon was granted of tenants' limits.
-pub struct Shares {
+pub struct TenantShares {
     by_tenant: RefCell<HashMap<Rc<str>, FallbackQuota>>,
     /// Until when owners of partitions are not asked first.
     silent_until: RefCell<HashMap<u32, Instant>>,
@@ -44,7 +44,7 @@
     started: Instant,
 }
 
-impl Shares {
+impl TenantShares {
     /// Nothing was granted. Limits are judged over windows of this length.
     pub fn new(window_ms: u64) -> Self {
         Self {
@@ -77,11 +77,11 @@
     }
 
     /// Takes one request of a tenant by asking `ledger`.
-    pub async fn take(&self, ledger: &LedgerClient, question: &QuotaQuestion) -> Outcome {
+    pub async fn acquire(&self, ledger: &LedgerClient, question: &QuotaRequest) -> Outcome {
         let tenant = &question.tenant;
         let partition = ledger.partition_of(tenant);
         if self.is_silent(partition) && self.take_unasked(tenant) {
-            return Outcome::Unasked;
+            return Outcome::AdmittedLocally;
         }
         let request = LedgerRequest::Quota(question.clone());
         let limit = match ledger.reach.get() {
@@ -90,7 +90,7 @@
         };
         let deadline = Instant::now() + limit;
         match ledger.ask(&request, deadline).await {
-            Some((LedgerReply::Quota(QuotaAnswer::Granted { used }), _)) => {
+            Some((LedgerReply::Quota(QuotaReply::Granted { used }), _)) => {
                 self.silent_until.borrow_mut().remove(&partition);
                 let window_s = self.window_ms as f64 / 1_000.0;
                 let held = question.rate_per_s * window_s + question.burst;
@@ -100,14 +100,14 @@
                 });
                 Outcome::Granted
             }
-            Some((LedgerReply::Quota(QuotaAnswer::Refused { retry_after_ms }), _)) => {
+            Some((LedgerReply::Quota(QuotaReply::Refused { retry_after_ms }), _)) => {
                 Outcome::Refused { retry_after_ms }
             }
             _ => {
                 let until = Instant::now() + UNASKED_FOR;
                 self.silent_until.borrow_mut().insert(partition, until);
                 match self.take_unasked(tenant) {
-                    true => Outcome::Unasked,
+                    true => Outcome::AdmittedLocally,
                     false => Outcome::Unknown,
                 }
             }
@@ -119,7 +119,7 @@
     /// Tells the owner of a limit that a client left, beside its request and once: clients leave
     /// by hundreds where owners are silent, and an owner that does not hear of it counts the
     /// program as a short one, nothing worse.
-    pub(crate) fn tell_client_left(self: &Rc<Self>, question: QuotaQuestion) {
+    pub(crate) fn report_client_left(self: &Rc<Self>, question: QuotaRequest) {
         let ledger = self.clone();
         ntex::rt::spawn(async move {
             let partition = ledger.partition_of(&question.tenant);
--- a/crates/gateway/src/serve/opening.rs
+++ b/crates/gateway/src/serve/opening.rs
@@ -6,7 +6,7 @@
 use crate::ledger::client::{LedgerClient, OpenFailure, OpenedTurn};
 use crate::metrics::Metrics;
 use bytes::BytesMut;
-use fieldhook_ledger::message::{OpenTurn, Placement};
+use fieldhook_ledger::message::{OpenTurn, PlacementRequest};
 use fieldhook_log::reach::Reach;
 use fieldhook_topology::region::RegionSet;
 use std::cell::Cell;
@@ -60,7 +60,9 @@
     }
     let homes = homes::now(context);
     let request = request(context, &homes)?;
-    if !request.name(&request.turn).fits() || !request.name(&request.program).fits() {
+    if !request.qualified_name(&request.turn).fits_record_key()
+        || !request.qualified_name(&request.program).fits_record_key()
+    {
         return Err(TurnRefusal::TooLarge);
     }
     let deadline = patience(context)?;
@@ -80,7 +82,11 @@
         ))),
         Err(failure) => {
             opening.note_refusal(context, &failure);
-            Err(refusal_of(&failure, context, opening.request.keeper))
+            Err(refusal_of(
+                &failure,
+                context,
+                opening.request.home_partition,
+            ))
         }
     }
 }
@@ -90,7 +96,7 @@
     let route = &context.entry.route;
     let meta = &context.meta;
     let program = meta.program.clone().unwrap_or_default();
-    let keeper = context.daemon.ledger.keeper(&program, homes);
+    let keeper = context.daemon.ledger.home_partition(&program, homes);
     let keeper = keeper.filter(|_| route.retains_context);
     if route.retains_context && keeper.is_none() && !homes.is_all() {
         homes::note_no_owner(context, None);
@@ -101,15 +107,15 @@
         turn: meta.id.clone(),
         attempt: attempt(context),
         program,
-        line: meta.session.clone(),
+        session: meta.session.clone(),
         previous: meta.previous.clone(),
         wants_chain: route.retains_context,
         keeps_context: route.retains_context,
-        brings_chain: false,
+        supplies_chain: false,
         budget: meta.budget,
-        most_tokens: meta.most_tokens,
+        max_tokens: meta.most_tokens,
         placement: placement(context, homes),
-        keeper,
+        home_partition: keeper,
     })
 }
 
@@ -122,12 +128,12 @@
 }
 
 /// What the owner needs to assign an engine.
-fn placement(context: &RequestContext, homes: &RegionSet) -> Option<Placement> {
+fn placement(context: &RequestContext, homes: &RegionSet) -> Option<PlacementRequest> {
     let meta = &context.meta;
     let beginning = meta.prefix.as_ref().or(meta.program.as_ref())?;
-    Some(Placement {
+    Some(PlacementRequest {
         service: context.service()?.to_owned(),
-        prefix: fieldhook_traffic::assignment::prefix_hash(beginning),
+        prefix_hash: fieldhook_traffic::assignment::prefix_hash(beginning),
         zone: context.daemon.settings.zone.clone(),
         regions: region_names(homes),
     })
@@ -158,7 +164,7 @@
         request = context.meta.id,
         program = context.meta.program,
         cause,
-        log_age_ms = context.daemon.ledger.contact.age_ms()
+        log_age_ms = context.daemon.ledger.contact.ms_since_answer()
     );
     Err(TurnRefusal::Unavailable)
 }
@@ -167,8 +173,8 @@
 fn begin(context: &RequestContext, request: &OpenTurn, opened: OpenedTurn, took_ms: u64) -> Turn {
     let ledger = context.daemon.ledger.clone();
     let meta = &context.meta;
-    if request.brings_chain && request.keeper.is_some() {
-        homes::note_chain_brought(context, request.keeper);
+    if request.supplies_chain && request.home_partition.is_some() {
+        homes::note_chain_brought(context, request.home_partition);
     }
     tracing::info!(
         event = "turn_opened",
@@ -178,11 +184,11 @@
         budget = meta.budget,
         most = meta.most_tokens,
         partition = ledger.partition_of(&request.program),
-        keeper = request.keeper,
+        keeper = request.home_partition,
         durable = opened.is_durable(),
         allowed = opened.allowed(),
         engine = opened.engine,
-        reservation = request.reservation(),
+        reservation = request.reservation_id(),
         took_ms
     );
     Turn {
@@ -252,16 +258,16 @@
             partition = self.ledger.partition_of(&self.request.program),
             previous = self.request.previous,
             budget = self.request.budget,
-            most = self.request.most_tokens,
+            most = self.request.max_tokens,
             cause = failure.cause(),
-            settled = shortage.map(|shortage| shortage.settled),
+            settled = shortage.map(|shortage| shortage.settled_tokens),
             open_turns = shortage.map(|shortage| shortage.open_turns),
-            open = shortage.map(|shortage| shortage.open),
+            open = shortage.map(|shortage| shortage.open_tokens),
             in_doubt_turns = shortage.map(|shortage| shortage.in_doubt_turns),
-            in_doubt = shortage.map(|shortage| shortage.in_doubt),
-            oldest_open = shortage.and_then(|shortage| shortage.oldest.as_deref()),
-            oldest_open_ms = shortage.and_then(|shortage| shortage.oldest_ms),
-            reserved_ahead = shortage.map(|shortage| shortage.inherited),
+            in_doubt = shortage.map(|shortage| shortage.in_doubt_tokens),
+            oldest_open = shortage.and_then(|shortage| shortage.oldest_reservation.as_deref()),
+            oldest_open_ms = shortage.and_then(|shortage| shortage.oldest_age_ms),
+            reserved_ahead = shortage.map(|shortage| shortage.inherited_tokens),
             took_ms = self.took_ms(),
             age_ms = context.age_ms()
         );
@@ -280,10 +286,10 @@
             request = self.request.turn,
             program = self.request.program,
             partition = self.ledger.partition_of(&self.request.program),
-            reservation = self.request.reservation(),
+            reservation = self.request.reservation_id(),
             took_ms = self.took_ms(),
             "an owner may have opened it; its end is told"
         );
-        self.ledger.tell_end(self.request.withdrawn());
+        self.ledger.close_in_background(self.request.cancellation());
     }
 }
--- a/crates/gateway/src/store_exchange.rs
+++ b/crates/gateway/src/store_exchange.rs
@@ -2,11 +2,11 @@
 //! connection up: the service says nothing more on it.
 
 use crate::http::body::{BodyDecoder, Piece};
-use crate::http::head::{ResponseHead, take_response};
-use crate::upstream::connection::prepare;
+use crate::http::head::{ResponseHead, decode_response_head};
+use crate::upstream::connection::configure_socket;
 use bytes::{Bytes, BytesMut};
 use fieldhook_log::api::StoreError;
-use fieldhook_log::contact::Contact;
+use fieldhook_log::log_health::LogHealth;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -50,13 +50,13 @@
 /// Connections that wait for calls.
 pub struct StoreConnections {
     address: SocketAddr,
-    contact: Rc<Contact>,
+    contact: Rc<LogHealth>,
     idle: RefCell<Vec<Connection>>,
 }
 
 impl StoreConnections {
     /// Connections to an address.
-    pub fn new(address: SocketAddr, contact: Rc<Contact>) -> Self {
+    pub fn new(address: SocketAddr, contact: Rc<LogHealth>) -> Self {
         Self {
             address,
             contact,
@@ -72,7 +72,7 @@
         let mut connection = match self.connection().await {
             Ok(connection) => connection,
             Err(_) => {
-                self.contact.failed();
+                self.contact.record_failure();
                 return Err(StoreError::NotDone);
             }
         };
@@ -85,12 +85,12 @@
                 Ok(answer)
             }
             Ok(Err(error)) => {
-                self.contact.failed();
+                self.contact.record_failure();
                 self.idle.borrow_mut().clear();
                 Err(error)
             }
             Err(_) => {
-                self.contact.failed();
+                self.contact.record_failure();
                 // Where one connection fell silent, others may have: the next call is not
                 // to wait for that as well.
                 self.idle.borrow_mut().clear();
@@ -102,9 +102,9 @@
     /// A service that is busy answers, but does not serve.
     fn note(&self, answer: &StoreAnswer) {
         if answer.status == 503 {
-            self.contact.failed();
+            self.contact.record_failure();
         } else {
-            self.contact.answered();
+            self.contact.record_answer();
         }
     }
 
@@ -122,7 +122,7 @@
         let stream = timeout(CONNECT_LIMIT, TcpStream::connect(self.address))
             .await
             .map_err(|_| std::io::Error::from(std::io::ErrorKind::TimedOut))??;
-        prepare(&stream);
+        configure_socket(&stream);
         Ok(Connection {
             stream,
             buffer: BytesMut::new(),
@@ -154,7 +154,7 @@
             match decoder.next(&mut self.buffer) {
                 Ok(Piece::Data(data)) => body.extend_from_slice(&data),
                 Ok(Piece::End) => break,
-                Ok(Piece::Wait) => self.fill().await?,
+                Ok(Piece::Incomplete) => self.fill().await?,
                 Err(_) => return Err(StoreError::Unknown),
             }
             if body.len() > BODY_LIMIT {
@@ -170,7 +170,7 @@
 
     async fn head(&mut self, method: &str) -> Result<ResponseHead, StoreError> {
         loop {
-            match take_response(&mut self.buffer, HEAD_LIMIT, method) {
+            match decode_response_head(&mut self.buffer, HEAD_LIMIT, method) {
                 Ok(Some(head)) => return Ok(head),
                 Ok(None) => self.fill().await?,
                 Err(_) => return Err(StoreError::Unknown),
--- a/crates/gateway/tests/gateway/evacuation.rs
+++ b/crates/gateway/tests/gateway/evacuation.rs
@@ -3,7 +3,7 @@
 use crate::support::{Act, CONFIG, Gateway, Reply, Server, World, run};
 use fieldhook_emulator::log::memory::LogFault;
 use fieldhook_gateway::settings::Bounds;
-use fieldhook_ledger::message::EvacuationNews;
+use fieldhook_ledger::message::EvacuationStatus;
 use fieldhook_log::api::Partition;
 use fieldhook_log::reach::Reach;
 use fieldhook_topology::evacuation::State;
@@ -98,7 +98,7 @@
 async fn until_chosen(gateway: &Gateway, server: &str) {
     let daemon = &gateway.daemon;
     let begun = Instant::now();
-    while daemon.pools.view(server, "z1", daemon.now_ms()).in_flight == 0 {
+    while daemon.pools.status(server, "z1", daemon.now_ms()).in_flight == 0 {
         assert!(begun.elapsed() < BOUND, "{server} was never chosen");
         tokio::task::yield_now().await;
     }
@@ -271,7 +271,7 @@
         let cut = zones.gateway("g2", "z1").await;
         sleep(Duration::from_millis(100)).await;
         cut.store.set_fault(LogFault::Silent);
-        cut.daemon.contact.failed();
+        cut.daemon.contact.record_failure();
         for is_evacuated in [true, false, true] {
             match is_evacuated {
                 true => zones.close("z1").await,
@@ -302,7 +302,7 @@
         // that knows the state before.
         places.retain_listed(&[], end - 1);
         for revision in 0..end - 1 {
-            places.learn(&EvacuationNews {
+            places.learn(&EvacuationStatus {
                 zone: "z1".to_owned(),
                 is_evacuated: false,
                 revision,
@@ -326,7 +326,7 @@
         log.borrow_mut().forget_history();
         gateway.store.set_fault(LogFault::None);
         wait_state(&gateway, "z1", false).await;
-        places.learn(&EvacuationNews {
+        places.learn(&EvacuationStatus {
             zone: "z1".to_owned(),
             is_evacuated: true,
             revision: end - 1,
--- a/crates/gateway/tests/gateway/homes.rs
+++ b/crates/gateway/tests/gateway/homes.rs
@@ -114,7 +114,9 @@
     fn keeper(&self) -> &'static str {
         let homes = RegionSet::from_names(["a"]);
         let ledger = &self.at("b1").daemon.ledger;
-        let partition = ledger.keeper("p", &homes).expect("a home partition");
+        let partition = ledger
+            .home_partition("p", &homes)
+            .expect("a home partition");
         // By the claim that b1 knows: a former owner without the log still believes in its own.
         let claim = ledger.owner.claims.claim(partition).expect("a claim");
         let owner = self
@@ -203,7 +205,7 @@
     let keeper = gateway
         .daemon
         .ledger
-        .keeper("p", &RegionSet::from_names(["a"]));
+        .home_partition("p", &RegionSet::from_names(["a"]));
     let record = Ownership::claim_record(keeper.expect("a home partition"), gone, 77);
     let append = Append {
         partition: Partition {
@@ -262,7 +264,7 @@
         }
         let ledger = &fleet.at("b2").daemon.ledger;
         let keeper = ledger
-            .keeper("p", &RegionSet::from_names(["a"]))
+            .home_partition("p", &RegionSet::from_names(["a"]))
             .expect("a partition");
         let claim = ledger.owner.claims.claim(keeper).expect("a claim");
         assert_eq!(claim.address, Some(gone));
@@ -508,7 +510,10 @@
         let ledger = &b.daemon.ledger;
         let homes = RegionSet::from_names(["a"]);
         let names: Vec<String> = (0..12).map(|number| format!("p{number}")).collect();
-        let mut keepers: Vec<_> = names.iter().map(|p| ledger.keeper(p, &homes)).collect();
+        let mut keepers: Vec<_> = names
+            .iter()
+            .map(|p| ledger.home_partition(p, &homes))
+            .collect();
         keepers.sort();
         keepers.dedup();
         assert_eq!(keepers.len(), 4, "{keepers:?}");
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -4,25 +4,25 @@
 //! partition in memory and appends what must outlive it; a later owner begins
 //! from the newest record of each key.
 //!
-//! - [`scope`]: names of programs and turns within their tenants.
+//! - [`name`]: names of programs and turns within their tenants.
 //! - [`layout`]: which partition keeps what, and which region may own it.
 //! - [`message`]: what gateways ask an owner, and its answers.
 //! - [`record`]: what is appended, and its keys.
 //! - [`budget`]: how much of its budget a program may still hand out.
 //! - [`open`]: the turns under way of a program, and which of them are in doubt.
-//! - [`doubt`]: programs that no record tells of after a take-over.
+//! - [`uncertainty`]: programs that no record tells of after a take-over.
 //! - [`ended`]: ends of turns that are remembered.
 //! - [`partition`]: the state machine of one partition.
 
 pub mod budget;
-pub mod doubt;
 pub mod ended;
 pub mod layout;
 pub mod message;
+pub mod name;
 pub mod open;
 pub mod partition;
 pub mod record;
-pub mod scope;
+pub mod uncertainty;
 
 use xxhash_rust::xxh3::xxh3_64;
 
--- a/crates/ledger/src/scope.rs
+++ b/crates/ledger/src/name.rs
@@ -7,14 +7,14 @@
 
 /// A name within its tenant.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, SerBin, DeBin)]
-pub struct Name {
+pub struct QualifiedName {
     /// Tenant; `None` where requests belong to nobody.
     pub tenant: Option<String>,
     /// The name itself.
     pub text: String,
 }
 
-impl Name {
+impl QualifiedName {
     /// A name within a tenant.
     pub fn new(tenant: Option<&str>, text: &str) -> Self {
         Self {
@@ -25,13 +25,13 @@
 
     /// Whether it fits into the key of a record: the log holds the key's length in one byte,
     /// and the key has two bytes of its own.
-    pub fn fits(&self) -> bool {
+    pub fn fits_record_key(&self) -> bool {
         let tenant = self.tenant.as_ref().map_or(0, String::len);
         tenant + self.text.len() + 2 <= usize::from(u8::MAX)
     }
 
     /// Another name within the same tenant.
-    pub fn beside(&self, text: &str) -> Self {
+    pub fn in_same_tenant(&self, text: &str) -> Self {
         Self::new(self.tenant.as_deref(), text)
     }
 }
--- a/crates/ledger/src/partition.rs
+++ b/crates/ledger/src/partition.rs
@@ -1,11 +1,11 @@
 //! The state machine of one partition, as its owner runs it.
 
 use crate::budget::{Ahead, Budget, End, Reservation};
-use crate::doubt::Doubt;
-pub use crate::doubt::doubt_after_loss;
-use crate::message::{CloseTurn, OpenTurn, Shortage};
+use crate::message::{BudgetUsage, CloseTurn, OpenTurn};
+use crate::name::QualifiedName;
 use crate::record::{ProgramRecord, Record, TurnRecord};
-use crate::scope::Name;
+use crate::uncertainty::Uncertainty;
+pub use crate::uncertainty::uncertainty_after_loss_ms;
 use std::collections::HashMap;
 
 /// How much longer than promised a turn is kept, in milliseconds: clocks of
@@ -34,16 +34,16 @@
         /// Where it has to, tokens that may be handed out before.
         allowed: u64,
         /// It is the first turn of its program.
-        begins: bool,
+        is_first_turn: bool,
         /// To append.
         records: Vec<Record>,
     },
     /// The budget does not hold it.
-    BudgetSpent(Shortage),
+    BudgetSpent(BudgetUsage),
     /// A turn of its chain is not kept.
     UnknownTurn,
     /// Its end was told already: the question was under way when its asker left.
-    Ended,
+    AlreadyEnded,
 }
 
 struct Turn {
@@ -53,60 +53,60 @@
 
 impl Turn {
     /// The turn that this one, of the given name, went on from.
-    fn previous_of(&self, name: &Name) -> Option<Name> {
+    fn previous_of(&self, name: &QualifiedName) -> Option<QualifiedName> {
         let previous = self.record.previous.as_deref()?;
-        Some(name.beside(previous))
+        Some(name.in_same_tenant(previous))
     }
 }
 
 /// Programs and turns of one partition.
 #[derive(Default)]
 pub struct Partition {
-    programs: HashMap<Name, Budget>,
-    turns: HashMap<Name, Turn>,
+    programs: HashMap<QualifiedName, Budget>,
+    turns: HashMap<QualifiedName, Turn>,
     /// Programs that were forgotten, with the deletions that are not durable yet: a successor may
     /// read the record of before, and would count that alone.
-    forgotten: HashMap<Name, u32>,
+    forgotten: HashMap<QualifiedName, u32>,
     /// Whether a program that no record tells of may be an earlier owner's.
-    doubt: Doubt,
+    doubt: Uncertainty,
     /// The owner before was lost: gateways of turns that it told of may be lost with it.
     is_after_loss: bool,
 }
 
 impl Partition {
     /// A partition whose last owner was lost. For `doubt_ms` from now on it may have granted
-    /// turns which no record tells of: see [`doubt_after_loss`].
-    pub fn taken_over(now_ms: u64, doubt_ms: u64) -> Self {
+    /// turns which no record tells of: see [`uncertainty_after_loss_ms`].
+    pub fn after_loss(now_ms: u64, doubt_ms: u64) -> Self {
         Self {
             is_after_loss: true,
-            ..Self::handed_over(now_ms, doubt_ms)
+            ..Self::after_handover(now_ms, doubt_ms)
         }
     }
 
     /// A partition whose last owner recorded all that it granted before it gave the partition
     /// up. For `doubt_ms` from now on unknown programs are in doubt, as they were for it.
-    pub fn handed_over(now_ms: u64, doubt_ms: u64) -> Self {
+    pub fn after_handover(now_ms: u64, doubt_ms: u64) -> Self {
         Self {
-            doubt: Doubt::until(now_ms + doubt_ms),
+            doubt: Uncertainty::until(now_ms + doubt_ms),
             ..Self::default()
         }
     }
 
     /// How long unknown programs are in doubt from now on, in milliseconds.
-    pub fn doubt_ms(&self, now_ms: u64) -> u64 {
+    pub fn uncertainty_ms(&self, now_ms: u64) -> u64 {
         self.doubt.left_ms(now_ms)
     }
 
     /// What to append once the partition was read, so that programs may begin without the log
     /// while unknown ones are in doubt.
-    pub fn claim_part(&self, now_ms: u64) -> Vec<Record> {
+    pub fn claim_unrecorded_share(&self, now_ms: u64) -> Vec<Record> {
         let claimed = self.doubt.claim_part(now_ms);
-        claimed.map(Record::Doubt).into_iter().collect()
+        claimed.map(Record::UnrecordedShares).into_iter().collect()
     }
 
     /// Records to be appended before the partition is given up: nothing is reserved ahead
     /// after them, and every program has one.
-    pub fn hand_over(&mut self) -> Vec<Record> {
+    pub fn handover_records(&mut self) -> Vec<Record> {
         self.record_programs(Budget::last_record)
     }
 
@@ -121,7 +121,7 @@
         records.collect()
     }
 
-    fn program(&mut self, name: Name, budget: u64, now_ms: u64) -> &mut Budget {
+    fn program(&mut self, name: QualifiedName, budget: u64, now_ms: u64) -> &mut Budget {
         let mut unrecorded = self.doubt.unrecorded(now_ms);
         unrecorded.may &= !self.forgotten.contains_key(&name);
         self.programs
@@ -145,7 +145,7 @@
                     },
                 );
             }
-            Record::Doubt(successors) => self.doubt.load(successors),
+            Record::UnrecordedShares(successors) => self.doubt.load(successors),
             Record::Program(name, None) => {
                 self.programs.remove(&name);
             }
@@ -156,11 +156,11 @@
     }
 
     /// All records are in: a chain is kept as long as its latest turn.
-    pub fn loaded(&mut self) {
+    pub fn finish_loading(&mut self) {
         if self.is_after_loss {
             self.programs.values_mut().for_each(Budget::doubt_open);
         }
-        let ends: Vec<(Name, u64)> = self
+        let ends: Vec<(QualifiedName, u64)> = self
             .turns
             .iter()
             .map(|(name, turn)| (name.clone(), turn.keep_until_ms))
@@ -179,23 +179,23 @@
             return OpenOutcome::Opened {
                 chain,
                 durable: true,
-                allowed: request.most_tokens,
-                begins: request.previous.is_none(),
+                allowed: request.max_tokens,
+                is_first_turn: request.previous.is_none(),
                 records: Vec::new(),
             };
         };
-        let name = request.name(&request.program);
+        let name = request.qualified_name(&request.program);
         let program = self.program(name.clone(), budget, now_ms);
-        program.observe(request.most_tokens, Some(ahead_for(request)));
-        let turn = request.reservation();
+        program.observe(request.max_tokens, Some(ahead_for(request)));
+        let turn = request.reservation_id();
         let allowed = match program.reserve(&request.of_budget(&turn), budget, now_ms) {
-            Reservation::Durable => request.most_tokens,
+            Reservation::Durable => request.max_tokens,
             Reservation::Pending { allowed } => allowed,
             Reservation::Spent => return OpenOutcome::BudgetSpent(program.shortage(now_ms)),
-            Reservation::Ended => return OpenOutcome::Ended,
+            Reservation::Ended => return OpenOutcome::AlreadyEnded,
         };
         let begins = request.previous.is_none() && program.begins_with(&turn);
-        let durable = allowed == request.most_tokens;
+        let durable = allowed == request.max_tokens;
         let mut records = Vec::new();
         if !durable {
             let record = program.record(budget);
@@ -205,7 +205,7 @@
             chain,
             durable,
             allowed,
-            begins,
+            is_first_turn: begins,
             records,
         }
     }
@@ -215,17 +215,17 @@
     pub fn close(&mut self, request: &CloseTurn, now_ms: u64) -> Vec<Record> {
         let mut records = Vec::new();
         if let Some(budget) = request.budget {
-            let name = request.name(&request.program);
+            let name = request.qualified_name(&request.program);
             let program = self.program(name.clone(), budget, now_ms);
-            program.observe(request.most_tokens, None);
-            let record = match program.settle(&request.reservation(), request.tokens, now_ms) {
+            program.observe(request.max_tokens, None);
+            let record = match program.settle(&request.reservation_id(), request.tokens, now_ms) {
                 End::Known => None,
                 End::Unasked => Some(program.record_as_reserved()),
                 End::Counted => Some(program.record(budget)),
             };
             records.extend(record.map(|record| Record::Program(name, Some(record))));
         }
-        let turn = request.name(&request.turn);
+        let turn = request.qualified_name(&request.turn);
         if let Some(content) = &request.content
             && !self.turns.contains_key(&turn)
         {
@@ -245,7 +245,7 @@
     }
 
     /// A record was appended.
-    pub fn appended(&mut self, record: &Record) {
+    pub fn record_appended(&mut self, record: &Record) {
         match record {
             // Before the deletion it is one of the program's life before.
             Record::Program(name, Some(_)) if !self.forgotten.contains_key(name) => {
@@ -254,13 +254,13 @@
                 }
             }
             Record::Program(name, None) => self.deleted(name),
-            Record::Doubt(successors) => self.doubt.appended(*successors),
+            Record::UnrecordedShares(successors) => self.doubt.appended(*successors),
             _ => {}
         }
     }
 
     /// The deletion of a forgotten program is durable.
-    fn deleted(&mut self, name: &Name) {
+    fn deleted(&mut self, name: &QualifiedName) {
         let Some(deletions) = self.forgotten.get_mut(name) else {
             return;
         };
@@ -297,22 +297,22 @@
             return Vec::new();
         }
         let mut records = self.record_programs(Budget::first_record);
-        records.push(Record::Doubt(0));
+        records.push(Record::UnrecordedShares(0));
         records
     }
 
     /// Turns kept.
-    pub fn turns(&self) -> usize {
+    pub fn turn_count(&self) -> usize {
         self.turns.len()
     }
 
     /// Programs known.
-    pub fn programs(&self) -> usize {
+    pub fn program_count(&self) -> usize {
         self.programs.len()
     }
 
     /// The record of a program as it stands, for checks.
-    pub fn committed(&self, program: &Name) -> u64 {
+    pub fn committed_tokens(&self, program: &QualifiedName) -> u64 {
         self.programs.get(program).map_or(0, Budget::committed)
     }
 
@@ -320,20 +320,21 @@
         let Some(previous) = &request.previous else {
             return Some(Vec::new());
         };
-        if !request.keeps_context || request.brings_chain {
+        if !request.keeps_context || request.supplies_chain {
             return Some(Vec::new());
         }
-        self.contents(&request.name(previous)).map(|contents| {
-            if request.wants_chain {
-                contents
-            } else {
-                Vec::new()
-            }
-        })
+        self.chain_contents(&request.qualified_name(previous))
+            .map(|contents| {
+                if request.wants_chain {
+                    contents
+                } else {
+                    Vec::new()
+                }
+            })
     }
 
     /// Inputs and outputs of the chain that ends with a turn, oldest first.
-    pub fn contents(&self, last: &Name) -> Option<Vec<u8>> {
+    pub fn chain_contents(&self, last: &QualifiedName) -> Option<Vec<u8>> {
         let chain = self.chain(last)?;
         let mut contents = Vec::new();
         for turn in chain.iter().rev() {
@@ -344,7 +345,7 @@
     }
 
     /// The turns from this one back to the first.
-    fn chain(&self, last: &Name) -> Option<Vec<&Turn>> {
+    fn chain(&self, last: &QualifiedName) -> Option<Vec<&Turn>> {
         let mut chain = Vec::new();
         let mut next = Some(last.clone());
         while let Some(name) = next {
@@ -358,7 +359,7 @@
         Some(chain)
     }
 
-    fn keep_chain(&mut self, last: &Name, until_ms: u64) {
+    fn keep_chain(&mut self, last: &QualifiedName, until_ms: u64) {
         let mut next = Some(last.clone());
         let mut steps = 0;
         while let Some(name) = next {
--- a/crates/ledger/tests/abandoned.rs
+++ b/crates/ledger/tests/abandoned.rs
@@ -3,8 +3,8 @@
 //! reservation that nobody ends. The story that showed it is told in the gateway's tests.
 
 use fieldhook_ledger::message::OpenTurn;
+use fieldhook_ledger::name::QualifiedName;
 use fieldhook_ledger::partition::{OpenOutcome, Partition};
-use fieldhook_ledger::scope::Name;
 
 /// Holds one turn and no second one beside it.
 const BUDGET: u64 = 900;
@@ -19,15 +19,15 @@
         turn: identity.to_owned(),
         attempt,
         program: "p".to_owned(),
-        line: None,
+        session: None,
         previous: None,
         wants_chain: true,
         keeps_context: true,
-        brings_chain: false,
+        supplies_chain: false,
         budget: Some(BUDGET),
-        most_tokens: MOST,
+        max_tokens: MOST,
         placement: None,
-        keeper: None,
+        home_partition: None,
     }
 }
 
@@ -36,7 +36,7 @@
 }
 
 fn counted(partition: &Partition) -> u64 {
-    partition.committed(&Name::new(None, "p"))
+    partition.committed_tokens(&QualifiedName::new(None, "p"))
 }
 
 #[test]
@@ -44,7 +44,7 @@
     let mut partition = Partition::default();
     let left = turn("t1", 1);
     assert!(is_opened(&mut partition, &left));
-    partition.close(&left.withdrawn(), 2);
+    partition.close(&left.cancellation(), 2);
     assert_eq!(counted(&partition), 0);
     assert!(is_opened(&mut partition, &turn("t2", 2)));
 }
@@ -53,8 +53,8 @@
 fn a_turn_that_is_asked_for_after_its_end_is_not_opened() {
     let mut partition = Partition::default();
     let late = turn("t1", 1);
-    partition.close(&late.withdrawn(), 1);
-    assert_eq!(partition.open(&late, 2), OpenOutcome::Ended);
+    partition.close(&late.cancellation(), 1);
+    assert_eq!(partition.open(&late, 2), OpenOutcome::AlreadyEnded);
     assert_eq!(counted(&partition), 0);
     assert!(is_opened(&mut partition, &turn("t2", 2)));
 }
@@ -64,10 +64,10 @@
     let mut partition = Partition::default();
     let whole = turn("t1", 1);
     assert!(is_opened(&mut partition, &whole));
-    let mut end = whole.withdrawn();
+    let mut end = whole.cancellation();
     end.tokens = 200;
     partition.close(&end, 2);
-    assert_eq!(partition.open(&whole, 3), OpenOutcome::Ended);
+    assert_eq!(partition.open(&whole, 3), OpenOutcome::AlreadyEnded);
     assert_eq!(counted(&partition), 200);
 }
 
@@ -77,7 +77,7 @@
     for attempt in [1, 2] {
         let again = turn("t1", attempt);
         assert!(is_opened(&mut partition, &again), "attempt {attempt}");
-        let mut end = again.withdrawn();
+        let mut end = again.cancellation();
         end.tokens = 100;
         partition.close(&end, 2);
     }
@@ -91,13 +91,13 @@
     let OpenOutcome::Opened { records, .. } = partition.open(&left, 1) else {
         panic!("not opened");
     };
-    let mut successor = Partition::taken_over(2, 0);
+    let mut successor = Partition::after_loss(2, 0);
     // Nothing of it was recorded where the owner's mark held it.
     records
         .into_iter()
         .for_each(|record| successor.load(record));
-    successor.loaded();
-    successor.close(&left.withdrawn(), 3);
+    successor.finish_loading();
+    successor.close(&left.cancellation(), 3);
     assert!(is_opened(&mut successor, &turn("t2", 2)));
 }
 
@@ -107,9 +107,12 @@
 fn an_end_that_came_before_its_question_is_remembered_while_time_goes_on() {
     let mut partition = Partition::default();
     let late = turn("t1", 1);
-    partition.close(&late.withdrawn(), NOW_MS);
+    partition.close(&late.cancellation(), NOW_MS);
     assert_eq!(partition.expire(NOW_MS + 10_000), []);
-    assert_eq!(partition.open(&late, NOW_MS + 11_000), OpenOutcome::Ended);
+    assert_eq!(
+        partition.open(&late, NOW_MS + 11_000),
+        OpenOutcome::AlreadyEnded
+    );
     assert_eq!(counted(&partition), 0);
 }
 
@@ -117,8 +120,8 @@
 /// its question came to nothing.
 #[test]
 fn a_program_that_asked_in_doubt_is_counted_as_such_after_it() {
-    let mut successor = Partition::taken_over(NOW_MS, 5_000);
-    successor.close(&turn("t1", 1).withdrawn(), NOW_MS);
+    let mut successor = Partition::after_loss(NOW_MS, 5_000);
+    successor.close(&turn("t1", 1).cancellation(), NOW_MS);
     let in_doubt = counted(&successor);
     assert_eq!(in_doubt, BUDGET / 3);
     successor.expire(NOW_MS + 1_000);
@@ -132,14 +135,14 @@
 fn a_successor_knows_of_an_end_that_came_before_its_question() {
     let mut partition = Partition::default();
     let late = turn("t1", 1);
-    let mut records = partition.close(&late.withdrawn(), NOW_MS);
-    records.extend(partition.hand_over());
-    let mut successor = Partition::handed_over(NOW_MS, 0);
+    let mut records = partition.close(&late.cancellation(), NOW_MS);
+    records.extend(partition.handover_records());
+    let mut successor = Partition::after_handover(NOW_MS, 0);
     for record in records {
         successor.load(record);
     }
-    successor.loaded();
-    assert_eq!(successor.open(&late, NOW_MS), OpenOutcome::Ended);
+    successor.finish_loading();
+    assert_eq!(successor.open(&late, NOW_MS), OpenOutcome::AlreadyEnded);
     assert_eq!(counted(&successor), 0);
 }
 
@@ -148,19 +151,19 @@
 #[test]
 fn the_record_of_an_end_that_came_before_its_question_reserves_nothing_further() {
     let mut partition = Partition::default();
-    let records = partition.close(&turn("t1", 1).withdrawn(), NOW_MS);
+    let records = partition.close(&turn("t1", 1).cancellation(), NOW_MS);
     assert_eq!(records.len(), 1);
-    let mut successor = Partition::taken_over(NOW_MS, 5_000);
+    let mut successor = Partition::after_loss(NOW_MS, 5_000);
     for record in records {
         successor.load(record);
     }
-    successor.loaded();
+    successor.finish_loading();
     let told = counted(&successor);
-    let mut without = Partition::taken_over(NOW_MS, 5_000);
-    without.close(&turn("t2", 2).withdrawn(), NOW_MS);
+    let mut without = Partition::after_loss(NOW_MS, 5_000);
+    without.close(&turn("t2", 2).cancellation(), NOW_MS);
     assert_eq!(told, counted(&without));
-    let again = successor.close(&turn("t3", 3).withdrawn(), NOW_MS);
-    let mut next = Partition::taken_over(NOW_MS, 5_000);
+    let again = successor.close(&turn("t3", 3).cancellation(), NOW_MS);
+    let mut next = Partition::after_loss(NOW_MS, 5_000);
     for record in again {
         next.load(record);
     }
@@ -175,10 +178,10 @@
     let whole = turn("t0", 1_000);
     let lost = turn("t1", 1_001);
     assert!(is_opened(&mut partition, &whole));
-    let mut end = whole.withdrawn();
+    let mut end = whole.cancellation();
     end.tokens = 100;
     let records = partition.close(&end, NOW_MS);
-    let mut successor = Partition::taken_over(NOW_MS, 0);
+    let mut successor = Partition::after_loss(NOW_MS, 0);
     for record in records {
         successor.load(record);
     }
@@ -186,7 +189,7 @@
     let handed_out = MOST;
     assert!(is_opened(&mut partition, &lost));
     for early in 0..60 {
-        successor.close(&turn("early", early).withdrawn(), NOW_MS);
+        successor.close(&turn("early", early).cancellation(), NOW_MS);
         assert!(counted(&successor) >= 100 + handed_out, "{early}");
     }
     successor.close(&end, NOW_MS);
--- a/crates/ledger/tests/budget_room/world.rs
+++ b/crates/ledger/tests/budget_room/world.rs
@@ -4,9 +4,9 @@
 mod standing;
 
 use fieldhook_ledger::message::{CloseTurn, OpenTurn, TurnContent};
+use fieldhook_ledger::name::QualifiedName;
 use fieldhook_ledger::partition::{OpenOutcome, Partition};
 use fieldhook_ledger::record::Record;
-use fieldhook_ledger::scope::Name;
 use questions::Question;
 use quickcheck::{Arbitrary, Gen};
 use standing::Standing;
@@ -156,12 +156,13 @@
     }
 
     pub fn counted(&self) -> u64 {
-        self.owner.committed(&Name::new(None, PROGRAM))
+        self.owner
+            .committed_tokens(&QualifiedName::new(None, PROGRAM))
     }
 
     /// An owner that knows the program counts all that was handed out of it, by whomever.
     pub fn counts_all(&self) -> bool {
-        self.owner.programs() == 0 || self.counted() >= self.handed_out()
+        self.owner.program_count() == 0 || self.counted() >= self.handed_out()
     }
 
     fn push(&mut self, records: Vec<Record>) {
@@ -178,15 +179,15 @@
             turn,
             attempt: self.next_turn,
             program: PROGRAM.to_owned(),
-            line: line.map(str::to_owned),
+            session: line.map(str::to_owned),
             previous: None,
             wants_chain: self.keeps_context,
             keeps_context: self.keeps_context,
-            brings_chain: false,
+            supplies_chain: false,
             budget: Some(self.budget),
-            most_tokens: MOST,
+            max_tokens: MOST,
             placement: None,
-            keeper: None,
+            home_partition: None,
         }
     }
 
@@ -231,7 +232,7 @@
             durable_at,
             recorded_at: usize::MAX,
             gateway_lives: true,
-            line: request.line,
+            line: request.session,
             standing,
         });
     }
@@ -275,7 +276,7 @@
             attempt,
             program: PROGRAM.to_owned(),
             budget: Some(self.budget),
-            most_tokens: MOST,
+            max_tokens: MOST,
             tokens,
             content: self.keeps_context.then(|| TurnContent {
                 previous: None,
@@ -284,7 +285,7 @@
                 retention_ms: 60_000,
             }),
             engine: None,
-            keeper: None,
+            home_partition: None,
             awaited: false,
         };
         let records = self.owner.close(&request, self.now_ms);
@@ -301,7 +302,7 @@
         };
         self.appended += 1;
         self.log.insert(record.key(), record.value());
-        self.owner.appended(&record);
+        self.owner.record_appended(&record);
         let appended = self.appended;
         for turn in &mut self.turns {
             if turn.durable_at <= appended {
@@ -321,8 +322,8 @@
             let record = Record::read(key, value).expect("a record as it was written");
             self.owner.load(record);
         }
-        self.owner.loaded();
-        let records = self.owner.claim_part(self.now_ms);
+        self.owner.finish_loading();
+        let records = self.owner.claim_unrecorded_share(self.now_ms);
         self.push(records);
     }
 
@@ -340,12 +341,12 @@
     /// Takes nothing of a program that the owner knows. One that it does not know may have used
     /// what unknown programs are given in doubt.
     fn hand_over(&mut self) {
-        let is_known = self.owner.programs() > 0;
-        let records = self.owner.hand_over();
+        let is_known = self.owner.program_count() > 0;
+        let records = self.owner.handover_records();
         self.push(records);
         self.append_all();
-        let doubt_ms = self.owner.doubt_ms(self.now_ms);
-        self.owner = Partition::handed_over(self.now_ms, doubt_ms);
+        let doubt_ms = self.owner.uncertainty_ms(self.now_ms);
+        self.owner = Partition::after_handover(self.now_ms, doubt_ms);
         if !is_known {
             self.count_loss();
         }
@@ -364,7 +365,7 @@
     fn lose_owner(&mut self, gateways_live: bool) {
         let former = std::mem::replace(
             &mut self.owner,
-            Partition::taken_over(self.now_ms, DOUBT_MS),
+            Partition::after_loss(self.now_ms, DOUBT_MS),
         );
         if gateways_live {
             self.formers.push(former);
--- a/crates/ledger/tests/in_doubt.rs
+++ b/crates/ledger/tests/in_doubt.rs
@@ -2,10 +2,10 @@
 //! count in full for what may have been used, and refuse no turn that the budget holds beside
 //! those that are waited for.
 
-use fieldhook_ledger::message::{OpenTurn, Shortage};
+use fieldhook_ledger::message::{BudgetUsage, OpenTurn};
+use fieldhook_ledger::name::QualifiedName;
 use fieldhook_ledger::partition::{OpenOutcome, Partition};
 use fieldhook_ledger::record::Record;
-use fieldhook_ledger::scope::Name;
 
 /// Holds one turn, and no second one beside it.
 const BUDGET: u64 = 900;
@@ -22,15 +22,15 @@
         turn: format!("t{attempt}"),
         attempt,
         program: "p".to_owned(),
-        line: line.map(str::to_owned),
+        session: line.map(str::to_owned),
         previous: None,
         wants_chain: true,
         keeps_context: true,
-        brings_chain: false,
+        supplies_chain: false,
         budget: Some(BUDGET),
-        most_tokens: MOST,
+        max_tokens: MOST,
         placement: None,
-        keeper: None,
+        home_partition: None,
     }
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-fn shortage(partition: &mut Partition, turn: &OpenTurn) -> Shortage {
+fn shortage(partition: &mut Partition, turn: &OpenTurn) -> BudgetUsage {
     match partition.open(turn, NOW_MS) {
         OpenOutcome::BudgetSpent(shortage) => shortage,
         outcome => panic!("{outcome:?}"),
@@ -50,11 +50,11 @@
 }
 
 fn counted(partition: &Partition) -> u64 {
-    partition.committed(&Name::new(None, "p"))
+    partition.committed_tokens(&QualifiedName::new(None, "p"))
 }
 
 fn end(partition: &mut Partition, turn: &OpenTurn, tokens: u64) {
-    let mut end = turn.withdrawn();
+    let mut end = turn.cancellation();
     end.tokens = tokens;
     partition.close(&end, NOW_MS);
 }
@@ -64,16 +64,16 @@
     for record in records {
         successor.load(record);
     }
-    successor.loaded();
+    successor.finish_loading();
     successor
 }
 
 /// The owner of a turn is lost once the record of it is durable.
 fn after_a_loss(turn: &OpenTurn) -> Partition {
-    let mut partition = Partition::taken_over(NOW_MS, DOUBT_MS);
+    let mut partition = Partition::after_loss(NOW_MS, DOUBT_MS);
     let records = opened(&mut partition, turn).expect("the first turn of its program");
     assert!(!records.is_empty(), "nothing tells of it");
-    reads(Partition::taken_over(NOW_MS, DOUBT_MS), records)
+    reads(Partition::after_loss(NOW_MS, DOUBT_MS), records)
 }
 
 #[test]
@@ -84,8 +84,11 @@
     assert!(counted(&successor) >= 2 * MOST, "the lost one counts");
     // What may have been used leaves no room for a third.
     let shortage = shortage(&mut successor, &turn(3, Some("b")));
-    assert_eq!((shortage.open_turns, shortage.open), (2, 2 * MOST));
-    assert_eq!((shortage.in_doubt_turns, shortage.in_doubt), (1, MOST));
+    assert_eq!((shortage.open_turns, shortage.open_tokens), (2, 2 * MOST));
+    assert_eq!(
+        (shortage.in_doubt_turns, shortage.in_doubt_tokens),
+        (1, MOST)
+    );
 }
 
 #[test]
@@ -137,7 +140,7 @@
     assert!(opened(&mut partition, &first).is_some());
     assert_eq!(shortage(&mut partition, &next).in_doubt_turns, 0);
     end(&mut partition, &first, MOST);
-    assert_eq!(shortage(&mut partition, &next).settled, MOST);
+    assert_eq!(shortage(&mut partition, &next).settled_tokens, MOST);
 }
 
 /// Nothing is lost with a planned stop: a turn that is under way over it is waited for.
@@ -145,8 +148,8 @@
 fn a_turn_under_way_over_a_planned_stop_is_waited_for() {
     let mut partition = Partition::default();
     let mut records = opened(&mut partition, &turn(1, Some("a"))).expect("the first turn");
-    records.extend(partition.hand_over());
-    let mut successor = reads(Partition::handed_over(NOW_MS, 0), records);
+    records.extend(partition.handover_records());
+    let mut successor = reads(Partition::after_handover(NOW_MS, 0), records);
     assert_eq!(counted(&successor), MOST);
     let shortage = shortage(&mut successor, &turn(2, Some("b")));
     assert_eq!(shortage.in_doubt_turns, 0);
@@ -185,14 +188,14 @@
 /// that tells of a turn under way and not that it is in doubt.
 #[test]
 fn a_turn_in_doubt_stays_so_over_a_planned_stop() {
-    let mut first = Partition::taken_over(NOW_MS, DOUBT_MS);
+    let mut first = Partition::after_loss(NOW_MS, DOUBT_MS);
     let mut log = opened(&mut first, &turn(1, Some("a"))).expect("the first turn of its program");
-    let mut successor = reads(Partition::taken_over(NOW_MS, DOUBT_MS), log.clone());
+    let mut successor = reads(Partition::after_loss(NOW_MS, DOUBT_MS), log.clone());
     log.extend(opened(&mut successor, &turn(2, Some("b"))).expect("turn 1 is in doubt"));
-    let withdrawn = turn(2, Some("b")).withdrawn();
+    let withdrawn = turn(2, Some("b")).cancellation();
     log.extend(successor.close(&withdrawn, NOW_MS));
-    log.extend(successor.hand_over());
-    let mut next = reads(Partition::handed_over(NOW_MS, DOUBT_MS), log);
+    log.extend(successor.handover_records());
+    let mut next = reads(Partition::after_handover(NOW_MS, DOUBT_MS), log);
     let outcome = next.open(&turn(3, Some("c")), NOW_MS);
     assert!(matches!(outcome, OpenOutcome::Opened { .. }), "{outcome:?}");
 }
@@ -200,11 +203,11 @@
 /// The same, where the program asks only after the planned stop.
 #[test]
 fn a_turn_of_a_lost_gateway_refuses_nobody_after_a_planned_stop() {
-    let mut first = Partition::taken_over(NOW_MS, DOUBT_MS);
+    let mut first = Partition::after_loss(NOW_MS, DOUBT_MS);
     let mut log = opened(&mut first, &turn(1, Some("a"))).expect("the first turn of its program");
-    let mut successor = reads(Partition::taken_over(NOW_MS, DOUBT_MS), log.clone());
-    log.extend(successor.hand_over());
-    let mut next = reads(Partition::handed_over(NOW_MS, DOUBT_MS), log);
+    let mut successor = reads(Partition::after_loss(NOW_MS, DOUBT_MS), log.clone());
+    log.extend(successor.handover_records());
+    let mut next = reads(Partition::after_handover(NOW_MS, DOUBT_MS), log);
     let outcome = next.open(&turn(3, Some("a")), NOW_MS);
     assert!(matches!(outcome, OpenOutcome::Opened { .. }), "{outcome:?}");
 }
--- a/crates/log/src/claims.rs
+++ b/crates/log/src/claims.rs
@@ -1,9 +1,9 @@
 //! Learning who owns the partitions of a topic, and becoming an owner.
 
 use crate::api::{Append, KeyedRecord, LogStore, Partition, StoreError};
-use crate::contact::Contact;
 use crate::eligibility::Eligibility;
 use crate::follow::{Follower, Update};
+use crate::log_health::LogHealth;
 use crate::ownership::{Claim, Ownership};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -41,7 +41,7 @@
 /// The claims of one topic, and this daemon's way to make some.
 pub struct Claims {
     store: Rc<dyn LogStore>,
-    contact: Rc<Contact>,
+    health: Rc<LogHealth>,
     topic: &'static str,
     partitions: u32,
     /// Where this daemon listens for others.
@@ -54,14 +54,14 @@
     pub eligibility: Eligibility,
     ownership: RefCell<Ownership>,
     on_change: RefCell<Option<OnChange>>,
-    released: Cell<bool>,
+    stopped: Cell<bool>,
 }
 
 impl Claims {
     /// Claims on a topic; none is known yet.
     pub fn new(
         store: Rc<dyn LogStore>,
-        contact: Rc<Contact>,
+        health: Rc<LogHealth>,
         topic: &'static str,
         partitions: u32,
         address: SocketAddr,
@@ -69,7 +69,7 @@
     ) -> Self {
         Self {
             store,
-            contact,
+            health,
             topic,
             partitions,
             address,
@@ -78,7 +78,7 @@
             eligibility: Eligibility::default(),
             ownership: RefCell::default(),
             on_change: RefCell::default(),
-            released: Cell::new(false),
+            stopped: Cell::new(false),
         }
     }
 
@@ -125,25 +125,25 @@
     }
 
     /// Whether the claims were read at all.
-    pub fn is_known(&self) -> bool {
-        self.ownership.borrow().is_known()
+    pub fn is_loaded(&self) -> bool {
+        self.ownership.borrow().is_loaded()
     }
 
     /// From now on nothing is claimed any more: the daemon is about to stop.
     pub fn stop_claiming(&self) {
-        self.released.set(true);
+        self.stopped.set(true);
     }
 
     /// Whether nothing is claimed any more.
-    pub fn is_released(&self) -> bool {
-        self.released.get()
+    pub fn has_stopped_claiming(&self) -> bool {
+        self.stopped.get()
     }
 
     /// Gives a partition up, so that others may take it at once. `settled_doubt_ms` says
-    /// that all that was granted is durable: see [`Former::Settled`]. What is another's by
+    /// that all that was granted is durable: see [`PreviousOwner::Settled`]. What is another's by
     /// now is left alone.
     ///
-    /// [`Former::Settled`]: crate::ownership::Former::Settled
+    /// [`PreviousOwner::Settled`]: crate::ownership::PreviousOwner::Settled
     ///
     /// # Errors
     /// As the log service says.
@@ -184,7 +184,7 @@
         suspected_epoch: Option<u64>,
     ) -> Result<(), ClaimError> {
         for _ in 0..MOST_ROUNDS {
-            if self.released.get() || !self.is_known() {
+            if self.stopped.get() || !self.is_loaded() {
                 return Err(ClaimError::NotNow);
             }
             if !self.is_eligible(partition) {
@@ -221,7 +221,7 @@
         is_wanted: &dyn Fn() -> bool,
     ) -> Result<(), ClaimError> {
         for _ in 0..MOST_ROUNDS {
-            if self.released.get() || !self.is_known() {
+            if self.stopped.get() || !self.is_loaded() {
                 return Err(ClaimError::NotNow);
             }
             if !is_wanted() {
@@ -247,7 +247,7 @@
             timeout: CLAIM_TIMEOUT,
         };
         let appended = self.store.append(append).await?;
-        let changed = self.ownership.borrow_mut().take(appended.offset, &record);
+        let changed = self.ownership.borrow_mut().apply(appended.offset, &record);
         self.tell(changed.into_iter().collect());
         Ok(())
     }
@@ -283,9 +283,9 @@
             let changed = batch
                 .records
                 .iter()
-                .filter_map(|(offset, record)| ownership.take(*offset, record))
+                .filter_map(|(offset, record)| ownership.apply(*offset, record))
                 .collect();
-            ownership.read_to(batch.next);
+            ownership.mark_read_to(batch.next);
             changed
         };
         self.tell(changed);
@@ -306,7 +306,7 @@
     pub async fn run_follow(self: Rc<Self>) {
         let mut follower = Follower::new(
             self.store.clone(),
-            self.contact.clone(),
+            self.health.clone(),
             self.place(),
             FOLLOW_WAIT,
         );
@@ -319,10 +319,10 @@
                 let mut ownership = self.ownership.borrow_mut();
                 let changed = records
                     .iter()
-                    .filter_map(|(offset, record)| ownership.take(*offset, record))
+                    .filter_map(|(offset, record)| ownership.apply(*offset, record))
                     .collect();
                 if listed {
-                    ownership.read_to(follower.position());
+                    ownership.mark_read_to(follower.position());
                 }
                 changed
             };
@@ -332,12 +332,12 @@
 
     /// Claims partitions that nobody owns, soon after the start of the daemons: those
     /// that own fewer come first, and each waits longer by its `patience`.
-    pub async fn run_unowned(self: Rc<Self>, patience: Duration) {
+    pub async fn run_claim_unowned(self: Rc<Self>, patience: Duration) {
         loop {
             let owned = self.ownership.borrow().count(|claim| self.is_mine(claim)) as u32;
             let jitter = Duration::from_millis(fastrand::u64(0..DELAY_JITTER_MS));
             sleep(DELAY_PER_PARTITION * (owned + 1) + patience * 4 + jitter).await;
-            if self.released.get() {
+            if self.stopped.get() {
                 return;
             }
             let Some(partition) = self.unowned() else {
@@ -358,7 +358,7 @@
     /// A partition without an owner, or whose owner was an earlier life of this
     /// process.
     fn unowned(&self) -> Option<u32> {
-        if !self.is_known() {
+        if !self.is_loaded() {
             return None;
         }
         let is_unowned = |partition: &u32| match self.claim(*partition) {
--- a/crates/traffic/src/quota.rs
+++ b/crates/traffic/src/quota.rs
@@ -28,7 +28,7 @@
 const SWEEP_MS: u64 = 500;
 /// A question to the owner: may this be sent?
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct QuotaRequest<'a> {
+pub struct QuotaQuery<'a> {
     /// Name of the tenant.
     pub tenant: &'a str,
     /// Its limit, as the asking daemon knows it.
@@ -40,7 +40,7 @@
     /// Route of the request.
     pub route: &'a str,
     /// The request is the first of its program.
-    pub is_first: bool,
+    pub starts_program: bool,
     /// How long the asker would wait for a place, in milliseconds. It asks again when a place
     /// that comes in this time is there, and is refused where none does.
     pub max_wait_ms: u64,
@@ -110,7 +110,7 @@
 }
 
 impl Account {
-    fn new(question: &QuotaRequest<'_>, bounds: &Bounds, start: PriorGrants, now_ms: u64) -> Self {
+    fn new(question: &QuotaQuery<'_>, bounds: &Bounds, start: PriorGrants, now_ms: u64) -> Self {
         Self {
             version: question.version,
             window: SlidingWindow::new(*bounds, question.limit, start),
@@ -136,7 +136,7 @@
     }
 
     /// Limits of a newer configuration hold from now on.
-    fn learn(&mut self, question: &QuotaRequest<'_>, bounds: &Bounds, now_ms: u64) {
+    fn learn(&mut self, question: &QuotaQuery<'_>, bounds: &Bounds, now_ms: u64) {
         if question.version <= self.version {
             return;
         }
@@ -153,7 +153,7 @@
         self.room = (self.room + requests).min(most);
     }
 
-    fn take(&mut self, question: &QuotaRequest<'_>, now_ms: u64) -> QuotaDecision {
+    fn take(&mut self, question: &QuotaQuery<'_>, now_ms: u64) -> QuotaDecision {
         if self.window.available(now_ms) >= f64::from(1 + question.reserved) {
             self.window.add(1, now_ms);
             return QuotaDecision::Granted {
@@ -205,7 +205,7 @@
     }
 
     /// Answers a question.
-    pub fn decide(&mut self, question: &QuotaRequest<'_>, now_ms: u64) -> QuotaDecision {
+    pub fn decide(&mut self, question: &QuotaQuery<'_>, now_ms: u64) -> QuotaDecision {
         self.forget(now_ms);
         let bounds = self.bounds;
         let cost = self.cost_of(question);
@@ -265,8 +265,8 @@
     }
 
     /// Requests that a program which begins will need; nothing for one under way.
-    fn cost_of(&self, question: &QuotaRequest<'_>) -> f64 {
-        if !question.is_first {
+    fn cost_of(&self, question: &QuotaQuery<'_>) -> f64 {
+        if !question.starts_program {
             return 0.0;
         }
         let key = program_key(question.tenant, question.program);
@@ -279,11 +279,11 @@
     }
 
     /// Counts a request that was granted, of a program that is charged so much for its beginning.
-    fn count(&mut self, question: &QuotaRequest<'_>, charged: f64, now_ms: u64) {
+    fn count(&mut self, question: &QuotaQuery<'_>, charged: f64, now_ms: u64) {
         let Some(key) = program_key(question.tenant, question.program) else {
             return;
         };
-        let began_on = question.is_first.then(|| route_key(question));
+        let began_on = question.starts_program.then(|| route_key(question));
         let program = self.programs.entry(key).or_insert(Program {
             began_on,
             requests: 0,
@@ -333,6 +333,6 @@
     Some(xxh3_64_with_seed(program?.as_bytes(), tenant))
 }
 
-fn route_key(question: &QuotaRequest<'_>) -> u64 {
+fn route_key(question: &QuotaQuery<'_>) -> u64 {
     xxh3_64_with_seed(question.route.as_bytes(), 0)
 }
--- a/crates/traffic/tests/cold.rs
+++ b/crates/traffic/tests/cold.rs
@@ -1,6 +1,6 @@
 //! Which servers count as cold, and until when.
 
-use fieldhook_traffic::cold::{ColdCause, ColdTracker, PermitDenials, cold_slots, permit_request};
+use fieldhook_traffic::cold::{ColdCause, ColdTracker, PermitDenials, cold_slots, permit_query};
 use fieldhook_traffic::config::ColdLimit;
 use fieldhook_traffic::quota::{PreviousOwner, QuotaDecision, QuotaTracker};
 
@@ -88,7 +88,7 @@
         0,
     );
     let mut granted = |rank: u8| {
-        let answer = book.decide(&permit_request("s", COLD.rate_per_s, 1, rank), 0);
+        let answer = book.decide(&permit_query("s", COLD.rate_per_s, 1, rank), 0);
         matches!(answer, QuotaDecision::Granted { .. })
     };
     let less_urgent = (0..20).filter(|_| granted(1)).count();
@@ -101,7 +101,7 @@
         PreviousOwner::None,
         0,
     );
-    let answer = small.decide(&permit_request("s", 2.0, 1, 1), 0);
+    let answer = small.decide(&permit_query("s", 2.0, 1, 1), 0);
     assert!(matches!(answer, QuotaDecision::Granted { .. }));
 }
 
--- a/crates/traffic/tests/quota.rs
+++ b/crates/traffic/tests/quota.rs
@@ -2,7 +2,7 @@
 //! of time; programs admitted whole.
 
 use fieldhook_traffic::fallback_quota::FallbackQuota;
-use fieldhook_traffic::quota::{PreviousOwner, QuotaDecision, QuotaRequest, QuotaTracker};
+use fieldhook_traffic::quota::{PreviousOwner, QuotaDecision, QuotaQuery, QuotaTracker};
 use fieldhook_traffic::sliding_window::Bounds;
 use fieldhook_traffic::tenants::Limit;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -18,14 +18,14 @@
     slack: SLACK,
 };
 
-fn question(limit: Limit, version: u64) -> QuotaRequest<'static> {
-    QuotaRequest {
+fn question(limit: Limit, version: u64) -> QuotaQuery<'static> {
+    QuotaQuery {
         tenant: "red",
         limit,
         version,
         program: None,
         route: "r",
-        is_first: false,
+        starts_program: false,
         max_wait_ms: 0,
         reserved: 0,
     }
@@ -180,7 +180,7 @@
         burst: 1.0,
     };
     let mut book = QuotaTracker::new(Bounds::default(), PreviousOwner::None, 0);
-    let patient = QuotaRequest {
+    let patient = QuotaQuery {
         max_wait_ms: 1_000,
         ..question(limit, 1)
     };
@@ -202,10 +202,10 @@
     assert!(matches!(answer, QuotaDecision::Granted { .. }));
 }
 
-fn program<'a>(name: &'a str, begins: bool, limit: Limit) -> QuotaRequest<'a> {
-    QuotaRequest {
+fn program<'a>(name: &'a str, begins: bool, limit: Limit) -> QuotaQuery<'a> {
+    QuotaQuery {
         program: Some(name),
-        is_first: begins,
+        starts_program: begins,
         ..question(limit, 1)
     }
 }
--- a/crates/traffic/tests/quota_programs.rs
+++ b/crates/traffic/tests/quota_programs.rs
@@ -1,6 +1,6 @@
 //! Programs admitted whole where some are cut short: their clients leave, or calls are refused.
 
-use fieldhook_traffic::quota::{PreviousOwner, QuotaDecision, QuotaRequest, QuotaTracker};
+use fieldhook_traffic::quota::{PreviousOwner, QuotaDecision, QuotaQuery, QuotaTracker};
 use fieldhook_traffic::sliding_window::Bounds;
 use fieldhook_traffic::tenants::Limit;
 use std::cmp::Reverse;
@@ -63,13 +63,13 @@
 
     /// Whether the next request of a program is granted.
     fn ask(&mut self, program: &Program) -> bool {
-        let question = QuotaRequest {
+        let question = QuotaQuery {
             tenant: "red",
             limit: LIMIT,
             version: 1,
             program: Some(&program.name()),
             route: "r",
-            is_first: program.sent == 0,
+            starts_program: program.sent == 0,
             max_wait_ms: 0,
             reserved: 0,
         };
--- a/crates/traffic/tests/quota_waits.rs
+++ b/crates/traffic/tests/quota_waits.rs
@@ -1,6 +1,6 @@
 //! Places at a tenant's limit for those who wait: who stands in whose way, without a network.
 
-use fieldhook_traffic::quota::{PreviousOwner, QuotaDecision, QuotaRequest, QuotaTracker};
+use fieldhook_traffic::quota::{PreviousOwner, QuotaDecision, QuotaQuery, QuotaTracker};
 use fieldhook_traffic::sliding_window::{Bounds, PriorGrants, SlidingWindow};
 use fieldhook_traffic::tenants::Limit;
 use quickcheck::{Gen, QuickCheck};
@@ -59,14 +59,14 @@
     asked_again: usize,
 }
 
-fn question(patience_ms: u64) -> QuotaRequest<'static> {
-    QuotaRequest {
+fn question(patience_ms: u64) -> QuotaQuery<'static> {
+    QuotaQuery {
         tenant: "red",
         limit: LIMIT,
         version: 1,
         program: None,
         route: "r",
-        is_first: false,
+        starts_program: false,
         max_wait_ms: patience_ms,
         reserved: 0,
     }
