--- a/crates/log/src/api.rs
+++ b/crates/log/src/api.rs
@@ -1,147 +1,154 @@
-//! Calls to the log service.
+//! Types and the [`LogStore`] trait for calls to the log service.
 
 use futures_util::future::LocalBoxFuture;
 use std::fmt;
 use std::time::Duration;
 
-/// Where records are appended.
+/// One partition of a topic of the log service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Partition {
-    /// Name of the topic.
     pub topic: String,
-    /// Number of the partition.
     pub number: u32,
 }
 
-/// A keyed record; an empty value deletes the key.
+/// A keyed record of a compacted topic. An empty value deletes the key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyedRecord {
-    /// Key.
     pub key: Vec<u8>,
-    /// Value.
     pub value: Vec<u8>,
 }
 
-/// Fence and order of a writer.
+/// Identifies the writer of a fenced append and its position in the sequence of appends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Producer {
-    /// Name of the writer.
+    /// Producer name. Epochs fence only producers of the same name.
     pub name: String,
-    /// Writers of lower epochs are refused from now on.
+    /// Appends with a lower epoch are rejected once this epoch was seen.
     pub epoch: u64,
-    /// Rises by one with each append of the epoch; repeats are recognized by it.
+    /// Increases by one with each append of the epoch, so that the service recognizes repeats.
     pub sequence: u64,
 }
 
-/// An append: all records or none.
+/// An atomic append: either all records are appended or none.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Append {
-    /// Where.
     pub partition: Partition,
-    /// What; with none, only the epoch is set.
+    /// Records to append. An empty list only sets the epoch of the producer.
     pub records: Vec<KeyedRecord>,
-    /// Writer, where the append is fenced.
+    /// Producer of a fenced append; `None` for an unfenced one.
     pub producer: Option<Producer>,
     /// Append only if the partition ends at this offset.
     pub expected_end: Option<u64>,
-    /// How long to wait for the answer.
+    /// Time limit of the call.
     pub timeout: Duration,
 }
 
-/// Drops the history of a compacted partition; the newest record of each key stays.
+/// Deletes the history of a compacted partition. The newest record of each key is kept.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Trim {
-    /// Where.
     pub partition: Partition,
-    /// What was appended before this offset is dropped.
+    /// Superseded records with a lower offset are deleted.
     pub before: u64,
-    /// How long to wait for the answer.
+    /// Time limit of the call.
     pub timeout: Duration,
 }
 
-/// Place of appended records.
+/// Result of an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Appended {
-    /// Offset of the first.
+    /// Offset of the first appended record.
     pub offset: u64,
-    /// End of the partition afterwards.
+    /// End offset of the partition after the append.
     pub end: u64,
 }
 
-/// Records read from an offset on.
+/// Result of a read from an offset.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReadBatch {
-    /// End of the partition.
+    /// End offset of the partition.
     pub end: u64,
-    /// Records, with the offset of each.
+    /// Records with their offsets, in order.
     pub records: Vec<(u64, KeyedRecord)>,
-    /// Where to read on.
+    /// Offset to continue reading from.
     pub next: u64,
-    /// How old this is, in milliseconds: 0 from the log itself.
+    /// Age of this data in milliseconds; 0 if it comes from the log itself.
     pub age_ms: u64,
 }
 
-/// Newest records of keys.
+/// One page of the newest record of each key.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct NewestPage {
-    /// Records, with the offset of each.
+    /// Records with their offsets.
     pub records: Vec<(u64, KeyedRecord)>,
-    /// Continue after this key.
+    /// Key after which the next page starts; `None` on the last page.
     pub more_after: Option<Vec<u8>>,
-    /// End of the partition.
+    /// End offset of the partition.
     pub end: u64,
-    /// How old this is, in milliseconds: 0 from the log itself.
+    /// Age of this data in milliseconds; 0 if it comes from the log itself.
     pub age_ms: u64,
 }
 
-/// Why a call failed.
+/// Why a call to the log service failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreError {
-    /// Nothing was done; the service is busy or cannot be reached.
+    /// The call had no effect: the service is busy or unreachable.
     NotDone,
-    /// Nothing was done; the service has no room for more records.
+    /// The call had no effect: the service has no space for more records.
     Full,
-    /// No answer; it may have been done, or may be done later.
+    /// No answer was received. The call may have taken effect or may still do so.
     Unknown,
     /// A higher epoch is in force.
     Fenced,
-    /// The sequence does not follow the last; this one is wanted.
+    /// The sequence number does not follow the previous one; the value is the expected number.
     Sequence(u64),
-    /// The partition does not end where it was expected to.
+    /// The partition does not end at the expected offset; the value is its actual end.
     Moved(u64),
-    /// The records were removed; the first one kept is this.
+    /// The requested records were deleted; the value is the first offset still kept.
     Gone(u64),
-    /// The service does not take the call.
+    /// The service rejected the call with this HTTP status.
     Refused(u16),
-    /// The answer cannot be read.
+    /// The answer could not be decoded.
     Unreadable,
 }
 
 impl fmt::Display for StoreError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NotDone => write!(formatter, "not done; repeat the call"),
-            Self::Full => write!(formatter, "no room; repeat it once records were deleted"),
-            Self::Unknown => write!(formatter, "no answer; repeat it with the same sequence"),
-            Self::Fenced => write!(formatter, "fenced; give up the partition"),
-            Self::Sequence(wanted) => write!(formatter, "sequence {wanted} is wanted"),
-            Self::Moved(end) => write!(formatter, "ends at {end}; read up to there first"),
-            Self::Gone(first) => write!(formatter, "gone; read the newest, then from {first} on"),
-            Self::Refused(status) => write!(formatter, "refused with {status}; check the call"),
-            Self::Unreadable => write!(formatter, "unreadable answer; check its version"),
+            Self::NotDone => write!(
+                formatter,
+                "not applied: the service is busy or unreachable; retry"
+            ),
+            Self::Full => write!(formatter, "no space left; retry after records were deleted"),
+            Self::Unknown => write!(formatter, "no answer; retry with the same sequence number"),
+            Self::Fenced => write!(formatter, "fenced by a higher epoch; give up the partition"),
+            Self::Sequence(wanted) => write!(formatter, "sequence number {wanted} expected"),
+            Self::Moved(end) => {
+                write!(formatter, "partition ends at {end}; read up to there first")
+            }
+            Self::Gone(first) => write!(
+                formatter,
+                "records deleted; list the newest, then read from {first}"
+            ),
+            Self::Refused(status) => write!(
+                formatter,
+                "rejected with status {status}; check the request"
+            ),
+            Self::Unreadable => write!(
+                formatter,
+                "answer cannot be decoded; check the service version"
+            ),
         }
     }
 }
 
 impl std::error::Error for StoreError {}
 
-/// The log service.
+/// The log service: compacted, keyed topics with fenced and conditional appends.
 pub trait LogStore {
-    /// Appends records.
+    /// Appends records atomically.
     fn append(&self, append: Append) -> LocalBoxFuture<'_, Result<Appended, StoreError>>;
 
-    /// Reads a compacted partition from an offset on; waits up to `wait` for the
-    /// first record.
+    /// Reads a compacted partition from an offset on. Waits up to `wait` for the first record.
     fn read(
         &self,
         partition: Partition,
@@ -150,7 +157,7 @@
         timeout: Duration,
     ) -> LocalBoxFuture<'_, Result<ReadBatch, StoreError>>;
 
-    /// A page of the newest records of each key.
+    /// Returns one page of the newest record of each key.
     fn newest(
         &self,
         partition: Partition,
@@ -158,6 +165,6 @@
         timeout: Duration,
     ) -> LocalBoxFuture<'_, Result<NewestPage, StoreError>>;
 
-    /// Drops history.
+    /// Deletes superseded records.
     fn trim(&self, trim: Trim) -> LocalBoxFuture<'_, Result<(), StoreError>>;
 }
--- a/crates/log/src/appender.rs
+++ b/crates/log/src/appender.rs
@@ -1,5 +1,5 @@
-//! Group commit: all records that wait for one owned partition go out in one
-//! append, fenced by the owner's epoch.
+//! Group commit: all records queued for one owned partition are sent in one append, which is fenced
+//! by the owner's epoch.
 
 use crate::api::{Append, KeyedRecord, LogStore, Partition, Producer, StoreError};
 use crate::hedge;
@@ -11,32 +11,32 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout_at};
 
-/// Writer's name; all owners share it, so that epochs fence each other.
+/// Producer name shared by all owners, so that their epochs fence each other.
 pub const PRODUCER: &str = "owner";
-/// Bytes of one append at most.
-const MOST_BYTES: usize = 1 << 20;
-/// Longest time that records wait for others to share their append.
-const SHARE_WAIT: Duration = Duration::from_millis(400);
+/// Maximum size of one append, in bytes.
+const MAX_APPEND_BYTES: usize = 1 << 20;
+/// Longest time that deferred records wait for others to share their append.
+const LINGER: Duration = Duration::from_millis(400);
 
-/// How soon queued records have to go out.
+/// How soon queued records have to be appended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Urgency {
-    /// Somebody waits for them.
+    /// A caller waits for the result.
     Now,
-    /// They go out with the next urgent ones, or after a while by themselves.
+    /// May wait for the next urgent records, or until the linger time is over.
     Soon,
 }
 
-/// What became of queued records.
+/// Outcome of queued records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// They are durable, and the fence held when they became so.
+    /// The records are durable, and the epoch was still in force when they became durable.
     Durable,
-    /// A later owner is in force; they may or may not be on the log.
+    /// A later owner is in force. The records may or may not be on the log.
     Lost,
 }
 
-/// Told of the outcome, in the order of the queue.
+/// Called with the outcome, in queue order.
 pub type OnOutcome = Box<dyn FnOnce(Outcome)>;
 
 struct Entry {
@@ -44,13 +44,13 @@
     done: OnOutcome,
 }
 
-/// Queue of one owned partition.
+/// Queue and appends of one owned partition.
 pub struct Appender {
     partition: Partition,
     epoch: u64,
     store: Rc<dyn LogStore>,
     health: Rc<LogHealth>,
-    /// Drops the history that the appends leave, where it is [run](Trimmer::run).
+    /// Deletes the history that the appends leave behind while [`Trimmer::run`] is running.
     pub trimmer: Trimmer,
     queue: RefCell<Vec<Entry>>,
     urgent: Cell<bool>,
@@ -59,19 +59,19 @@
     stopped: Cell<bool>,
 }
 
-/// Why an appender ended.
+/// Why [`Appender::run`] returned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AppendEnd {
     /// A later owner is in force.
     Fenced,
-    /// It was told to stop.
+    /// [`Appender::stop`] was called.
     Stopped,
 }
 
-/// Sets an epoch on a partition: from then on no earlier owner's append is taken.
+/// Sets the epoch of a partition. Appends of earlier epochs are rejected from then on.
 ///
 /// # Errors
-/// A later owner is in force, or the service did not do it.
+/// A later owner is in force, or the call to the log service failed.
 pub async fn fence(
     store: &dyn LogStore,
     partition: Partition,
@@ -93,7 +93,7 @@
 }
 
 impl Appender {
-    /// An appender of an epoch that was set by [`fence`].
+    /// Creates an appender for an epoch that was set by [`fence`].
     pub fn new(
         partition: Partition,
         epoch: u64,
@@ -114,8 +114,8 @@
         }
     }
 
-    /// Queues records; `done` hears of them once they and all before are durable.
-    /// Without records, it hears whether the fence still holds.
+    /// Queues records. `done` is called once these records and all before them are durable. Without
+    /// records, it reports whether the epoch is still in force.
     pub fn push(&self, records: Vec<KeyedRecord>, urgency: Urgency, done: OnOutcome) {
         self.queue.borrow_mut().push(Entry { records, done });
         if urgency == Urgency::Now {
@@ -124,19 +124,19 @@
         self.wake.notify_one();
     }
 
-    /// Ends [`Self::run`] once the queue is empty.
+    /// Lets [`Self::run`] return once the queue is empty.
     pub fn stop(&self) {
         self.stopped.set(true);
         self.wake.notify_one();
     }
 
-    /// Records that are queued and not yet on their way.
+    /// Number of queued entries that are not yet being appended.
     pub fn pending(&self) -> usize {
         self.queue.borrow().len()
     }
 
-    /// Appends until fenced or stopped. `took` hears how long each append took.
-    pub async fn run(&self, took: impl Fn(Duration)) -> AppendEnd {
+    /// Appends until fenced or stopped. `on_append` is called with the duration of each append.
+    pub async fn run(&self, on_append: impl Fn(Duration)) -> AppendEnd {
         loop {
             while self.queue.borrow().is_empty() {
                 if self.stopped.get() {
@@ -144,27 +144,27 @@
                 }
                 self.wake.notified().await;
             }
-            self.wait_for_company().await;
+            self.linger().await;
             let batch = self.next_batch();
             let started = Instant::now();
             if self.append(&batch).await.is_err() {
-                finish(batch, Outcome::Lost);
-                self.lose_queue();
+                report(batch, Outcome::Lost);
+                self.fail_queue();
                 return AppendEnd::Fenced;
             }
-            took(started.elapsed());
-            finish(batch, Outcome::Durable);
+            on_append(started.elapsed());
+            report(batch, Outcome::Durable);
         }
     }
 
-    fn lose_queue(&self) {
+    fn fail_queue(&self) {
         let rest = self.queue.take();
-        finish(rest, Outcome::Lost);
+        report(rest, Outcome::Lost);
     }
 
-    /// Waits for records that share the append, unless some are urgent.
-    async fn wait_for_company(&self) {
-        let until = Instant::now() + SHARE_WAIT;
+    /// Waits for records to share the append, unless some are urgent.
+    async fn linger(&self) {
+        let until = Instant::now() + LINGER;
         while !self.urgent.get() && !self.stopped.get() {
             if timeout_at(until, self.wake.notified()).await.is_err() {
                 break;
@@ -179,8 +179,8 @@
         let mut count = 0;
         for entry in queue.iter() {
             bytes += entry.records.iter().map(size_of_record).sum::<usize>();
-            if count > 0 && bytes > MOST_BYTES {
-                // What is left is as urgent as what goes.
+            if count > 0 && bytes > MAX_APPEND_BYTES {
+                // The remaining entries may include the urgent ones, so they are not delayed again.
                 self.urgent.set(true);
                 break;
             }
@@ -189,7 +189,7 @@
         queue.drain(..count).collect()
     }
 
-    /// Appends a batch until its outcome is known.
+    /// Appends a batch, repeating the call until its outcome is known.
     async fn append(&self, batch: &[Entry]) -> Result<(), StoreError> {
         let records: Vec<KeyedRecord> = batch
             .iter()
@@ -221,7 +221,7 @@
 
 impl Drop for Appender {
     fn drop(&mut self) {
-        self.lose_queue();
+        self.fail_queue();
     }
 }
 
@@ -229,7 +229,7 @@
     record.key.len() + record.value.len()
 }
 
-fn finish(entries: Vec<Entry>, outcome: Outcome) {
+fn report(entries: Vec<Entry>, outcome: Outcome) {
     for entry in entries {
         (entry.done)(outcome);
     }
--- a/crates/log/src/claim_delay.rs
+++ b/crates/log/src/claim_delay.rs
@@ -1,17 +1,17 @@
-//! How long a daemon lets others go first before it claims a partition.
+//! Delay before a daemon claims a partition, so that more capable machines claim first.
 //!
-//! Whoever claims a partition reads it and then answers for it. Machines differ: one with
-//! a tenth of a core and a narrow link takes several times as long as one beside it that
-//! finds the same owner gone a moment later.
+//! The owner of a partition first reads it and then serves it. Machines differ: one with a tenth of
+//! a core and a narrow link takes several times as long as a larger one that notices the loss of
+//! the same owner a moment later.
 
 use std::time::Duration;
 
-/// What a machine gives a daemon.
+/// Resources of the machine that a daemon runs on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Capacity {
-    /// Share of a core.
+    /// CPU cores available, as a fraction.
     pub cores: f64,
-    /// Bandwidth of its link, in Mbit/s.
+    /// Network bandwidth, in Mbit/s.
     pub link_mbps: f64,
 }
 
@@ -24,21 +24,21 @@
     }
 }
 
-/// Below this share of a core a machine lets others go first.
+/// Machines with a smaller share of a core claim later.
 const SMALL_CORES: f64 = 0.25;
-/// The same for its link, in Mbit/s.
+/// Machines with less network bandwidth claim later, in Mbit/s.
 const NARROW_LINK_MBPS: f64 = 100.0;
-/// How long: enough for a claim of another to be heard of.
+/// Unit of the delay: long enough to learn of another daemon's claim.
 const STEP: Duration = Duration::from_millis(100);
-/// Steps at most: a partition without an owner serves nobody.
-const MOST_STEPS: u32 = 5;
+/// Upper bound in steps, because a partition without an owner serves nobody.
+const MAX_STEPS: u32 = 5;
 
-/// Time to wait before a claim, with so many others being read by this daemon. It reads one
-/// after another, which takes a small machine 4 s each where a minute of turns is kept: one
-/// that claimed three at once had the last of them read after 12 s.
+/// Delay before a claim while this daemon is already reading `reading` other partitions. Partitions
+/// are read one after another, and a small machine takes 4 s for each where a minute of turns is
+/// kept: one that claimed three at once had read the last of them only after 12 s.
 pub fn claim_delay(capacity: Capacity, reading: u32) -> Duration {
     let small = capacity.cores < SMALL_CORES || capacity.link_mbps < NARROW_LINK_MBPS;
-    let reading = reading.min(MOST_STEPS);
+    let reading = reading.min(MAX_STEPS);
     let steps = if small { 1 + 2 * reading } else { reading };
-    STEP * steps.min(MOST_STEPS)
+    STEP * steps.min(MAX_STEPS)
 }
--- a/crates/log/src/claims.rs
+++ b/crates/log/src/claims.rs
@@ -1,4 +1,4 @@
-//! Learning who owns the partitions of a topic, and becoming an owner.
+//! Follows the claims on the partitions of a topic, and claims partitions for this daemon.
 
 use crate::api::{Append, KeyedRecord, LogStore, Partition, StoreError};
 use crate::eligibility::Eligibility;
@@ -14,43 +14,45 @@
 
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(300);
 const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(300);
-/// Claims of other partitions move the end of the topic; this many are followed.
-const MOST_ROUNDS: u32 = 8;
-/// How long a read waits for news; a claim that meets newer ones reads them at once.
+/// Attempts of a conditional append. Claims of other partitions move the end of the topic, after
+/// which the append is repeated.
+const MAX_ATTEMPTS: u32 = 8;
+/// How long a read waits for new claims. A conditional append that fails on newer claims reads them
+/// at once.
 const FOLLOW_WAIT: Duration = Duration::from_millis(6_000);
-/// Wait before an unowned partition is claimed, for each partition owned already.
+/// Delay before an unowned partition is claimed, for each partition already owned.
 const DELAY_PER_PARTITION: Duration = Duration::from_millis(250);
 const DELAY_JITTER_MS: u64 = 250;
 
-/// Why a partition was not taken over.
+/// Why a partition was not claimed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimError {
-    /// Another daemon took it first.
+    /// Another daemon claimed it first.
     Overtaken,
-    /// The daemon is about to stop, or does not know the claims yet.
+    /// The daemon is shutting down, or has not read the claims yet.
     NotNow,
-    /// The partition is not for this daemon.
+    /// This daemon may not own the partition.
     NotEligible,
-    /// The log service did not append the claim, or nobody can tell.
+    /// The log service did not append the claim, or the outcome is unknown.
     NotAppended,
 }
 
 /// Called with each partition whose claim changed.
 pub type OnChange = Rc<dyn Fn(u32)>;
 
-/// The claims of one topic, and this daemon's way to make some.
+/// The claims of one topic as this daemon knows them, and the appends of its own.
 pub struct Claims {
     store: Rc<dyn LogStore>,
     health: Rc<LogHealth>,
     topic: &'static str,
     partitions: u32,
-    /// Where this daemon listens for others.
+    /// Address at which this daemon listens for other daemons.
     pub address: SocketAddr,
-    /// Life of this process.
+    /// Incarnation of this process.
     pub incarnation: u64,
-    /// Told at each change.
+    /// Notified after each change of a claim.
     pub changed: Notify,
-    /// Which partitions this daemon may own.
+    /// Restricts the partitions that this daemon may own.
     pub eligibility: Eligibility,
     ownership: RefCell<Ownership>,
     on_change: RefCell<Option<OnChange>>,
@@ -58,7 +60,7 @@
 }
 
 impl Claims {
-    /// Claims on a topic; none is known yet.
+    /// Creates the claims of a topic, none of them known yet.
     pub fn new(
         store: Rc<dyn LogStore>,
         health: Rc<LogHealth>,
@@ -82,37 +84,36 @@
         }
     }
 
-    /// Sets who hears of changes.
+    /// Sets the callback for changed claims.
     pub fn set_on_change(&self, on_change: OnChange) {
         *self.on_change.borrow_mut() = Some(on_change);
     }
 
-    /// Number of partitions.
     pub fn partitions(&self) -> u32 {
         self.partitions
     }
 
-    /// The claim in force.
+    /// Returns the claim in force.
     pub fn claim(&self, partition: u32) -> Option<Claim> {
         self.ownership.borrow().claim(partition)
     }
 
-    /// Takes in a claim that another daemon told: one that is cut off the log learns
-    /// of new owners so. True if it is new.
+    /// Applies a claim that another daemon reported, so that a daemon without the log learns of new
+    /// owners. Returns whether it is newer than the known one.
     pub fn learn(&self, partition: u32, claim: Claim) -> bool {
         let is_new = self.ownership.borrow_mut().learn(partition, claim);
         if is_new {
-            self.tell(vec![partition]);
+            self.notify_changed(vec![partition]);
         }
         is_new
     }
 
-    /// Where the owners listen, each once.
+    /// Addresses of all owners, without duplicates.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.ownership.borrow().addresses()
     }
 
-    /// Whether a claim is this process's own and not released. Processes that
+    /// Whether a claim is held by this process. The address is compared too, because processes that
     /// started at the same moment may have the same incarnation.
     pub fn is_mine(&self, claim: &Claim) -> bool {
         claim.incarnation == self.incarnation && claim.address == Some(self.address)
@@ -124,29 +125,29 @@
             .allows(partition, self.claim(partition).as_ref())
     }
 
-    /// Whether the claims were read at all.
+    /// Whether the claims have been read from the log.
     pub fn is_loaded(&self) -> bool {
         self.ownership.borrow().is_loaded()
     }
 
-    /// From now on nothing is claimed any more: the daemon is about to stop.
+    /// Stops claiming partitions, because the daemon is shutting down.
     pub fn stop_claiming(&self) {
         self.stopped.set(true);
     }
 
-    /// Whether nothing is claimed any more.
+    /// Whether [`Self::stop_claiming`] was called.
     pub fn has_stopped_claiming(&self) -> bool {
         self.stopped.get()
     }
 
-    /// Gives a partition up, so that others may take it at once. `settled_doubt_ms` says
-    /// that all that was granted is durable: see [`PreviousOwner::Settled`]. What is another's by
-    /// now is left alone.
+    /// Releases a partition, so that others may claim it at once. `settled_doubt_ms` is set if
+    /// everything that was granted is durable: see [`PreviousOwner::Settled`]. Does nothing if
+    /// another daemon holds the claim by now.
     ///
     /// [`PreviousOwner::Settled`]: crate::ownership::PreviousOwner::Settled
     ///
     /// # Errors
-    /// As the log service says.
+    /// The error of the append.
     pub async fn release(
         &self,
         partition: u32,
@@ -155,7 +156,7 @@
         let incarnation = self.incarnation;
         let record = Ownership::release_record(partition, incarnation, settled_doubt_ms);
         let mut outcome = Ok(());
-        for _ in 0..MOST_ROUNDS {
+        for _ in 0..MAX_ATTEMPTS {
             let claim = self.claim(partition);
             if !claim.is_some_and(|claim| self.is_mine(&claim)) {
                 return Ok(());
@@ -164,7 +165,7 @@
             let Err(StoreError::Moved(end)) = outcome else {
                 break;
             };
-            // Another claim came first; it may be of this very partition.
+            // Another claim was appended first, possibly of this partition.
             if self.catch_up(end).await.is_err() {
                 break;
             }
@@ -172,18 +173,17 @@
         outcome
     }
 
-    /// Claims a partition for this daemon, unless its claim is no longer that of
+    /// Claims a partition for this daemon, unless the epoch of its claim is no longer
     /// `suspected_epoch`.
     ///
     /// # Errors
-    /// Another daemon was first, the partition is not for this one, or the log service did
-    /// not do it.
+    /// Another daemon was first, this daemon is not eligible, or the append failed.
     pub async fn take_over(
         &self,
         partition: u32,
         suspected_epoch: Option<u64>,
     ) -> Result<(), ClaimError> {
-        for _ in 0..MOST_ROUNDS {
+        for _ in 0..MAX_ATTEMPTS {
             if self.stopped.get() || !self.is_loaded() {
                 return Err(ClaimError::NotNow);
             }
@@ -210,17 +210,17 @@
         Err(ClaimError::NotAppended)
     }
 
-    /// Appends a record that is no claim to the topic, as a claim is: behind all that was read,
-    /// and while it is still wanted after that.
+    /// Appends a record other than a claim, under the same condition as a claim: the topic ends
+    /// where this daemon read it to, and `is_wanted` holds after that.
     ///
     /// # Errors
-    /// It is not wanted any more, or the log service did not append it.
+    /// The record is no longer wanted, or the append failed.
     pub async fn append_while(
         &self,
         record: KeyedRecord,
         is_wanted: &dyn Fn() -> bool,
     ) -> Result<(), ClaimError> {
-        for _ in 0..MOST_ROUNDS {
+        for _ in 0..MAX_ATTEMPTS {
             if self.stopped.get() || !self.is_loaded() {
                 return Err(ClaimError::NotNow);
             }
@@ -236,11 +236,11 @@
         Err(ClaimError::NotAppended)
     }
 
-    /// Appends a claim or a release if the topic ends where this daemon read it to: two
-    /// claims never both succeed unseen.
+    /// Appends a claim or a release on the condition that the topic ends where this daemon has read
+    /// it to, so two concurrent claims can't both succeed.
     async fn append(&self, record: KeyedRecord) -> Result<(), StoreError> {
         let append = Append {
-            partition: self.place(),
+            partition: self.claims_partition(),
             records: vec![record.clone()],
             producer: None,
             expected_end: Some(self.ownership.borrow().end()),
@@ -248,26 +248,27 @@
         };
         let appended = self.store.append(append).await?;
         let changed = self.ownership.borrow_mut().apply(appended.offset, &record);
-        self.tell(changed.into_iter().collect());
+        self.notify_changed(changed.into_iter().collect());
         Ok(())
     }
 
-    fn place(&self) -> Partition {
+    fn claims_partition(&self) -> Partition {
         Partition {
             topic: self.topic.to_owned(),
             number: 0,
         }
     }
 
-    /// Reads the claims up to now: a fence has told that there are newer ones.
+    /// Reads the claims up to the present end, after a fenced append has shown that there are newer
+    /// ones.
     ///
     /// # Errors
-    /// The log service does not tell.
+    /// The read failed.
     pub async fn refresh(&self) -> Result<(), ClaimError> {
         self.catch_up(u64::MAX).await
     }
 
-    /// Reads the claims up to an end that the log service told.
+    /// Reads the claims up to an end offset that the log service reported.
     async fn catch_up(&self, end: u64) -> Result<(), ClaimError> {
         let from = self.ownership.borrow().end();
         if from >= end {
@@ -275,7 +276,12 @@
         }
         let batch = self
             .store
-            .read(self.place(), from, Duration::ZERO, CATCH_UP_TIMEOUT)
+            .read(
+                self.claims_partition(),
+                from,
+                Duration::ZERO,
+                CATCH_UP_TIMEOUT,
+            )
             .await
             .map_err(|_| ClaimError::NotAppended)?;
         let changed = {
@@ -288,11 +294,11 @@
             ownership.mark_read_to(batch.next);
             changed
         };
-        self.tell(changed);
+        self.notify_changed(changed);
         Ok(())
     }
 
-    fn tell(&self, changed: Vec<u32>) {
+    fn notify_changed(&self, changed: Vec<u32>) {
         let on_change = self.on_change.borrow().clone();
         for partition in changed {
             if let Some(on_change) = &on_change {
@@ -302,12 +308,12 @@
         self.changed.notify_waiters();
     }
 
-    /// Follows the claims for good.
+    /// Follows the claims; never returns.
     pub async fn run_follow(self: Rc<Self>) {
         let mut follower = Follower::new(
             self.store.clone(),
             self.health.clone(),
-            self.place(),
+            self.claims_partition(),
             FOLLOW_WAIT,
         );
         loop {
@@ -326,21 +332,21 @@
                 }
                 changed
             };
-            self.tell(changed);
+            self.notify_changed(changed);
         }
     }
 
-    /// Claims partitions that nobody owns, soon after the start of the daemons: those
-    /// that own fewer come first, and each waits longer by its `patience`.
-    pub async fn run_claim_unowned(self: Rc<Self>, patience: Duration) {
+    /// Claims unowned partitions until [`Self::stop_claiming`]. Daemons that own fewer partitions
+    /// claim earlier, and each waits four times `extra_delay` on top.
+    pub async fn run_claim_unowned(self: Rc<Self>, extra_delay: Duration) {
         loop {
             let owned = self.ownership.borrow().count(|claim| self.is_mine(claim)) as u32;
             let jitter = Duration::from_millis(fastrand::u64(0..DELAY_JITTER_MS));
-            sleep(DELAY_PER_PARTITION * (owned + 1) + patience * 4 + jitter).await;
+            sleep(DELAY_PER_PARTITION * (owned + 1) + extra_delay * 4 + jitter).await;
             if self.stopped.get() {
                 return;
             }
-            let Some(partition) = self.unowned() else {
+            let Some(partition) = self.next_unowned() else {
                 continue;
             };
             let epoch = self.claim(partition).map(|claim| claim.epoch);
@@ -355,9 +361,9 @@
         }
     }
 
-    /// A partition without an owner, or whose owner was an earlier life of this
+    /// Returns a partition that has no owner, or whose owner was a previous incarnation of this
     /// process.
-    fn unowned(&self) -> Option<u32> {
+    fn next_unowned(&self) -> Option<u32> {
         if !self.is_loaded() {
             return None;
         }
--- a/crates/log/src/eligibility.rs
+++ b/crates/log/src/eligibility.rs
@@ -1,25 +1,25 @@
-//! Which partitions a daemon may own.
+//! Restricts the partitions that a daemon may own.
 
 use crate::ownership::Claim;
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Tells for a partition and its claim in force whether this daemon may claim it.
+/// Decides for a partition and its claim in force whether this daemon may claim it.
 pub type Predicate = Rc<dyn Fn(u32, Option<&Claim>) -> bool>;
 
-/// What this daemon may own: everything, unless somebody says otherwise.
+/// Optional restriction of the partitions that this daemon may own; without one, all are allowed.
 #[derive(Default)]
 pub struct Eligibility {
     predicate: RefCell<Option<Predicate>>,
 }
 
 impl Eligibility {
-    /// Sets who decides.
+    /// Sets the predicate that decides.
     pub fn set(&self, predicate: Predicate) {
         *self.predicate.borrow_mut() = Some(predicate);
     }
 
-    /// Whether this daemon may claim a partition whose claim in force is this one.
+    /// Whether this daemon may claim a partition whose claim in force is `claim`.
     pub fn allows(&self, partition: u32, claim: Option<&Claim>) -> bool {
         let predicate = self.predicate.borrow().clone();
         predicate.is_none_or(|predicate| predicate(partition, claim))
--- a/crates/log/src/follow.rs
+++ b/crates/log/src/follow.rs
@@ -1,4 +1,4 @@
-//! Following one compacted partition: the newest of each key, then what comes.
+//! Follows one compacted partition: lists the newest record of each key, then reads new records.
 
 use crate::api::{KeyedRecord, LogStore, NewestPage, Partition, StoreError};
 use crate::log_health::LogHealth;
@@ -6,53 +6,54 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Time for one page of a listing. One that took longer is followed by a read that does not
-/// wait.
-const LIST_TIMEOUT: Duration = Duration::from_millis(600);
-/// Time for a page at most. What fails is asked for with twice the time: where the log sends
-/// more than it can, a page that is given up is sent in vain, and none would ever come.
-const LONGEST_LIST_TIMEOUT: Duration = Duration::from_millis(4_800);
-/// How much longer than the wait it asked for a read may take.
+/// Time limit for one page of a listing. A listing with a slower page is followed by a read that
+/// does not wait.
+const PAGE_TIMEOUT: Duration = Duration::from_millis(600);
+/// Upper bound for the time limit of a page. The limit doubles after each failure: where the log is
+/// saturated, a page that is given up still costs its bandwidth, and with a fixed limit none would
+/// ever arrive.
+const MAX_PAGE_TIMEOUT: Duration = Duration::from_millis(4_800);
+/// Time that a read may take beyond the wait it sent_at for.
 pub const READ_MARGIN: Duration = Duration::from_millis(700);
-const FIRST_PAUSE: Duration = Duration::from_millis(30);
-/// From a read that is given up until the next one tells what was missed, where the log is
-/// well: the first pause at its longest, a new connection of at most 300 ms, and an answer.
+const INITIAL_PAUSE: Duration = Duration::from_millis(30);
+/// Longest time from a read that is given up until the next one reports what was missed, with a
+/// healthy log: the first pause with its longest jitter, a new connection of at most 300 ms, and an answer.
 pub const RESUME_DELAY: Duration = Duration::from_millis(400);
-const LONGEST_PAUSE: Duration = Duration::from_millis(400);
+const MAX_PAUSE: Duration = Duration::from_millis(400);
 
-/// What a follower learned.
+/// Result of [`Follower::next_update`].
 #[derive(Debug)]
 pub enum Update {
-    /// The newest record of every key: keys that are not there are gone.
+    /// The newest record of every key. Keys that are missing were deleted.
     Listing(Vec<(u64, KeyedRecord)>),
-    /// Later records in order.
+    /// Later records, in order.
     Records(Vec<(u64, KeyedRecord)>),
 }
 
-/// A listing as far as it was read. A page that fails is asked for again, and nothing before it:
-/// thousands of keys take many pages, and daemons that begin anew with each failure keep the log
-/// from answering them all.
+/// State of a listing in progress. Only the page that failed is requested again: thousands of keys
+/// take many pages, and daemons that restarted after each failure would keep the log from answering
+/// them all.
 #[derive(Default)]
 struct Listing {
     records: Vec<(u64, KeyedRecord)>,
     after: Option<Vec<u8>>,
-    /// Where the topic ended for the page that was read from the oldest state. Pages are not a
-    /// snapshot: what came since is read from there.
+    /// Lowest end offset of the pages read so far. Pages are not a snapshot, so later changes are
+    /// read from there.
     end: Option<u64>,
     age_ms: u64,
-    /// A page took so long that there may be news by now.
+    /// A page took so long that there may be newer records by now.
     is_slow: bool,
-    /// Pages that failed, in a row.
+    /// Consecutive failures of the present page.
     failures: u32,
 }
 
 impl Listing {
-    /// How long the next page is waited for.
-    fn limit(&self) -> Duration {
-        (LIST_TIMEOUT * (1 << self.failures.min(8))).min(LONGEST_LIST_TIMEOUT)
+    /// Time limit for the next page.
+    fn page_timeout(&self) -> Duration {
+        (PAGE_TIMEOUT * (1 << self.failures.min(8))).min(MAX_PAGE_TIMEOUT)
     }
 
-    fn take(&mut self, page: NewestPage) {
+    fn add_page(&mut self, page: NewestPage) {
         self.failures = 0;
         let end = self.end.map_or(page.end, |end| end.min(page.end));
         self.end = Some(end);
@@ -62,10 +63,10 @@
     }
 }
 
-/// What is done when all that there is was told, as it was so many milliseconds ago.
+/// Called with the age of the data in milliseconds, once everything up to the end was delivered.
 type OnCaughtUp = Box<dyn Fn(u64)>;
 
-/// Follows a partition.
+/// Follows a partition, through outages of the log service.
 pub struct Follower {
     store: Rc<dyn LogStore>,
     health: Rc<LogHealth>,
@@ -73,17 +74,17 @@
     next: Option<u64>,
     wait: Duration,
     pause: Duration,
-    /// A call failed or its answer is old: the next read does not wait, so that it tells soon whether there is
-    /// anything new.
+    /// A call failed or its answer is old. The next read does not wait, so that it reports at once
+    /// whether there is anything new.
     is_behind: bool,
     listing: Listing,
-    /// How old the last answer was, in milliseconds.
+    /// Age of the last answer, in milliseconds.
     age_ms: u64,
     on_caught_up: Option<OnCaughtUp>,
 }
 
 impl Follower {
-    /// A follower that holds reads for `wait` until something comes.
+    /// Creates a follower whose reads wait up to `wait` for new records.
     pub fn new(
         store: Rc<dyn LogStore>,
         health: Rc<LogHealth>,
@@ -96,7 +97,7 @@
             partition,
             next: None,
             wait,
-            pause: FIRST_PAUSE,
+            pause: INITIAL_PAUSE,
             is_behind: false,
             listing: Listing::default(),
             age_ms: 0,
@@ -104,8 +105,8 @@
         }
     }
 
-    /// Calls this whenever what was told so far is all that there is, with how old that is, in
-    /// milliseconds.
+    /// Sets a callback that is called whenever everything up to the end was delivered, with the age
+    /// of that data in milliseconds.
     pub fn on_caught_up(mut self, on_caught_up: OnCaughtUp) -> Self {
         self.on_caught_up = Some(on_caught_up);
         self
@@ -120,16 +121,16 @@
         }
     }
 
-    /// Offset that is read from next.
+    /// Offset of the next read.
     pub fn position(&self) -> u64 {
         self.next.unwrap_or_default()
     }
 
-    /// Waits for the next update, through any outage.
+    /// Waits for the next update, repeating calls during outages.
     pub async fn next_update(&mut self) -> Update {
         loop {
-            // A read that hangs since an outage is left once the service is known to
-            // answer again.
+            // A read that hangs since an outage is abandoned once the service is known to answer
+            // again.
             let health = self.health.clone();
             let result = tokio::select! {
                 result = self.attempt() => result,
@@ -140,14 +141,14 @@
             };
             match result {
                 Ok(Update::Records(records)) if records.is_empty() => {
-                    self.pause = FIRST_PAUSE;
+                    self.pause = INITIAL_PAUSE;
                     self.notify_caught_up();
                     if self.wait.is_zero() {
                         return Update::Records(records);
                     }
                 }
                 Ok(update) => {
-                    self.pause = FIRST_PAUSE;
+                    self.pause = INITIAL_PAUSE;
                     self.notify_caught_up();
                     return update;
                 }
@@ -170,20 +171,20 @@
     async fn back_off(&mut self) {
         let jitter = 0.75 + fastrand::f64() / 2.0;
         sleep(self.pause.mul_f64(jitter)).await;
-        self.pause = (self.pause * 2).min(LONGEST_PAUSE);
+        self.pause = (self.pause * 2).min(MAX_PAUSE);
     }
 
     async fn list(&mut self) -> Result<Vec<(u64, KeyedRecord)>, StoreError> {
         loop {
             let after = self.listing.after.clone();
-            let asked = Instant::now();
+            let sent_at = Instant::now();
             let page = self
                 .store
-                .newest(self.partition.clone(), after, self.listing.limit())
+                .newest(self.partition.clone(), after, self.listing.page_timeout())
                 .await
                 .inspect_err(|_| self.listing.failures += 1)?;
-            self.listing.is_slow |= asked.elapsed() > LIST_TIMEOUT;
-            self.listing.take(page);
+            self.listing.is_slow |= sent_at.elapsed() > PAGE_TIMEOUT;
+            self.listing.add_page(page);
             if self.listing.after.is_none() {
                 let listing = std::mem::take(&mut self.listing);
                 self.next = listing.end;
@@ -200,14 +201,14 @@
             false => self.wait,
         };
         let limit = wait + READ_MARGIN;
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         let batch = self
             .store
             .read(self.partition.clone(), from, wait, limit)
             .await?;
-        // An answer that was taken after the time allowed lay there while this process was
-        // stopped: it tells what was, and the next read what is.
-        self.is_behind = asked.elapsed() > limit;
+        // An answer that was received after the time limit waited in a buffer while this process
+        // was stopped. It is out of date, so the next read must not wait.
+        self.is_behind = sent_at.elapsed() > limit;
         self.age_ms = batch.age_ms;
         self.next = Some(batch.next);
         Ok(batch.records)
--- a/crates/log/src/hedge.rs
+++ b/crates/log/src/hedge.rs
@@ -1,10 +1,10 @@
-//! One append, sent again while earlier tries are still out, until its outcome is
-//! known. The sequence makes repeats harmless, so whichever try is answered first
+//! Hedged appends: an append is sent again while earlier attempts are still pending, until its
+//! outcome is known. The sequence number makes repeats harmless, so the first answer to any attempt
 //! decides.
 //!
-//! Giving a try up before the next one would lose its answer where the service is
-//! only slow; waiting for it would lose time where the answer is lost or the
-//! connection silent. So an overdue try stays out beside the next one.
+//! Abandoning an attempt before the next one would lose its answer where the service is only slow.
+//! Waiting for it would lose time where the answer is lost or the connection is silent. So an
+//! overdue attempt stays pending beside the next one.
 
 use crate::api::{Append, Appended, LogStore, StoreError};
 use crate::log_health::LogHealth;
@@ -13,19 +13,18 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// A try is given up after this long: its connection is taken for dead.
-const TRY_LIMIT: Duration = Duration::from_millis(1_500);
-/// Longest pause between tries: so long after an outage the log is found again at most, and
-/// so long do the ends of kept turns wait longer than they must. Sixteen owners that wait
-/// make 160 calls a second, a part in twenty-five of what the log of the largest deployment
-/// measured takes.
-const LONGEST_PAUSE: Duration = Duration::from_millis(100);
-/// First pause after a refusal.
-const FIRST_PAUSE: Duration = Duration::from_millis(15);
-/// Without an answer for this long the service counts as failing.
+/// Time limit of one attempt, after which its connection is considered dead.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Longest pause between attempts. It bounds how long after an outage the log is found again, and
+/// by how much the end of a recorded turn is delayed. Sixteen waiting owners make 160 calls a
+/// second, which is 1/25 of what the log of the largest measured deployment handles.
+const MAX_PAUSE: Duration = Duration::from_millis(100);
+/// First pause after a rejected attempt.
+const REJECTION_PAUSE: Duration = Duration::from_millis(15);
+/// Without an answer for this long, the service is recorded as failing.
 const FAILING_AFTER: Duration = Duration::from_millis(120);
 
-/// When the next try goes out.
+/// Time of the next attempt.
 struct Schedule {
     next: Instant,
     pause: Duration,
@@ -39,18 +38,18 @@
         }
     }
 
-    /// The time has come: the pause before the next try is longer, but where the log is
-    /// slow it may have begun above the longest and stays so.
+    /// Doubles the pause after an overdue attempt, up to [`MAX_PAUSE`]. Where the log is slow, the
+    /// first pause may already be longer, and then stays as it is.
     fn advance(&mut self) {
-        let longest = LONGEST_PAUSE.max(self.pause);
-        self.pause = (self.pause * 2).min(longest);
+        let max_pause = MAX_PAUSE.max(self.pause);
+        self.pause = (self.pause * 2).min(max_pause);
         self.next = Instant::now() + jittered(self.pause);
     }
 
-    /// A try was refused: the next one follows sooner than if it were overdue.
-    fn refused(&mut self, refusals: u32) {
-        let pause = FIRST_PAUSE * (1 << refusals.min(4));
-        self.next = Instant::now() + jittered(pause.min(LONGEST_PAUSE));
+    /// Schedules the attempt after a rejection, which follows sooner than after an overdue one.
+    fn reschedule_rejected(&mut self, rejections: u32) {
+        let pause = REJECTION_PAUSE * (1 << rejections.min(4));
+        self.next = Instant::now() + jittered(pause.min(MAX_PAUSE));
     }
 }
 
@@ -58,8 +57,9 @@
     pause.mul_f64(0.75 + fastrand::f64() / 2.0)
 }
 
-/// Appends until the outcome is known; its place is not where a try whose answer was lost did it.
-/// The append must be fenced: its sequence tells repeats apart.
+/// Appends until the outcome is known. The append must be fenced, because repeats are recognized by
+/// its sequence number. Returns `None` if it was done by an attempt whose answer was lost, as its
+/// offset is then unknown.
 ///
 /// # Errors
 /// Only [`StoreError::Fenced`]: a later owner is in force.
@@ -69,7 +69,7 @@
     append: Append,
 ) -> Result<Option<Appended>, StoreError> {
     let append = Append {
-        timeout: TRY_LIMIT,
+        timeout: ATTEMPT_TIMEOUT,
         ..append
     };
     let sequence = append.producer.as_ref().map_or(0, |by| by.sequence);
@@ -78,42 +78,43 @@
         let begun = Instant::now();
         (store.append(append.clone()).await, begun.elapsed())
     };
-    let mut tries = FuturesUnordered::new();
-    tries.push(attempt());
+    let mut attempts = FuturesUnordered::new();
+    attempts.push(attempt());
     let mut schedule = Schedule::new(health.append_time.overdue_after());
-    let mut refusals = 0;
+    let mut rejections = 0;
     loop {
         tokio::select! {
-            Some((result, took)) = tries.next() => match result {
+            Some((result, took)) = attempts.next() => match result {
                 Ok(appended) => {
                     health.append_time.observe(took);
                     return Ok(Some(appended));
                 }
                 Err(StoreError::Fenced) => return Err(StoreError::Fenced),
-                // An earlier try was done.
+                // An earlier attempt succeeded.
                 Err(StoreError::Sequence(wanted)) if wanted == sequence + 1 => return Ok(None),
                 Err(error) => {
-                    if refusals == 0 {
-                        note(&append, error);
+                    if rejections == 0 {
+                        log_repeat(&append, error);
                     }
-                    schedule.refused(refusals);
-                    refusals += 1;
+                    schedule.reschedule_rejected(rejections);
+                    rejections += 1;
                 }
             },
             () = sleep_until(schedule.next) => {
-                if started.elapsed() >= FAILING_AFTER && !tries.is_empty() {
+                if started.elapsed() >= FAILING_AFTER && !attempts.is_empty() {
                     health.record_failure();
                 }
-                tries.push(attempt());
+                attempts.push(attempt());
                 schedule.advance();
             }
-            // Somebody heard from the service again: what hangs since is not waited for.
-            () = health.recovered.notified() => tries.push(attempt()),
+            // Another call got an answer after an outage: pending attempts may hang, so send
+            // another.
+            () = health.recovered.notified() => attempts.push(attempt()),
         }
     }
 }
 
-fn note(append: &Append, error: StoreError) {
+fn log_repeat(append: &Append, error: StoreError) {
     let producer = append.producer.as_ref();
     tracing::warn!(
         event = "append_repeated",
--- a/crates/log/src/lib.rs
+++ b/crates/log/src/lib.rs
@@ -1,24 +1,25 @@
-//! The log service as the product needs it, and what is built on it: following
-//! topics, owning partitions, appending in groups. An adapter speaks the protocol
-//! of the service at hand.
+//! Client side of the log service: an interface to it, and on top of that the following of topics,
+//! the ownership of partitions and group commit. Adapters implement [`api::LogStore`] for the
+//! protocol of a given service.
 //!
-//! - [`api`]: the calls and their outcomes.
-//! - [`readers`]: who reads the followed topics for others; [`reader_selector`]: whom these ask;
-//!   [`mirror`]: what a reader keeps for them.
-//! - [`random_delay`]: who of many goes first.
-//! - [`log_health`]: when the service last answered.
-//! - [`follow`]: following one compacted partition.
-//! - [`ownership`]: the table of owners.
-//! - [`claims`]: learning of owners and becoming one.
-//! - [`eligibility`]: which partitions a daemon may own.
-//! - [`appender`]: group commit of one owned partition.
-//! - [`lease`]: how long an owner may act as the only one.
-//! - [`hedge`]: one append, repeated until its outcome is known.
-//! - [`claim_delay`]: who claims first.
-//! - [`reach`]: whether the log is down or this daemon cut off.
-//! - [`round_trip`]: how long an answer takes.
-//! - [`trimmer`]: dropping the history of one owned partition.
-//! - [`wire`]: the calls in binary form, for the stand-in.
+//! - [`api`]: the interface to the log service.
+//! - [`appender`]: group commit for one owned partition.
+//! - [`claim_delay`]: delay that lets more capable machines claim first.
+//! - [`claims`]: follows and makes claims on partitions.
+//! - [`eligibility`]: restricts the partitions that a daemon may own.
+//! - [`follow`]: follows one compacted partition.
+//! - [`hedge`]: repeats an append until its outcome is known.
+//! - [`lease`]: limits how long an owner may act as the only one.
+//! - [`log_health`]: whether the service answers.
+//! - [`mirror`]: copy of a followed topic that a reader serves.
+//! - [`ownership`]: table of partition owners.
+//! - [`random_delay`]: delay before competing appends.
+//! - [`reach`]: tells an outage of the log from being cut off.
+//! - [`reader_selector`]: selects the readers that a daemon asks.
+//! - [`readers`]: daemons that read followed topics for others.
+//! - [`round_trip`]: estimate of the answer time.
+//! - [`trimmer`]: deletes the history of one owned partition.
+//! - [`wire`]: binary form of the calls.
 
 pub mod api;
 pub mod appender;
--- a/crates/log/src/log_health.rs
+++ b/crates/log/src/log_health.rs
@@ -1,36 +1,36 @@
-//! When the log service last answered this daemon.
+//! Tracks whether the log service answers this daemon.
 
 use crate::round_trip::RoundTrip;
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// Without an answer for this long the service counts as lost.
+/// Without an answer for this long, the service is considered lost.
 const LOST_AFTER: Duration = Duration::from_millis(800);
-/// Calls that failed for less than this wake nobody when one is answered again: where
-/// some partitions are down and others not, failures and answers alternate.
-const OUTAGE_AFTER: Duration = Duration::from_millis(120);
+/// Shorter failures do not trigger [`LogHealth::recovered`]: where only some partitions are down,
+/// failures and answers alternate.
+const MIN_OUTAGE: Duration = Duration::from_millis(120);
 
-/// Contact with the log service; logs each loss and return once.
+/// Health of the log service as seen by this daemon. Logs each loss and each recovery once.
 #[derive(Default)]
 pub struct LogHealth {
     last_answer: Cell<Option<Instant>>,
     first_failure: Cell<Option<Instant>>,
     last_failure: Cell<Option<Instant>>,
-    /// Told when the service answers after it had not: what waits for it need not
-    /// wait for its own next try.
+    /// Notified when the service answers after an outage, so that waiting calls can be repeated at
+    /// once.
     pub recovered: Notify,
-    /// How long appends take.
+    /// Estimated duration of an append.
     pub append_time: RoundTrip,
     lost: Cell<bool>,
 }
 
 impl LogHealth {
-    /// The service answered.
+    /// Records that the service answered.
     pub fn record_answer(&self) {
         self.last_answer.set(Some(Instant::now()));
         let since = self.first_failure.take();
-        if since.is_some_and(|since| since.elapsed() >= OUTAGE_AFTER) {
+        if since.is_some_and(|since| since.elapsed() >= MIN_OUTAGE) {
             self.recovered.notify_waiters();
         }
         if self.lost.replace(false) {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// A call had no answer.
+    /// Records that a call got no answer.
     pub fn record_failure(&self) {
         let now = Instant::now();
         let since = self.first_failure.get().unwrap_or(now);
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Whether calls fail.
+    /// Whether calls have failed since the last answer.
     pub fn is_failing(&self) -> bool {
         self.first_failure.get().is_some()
     }
@@ -71,12 +71,12 @@
         self.last_answer.get().is_some_and(|at| at.elapsed() < time)
     }
 
-    /// Whether calls have failed for a while.
+    /// Whether calls have failed for so long that the service is considered lost.
     pub fn is_lost(&self) -> bool {
         self.lost.get()
     }
 
-    /// Time since the last answer, in milliseconds.
+    /// Time since the last answer in milliseconds, or `u64::MAX` if there was none.
     pub fn ms_since_answer(&self) -> u64 {
         self.last_answer
             .get()
--- a/crates/log/src/mirror.rs
+++ b/crates/log/src/mirror.rs
@@ -1,42 +1,43 @@
-//! What a reader keeps of a followed topic for those who ask it: the newest record of each key,
-//! and the last records in order.
+//! Copy of a followed topic that a reader serves to other daemons: the newest record of each key,
+//! and the most recent records in order.
 
 use crate::api::{KeyedRecord, NewestPage, ReadBatch};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Records that are kept in order. A daemon that lists reads on from where its listing began:
-/// ten seconds of the most changes that the largest sheet allows, and a megabyte of them.
-const MOST_RECENT: usize = 4_096;
-/// Records of a page of a listing.
+/// Number of recent records kept in order. A daemon that lists the topic continues reading from the
+/// start of its listing, so these cover ten seconds at the highest change rate of the largest
+/// specified deployment, in about one megabyte.
+const MAX_RECENT_RECORDS: usize = 4_096;
+/// Records in one page of a listing.
 pub const PAGE_RECORDS: usize = 500;
 
-/// What is known behind an offset.
+/// Result of a read from an offset.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadResult {
-    /// These records.
+    /// Records from the offset on.
     Records(Vec<(u64, KeyedRecord)>),
-    /// Nothing yet.
+    /// No records yet: the offset is the end.
     Empty,
-    /// The records are not kept any more; the topic has to be listed.
+    /// The records are no longer kept. The topic has to be listed again.
     Truncated,
-    /// The offset lies behind all that was read: whoever asks knows more.
+    /// The offset is beyond the end of this mirror: the caller has read more.
     Ahead,
 }
 
-/// A followed topic as it was read.
+/// State of a followed topic, as far as it was read.
 #[derive(Clone, Debug, Default)]
 pub struct Mirror {
     newest: BTreeMap<Vec<u8>, (u64, Vec<u8>)>,
     recent: VecDeque<(u64, KeyedRecord)>,
-    /// Offset behind the last record read.
+    /// Offset after the last record read.
     end: u64,
-    /// Offset of the first record that is kept in order, or would be.
-    first: u64,
+    /// First offset from which records are kept in order.
+    first_recent: u64,
     is_complete: bool,
     listing: Option<Listing>,
 }
 
-/// A listing that is being read.
+/// A listing in progress.
 #[derive(Clone, Debug, Default)]
 struct Listing {
     newest: BTreeMap<Vec<u8>, (u64, Vec<u8>)>,
@@ -44,22 +45,23 @@
 }
 
 impl Mirror {
-    /// Whether all of the topic was read.
+    /// Whether the topic was listed completely.
     pub fn is_complete(&self) -> bool {
         self.is_complete
     }
 
-    /// Offset behind the last record read.
+    /// Offset after the last record read.
     pub fn end(&self) -> u64 {
         self.end
     }
 
-    /// Offset from which on records are kept in order.
+    /// First offset from which records are kept in order.
     pub fn first_offset(&self) -> u64 {
-        self.first
+        self.first_recent
     }
 
-    /// Takes in a page of a listing that was read behind a key, or is the first.
+    /// Applies one page of a listing. `after` is the key it was requested after, `None` for the
+    /// first page.
     pub fn apply_page(&mut self, after: Option<&[u8]>, page: &NewestPage) {
         let mut listing = match (after, self.listing.take()) {
             (None, _) => Listing {
@@ -67,14 +69,15 @@
                 ..Listing::default()
             },
             (Some(_), Some(listing)) => listing,
-            // Its beginning was never read.
+            // The beginning of the listing was not read.
             (Some(_), None) => return,
         };
         for (offset, record) in &page.records {
             let newest = (*offset, record.value.clone());
             listing.newest.insert(record.key.clone(), newest);
         }
-        // Pages are no snapshot: what came since the first one is read again.
+        // Pages are not a snapshot: reading continues from the lowest end, so that no change is
+        // missed.
         listing.end = listing.end.min(page.end);
         if page.more_after.is_some() {
             self.listing = Some(listing);
@@ -83,12 +86,12 @@
         self.newest = listing.newest;
         self.recent.clear();
         self.end = listing.end;
-        self.first = listing.end;
+        self.first_recent = listing.end;
         self.is_complete = true;
     }
 
-    /// Takes in what was read from an offset on. What leaves a gap makes it useless until it is
-    /// listed anew.
+    /// Applies the result of a read from `from`. A batch that leaves a gap resets the mirror, so
+    /// that the topic has to be listed again.
     pub fn apply_batch(&mut self, from: u64, batch: &ReadBatch) {
         if !self.is_complete {
             return;
@@ -116,13 +119,13 @@
             }
         }
         self.recent.push_back((offset, record.clone()));
-        if self.recent.len() > MOST_RECENT {
+        if self.recent.len() > MAX_RECENT_RECORDS {
             self.recent.pop_front();
-            self.first = self.recent.front().map_or(self.end, |(first, _)| *first);
+            self.first_recent = self.recent.front().map_or(self.end, |(first, _)| *first);
         }
     }
 
-    /// A page of the newest records by key; none before all was read.
+    /// Returns a page of the newest records by key, or `None` before the topic was listed.
     pub fn page(&self, after: Option<&[u8]>) -> Option<NewestPage> {
         use std::ops::Bound::{Excluded, Unbounded};
         if !self.is_complete {
@@ -150,15 +153,15 @@
         })
     }
 
-    /// What is known behind an offset.
+    /// Reads records from an offset on.
     pub fn read(&self, from: u64) -> ReadResult {
         if !self.is_complete || from > self.end {
             return ReadResult::Ahead;
         }
-        if from < self.first {
+        if from < self.first_recent {
             return ReadResult::Truncated;
         }
-        let skipped = (from - self.first) as usize;
+        let skipped = (from - self.first_recent) as usize;
         let records: Vec<(u64, KeyedRecord)> = self.recent.iter().skip(skipped).cloned().collect();
         match records.is_empty() {
             true => ReadResult::Empty,
--- a/crates/log/src/ownership.rs
+++ b/crates/log/src/ownership.rs
@@ -1,51 +1,52 @@
-//! The table of owners.
+//! Table of partition owners.
 //!
-//! A compacted topic holds the newest claim of each partition. A claim is appended
-//! only where the topic ends, so two claims never both succeed unseen, and its
-//! offset gives the epoch that fences every earlier owner.
+//! A compacted topic holds the newest claim of each partition. A claim is appended on the condition
+//! that the topic ends where its writer has read to, so two concurrent claims can't both succeed.
+//! The offset of a claim gives the epoch that fences every earlier owner.
 
 use crate::api::KeyedRecord;
 use nanoserde::{DeBin, SerBin};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// What a claim says.
+/// Binary form of a claim or a release.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 struct ClaimRecord {
     address: String,
     incarnation: u64,
-    /// Of a release after which nothing is left unsaid: see [`PreviousOwner::Settled`].
+    /// Set in a release that leaves no outcome unrecorded: see [`PreviousOwner::Settled`].
     settled_doubt_ms: Option<u64>,
 }
 
-/// What the owner before a claim may have left unsaid.
+/// State in which the owner before a claim left the partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PreviousOwner {
     /// There was none.
     None,
-    /// It gave the partition up after all that it had granted was durable.
+    /// It released the partition after everything that it had granted was durable.
     Settled {
-        /// For this long after it, something that owners before it had left unsaid may
-        /// still come up, in milliseconds.
+        /// For this many milliseconds after the release, grants of still earlier owners that were
+        /// never recorded may come up.
         doubt_ms: u64,
     },
-    /// It was replaced, or gave the partition up with something unsaid.
+    /// It was replaced, or released the partition while some of its grants were not yet recorded.
     Lost,
 }
 
 /// A claim in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Claim {
-    /// Where the owner listens for other daemons; `None` once it was released.
+    /// Address at which the owner listens for other daemons; `None` after a release.
     pub address: Option<SocketAddr>,
-    /// Life of the owner's process.
+    /// Incarnation of the owner's process.
     pub incarnation: u64,
-    /// Fences every earlier owner.
+    /// Epoch that fences every earlier owner.
     pub epoch: u64,
-    /// The owner before, as far as this daemon knows. Certain for its own claims: they are
-    /// appended only where the topic was read to its end.
+    /// The owner before this claim, as far as this daemon knows. It is exact for claims of this
+    /// daemon, because they are appended only where the topic was read to its end.
     pub previous_owner: PreviousOwner,
-    /// Of a settled release: what its successor has to doubt, and for how long.
+    /// Set in a settled release: how long the successor has to expect unrecorded grants of earlier
+    /// owners, in milliseconds.
     pub settled_doubt_ms: Option<u64>,
 }
 
@@ -58,7 +59,7 @@
 }
 
 impl Ownership {
-    /// The record of a claim.
+    /// Creates the record that claims a partition.
     pub fn claim_record(partition: u32, address: SocketAddr, incarnation: u64) -> KeyedRecord {
         Self::record(
             partition,
@@ -70,7 +71,7 @@
         )
     }
 
-    /// The record that gives a partition up, settled or not.
+    /// Creates the record that releases a partition, settled or not.
     pub fn release_record(
         partition: u32,
         incarnation: u64,
@@ -93,23 +94,24 @@
         }
     }
 
-    /// Takes in a record; tells the partition if its claim is new.
+    /// Applies a record of the topic. Returns the partition if its claim is newer than the known
+    /// one.
     pub fn apply(&mut self, offset: u64, record: &KeyedRecord) -> Option<u32> {
         self.end = self.end.max(offset + 1);
         let key: [u8; 4] = record.key.as_slice().try_into().ok()?;
         let partition = u32::from_be_bytes(key);
-        let said = ClaimRecord::deserialize_bin(&record.value).ok()?;
+        let decoded = ClaimRecord::deserialize_bin(&record.value).ok()?;
         let former = self.claims.get(&partition).copied();
         let claim = Claim {
-            address: said.address.parse().ok(),
-            incarnation: said.incarnation,
+            address: decoded.address.parse().ok(),
+            incarnation: decoded.incarnation,
             epoch: offset + 1,
             previous_owner: match former.map(|former| former.settled_doubt_ms) {
                 None => PreviousOwner::None,
                 Some(Some(doubt_ms)) => PreviousOwner::Settled { doubt_ms },
                 Some(None) => PreviousOwner::Lost,
             },
-            settled_doubt_ms: said.settled_doubt_ms,
+            settled_doubt_ms: decoded.settled_doubt_ms,
         };
         if Some(claim.epoch) <= former.map(|former| former.epoch) {
             return None;
@@ -118,7 +120,8 @@
         Some(partition)
     }
 
-    /// Takes in a claim that another daemon told; true if it is new.
+    /// Applies a claim that another daemon reported. Returns whether it is newer than the known
+    /// one.
     pub fn learn(&mut self, partition: u32, claim: Claim) -> bool {
         let former = self.claims.get(&partition).map_or(0, |claim| claim.epoch);
         let is_new = claim.epoch > former;
@@ -128,7 +131,7 @@
         is_new
     }
 
-    /// Where the owners listen, each once.
+    /// Addresses of all owners, without duplicates.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         let mut addresses: Vec<SocketAddr> = self
             .claims
@@ -140,28 +143,28 @@
         addresses
     }
 
-    /// The topic was read up to here.
+    /// Records that the topic was read up to `end`.
     pub fn mark_read_to(&mut self, end: u64) {
         self.end = self.end.max(end);
         self.is_loaded = true;
     }
 
-    /// Whether the topic was read at all.
+    /// Whether the topic has been read.
     pub fn is_loaded(&self) -> bool {
         self.is_loaded
     }
 
-    /// Where the topic ends, as far as known.
+    /// Known end of the topic.
     pub fn end(&self) -> u64 {
         self.end
     }
 
-    /// The claim in force.
+    /// Returns the claim in force.
     pub fn claim(&self, partition: u32) -> Option<Claim> {
         self.claims.get(&partition).copied()
     }
 
-    /// Partitions whose newest claim meets a condition.
+    /// Counts the partitions whose newest claim meets a condition.
     pub fn count(&self, condition: impl Fn(&Claim) -> bool) -> usize {
         self.claims
             .values()
--- a/crates/log/src/reach.rs
+++ b/crates/log/src/reach.rs
@@ -1,91 +1,93 @@
-//! What a daemon can reach, judged from its own calls to the log and from what other
-//! daemons say of theirs.
+//! Determines what this daemon can reach, from its own calls to the log and from the answers of
+//! other daemons.
 //!
-//! A daemon whose calls fail cannot know by itself whether the log is down for all or
-//! only it is cut off. In the first case its clients are as well off here as anywhere;
-//! in the second they should go elsewhere, and its partitions to an owner that can
-//! append. See docs/PLATFORM.md, "What happens".
+//! A daemon whose calls to the log fail can't tell by itself whether the log is down for all
+//! daemons or only this one is cut off. In the first case its clients are served here as well as
+//! anywhere. In the second they should be sent to other daemons, and its partitions should go to an
+//! owner that can append. See docs/PLATFORM.md, "What happens".
 
 use std::cmp::Ordering;
 
-/// Whom a daemon reaches.
+/// What this daemon reaches.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Reach {
-    /// The log answers.
+    /// The log answers this daemon.
     #[default]
     Log,
-    /// The log answers nobody who was asked.
+    /// The log answers none of the daemons that were asked.
     Outage,
-    /// The log answers others.
+    /// The log answers other daemons but not this one.
     CutOff,
-    /// Neither the log nor another daemon answers.
+    /// Neither the log nor any other daemon answers.
     Isolated,
-    /// Only a minority of the daemons or zones is reached: the others go on without it.
+    /// Only a minority of the daemons or zones is reachable; the majority continues without this
+    /// one.
     Minority,
 }
 
 impl Reach {
-    /// Whether others can do what this daemon can't.
+    /// Whether other daemons can serve clients that this one can't.
     pub fn others_are_better_off(self) -> bool {
         matches!(self, Self::CutOff | Self::Isolated | Self::Minority)
     }
 }
 
-/// What one round of questions showed.
+/// Result of one round of queries to other daemons.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Round {
-    /// The log answers this daemon: nobody was asked.
+    /// The log answers this daemon, so no daemon was asked.
     Heard,
-    /// The log does not; so many daemons were asked, answered, and reach it.
+    /// The log does not answer this daemon, so other daemons were asked.
     Asked {
-        /// Daemons asked.
+        /// Number of daemons asked.
         asked: usize,
-        /// Daemons that answered.
+        /// Number of daemons that answered.
         answered: usize,
-        /// Daemons that reach the log.
+        /// Number of daemons that reach the log.
         reach_log: usize,
     },
 }
 
-/// What one look around showed. It is taken while an owner is silent: the owner may be gone,
-/// or this daemon may be cut off with few others.
+/// Result of one check of the zones and owners. It is made while an owner is silent, as either that
+/// owner may be gone, or this daemon may be cut off together with a few others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Look {
-    /// Zones with servers, this daemon's own included.
+    /// Zones with servers, including this daemon's own.
     pub zones: usize,
-    /// Those of them where a server is reached, the own one included.
+    /// Zones in which a server is reachable, including this daemon's own.
     pub zones_reached: usize,
-    /// The first zone by name is reached, or is the own one.
+    /// Whether the first zone by name is reachable or this daemon's own.
     pub reaches_first: bool,
-    /// Owners asked.
+    /// Number of owners asked.
     pub asked: usize,
-    /// Owners that answered.
+    /// Number of owners that answered.
     pub answered: usize,
-    /// The log answers.
+    /// Whether the log answers.
     pub log: bool,
 }
 
-/// Fewer owners asked than this show nothing about the others.
-const FEWEST_ASKED: usize = 4;
+/// A smaller sample of owners proves nothing about the others.
+const MIN_OWNER_SAMPLE: usize = 4;
 
 impl Look {
-    /// Whether the others are the majority and out of reach.
+    /// Whether this daemon is part of a minority and the majority is out of reach.
     pub fn is_minority(&self) -> bool {
-        // Servers of a zone may all be down while its daemons are well.
+        // All servers of a zone may be down while its daemons are up.
         let nearly_all_answer = self.answered * 4 >= self.asked * 3;
-        !nearly_all_answer && (self.has_few_zones() || self.has_few_owners())
+        !nearly_all_answer && (self.has_minority_of_zones() || self.has_minority_of_owners())
     }
 
-    /// Whether a daemon that held itself part of a minority still should: of a sample of the
-    /// owners now more and now fewer answer.
+    /// Whether a daemon that is in [`Reach::Minority`] should stay there. The number of owners that
+    /// answer varies with the sample.
     fn may_still_be_minority(&self) -> bool {
         let nearly_all_answer = self.answered * 4 >= self.asked * 3;
         self.is_minority() || (!self.log && !nearly_all_answer)
     }
 
-    /// Of two halves, that with the first zone goes on: if both gave way, nobody would serve,
-    /// and if neither did, each would take the other's partitions in turns.
-    fn has_few_zones(&self) -> bool {
+    /// Whether this side has the smaller part of the zones. Of two equal halves, the one with the
+    /// first zone continues: if both stopped, nobody would serve, and if neither did, they would
+    /// take each other's partitions in turn.
+    fn has_minority_of_zones(&self) -> bool {
         match (self.zones_reached * 2).cmp(&self.zones) {
             Ordering::Less => true,
             Ordering::Equal => !self.reaches_first,
@@ -93,40 +95,44 @@
         }
     }
 
-    /// A part of the fleet that is cut off from the rest, wherever it stands. One that has
-    /// the log can take the place of owners that it does not reach.
-    fn has_few_owners(&self) -> bool {
-        !self.log && self.asked >= FEWEST_ASKED && self.answered * 2 < self.asked
+    /// Whether this daemon is cut off from most of the owners, in whatever zone. A daemon that has
+    /// the log can replace owners that it does not reach.
+    fn has_minority_of_owners(&self) -> bool {
+        !self.log && self.asked >= MIN_OWNER_SAMPLE && self.answered * 2 < self.asked
     }
 }
 
-/// Rounds in a row without any answer before a daemon holds itself isolated: those
-/// asked may be frozen or gone themselves.
+/// Consecutive rounds without any answer before [`Reach::Isolated`]: the daemons asked may be
+/// frozen or gone themselves.
 const ISOLATED_AFTER: u32 = 2;
 
-/// Judges rounds.
+/// Derives [`Reach`] from successive rounds.
 #[derive(Debug, Default)]
 pub struct ReachTracker {
     reach: Reach,
-    rounds_alone: u32,
+    rounds_unanswered: u32,
 }
 
 impl ReachTracker {
-    /// The present belief.
+    /// The present reach.
     pub fn reach(&self) -> Reach {
         self.reach
     }
 
-    /// Takes in a round; tells the new belief if it changed.
+    /// Applies the result of a round. Returns the new reach if it changed.
     pub fn update(&mut self, round: Round) -> Option<Reach> {
         self.update_with(round, None)
     }
 
-    /// The same, with a look around where one was taken. Whoever hears of a daemon that has
-    /// the log is no part of a minority.
+    /// Like [`Self::update`], with the result of a check of the zones and owners if there was one.
+    /// If another daemon reports that it has the log, this one is not part of a minority.
     pub fn update_with(&mut self, round: Round, look: Option<Look>) -> Option<Reach> {
-        let alone = matches!(round, Round::Asked { asked, answered: 0, .. } if asked > 0);
-        self.rounds_alone = if alone { self.rounds_alone + 1 } else { 0 };
+        let unanswered = matches!(round, Round::Asked { asked, answered: 0, .. } if asked > 0);
+        self.rounds_unanswered = if unanswered {
+            self.rounds_unanswered + 1
+        } else {
+            0
+        };
         let next = match round {
             Round::Asked { reach_log, .. } if reach_log > 0 => Reach::CutOff,
             _ if look.is_some_and(|look| look.is_minority()) => Reach::Minority,
@@ -136,8 +142,8 @@
                 Reach::Minority
             }
             Round::Heard => Reach::Log,
-            Round::Asked { .. } if self.rounds_alone >= ISOLATED_AFTER => Reach::Isolated,
-            // One round without an answer changes nothing yet.
+            Round::Asked { .. } if self.rounds_unanswered >= ISOLATED_AFTER => Reach::Isolated,
+            // A single round without an answer is not conclusive.
             Round::Asked { answered: 0, .. } if self.reach != Reach::Log => self.reach,
             Round::Asked { .. } => Reach::Outage,
         };
--- a/crates/log/src/reader_selector.rs
+++ b/crates/log/src/reader_selector.rs
@@ -1,30 +1,30 @@
-//! Whom a daemon asks for what it follows: the readers of its zone, then those of others, and
-//! the log itself where none of them answers.
+//! Selects whom a daemon asks for the topics it follows: the readers of its zone first, then those
+//! of other zones, and the log itself if no reader answers.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Pause after a reader's first failure, in milliseconds; doubled by each that follows.
-const FIRST_PAUSE_MS: u64 = 300;
+/// Pause after the first failure of a reader, in milliseconds; doubled by each further failure.
+const INITIAL_PAUSE_MS: u64 = 300;
 /// Longest pause, in milliseconds.
-const LONGEST_PAUSE_MS: u64 = 5_000;
-/// A reader that has failed for so long is lost, in milliseconds: a process that ended is back
-/// before that.
+const MAX_PAUSE_MS: u64 = 5_000;
+/// A reader that has failed for this many milliseconds is considered lost. A process that was
+/// restarted answers again earlier.
 const LOST_AFTER_MS: u64 = 4_000;
-/// Readers of other zones that are asked at most, one after another, before the log: their
-/// bytes cross zones.
-const MOST_ELSEWHERE: usize = 2;
-/// Parts of the time in which a change has to be known: for one to two of them readers alone are
-/// asked, which leaves the others for a reader that falls silent and for the log's own answer.
-const BOUND_PARTS: u64 = 10;
-/// Times the patience where no reader has answered yet: the first ones take their places while the
-/// log still answers what all daemons asked before.
-const FIRST_FACTOR: u64 = 3;
-/// Times the patience at most, for a daemon that no reader answers.
-const MOST_FACTOR: u64 = 32;
-/// Times the patience for a read for which a whole listing is asked of readers alone. After a loss
-/// of all power readers have read it themselves within a second, and what all daemons list at
-/// once would keep the log from them.
+/// Number of readers in other zones that are tried before the log. It is small because their
+/// traffic crosses zones.
+const MAX_REMOTE_READERS: usize = 2;
+/// Fraction of the propagation bound for which only readers are asked: one to two tenths of it,
+/// which leaves the rest for a reader that stops answering and for the answer of the log.
+const READERS_ONLY_DIVISOR: u64 = 10;
+/// Factor on the wait before the log is asked, while no reader has answered yet: the first readers
+/// claim their slots while the log still serves what all daemons requested before.
+const INITIAL_FACTOR: u64 = 3;
+/// Largest factor on the wait, for a daemon that gets no answer from readers.
+const MAX_FACTOR: u64 = 32;
+/// Factor on the wait before a whole listing is requested from the log. After a loss of all power
+/// the readers have listed it themselves within a second, and listings by all daemons at once would
+/// keep the log from serving them.
 const LISTING_FACTOR: u64 = 3;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -34,121 +34,130 @@
     until_ms: u64,
 }
 
-/// A topic of which no reader tells anything.
+/// A topic for which no reader has answered lately.
 #[derive(Clone, Copy, Debug)]
-struct Alone {
+struct Unanswered {
     since_ms: u64,
-    /// Doubled with each turn to the log.
+    /// Doubled each time the log is asked instead.
     factor: u64,
 }
 
-/// What one daemon knows of the readers that it asks.
+/// State of the readers as seen by one daemon.
 #[derive(Clone, Debug)]
 pub struct ReaderSelector {
     failures: HashMap<SocketAddr, Failures>,
-    alone: HashMap<String, Alone>,
-    /// A reader has answered before. Until then none may have taken its place yet.
-    was_answered: bool,
-    /// For so long readers alone are asked at first, in milliseconds: the log can't send all
-    /// daemons at once what readers send them.
-    patience_ms: u64,
+    unanswered: HashMap<String, Unanswered>,
+    /// Whether any reader has ever answered. Before that, possibly no slot is claimed yet.
+    has_answer: bool,
+    /// Time for which only readers are asked at first, in milliseconds: the log can't send to all
+    /// daemons at once what the readers send them.
+    readers_only_ms: u64,
 }
 
 impl ReaderSelector {
-    /// An asker that has asked nobody yet. Changes have to be known in `bound_ms`; `random` spreads
-    /// it among the others, so that they do not turn to the log in the same moment.
+    /// Creates a selector. Changes have to be known within `bound_ms`. `random` spreads the time at
+    /// which daemons turn to the log, so that they don't all do so at once.
     pub fn new(bound_ms: u64, random: u64) -> Self {
-        let part_ms = (bound_ms / BOUND_PARTS).max(1);
+        let part_ms = (bound_ms / READERS_ONLY_DIVISOR).max(1);
         Self {
             failures: HashMap::new(),
-            alone: HashMap::new(),
-            was_answered: false,
-            patience_ms: part_ms + random % part_ms,
+            unanswered: HashMap::new(),
+            has_answer: false,
+            readers_only_ms: part_ms + random % part_ms,
         }
     }
 
-    /// Whom to ask about a topic, in order. `near` are the readers of its zone, `far` those of
-    /// others, who are asked where the near ones fail. A zone that has none yet soon has, and what
-    /// its daemons would ask of the first reader of another zone is too much for one.
+    /// Returns the readers to ask about a topic, in order. `local` are the readers of this zone;
+    /// `remote` those of other zones, which are asked if the local ones fail. A zone without
+    /// readers will soon have some, and meanwhile the queries of all its daemons would overload the
+    /// first reader of another zone.
     pub fn candidates(
         &self,
         topic: &str,
-        near: &[SocketAddr],
-        far: &[SocketAddr],
+        local: &[SocketAddr],
+        remote: &[SocketAddr],
         now_ms: u64,
     ) -> Vec<SocketAddr> {
         let is_asked = |reader: &&SocketAddr| {
             let failures = self.failures.get(reader);
             failures.is_none_or(|failures| now_ms >= failures.until_ms)
         };
-        let asks_far = !near.is_empty() || self.may_read_log(topic, now_ms);
-        let far = far.iter().filter(|_| asks_far).filter(is_asked);
-        let far = far.take(MOST_ELSEWHERE);
-        near.iter().filter(is_asked).chain(far).copied().collect()
+        let asks_remote = !local.is_empty() || self.may_read_log(topic, now_ms);
+        let remote = remote.iter().filter(|_| asks_remote).filter(is_asked);
+        let remote = remote.take(MAX_REMOTE_READERS);
+        local
+            .iter()
+            .filter(is_asked)
+            .chain(remote)
+            .copied()
+            .collect()
     }
 
-    /// A reader answered about a topic.
+    /// Records that a reader answered about a topic.
     pub fn record_answer(&mut self, reader: SocketAddr, topic: &str) {
-        self.was_answered = true;
+        self.has_answer = true;
         self.failures.remove(&reader);
-        self.alone.remove(topic);
+        self.unanswered.remove(topic);
     }
 
-    /// A reader did not answer, or with something too old.
+    /// Records that a reader did not answer, or that its answer was too old.
     pub fn record_failure(&mut self, reader: SocketAddr, now_ms: u64) {
         let failures = self.failures.entry(reader).or_default();
         if failures.count == 0 {
             failures.first_ms = now_ms;
         }
         failures.count += 1;
-        let pause_ms = FIRST_PAUSE_MS << (failures.count - 1).min(8);
-        failures.until_ms = now_ms + pause_ms.min(LONGEST_PAUSE_MS);
+        let pause_ms = INITIAL_PAUSE_MS << (failures.count - 1).min(8);
+        failures.until_ms = now_ms + pause_ms.min(MAX_PAUSE_MS);
     }
 
-    /// No reader told anything of a topic this time.
+    /// Records that no reader answered about a topic.
     pub fn record_unanswered(&mut self, topic: &str, now_ms: u64) {
-        let alone = Alone {
+        let unanswered = Unanswered {
             since_ms: now_ms,
-            factor: if self.was_answered { 1 } else { FIRST_FACTOR },
+            factor: if self.has_answer { 1 } else { INITIAL_FACTOR },
         };
-        self.alone.entry(topic.to_owned()).or_insert(alone);
+        self.unanswered
+            .entry(topic.to_owned())
+            .or_insert(unanswered);
     }
 
-    /// This daemon turns to the log for a topic. As long as readers tell nothing, the next turn
-    /// comes after twice the time: where all daemons are alone, they ask less and less, until the
-    /// log serves those who are about to read for them.
+    /// Records that the log is asked about a topic instead. Until a reader answers, the next such
+    /// query comes after twice the time: where no daemon has a reader, their load on the log
+    /// decreases until it can serve the future readers.
     pub fn record_log_fallback(&mut self, topic: &str, now_ms: u64) {
-        if let Some(alone) = self.alone.get_mut(topic) {
-            alone.since_ms = now_ms;
-            alone.factor = (alone.factor * 2).min(MOST_FACTOR);
+        if let Some(unanswered) = self.unanswered.get_mut(topic) {
+            unanswered.since_ms = now_ms;
+            unanswered.factor = (unanswered.factor * 2).min(MAX_FACTOR);
         }
     }
 
-    /// Whether a reader has not answered for so long that its place is to be taken.
+    /// Whether a reader has failed for so long that its slot should be claimed.
     pub fn is_lost(&self, reader: SocketAddr, now_ms: u64) -> bool {
         let failures = self.failures.get(&reader);
         failures.is_some_and(|failures| now_ms >= failures.first_ms + LOST_AFTER_MS)
     }
 
-    /// Whether what changed may be asked of the log.
+    /// Whether changes may be read from the log.
     pub fn may_read_log(&self, topic: &str, now_ms: u64) -> bool {
         self.log_read_delay_ms(topic, now_ms) == Some(0)
     }
 
-    /// Time until what changed may be asked of the log, in milliseconds, if no reader answers.
+    /// Time in milliseconds until changes may be read from the log, unless a reader answers first.
     pub fn log_read_delay_ms(&self, topic: &str, now_ms: u64) -> Option<u64> {
-        let alone = self.alone.get(topic)?;
-        let at_ms = alone.since_ms + self.patience_ms * alone.factor;
+        let unanswered = self.unanswered.get(topic)?;
+        let at_ms = unanswered.since_ms + self.readers_only_ms * unanswered.factor;
         Some(at_ms.saturating_sub(now_ms))
     }
 
-    /// Whether a whole listing may be asked of the log.
+    /// Whether a whole listing may be requested from the log.
     pub fn may_list_log(&self, topic: &str, now_ms: u64) -> bool {
-        self.is_alone_for(topic, self.patience_ms * LISTING_FACTOR, now_ms)
+        self.is_unanswered_for(topic, self.readers_only_ms * LISTING_FACTOR, now_ms)
     }
 
-    fn is_alone_for(&self, topic: &str, time_ms: u64, now_ms: u64) -> bool {
-        let alone = self.alone.get(topic);
-        alone.is_some_and(|alone| now_ms >= alone.since_ms + time_ms * alone.factor)
+    fn is_unanswered_for(&self, topic: &str, time_ms: u64, now_ms: u64) -> bool {
+        let unanswered = self.unanswered.get(topic);
+        unanswered
+            .is_some_and(|unanswered| now_ms >= unanswered.since_ms + time_ms * unanswered.factor)
     }
 }
--- a/crates/log/src/readers.rs
+++ b/crates/log/src/readers.rs
@@ -1,43 +1,41 @@
-//! Who reads the followed topics for the other daemons of its zone.
+//! Readers: daemons that read the followed topics from the log for the other daemons of their zone.
 //!
-//! What every daemon reads by itself grows with daemons times records, and the log has one rate
-//! for all of them together. So a few daemons of each zone read the log, and the others ask
-//! these (docs/design/fleet.md). Each zone has a fixed number of places for readers. A place is
-//! a record of the topic of claims, taken with a conditional append as a claim is; it says where
-//! a daemon listens, and is no lease: whoever is asked at a place that it does not hold says so,
-//! and whoever finds nobody at a place takes it.
+//! If every daemon read for itself, the load would grow with daemons times records, and the
+//! bandwidth of the log is shared by all. So a few daemons of each zone read from the log, and the
+//! others ask these (docs/design/fleet.md). Each zone has a fixed number of reader slots. A slot is
+//! a record in the topic of claims, which is appended conditionally like a claim, and holds the
+//! address of a daemon. It is not a lease: a daemon that is asked but does not hold the slot
+//! rejects the request, and a daemon that gets no answer from the holder claims the slot.
 
 use crate::api::KeyedRecord;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Places of a zone. One reader may be lost at any moment, and another serves until its place
-/// is taken again.
+/// Reader slots of a zone. If one reader is lost, the other serves until the slot is claimed again.
 pub const SLOTS_PER_ZONE: u8 = 2;
 
-/// Beginning of the keys of places; the number and the zone follow. The key of a partition's
-/// claim has four bytes, and this alone has more.
-const KEY: &[u8] = b"reader/";
+/// Prefix of the keys of slots, followed by the slot number and the zone. These keys are longer
+/// than four bytes, which is the length of the keys of partition claims.
+const KEY_PREFIX: &[u8] = b"reader/";
 
-/// One place of a zone.
+/// A reader slot of a zone.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ReaderSlot {
-    /// Zone.
     pub zone: String,
-    /// Number of the place, from 0.
+    /// Number of the slot, counted from 0.
     pub number: u8,
 }
 
 impl ReaderSlot {
     fn key(&self) -> Vec<u8> {
-        let mut key = KEY.to_vec();
+        let mut key = KEY_PREFIX.to_vec();
         key.push(self.number);
         key.extend_from_slice(self.zone.as_bytes());
         key
     }
 
     fn from_key(key: &[u8]) -> Option<Self> {
-        let (number, zone) = key.strip_prefix(KEY)?.split_first()?;
+        let (number, zone) = key.strip_prefix(KEY_PREFIX)?.split_first()?;
         Some(Self {
             zone: String::from_utf8(zone.to_vec()).ok()?,
             number: *number,
@@ -45,65 +43,65 @@
     }
 }
 
-/// The places that are taken, as far as the topic of claims was read.
+/// Holders of the reader slots, as far as the topic of claims was read.
 #[derive(Clone, Debug, Default)]
 pub struct Readers {
-    places: BTreeMap<ReaderSlot, (u64, SocketAddr)>,
+    slots: BTreeMap<ReaderSlot, (u64, SocketAddr)>,
 }
 
 impl Readers {
-    /// The record by which whoever listens at an address takes a place.
-    pub fn record(place: &ReaderSlot, address: SocketAddr) -> KeyedRecord {
+    /// Creates the record with which the daemon that listens at `address` claims a slot.
+    pub fn record(slot: &ReaderSlot, address: SocketAddr) -> KeyedRecord {
         KeyedRecord {
-            key: place.key(),
+            key: slot.key(),
             value: address.to_string().into_bytes(),
         }
     }
 
-    /// Takes in a record of the topic of claims; true if it changes who holds a place.
+    /// Applies a record of the topic of claims. Returns whether it changes the holder of a slot.
     pub fn apply(&mut self, offset: u64, record: &KeyedRecord) -> bool {
-        let Some(place) = ReaderSlot::from_key(&record.key) else {
+        let Some(slot) = ReaderSlot::from_key(&record.key) else {
             return false;
         };
-        let said = std::str::from_utf8(&record.value).ok();
-        let Some(address) = said.and_then(|said| said.parse().ok()) else {
+        let text = std::str::from_utf8(&record.value).ok();
+        let Some(address) = text.and_then(|text| text.parse().ok()) else {
             return false;
         };
-        let known = self.places.get(&place);
+        let known = self.slots.get(&slot);
         if known.is_some_and(|(known, _)| offset <= *known) {
             return false;
         }
-        let former = self.places.insert(place, (offset, address));
+        let former = self.slots.insert(slot, (offset, address));
         former.map(|(_, former)| former) != Some(address)
     }
 
-    /// Whether any place is taken: daemons read through readers here.
+    /// Whether no slot is held. Daemons ask readers only if some slot is held.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.slots.is_empty()
     }
 
-    /// Whether a daemon that listens at an address reads for a zone.
+    /// Whether the daemon at an address is a reader of a zone.
     pub fn is_reader(&self, zone: &str, address: SocketAddr) -> bool {
         self.in_zone(zone).any(|(_, holder)| holder == address)
     }
 
-    /// The places of a zone that are taken, and by whom.
+    /// The held slots of a zone, with their holders.
     pub fn in_zone(&self, zone: &str) -> impl Iterator<Item = (u8, SocketAddr)> {
-        let places = self.places.iter();
-        places
-            .filter(move |(place, _)| place.zone == zone)
-            .map(|(place, (_, address))| (place.number, *address))
+        let slots = self.slots.iter();
+        slots
+            .filter(move |(slot, _)| slot.zone == zone)
+            .map(|(slot, (_, address))| (slot.number, *address))
     }
 
     /// Readers of all other zones.
     pub fn outside_zone(&self, zone: &str) -> impl Iterator<Item = SocketAddr> {
-        let places = self.places.iter();
-        places
-            .filter(move |(place, _)| place.zone != zone)
+        let slots = self.slots.iter();
+        slots
+            .filter(move |(slot, _)| slot.zone != zone)
             .map(|(_, (_, address))| *address)
     }
 
-    /// A place of a zone that nobody holds, or whose holder does not answer as `is_lost` says.
+    /// Returns a slot of a zone that is not held, or whose holder is lost according to `is_lost`.
     pub fn vacant_slot(
         &self,
         zone: &str,
--- a/crates/log/src/round_trip.rs
+++ b/crates/log/src/round_trip.rs
@@ -1,52 +1,52 @@
-//! How long an answer of the log service takes, learned from the answers themselves.
+//! Estimate of the time that the log service takes to answer, adapted to the answers themselves.
 //!
-//! A fixed time-out is wrong twice: far too long where an answer was lost, far too
-//! short where the service is sixty times slower than usual. The estimate jumps up
-//! with the first slow answer and comes down slowly, so that a slow service is not
-//! asked again and again for what it is about to answer.
+//! A fixed time-out does not work: it is far too long where an answer was lost, and far too short
+//! where the service is sixty times slower than usual. The estimate jumps up with the first slow
+//! answer and decays slowly, so that a slow service is not sent repeats of calls that it is about
+//! to answer.
 
 use std::cell::Cell;
 use std::time::Duration;
 
 /// Estimate before the first answer.
-const FIRST: Duration = Duration::from_millis(20);
-/// An answer is overdue after this many usual times.
+const INITIAL_ESTIMATE: Duration = Duration::from_millis(20);
+/// An answer is overdue after this multiple of the estimate.
 const OVERDUE_FACTOR: u32 = 3;
-/// Added for pauses of this process and its link.
-const SLACK: Duration = Duration::from_millis(25);
-/// Longest time after which an answer is overdue.
-const LONGEST: Duration = Duration::from_millis(800);
-/// The estimate moves down by one in this.
+/// Margin for pauses of this process and its network.
+const MARGIN: Duration = Duration::from_millis(25);
+/// Upper bound of the time after which an answer is overdue.
+const MAX_OVERDUE: Duration = Duration::from_millis(800);
+/// A faster answer lowers the estimate by this fraction of the difference.
 const DECAY: u32 = 8;
 
-/// Estimate of the time that an answer takes.
+/// Estimated time that an answer takes.
 #[derive(Debug)]
 pub struct RoundTrip {
-    usual: Cell<Duration>,
+    estimate: Cell<Duration>,
 }
 
 impl Default for RoundTrip {
     fn default() -> Self {
         Self {
-            usual: Cell::new(FIRST),
+            estimate: Cell::new(INITIAL_ESTIMATE),
         }
     }
 }
 
 impl RoundTrip {
-    /// Takes in how long an answer took.
+    /// Updates the estimate with the time that an answer took.
     pub fn observe(&self, took: Duration) {
-        let usual = self.usual.get();
-        let next = if took > usual {
+        let estimate = self.estimate.get();
+        let next = if took > estimate {
             took
         } else {
-            usual - (usual - took) / DECAY
+            estimate - (estimate - took) / DECAY
         };
-        self.usual.set(next);
+        self.estimate.set(next);
     }
 
-    /// The time after which an answer is overdue.
+    /// Time after which an answer is overdue.
     pub fn overdue_after(&self) -> Duration {
-        (self.usual.get() * OVERDUE_FACTOR + SLACK).min(LONGEST)
+        (self.estimate.get() * OVERDUE_FACTOR + MARGIN).min(MAX_OVERDUE)
     }
 }
--- a/crates/log/src/trimmer.rs
+++ b/crates/log/src/trimmer.rs
@@ -1,8 +1,8 @@
-//! Dropping the history of a compacted partition.
+//! Deletes the history of a compacted partition.
 //!
-//! The service counts against its room all that was appended and, beside it, the newest record
-//! of each key. Owners read the latter alone, so the owner in force drops the former as it grows.
-//! Late or repeated calls do no harm: the newest of each key is kept whatever is dropped
+//! The storage limit of the service counts every appended record and, separately, the newest record
+//! of each key. Owners only read the latter, so the owner in force deletes the history as it grows.
+//! Late or repeated calls do no harm, because the newest record of each key is always kept
 //! (docs/design/room-on-the-log.md).
 
 use crate::api::{LogStore, Partition, StoreError, Trim};
@@ -13,61 +13,61 @@
 use tokio::sync::Notify;
 use tokio::time::sleep;
 
-/// Bytes of history after which it is dropped. Sixteen partitions then hold 16 MB of it, a part in
-/// twenty-five of the 400 MB that the service takes; at the 3 MB a second that the busiest
-/// deployment measured appends, this makes three calls a second.
+/// Bytes of history after which it is deleted. Sixteen partitions then hold 16 MB of it, which is
+/// 1/25 of the 400 MB that the service stores. At 3 MB appended per second, as in the busiest
+/// deployment measured, this makes three calls a second.
 pub const MAX_HISTORY_BYTES: usize = 1 << 20;
-/// Time for a call.
+/// Time limit of a call.
 const TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Pause after a call that failed: room is short only minutes after the last one that did not.
-const PAUSE: Duration = Duration::from_secs(1);
+/// Pause after a failed call. Without trimming, storage runs out only after minutes.
+const RETRY_PAUSE: Duration = Duration::from_secs(1);
 
-/// Drops the history of one owned partition.
+/// Deletes the history of one owned partition.
 pub struct Trimmer {
     partition: Partition,
     store: Rc<dyn LogStore>,
-    /// What was appended ends here, as far as known.
+    /// Known end offset of the partition.
     end: Cell<u64>,
     /// Bytes appended since the last call.
-    bytes: Cell<usize>,
+    untrimmed_bytes: Cell<usize>,
     wake: Notify,
 }
 
 impl Trimmer {
-    /// A trimmer of a partition of which nothing is known yet.
+    /// Creates a trimmer for a partition whose end is not known yet.
     pub fn new(partition: Partition, store: Rc<dyn LogStore>) -> Self {
         Self {
             partition,
             store,
             end: Cell::new(0),
-            bytes: Cell::new(0),
+            untrimmed_bytes: Cell::new(0),
             wake: Notify::new(),
         }
     }
 
-    /// The partition was read up to here: how much history earlier owners left is not known, so
-    /// what there is, is dropped at once.
+    /// Sets the end up to which the partition was read. How much history earlier owners left is not
+    /// known, so it is deleted at once.
     pub fn inherit_history(&self, end: u64) {
-        self.note_end(end);
+        self.advance_end(end);
         if end > 0 {
             self.wake.notify_one();
         }
     }
 
-    /// So many bytes were appended; their end is not known where the answer was lost.
+    /// Records an append of `bytes`. `end` is not known if the answer to the append was lost.
     pub fn record_append(&self, end: Option<u64>, bytes: usize) {
-        end.into_iter().for_each(|end| self.note_end(end));
-        self.bytes.set(self.bytes.get() + bytes);
-        if self.bytes.get() >= MAX_HISTORY_BYTES {
+        end.into_iter().for_each(|end| self.advance_end(end));
+        self.untrimmed_bytes.set(self.untrimmed_bytes.get() + bytes);
+        if self.untrimmed_bytes.get() >= MAX_HISTORY_BYTES {
             self.wake.notify_one();
         }
     }
 
-    fn note_end(&self, end: u64) {
+    fn advance_end(&self, end: u64) {
         self.end.set(self.end.get().max(end));
     }
 
-    /// Drops history whenever it is due.
+    /// Deletes history whenever it is due.
     pub async fn run(&self) -> Infallible {
         loop {
             self.wake.notified().await;
@@ -78,14 +78,14 @@
                     partition = self.partition.number,
                     %error
                 );
-                sleep(PAUSE).await;
+                sleep(RETRY_PAUSE).await;
             }
         }
     }
 
     async fn trim(&self) -> Result<(), StoreError> {
         let before = self.end.get();
-        let bytes = self.bytes.take();
+        let bytes = self.untrimmed_bytes.take();
         let trim = Trim {
             partition: self.partition.clone(),
             before,
--- a/crates/log/src/wire.rs
+++ b/crates/log/src/wire.rs
@@ -1,4 +1,4 @@
-//! Binary form of the calls, spoken by the product's own stand-in of the service.
+//! Binary form of the calls to the log service, as used between daemons and the emulator.
 
 use crate::api::{
     Append, Appended, KeyedRecord, NewestPage, Partition, Producer, ReadBatch, StoreError, Trim,
@@ -6,21 +6,21 @@
 use nanoserde::{DeBin, SerBin};
 use std::time::Duration;
 
-/// A call.
+/// A call to the log service.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum StoreCall {
-    /// Append records.
+    /// See [`LogStore::append`](crate::api::LogStore::append).
     Append(AppendCall),
-    /// Read from an offset on.
+    /// See [`LogStore::read`](crate::api::LogStore::read).
     Read(ReadCall),
-    /// A page of the newest records.
+    /// See [`LogStore::newest`](crate::api::LogStore::newest).
     Newest(NewestCall),
-    /// Drop history.
+    /// See [`LogStore::trim`](crate::api::LogStore::trim).
     Trim(TrimCall),
 }
 
 impl StoreCall {
-    /// Number of the partition that the call is about.
+    /// Number of the partition that is called.
     pub fn partition(&self) -> u32 {
         match self {
             Self::Append(call) => call.partition,
@@ -31,91 +31,85 @@
     }
 }
 
-/// An append.
+/// Binary form of [`Append`].
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct AppendCall {
-    /// Topic.
     pub topic: String,
-    /// Partition.
+    /// Number of the partition.
     pub partition: u32,
-    /// Keys and values.
+    /// Records to append.
     pub records: Vec<WireRecord>,
-    /// Writer's name, where the append is fenced.
+    /// Producer name; `None` for an unfenced append.
     pub producer: Option<String>,
-    /// Its epoch.
+    /// Epoch of the producer.
     pub epoch: u64,
-    /// Its sequence.
+    /// Sequence number of the append.
     pub sequence: u64,
-    /// Append only if the partition ends here.
+    /// Append only if the partition ends at this offset.
     pub expected_end: Option<u64>,
 }
 
-/// A read.
+/// A read from an offset.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct ReadCall {
-    /// Topic.
     pub topic: String,
-    /// Partition.
+    /// Number of the partition.
     pub partition: u32,
-    /// First offset.
+    /// First offset to read.
     pub from: u64,
-    /// How long to wait for a record, in milliseconds.
+    /// How long to wait for the first record, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// A page.
+/// A request for a page of the newest records.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct NewestCall {
-    /// Topic.
     pub topic: String,
-    /// Partition.
+    /// Number of the partition.
     pub partition: u32,
-    /// Continue after this key.
+    /// Key after which the page starts; `None` for the first page.
     pub after: Option<Vec<u8>>,
 }
 
-/// A dropping of history.
+/// Binary form of [`Trim`].
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct TrimCall {
-    /// Topic.
     pub topic: String,
-    /// Partition.
+    /// Number of the partition.
     pub partition: u32,
-    /// What was appended before this offset is dropped.
+    /// Superseded records with a lower offset are deleted.
     pub before: u64,
 }
 
-/// A keyed record, with its offset in answers.
+/// Binary form of [`KeyedRecord`], with its offset in replies.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct WireRecord {
-    /// Offset; 0 in appends.
+    /// 0 in appends.
     pub offset: u64,
-    /// Key.
     pub key: Vec<u8>,
-    /// Value.
     pub value: Vec<u8>,
 }
 
-/// An answer.
+/// A reply of the log service. Failures correspond to [`StoreError`].
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum StoreReply {
-    /// Appended from this offset to this end.
+    /// Offset of the first appended record, and end of the partition.
     Appended(u64, u64),
-    /// Records, the end, and where to read on.
+    /// Records, end of the partition, and offset to continue reading from.
     Records(Vec<WireRecord>, u64, u64),
-    /// Records, the key to continue after, and the end.
+    /// Records, key after which the next page starts, and end of the partition.
     Newest(Vec<WireRecord>, Option<Vec<u8>>, u64),
-    /// History was dropped.
+    /// The history was deleted.
     Trimmed,
-    /// A higher epoch is in force.
+    /// See [`StoreError::Fenced`].
     Fenced,
-    /// This sequence is wanted.
+    /// See [`StoreError::Sequence`].
     Sequence(u64),
-    /// The partition ends here.
+    /// See [`StoreError::Moved`].
     Moved(u64),
-    /// The records before this offset are gone.
+    /// See [`StoreError::Gone`].
     Gone(u64),
-    /// Nothing was done.
+    /// See [`StoreError::NotDone`].
     NotDone,
 }
 
@@ -128,7 +122,7 @@
             records: append
                 .records
                 .iter()
-                .map(|record| wire(0, record))
+                .map(|record| to_wire(0, record))
                 .collect(),
             producer: producer.map(|producer| producer.name.clone()),
             epoch: producer.map_or(0, |producer| producer.epoch),
@@ -149,7 +143,7 @@
             records: call
                 .records
                 .into_iter()
-                .map(|record| keyed(record).1)
+                .map(|record| from_wire(record).1)
                 .collect(),
             producer: call.producer.map(|name| Producer {
                 name,
@@ -172,7 +166,7 @@
     }
 }
 
-fn wire(offset: u64, record: &KeyedRecord) -> WireRecord {
+fn to_wire(offset: u64, record: &KeyedRecord) -> WireRecord {
     WireRecord {
         offset,
         key: record.key.clone(),
@@ -180,7 +174,7 @@
     }
 }
 
-fn keyed(record: WireRecord) -> (u64, KeyedRecord) {
+fn from_wire(record: WireRecord) -> (u64, KeyedRecord) {
     let keyed = KeyedRecord {
         key: record.key,
         value: record.value,
@@ -188,10 +182,10 @@
     (record.offset, keyed)
 }
 
-fn wire_all(records: &[(u64, KeyedRecord)]) -> Vec<WireRecord> {
+fn to_wire_all(records: &[(u64, KeyedRecord)]) -> Vec<WireRecord> {
     records
         .iter()
-        .map(|(offset, record)| wire(*offset, record))
+        .map(|(offset, record)| to_wire(*offset, record))
         .collect()
 }
 
@@ -215,18 +209,18 @@
 
 impl From<ReadBatch> for StoreReply {
     fn from(batch: ReadBatch) -> Self {
-        Self::Records(wire_all(&batch.records), batch.end, batch.next)
+        Self::Records(to_wire_all(&batch.records), batch.end, batch.next)
     }
 }
 
 impl From<NewestPage> for StoreReply {
     fn from(page: NewestPage) -> Self {
-        Self::Newest(wire_all(&page.records), page.more_after, page.end)
+        Self::Newest(to_wire_all(&page.records), page.more_after, page.end)
     }
 }
 
 impl StoreReply {
-    fn failure(self) -> StoreError {
+    fn into_error(self) -> StoreError {
         match self {
             Self::Fenced => StoreError::Fenced,
             Self::Sequence(wanted) => StoreError::Sequence(wanted),
@@ -237,57 +231,61 @@
         }
     }
 
-    /// The answer to an append.
+    /// Decodes the reply to an append.
     ///
     /// # Errors
-    /// It failed.
+    /// The failure that the reply reports, or [`StoreError::Unreadable`] for a reply to another
+    /// call.
     pub fn appended(self) -> Result<Appended, StoreError> {
         match self {
             Self::Appended(offset, end) => Ok(Appended { offset, end }),
-            other => Err(other.failure()),
+            other => Err(other.into_error()),
         }
     }
 
-    /// The answer to a read.
+    /// Decodes the reply to a read.
     ///
     /// # Errors
-    /// It failed.
+    /// The failure that the reply reports, or [`StoreError::Unreadable`] for a reply to another
+    /// call.
     pub fn batch(self) -> Result<ReadBatch, StoreError> {
         match self {
             Self::Records(records, end, next) => Ok(ReadBatch {
                 end,
-                records: records.into_iter().map(keyed).collect(),
+                records: records.into_iter().map(from_wire).collect(),
                 next,
                 age_ms: 0,
             }),
-            other => Err(other.failure()),
+            other => Err(other.into_error()),
         }
     }
 
-    /// The answer to a dropping of history.
+    /// Decodes the reply to a trim.
     ///
     /// # Errors
-    /// It failed.
+    /// The failure that the reply reports, or [`StoreError::Unreadable`] for a reply to another
+    /// call.
     pub fn trimmed(self) -> Result<(), StoreError> {
         match self {
             Self::Trimmed => Ok(()),
-            other => Err(other.failure()),
+            other => Err(other.into_error()),
         }
     }
 
-    /// The answer to a question for the newest records.
+    /// Decodes the reply to a request for a page.
     ///
     /// # Errors
-    /// It failed.
+    /// The failure that the reply reports, or [`StoreError::Unreadable`] for a reply to another
+    /// call.
     pub fn page(self) -> Result<NewestPage, StoreError> {
         match self {
             Self::Newest(records, more_after, end) => Ok(NewestPage {
-                records: records.into_iter().map(keyed).collect(),
+                records: records.into_iter().map(from_wire).collect(),
                 more_after,
                 end,
                 age_ms: 0,
             }),
-            other => Err(other.failure()),
+            other => Err(other.into_error()),
         }
     }
 }
