--- a/crates/log/tests/follow.rs
+++ b/crates/log/tests/follow.rs
@@ -1,4 +1,4 @@
-//! Following a topic: what an answer confirms.
+//! When a follower reports that it has caught up.
 
 use fieldhook_log::api::{
     Append, Appended, LogStore, NewestPage, Partition, ReadBatch, StoreError, Trim,
@@ -13,14 +13,14 @@
 
 const WAIT: Duration = Duration::from_millis(50);
 
-/// A quiet log that answers at once, except that the process is stopped while the answer
-/// of its second call lies there.
+/// A log without new records that answers at once, except that the process is stopped while the
+/// answer to the second call is in the receive buffer.
 #[derive(Default)]
-struct Stopping {
+struct PausingLog {
     waits: RefCell<Vec<Duration>>,
 }
 
-impl LogStore for Stopping {
+impl LogStore for PausingLog {
     fn append(&self, _: Append) -> LocalBoxFuture<'_, Result<Appended, StoreError>> {
         Box::pin(async { Err(StoreError::NotDone) })
     }
@@ -63,16 +63,16 @@
 }
 
 #[test]
-fn an_answer_that_lay_there_during_a_stop_confirms_nothing() {
+fn answer_buffered_while_the_process_was_stopped_does_not_confirm() {
     let system = ntex::rt::System::new("follow-tests", ntex::rt::DefaultRuntime);
     system.block_on(async {
-        let store = Rc::new(Stopping::default());
+        let store = Rc::new(PausingLog::default());
         let partition = Partition {
             topic: "topic".to_owned(),
             number: 0,
         };
         let health = Rc::new(LogHealth::default());
-        // Calls made when something was confirmed.
+        // Number of calls made at the time of each report.
         let confirmed = Rc::new(RefCell::new(Vec::new()));
         let (calls, seen) = (store.clone(), confirmed.clone());
         let mut follower = Follower::new(store.clone(), health, partition, WAIT).on_caught_up(
@@ -86,9 +86,13 @@
             }
         };
         let _ = timeout(Duration::from_millis(1_100), follow).await;
-        assert_eq!(updates.get(), 1, "the listing alone");
+        assert_eq!(updates.get(), 1, "only the listing");
         let confirmed = confirmed.borrow();
-        assert_eq!(confirmed[..3], [0, 1, 3], "not by the second read");
+        assert_eq!(
+            confirmed[..3],
+            [0, 1, 3],
+            "the late answer does not confirm"
+        );
         let waits = store.waits.borrow();
         assert_eq!(waits[..4], [WAIT, WAIT, Duration::ZERO, WAIT]);
     });
--- a/crates/log/tests/mirror.rs
+++ b/crates/log/tests/mirror.rs
@@ -1,4 +1,5 @@
-//! What daemons learn through a reader is what the topic holds, whatever they ask when.
+//! Checks that daemons learn the content of a topic through a reader, whatever the order of writes,
+//! reads and queries.
 
 use fieldhook_emulator::log::core::LogCore;
 use fieldhook_log::api::{Append, KeyedRecord, Partition};
@@ -16,16 +17,16 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// Writers change keys; an empty value deletes.
+    /// Changes keys; `true` deletes the key.
     Write(Vec<(u16, bool)>),
-    /// The log drops its history.
-    Forget,
-    /// The reader reads on.
+    /// The log deletes its history.
+    DropHistory,
+    /// The reader reads new records.
     Read,
-    /// The reader reads the next page of a listing, or its first.
+    /// The reader reads the next page of a listing, or the first one.
     ReadPage,
-    /// The asker asks for what it lacks.
-    Ask,
+    /// The client queries the reader.
+    Query,
 }
 
 impl Arbitrary for Step {
@@ -36,19 +37,19 @@
                 let key = |g: &mut Gen| (u16::arbitrary(g) % 1_400, u8::arbitrary(g) % 4 == 0);
                 Self::Write((0..count).map(|_| key(g)).collect())
             }
-            4 => Self::Forget,
+            4 => Self::DropHistory,
             5..8 => Self::Read,
             8 => Self::ReadPage,
-            _ => Self::Ask,
+            _ => Self::Query,
         }
     }
 }
 
 type Newest = BTreeMap<Vec<u8>, Vec<u8>>;
 
-/// A daemon that lists and then follows, as a follower does.
+/// A daemon that lists and then follows, like a [`Follower`](fieldhook_log::follow::Follower).
 #[derive(Default)]
-struct Asker {
+struct Client {
     newest: Newest,
     next: Option<u64>,
     listed: Newest,
@@ -56,14 +57,14 @@
     end: Option<u64>,
 }
 
-impl Asker {
-    fn ask(&mut self, mirror: &Mirror) {
+impl Client {
+    fn query(&mut self, mirror: &Mirror) {
         match self.next {
             None => self.list(mirror),
             Some(from) => match mirror.read(from) {
                 ReadResult::Records(records) => {
                     for (offset, record) in records {
-                        take(&mut self.newest, &record);
+                        apply(&mut self.newest, &record);
                         self.next = Some(offset + 1);
                     }
                 }
@@ -78,7 +79,7 @@
             return;
         };
         for (_, record) in &page.records {
-            take(&mut self.listed, record);
+            apply(&mut self.listed, record);
         }
         self.end = Some(self.end.map_or(page.end, |end| end.min(page.end)));
         self.after = page.more_after;
@@ -89,32 +90,32 @@
     }
 }
 
-fn take(newest: &mut Newest, record: &KeyedRecord) {
+fn apply(newest: &mut Newest, record: &KeyedRecord) {
     match record.value.is_empty() {
         true => newest.remove(&record.key),
         false => newest.insert(record.key.clone(), record.value.clone()),
     };
 }
 
-/// The log, the reader and the asker of a run.
+/// The log, the reader and the client of a test run.
 #[derive(Default)]
 struct Run {
     log: LogCore,
-    truth: Newest,
+    expected: Newest,
     written: u64,
     mirror: Mirror,
     page: Option<Option<Vec<u8>>>,
-    asker: Asker,
+    client: Client,
 }
 
 impl Run {
     fn step(&mut self, step: &Step) {
         match step {
             Step::Write(changes) => self.write(changes),
-            Step::Forget => self.log.forget_history(),
+            Step::DropHistory => self.log.forget_history(),
             Step::Read => self.read(),
             Step::ReadPage => self.read_page(),
-            Step::Ask => self.asker.ask(&self.mirror),
+            Step::Query => self.client.query(&self.mirror),
         }
     }
 
@@ -134,7 +135,7 @@
             })
             .collect();
         for record in &records {
-            take(&mut self.truth, record);
+            apply(&mut self.expected, record);
         }
         let append = Append {
             partition: topic(),
@@ -164,34 +165,34 @@
         self.page = page.more_after.map(Some);
     }
 
-    /// Once nothing happens any more, everybody knows all.
-    fn settles(&mut self) -> bool {
+    /// Whether the client knows the content of the topic after the last write.
+    fn converges(&mut self) -> bool {
         for _ in 0..30 {
             self.read();
-            self.asker.ask(&self.mirror);
+            self.client.query(&self.mirror);
         }
-        self.asker.newest == self.truth
+        self.client.newest == self.expected
     }
 }
 
-fn holds(steps: Vec<Step>) -> bool {
+fn client_converges(steps: Vec<Step>) -> bool {
     let mut run = Run::default();
     for step in &steps {
         run.step(step);
     }
-    run.settles()
+    run.converges()
 }
 
 #[test]
-fn an_asker_learns_what_the_topic_holds() {
+fn client_learns_the_content_of_the_topic() {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(80, 17))
         .tests(600)
-        .quickcheck(holds as fn(Vec<Step>) -> bool);
+        .quickcheck(client_converges as fn(Vec<Step>) -> bool);
 }
 
 #[test]
-fn a_batch_that_leaves_a_gap_makes_a_mirror_useless_until_it_is_listed() {
+fn gap_between_batches_resets_the_mirror() {
     let mut run = Run::default();
     run.write(&[(1, false), (2, false)]);
     run.read();
@@ -201,5 +202,5 @@
     run.mirror.apply_batch(3, &batch);
     assert!(!run.mirror.is_complete());
     assert_eq!(run.mirror.read(2), ReadResult::Ahead);
-    assert!(run.settles());
+    assert!(run.converges());
 }
--- a/crates/log/tests/owners.rs
+++ b/crates/log/tests/owners.rs
@@ -1,6 +1,6 @@
-//! Owners of partitions over a log with faults: two claims never both succeed
-//! unseen, a former owner's append is never taken, and what was acknowledged is
-//! there once, in order.
+//! Partition owners over a log with faults: two concurrent claims never both succeed, an append of
+//! a fenced owner is never accepted, and acknowledged records are on the log exactly once and in
+//! order.
 
 use fieldhook_emulator::log::memory::{LogFault, MemoryLog, SharedLog};
 use fieldhook_log::api::{KeyedRecord, LogStore, Partition};
@@ -43,7 +43,7 @@
     Daemon { store, claims }
 }
 
-fn place() -> Partition {
+fn partition() -> Partition {
     Partition {
         topic: "keyed.work".to_owned(),
         number: 0,
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn of_racing_claims_one_wins() {
+fn one_of_concurrent_claims_wins() {
     run(async {
         let log = Rc::new(SharedLog::default());
         let daemons: Vec<Daemon> = (1..=6).map(|number| daemon(&log, number)).collect();
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn processes_of_the_same_incarnation_are_told_apart() {
+fn processes_of_the_same_incarnation_are_distinguished() {
     run(async {
         let log = Rc::new(SharedLog::default());
         let daemons: Vec<Rc<Claims>> = [7_001, 7_002]
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_suspicion_that_is_out_of_date_takes_nothing_over() {
+fn outdated_suspicion_does_not_take_over() {
     run(async {
         let log = Rc::new(SharedLog::default());
         let (a, b, c) = (daemon(&log, 1), daemon(&log, 2), daemon(&log, 3));
@@ -125,7 +125,7 @@
         let first = a.claims.claim(0).map(|claim| claim.epoch);
         sleep(SHORT).await;
         b.claims.take_over(0, first).await.expect("takes over");
-        // The third one has not read that yet.
+        // The third daemon has not read the second claim yet.
         assert_eq!(
             c.claims.take_over(0, first).await,
             Err(ClaimError::Overtaken)
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_claim_that_is_done_late_is_heard_of() {
+fn claim_applied_late_is_followed() {
     run(async {
         let log = Rc::new(SharedLog::default());
         let a = daemon(&log, 1);
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn unowned_partitions_are_shared_out() {
+fn unowned_partitions_are_claimed() {
     run(async {
         let log = Rc::new(SharedLog::default());
         let daemons: Vec<Daemon> = (1..=4).map(|number| daemon(&log, number)).collect();
@@ -171,36 +171,36 @@
 }
 
 #[test]
-fn a_former_owners_records_are_lost_and_it_hears_so() {
+fn fenced_owner_reports_its_records_as_lost() {
     run(async {
         let log = Rc::new(SharedLog::default());
         let store = Rc::new(MemoryLog::new(log.clone()));
-        fence(store.as_ref(), place(), 1, SHORT)
+        fence(store.as_ref(), partition(), 1, SHORT)
             .await
             .expect("sets the epoch");
-        let old = Rc::new(Appender::new(place(), 1, store.clone(), Rc::default()));
-        fence(store.as_ref(), place(), 2, SHORT)
+        let old = Rc::new(Appender::new(partition(), 1, store.clone(), Rc::default()));
+        fence(store.as_ref(), partition(), 2, SHORT)
             .await
             .expect("sets the epoch");
-        let heard = Rc::new(RefCell::new(Vec::new()));
+        let outcomes = Rc::new(RefCell::new(Vec::new()));
         for urgency in [Urgency::Now, Urgency::Soon] {
-            let heard = heard.clone();
-            let done = move |outcome| heard.borrow_mut().push(outcome);
+            let outcomes = outcomes.clone();
+            let done = move |outcome| outcomes.borrow_mut().push(outcome);
             old.push(vec![record("k", "old")], urgency, Box::new(done));
         }
         assert_eq!(old.run(|_| {}).await, AppendEnd::Fenced);
-        assert_eq!(*heard.borrow(), vec![Outcome::Lost, Outcome::Lost]);
-        let page = store.newest(place(), None, SHORT).await.expect("read");
+        assert_eq!(*outcomes.borrow(), vec![Outcome::Lost, Outcome::Lost]);
+        let page = store.newest(partition(), None, SHORT).await.expect("read");
         assert!(page.records.is_empty());
     });
 }
 
 #[test]
-fn a_check_without_records_hears_of_a_later_owner() {
+fn append_without_records_detects_a_later_owner() {
     run(async {
         let log = Rc::new(SharedLog::default());
         let store = Rc::new(MemoryLog::new(log.clone()));
-        let appender = Rc::new(Appender::new(place(), 5, store.clone(), Rc::default()));
+        let appender = Rc::new(Appender::new(partition(), 5, store.clone(), Rc::default()));
         ntex::rt::spawn({
             let appender = appender.clone();
             async move {
@@ -216,21 +216,21 @@
             receiver
         };
         assert_eq!(check(&appender).await, Ok(Outcome::Durable));
-        fence(store.as_ref(), place(), 6, SHORT)
+        fence(store.as_ref(), partition(), 6, SHORT)
             .await
             .expect("sets the epoch");
         assert_eq!(check(&appender).await, Ok(Outcome::Lost));
     });
 }
 
-/// An append that hangs is repeated as soon as anything hears from the log again.
+/// A hanging append is repeated as soon as any other call to the log is answered.
 #[test]
-fn an_append_that_hangs_goes_out_once_the_log_is_known_to_answer() {
+fn hanging_append_is_repeated_once_the_log_answers() {
     run(async {
         let log = Rc::new(SharedLog::default());
         let store = Rc::new(MemoryLog::new(log.clone()));
         let health = Rc::new(LogHealth::default());
-        let appender = Rc::new(Appender::new(place(), 1, store.clone(), health.clone()));
+        let appender = Rc::new(Appender::new(partition(), 1, store.clone(), health.clone()));
         let running = appender.clone();
         ntex::rt::spawn(async move {
             running.run(|_| {}).await;
@@ -241,7 +241,7 @@
             let _ = sender.send(outcome);
         };
         appender.push(vec![record("k", "v")], Urgency::Now, Box::new(done));
-        // By now the append waits 600 ms for an answer.
+        // By now the append has waited 600 ms for an answer.
         sleep(Duration::from_millis(600)).await;
         health.record_failure();
         store.set_fault(LogFault::None);
@@ -251,9 +251,9 @@
     });
 }
 
-/// Pushes one record, waits until it is durable and says how long that took.
-async fn time_of_append(store: &Rc<MemoryLog>, health: &Rc<LogHealth>) -> Duration {
-    let appender = Rc::new(Appender::new(place(), 1, store.clone(), health.clone()));
+/// Appends one record and returns the time until it is durable.
+async fn measure_append(store: &Rc<MemoryLog>, health: &Rc<LogHealth>) -> Duration {
+    let appender = Rc::new(Appender::new(partition(), 1, store.clone(), health.clone()));
     let running = appender.clone();
     ntex::rt::spawn(async move {
         running.run(|_| {}).await;
@@ -268,9 +268,9 @@
     begun.elapsed()
 }
 
-/// An answer that was lost costs a few usual round trips, not a fixed time-out.
+/// A lost answer costs a few usual round trips, not a fixed time-out.
 #[test]
-fn a_lost_answer_is_asked_for_again_soon() {
+fn lost_answer_is_repeated_after_a_few_round_trips() {
     run(async {
         let log = Rc::new(SharedLog::default());
         let store = Rc::new(MemoryLog::new(log.clone()));
@@ -280,30 +280,31 @@
             sleep(Duration::from_millis(30)).await;
             healing.set_fault(LogFault::None);
         });
-        let took = time_of_append(&store, &Rc::default()).await;
+        let took = measure_append(&store, &Rc::default()).await;
         assert!(took < Duration::from_millis(140), "{took:?}");
     });
 }
 
-/// A slow answer is waited for beside the next try, and the next append knows.
+/// A slow answer is still accepted after a repeat was sent, and raises the estimate for the next
+/// append.
 #[test]
-fn a_slow_log_is_not_asked_again_and_again() {
+fn slow_log_gets_no_needless_repeats() {
     run(async {
         let log = Rc::new(SharedLog::default());
         let store = Rc::new(MemoryLog::new(log.clone()));
         let health = Rc::new(LogHealth::default());
         store.set_fault(LogFault::Slow(Duration::from_millis(240)));
-        let took = time_of_append(&store, &health).await;
+        let took = measure_append(&store, &health).await;
         assert!(took < Duration::from_millis(300), "{took:?}");
         let before = store.calls.get();
-        time_of_append(&store, &health).await;
+        measure_append(&store, &health).await;
         assert_eq!(store.calls.get() - before, 1);
     });
 }
 
-/// While the log is silent, tries go on often enough to find it soon after.
+/// While the log is silent, appends are repeated often enough to notice its recovery soon.
 #[test]
-fn a_silent_log_is_found_again_soon() {
+fn recovery_of_a_silent_log_is_noticed_soon() {
     run(async {
         let log = Rc::new(SharedLog::default());
         let store = Rc::new(MemoryLog::new(log.clone()));
@@ -314,15 +315,16 @@
             sleep(outage).await;
             healing.set_fault(LogFault::None);
         });
-        let took = time_of_append(&store, &Rc::default()).await;
+        let took = measure_append(&store, &Rc::default()).await;
         assert!(took < outage + Duration::from_millis(350), "{took:?}");
         assert!(store.calls.get() < 20, "{} calls", store.calls.get());
     });
 }
 
-/// What waits for a log that refuses goes out within a tenth of a second of its return.
+/// Records that wait for a log that rejects calls are appended within a tenth of a second of its
+/// recovery.
 #[test]
-fn a_log_that_refused_is_found_again_at_once() {
+fn recovery_of_a_rejecting_log_is_noticed_at_once() {
     run(async {
         for trial in 0..8 {
             let log = Rc::new(SharedLog::default());
@@ -334,7 +336,7 @@
                 sleep(outage).await;
                 healing.set_fault(LogFault::None);
             });
-            let took = time_of_append(&store, &Rc::default()).await;
+            let took = measure_append(&store, &Rc::default()).await;
             assert!(took < outage + Duration::from_millis(140), "{took:?}");
         }
     });
@@ -370,9 +372,9 @@
     }
 }
 
-/// Pushes numbered records through changing owners and faults; every record that was
-/// told durable stands on the log exactly once, and each owner's in order.
-fn acknowledged_records_stand_once(steps: Vec<Step>) -> bool {
+/// Appends numbered records through changing owners and faults. Every record reported durable is on
+/// the log exactly once, and the records are in order.
+fn acknowledged_records_are_on_the_log_once(steps: Vec<Step>) -> bool {
     let holds = Rc::new(RefCell::new(true));
     let result = holds.clone();
     run(async move {
@@ -387,9 +389,13 @@
                 (Step::NewOwner, _) | (_, None) => {
                     epoch += 1;
                     store = Rc::new(MemoryLog::new(log.clone()));
-                    let _ = fence(store.as_ref(), place(), epoch, SHORT).await;
-                    let fresh =
-                        Rc::new(Appender::new(place(), epoch, store.clone(), Rc::default()));
+                    let _ = fence(store.as_ref(), partition(), epoch, SHORT).await;
+                    let fresh = Rc::new(Appender::new(
+                        partition(),
+                        epoch,
+                        store.clone(),
+                        Rc::default(),
+                    ));
                     let running = fresh.clone();
                     ntex::rt::spawn(async move {
                         running.run(|_| {}).await;
@@ -430,7 +436,7 @@
         let batch = log
             .core
             .borrow_mut()
-            .read(&place(), 0)
+            .read(&partition(), 0)
             .expect("all history");
         let on_log: Vec<u64> = batch
             .records
@@ -448,15 +454,15 @@
 }
 
 #[test]
-fn acknowledged_records_stand_once_and_in_order() {
+fn acknowledged_records_are_on_the_log_once_and_in_order() {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(24, 41))
         .tests(40)
-        .quickcheck(acknowledged_records_stand_once as fn(Vec<Step>) -> bool);
+        .quickcheck(acknowledged_records_are_on_the_log_once as fn(Vec<Step>) -> bool);
 }
 
 #[test]
-fn who_is_not_eligible_claims_nothing_and_replaces_nobody() {
+fn ineligible_daemon_claims_nothing_and_replaces_no_owner() {
     run(async {
         let log = Rc::new(SharedLog::default());
         let (inside, outside) = (daemon(&log, 1), daemon(&log, 2));
--- a/crates/log/tests/patience.rs
+++ b/crates/log/tests/patience.rs
@@ -1,4 +1,5 @@
-//! Who claims first: able machines before small ones, idle ones before those that read.
+//! Order of claims: capable machines before small ones, idle ones before those that already read
+//! partitions.
 
 use fieldhook_log::claim_delay::{Capacity, claim_delay};
 use std::time::Duration;
@@ -9,19 +10,19 @@
 };
 
 #[test]
-fn an_able_machine_claims_at_once() {
+fn capable_machine_claims_at_once() {
     assert_eq!(claim_delay(Capacity::default(), 0), Duration::ZERO);
 }
 
 #[test]
-fn small_machines_and_those_that_read_let_others_go_first() {
-    let able = Capacity::default();
-    assert!(claim_delay(SMALL, 0) > claim_delay(able, 0));
-    assert!(claim_delay(able, 1) > claim_delay(able, 0));
-    assert!(claim_delay(SMALL, 1) > claim_delay(able, 1));
+fn small_and_reading_machines_claim_later() {
+    let capable = Capacity::default();
+    assert!(claim_delay(SMALL, 0) > claim_delay(capable, 0));
+    assert!(claim_delay(capable, 1) > claim_delay(capable, 0));
+    assert!(claim_delay(SMALL, 1) > claim_delay(capable, 1));
 }
 
 #[test]
-fn nobody_waits_long() {
+fn delay_is_bounded() {
     assert!(claim_delay(SMALL, 1_000) <= Duration::from_millis(500));
 }
--- a/crates/log/tests/reach.rs
+++ b/crates/log/tests/reach.rs
@@ -1,4 +1,4 @@
-//! A daemon without the log tells an outage from being cut off.
+//! How a daemon without the log tells an outage from being cut off.
 
 use fieldhook_log::reach::{Look, Reach, ReachTracker, Round};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn the_log_that_answers_others_means_cut_off() {
+fn log_that_answers_others_means_cut_off() {
     let mut tracker = ReachTracker::default();
     assert_eq!(tracker.update(Round::Heard), None);
     assert_eq!(tracker.update(asked(3, 0)), Some(Reach::Outage));
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn silence_of_all_is_believed_after_two_rounds() {
+fn two_unanswered_rounds_mean_isolated() {
     let mut tracker = ReachTracker::default();
     assert_eq!(tracker.update(asked(0, 0)), Some(Reach::Outage));
     assert_eq!(tracker.update(asked(0, 0)), Some(Reach::Isolated));
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_daemon_that_knows_no_other_does_not_hold_itself_isolated() {
+fn daemon_without_peers_is_not_isolated() {
     let mut tracker = ReachTracker::default();
     let nobody = Round::Asked {
         asked: 0,
@@ -42,9 +42,9 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Any(Round);
+struct AnyRound(Round);
 
-impl Arbitrary for Any {
+impl Arbitrary for AnyRound {
     fn arbitrary(g: &mut Gen) -> Self {
         let answered = usize::arbitrary(g) % 4;
         match bool::arbitrary(g) {
@@ -54,13 +54,13 @@
     }
 }
 
-/// The last round alone decides whether others are known to reach the log, and the log's
-/// own answer always ends every doubt.
+/// Only the last round decides whether other daemons are known to reach the log, and an answer of
+/// the log itself is always decisive.
 #[test]
-fn the_belief_follows_the_last_round() {
-    fn holds(rounds: Vec<Any>) -> bool {
+fn reach_follows_the_last_round() {
+    fn reach_matches_last_round(rounds: Vec<AnyRound>) -> bool {
         let mut tracker = ReachTracker::default();
-        rounds.into_iter().all(|Any(round)| {
+        rounds.into_iter().all(|AnyRound(round)| {
             tracker.update(round);
             match round {
                 Round::Heard => tracker.reach() == Reach::Log,
@@ -72,10 +72,10 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(30, 7))
         .tests(300)
-        .quickcheck(holds as fn(Vec<Any>) -> bool);
+        .quickcheck(reach_matches_last_round as fn(Vec<AnyRound>) -> bool);
 }
 
-/// Three zones with servers, eight owners asked.
+/// Three zones with servers, and eight owners that were asked.
 fn look(zones_reached: usize, answered: usize, log: bool) -> Look {
     Look {
         zones: 3,
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_zone_cut_off_from_the_others_is_a_minority_with_and_without_the_log() {
+fn cut_off_zone_is_a_minority_with_and_without_the_log() {
     for log in [false, true] {
         let mut tracker = ReachTracker::default();
         let cut = look(1, 4, log);
@@ -107,19 +107,19 @@
 }
 
 #[test]
-fn two_zones_that_lost_the_third_go_on() {
+fn two_of_three_zones_are_no_minority() {
     assert!(!look(2, 5, true).is_minority());
     assert!(!look(2, 5, false).is_minority());
 }
 
 #[test]
-fn zones_whose_servers_are_down_are_not_cut_off_while_their_daemons_answer() {
+fn zones_without_servers_are_not_cut_off_while_their_daemons_answer() {
     assert!(!look(1, 7, true).is_minority());
     assert!(!look(1, 8, false).is_minority());
 }
 
 #[test]
-fn a_third_of_the_fleet_cut_off_is_a_minority_and_the_rest_is_none() {
+fn cut_off_third_of_the_fleet_is_a_minority_and_the_rest_is_not() {
     assert!(look(3, 2, false).is_minority());
     assert!(!look(3, 2, true).is_minority());
     assert!(!look(3, 5, false).is_minority());
@@ -129,7 +129,7 @@
         tracker.update_with(asked(1, 0), Some(cut)),
         Some(Reach::Minority)
     );
-    // One of those that answer has the log.
+    // One of the daemons that answer has the log.
     assert_eq!(
         tracker.update_with(asked(1, 1), Some(cut)),
         Some(Reach::CutOff)
@@ -137,16 +137,16 @@
 }
 
 #[test]
-fn an_outage_with_one_owner_lost_is_no_minority() {
+fn outage_with_one_lost_owner_is_no_minority() {
     let mut tracker = ReachTracker::default();
     let round = tracker.update_with(asked(3, 0), Some(look(3, 7, false)));
     assert_eq!(round, Some(Reach::Outage));
 }
 
-/// However the zones are parted in two, one part goes on and the other gives way, whether
-/// they have the log or not.
+/// However the zones are split in two, exactly one side continues, because both or none of them
+/// would do harm. The log answers on both sides.
 #[test]
-fn of_two_parts_one_goes_on() {
+fn exactly_one_of_two_sides_continues() {
     for zones in 2..9_u32 {
         for parts in 1..(1_u32 << zones) - 1 {
             let side = |mine: u32| Look {
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn a_sample_of_owners_that_answers_a_little_better_ends_no_minority() {
+fn slightly_better_sample_does_not_end_a_minority() {
     let mut tracker = ReachTracker::default();
     tracker.update_with(Round::Heard, Some(look(3, 3, false)));
     assert_eq!(tracker.reach(), Reach::Minority);
--- a/crates/log/tests/trimmer.rs
+++ b/crates/log/tests/trimmer.rs
@@ -1,5 +1,5 @@
-//! A log that counts what was appended against its room, beside the newest record of each key:
-//! owners drop the history that they, and owners before them, left there.
+//! A log whose storage limit counts every appended record beside the newest record of each key.
+//! Owners delete the history that they and earlier owners left.
 
 use fieldhook_emulator::log::memory::{LogFault, MemoryLog, SharedLog};
 use fieldhook_log::api::{Append, KeyedRecord, LogStore, Partition, StoreError, Trim};
@@ -11,44 +11,47 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// Bytes of a value; sixteen of them make [`MAX_HISTORY_BYTES`].
-const VALUE: usize = MAX_HISTORY_BYTES / 16;
-/// Keys that are written again and again.
+/// Bytes of a value; sixteen values make [`MAX_HISTORY_BYTES`].
+const VALUE_BYTES: usize = MAX_HISTORY_BYTES / 16;
+/// Number of keys, which are overwritten in turn.
 const KEYS: usize = 20;
-/// Room for the newest of each key, and for the history of some seconds beside them.
-const ROOM: usize = 8 * MAX_HISTORY_BYTES;
-/// Bytes that are appended: four times the room.
-const APPENDS: usize = 4 * ROOM / VALUE;
-/// Longer than any of it takes, and than a pause of the trimmer.
-const LONG: Duration = Duration::from_secs(5);
+/// Storage limit: enough for the newest record of each key and some seconds of history.
+const STORAGE_LIMIT: usize = 8 * MAX_HISTORY_BYTES;
+/// Number of appends, which together exceed the storage limit four times.
+const APPENDS: usize = 4 * STORAGE_LIMIT / VALUE_BYTES;
+/// Longer than any step takes, including a pause of the trimmer.
+const TIMEOUT: Duration = Duration::from_secs(5);
 
 fn run<F: Future<Output = ()> + 'static>(test: F) {
     ntex::rt::System::new("trimmer-tests", ntex::rt::DefaultRuntime).block_on(test);
 }
 
-fn place() -> Partition {
+fn partition() -> Partition {
     Partition {
         topic: "keyed.work".to_owned(),
         number: 3,
     }
 }
 
-fn log_with_room() -> Rc<SharedLog> {
+fn log_with_storage_limit() -> Rc<SharedLog> {
     let log = Rc::new(SharedLog::default());
-    log.core.borrow_mut().set_room(ROOM);
+    log.core.borrow_mut().set_room(STORAGE_LIMIT);
     log
 }
 
 fn record(number: usize) -> KeyedRecord {
     KeyedRecord {
         key: format!("k{:02}", number % KEYS).into_bytes(),
-        value: vec![(number % 251) as u8 + 1; VALUE],
+        value: vec![(number % 251) as u8 + 1; VALUE_BYTES],
     }
 }
 
-/// The newest record of each key, read as an owner reads it.
+/// Returns the newest record of each key, read as an owner reads it.
 async fn newest(store: &MemoryLog) -> BTreeMap<Vec<u8>, Vec<u8>> {
-    let page = store.newest(place(), None, LONG).await.expect("answers");
+    let page = store
+        .newest(partition(), None, TIMEOUT)
+        .await
+        .expect("answers");
     assert_eq!(page.more_after, None);
     let records = page.records.into_iter();
     records
@@ -56,44 +59,44 @@
         .collect()
 }
 
-/// An owner in force.
-async fn owner(store: &Rc<MemoryLog>, epoch: u64) -> Rc<Appender> {
-    fence(store.as_ref(), place(), epoch, LONG)
+/// Starts an owner that is in force.
+async fn start_owner(store: &Rc<MemoryLog>, epoch: u64) -> Rc<Appender> {
+    fence(store.as_ref(), partition(), epoch, TIMEOUT)
         .await
         .expect("fences");
-    let appender = Appender::new(place(), epoch, store.clone(), Rc::default());
+    let appender = Appender::new(partition(), epoch, store.clone(), Rc::default());
     let appender = Rc::new(appender);
     let appending = appender.clone();
     ntex::rt::spawn(async move { appending.run(|_| {}).await });
     appender
 }
 
-fn trims(appender: &Rc<Appender>) {
+fn spawn_trimmer(appender: &Rc<Appender>) {
     let trimming = appender.clone();
     ntex::rt::spawn(async move { trimming.trimmer.run().await });
 }
 
-/// Appends one record; whether that was done within its time.
+/// Appends one record. Returns whether it became durable in time.
 async fn append(appender: &Appender, number: usize) -> bool {
     let (sender, done) = oneshot::channel();
     let tell = Box::new(move |outcome| {
         let _ = sender.send(outcome);
     });
     appender.push(vec![record(number)], Urgency::Now, tell);
-    timeout(LONG, done)
+    timeout(TIMEOUT, done)
         .await
         .is_ok_and(|outcome| outcome == Ok(Outcome::Durable))
 }
 
-/// Fills the log as an owner that drops nothing does; how many appends it took.
+/// Fills the log without trimming. Returns the number of appends it took.
 async fn fill(store: &MemoryLog) -> usize {
     for number in 0..APPENDS {
         let append = Append {
-            partition: place(),
+            partition: partition(),
             records: vec![record(number)],
             producer: None,
             expected_end: None,
-            timeout: LONG,
+            timeout: TIMEOUT,
         };
         match store.append(append).await {
             Ok(_) => {}
@@ -101,20 +104,20 @@
             Err(error) => panic!("{error}"),
         }
     }
-    panic!("the log is never full");
+    panic!("the log did not fill up");
 }
 
 #[test]
-fn the_history_of_an_owner_never_fills_the_log() {
+fn history_of_an_owner_never_fills_the_log() {
     run(async {
-        let log = log_with_room();
+        let log = log_with_storage_limit();
         let store = Rc::new(MemoryLog::new(log.clone()));
-        let appender = owner(&store, 1).await;
-        trims(&appender);
+        let appender = start_owner(&store, 1).await;
+        spawn_trimmer(&appender);
         for number in 0..APPENDS {
             assert!(append(&appender, number).await, "append {number}");
-            // Half of it: what is appended while a call is under way, beside the bound.
-            let history = log.core.borrow().kept() - KEYS.min(number + 1) * (VALUE + 3);
+            // The margin of one half is for records appended during a call to trim.
+            let history = log.core.borrow().kept() - KEYS.min(number + 1) * (VALUE_BYTES + 3);
             assert!(
                 history <= MAX_HISTORY_BYTES * 3 / 2,
                 "{history} bytes of history"
@@ -127,14 +130,14 @@
 }
 
 #[test]
-fn an_owner_makes_room_in_a_log_that_earlier_ones_filled() {
+fn owner_trims_a_log_filled_by_earlier_owners() {
     run(async {
-        let log = log_with_room();
+        let log = log_with_storage_limit();
         let store = Rc::new(MemoryLog::new(log));
         let filled = fill(&store).await;
         let before = newest(&store).await;
-        let appender = owner(&store, 1).await;
-        trims(&appender);
+        let appender = start_owner(&store, 1).await;
+        spawn_trimmer(&appender);
         appender.trimmer.inherit_history(filled as u64);
         assert!(append(&appender, filled).await);
         let mut after = before;
@@ -144,13 +147,13 @@
 }
 
 #[test]
-fn a_call_that_fails_is_made_again_and_holds_no_append_up() {
+fn failed_trim_is_repeated_without_delaying_appends() {
     run(async {
-        let log = log_with_room();
+        let log = log_with_storage_limit();
         let store = Rc::new(MemoryLog::new(log));
         let filled = fill(&store).await;
-        let appender = owner(&store, 1).await;
-        trims(&appender);
+        let appender = start_owner(&store, 1).await;
+        spawn_trimmer(&appender);
         store.set_fault(LogFault::Down);
         appender.trimmer.inherit_history(filled as u64);
         tokio::time::sleep(Duration::from_millis(50)).await;
@@ -160,22 +163,22 @@
 }
 
 #[test]
-fn a_late_call_of_a_former_owner_does_no_harm() {
+fn late_trim_of_a_former_owner_is_harmless() {
     run(async {
-        let log = log_with_room();
+        let log = log_with_storage_limit();
         let store = Rc::new(MemoryLog::new(log));
         let former = fill(&store).await;
-        let appender = owner(&store, 2).await;
-        trims(&appender);
+        let appender = start_owner(&store, 2).await;
+        spawn_trimmer(&appender);
         appender.trimmer.inherit_history(former as u64);
         for number in former..former + KEYS {
             assert!(append(&appender, number).await);
         }
         let kept = newest(&store).await;
         let late = Trim {
-            partition: place(),
+            partition: partition(),
             before: former as u64 / 2,
-            timeout: LONG,
+            timeout: TIMEOUT,
         };
         store.trim(late).await.expect("trims");
         assert!(append(&appender, former + KEYS - 1).await);
