--- a/crates/membership/src/detector.rs
+++ b/crates/membership/src/detector.rs
@@ -1,10 +1,10 @@
-//! The failure detector: whom to probe, whom to suspect, what to pass on.
+//! The failure detector: probes members, suspects those that do not answer, and spreads facts.
 
 mod packet;
 mod probe;
 
 use crate::fact::{Fact, Member, MemberState, Subject};
-use crate::gossip::{Packet, Question, Queue};
+use crate::gossip::{GossipQueue, Message, Packet};
 use crate::settings::Settings;
 use crate::table::FactTable;
 use fieldhook_model::address::{Address, ProcessId};
@@ -13,9 +13,7 @@
 /// A packet to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
-    /// Where to.
     pub to: Address,
-    /// The packet.
     pub packet: Packet,
 }
 
@@ -24,13 +22,13 @@
     target: Address,
     sequence: u64,
     started_ms: u64,
-    helpers_asked: bool,
+    indirect_sent: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Errand {
-    asker: Address,
-    asker_sequence: u64,
+struct IndirectPing {
+    requester: Address,
+    requester_sequence: u64,
 }
 
 /// Failure detector and gossip of one daemon.
@@ -41,21 +39,21 @@
     seeds: Vec<Address>,
     random: fastrand::Rng,
     table: FactTable,
-    queue: Queue,
+    queue: GossipQueue,
     now_ms: u64,
     next_probe_ms: u64,
     next_sync_ms: u64,
     sequence: u64,
     probe: Option<Probe>,
-    round: Vec<Address>,
-    errands: BTreeMap<u64, Errand>,
+    probe_order: Vec<Address>,
+    indirect_pings: BTreeMap<u64, IndirectPing>,
     suspected_ms: BTreeMap<Address, (ProcessId, u64)>,
     dead_ms: BTreeMap<Address, (ProcessId, u64)>,
     packets_out: Vec<Outgoing>,
 }
 
 impl Detector {
-    /// A detector that knows only itself and the addresses to start from.
+    /// Creates a detector that knows only itself and the seed addresses.
     pub fn new(
         id: ProcessId,
         zone: &str,
@@ -75,14 +73,14 @@
             seeds,
             random: fastrand::Rng::with_seed(seed),
             table: FactTable::default(),
-            queue: Queue::default(),
+            queue: GossipQueue::default(),
             now_ms: 0,
             next_probe_ms: 0,
             next_sync_ms: settings.sync_ms,
             sequence: 0,
             probe: None,
-            round: Vec::new(),
-            errands: BTreeMap::new(),
+            probe_order: Vec::new(),
+            indirect_pings: BTreeMap::new(),
             suspected_ms: BTreeMap::new(),
             dead_ms: BTreeMap::new(),
             packets_out: Vec::new(),
@@ -91,31 +89,30 @@
         detector
     }
 
-    /// What is known.
+    /// Returns all known facts.
     pub fn table(&self) -> &FactTable {
         &self.table
     }
 
-    /// This daemon.
+    /// Identity of this daemon's process.
     pub fn id(&self) -> ProcessId {
         self.own.id
     }
 
-    /// How long a daemon has been held dead or gone here, in milliseconds.
+    /// How long a process has been considered dead or gone, in milliseconds; `None` if it is not.
     pub fn dead_for_ms(&self, id: ProcessId) -> Option<u64> {
         let (dead, since_ms) = self.dead_ms.get(&id.address)?;
         (*dead == id).then(|| self.now_ms.saturating_sub(*since_ms))
     }
 
-    /// Takes a fact from this daemon or a full exchange, and passes it on if
-    /// it is news. True if it was news.
+    /// Applies a fact and spreads it if it is newer than the known one. Returns whether it is.
     pub fn learn(&mut self, fact: Fact) -> bool {
         if let Fact::Member(member) = &fact
             && member.id.address == self.own.id.address
             && member.id.incarnation >= self.own.id.incarnation
             && *member != self.own
         {
-            return self.object_to(&member.clone());
+            return self.refute(&member.clone());
         }
         let subject = fact.subject();
         let state = match &fact {
@@ -123,18 +120,18 @@
             _ => None,
         };
         if !self.table.insert(fact.clone()) {
-            self.correct(&fact, subject);
+            self.respread_newer(&fact, subject);
             return false;
         }
         self.queue.add(subject);
         if let Some((id, state)) = state {
-            self.note_state(id, state);
+            self.record_state(id, state);
         }
         true
     }
 
-    /// Whoever says something outdated is told better.
-    fn correct(&mut self, outdated: &Fact, subject: Subject) {
+    /// Spreads the known fact again if a received one is outdated, so that its sender is corrected.
+    fn respread_newer(&mut self, outdated: &Fact, subject: Subject) {
         if self
             .table
             .get(&subject)
@@ -144,13 +141,13 @@
         }
     }
 
-    /// Says that this daemon goes.
+    /// Announces that this daemon leaves the group.
     pub fn leave(&mut self) {
         self.own.state = MemberState::Left;
         self.learn(Fact::Member(self.own.clone()));
     }
 
-    fn object_to(&mut self, claim: &Member) -> bool {
+    fn refute(&mut self, claim: &Member) -> bool {
         if claim.id != self.own.id || self.own.state == MemberState::Left {
             return false;
         }
@@ -161,7 +158,7 @@
         false
     }
 
-    fn note_state(&mut self, id: ProcessId, state: MemberState) {
+    fn record_state(&mut self, id: ProcessId, state: MemberState) {
         self.suspected_ms.remove(&id.address);
         self.dead_ms.remove(&id.address);
         match state {
@@ -175,37 +172,37 @@
         }
     }
 
-    /// Lets time pass.
+    /// Advances the time and returns the packets to send.
     pub fn tick(&mut self, now_ms: u64) -> Vec<Outgoing> {
-        // After a pause of its own the detector has missed answers: it must not
-        // blame others for that.
+        // After a pause of this process, answers may have been missed, for which no member must be
+        // suspected.
         if now_ms > self.now_ms + self.settings.suspicion_ms {
-            self.forgive(now_ms);
+            self.reset_timers(now_ms);
         }
         self.now_ms = now_ms;
-        self.follow_probe();
-        self.bury_suspects();
+        self.check_probe();
+        self.expire_suspects();
         if now_ms >= self.next_probe_ms {
             self.next_probe_ms = now_ms + self.settings.probe_ms;
             self.start_probe();
         }
         if now_ms >= self.next_sync_ms {
             self.next_sync_ms = now_ms + self.settings.sync_ms;
-            self.compare();
+            self.sync_with_random_member();
         }
         std::mem::take(&mut self.packets_out)
     }
 
-    /// Asks a random member for what differs there.
-    fn compare(&mut self) {
-        let others = self.others();
-        if let Some(peer) = self.random.choice(&others) {
+    /// Sends digests to a random member, which answers with the facts that differ.
+    fn sync_with_random_member(&mut self) {
+        let peers = self.live_peers();
+        if let Some(peer) = self.random.choice(&peers) {
             let digests = self.table.digests();
-            self.push_packet(*peer, Question::Digests { digests }, Vec::new());
+            self.push_packet(*peer, Message::Digests { digests }, Vec::new());
         }
     }
 
-    fn forgive(&mut self, now_ms: u64) {
+    fn reset_timers(&mut self, now_ms: u64) {
         self.probe = None;
         for (_, since_ms) in self.suspected_ms.values_mut() {
             *since_ms = now_ms;
@@ -225,16 +222,16 @@
         }
     }
 
-    fn bury_suspects(&mut self) {
+    fn expire_suspects(&mut self) {
         let limit_ms = self.settings.suspicion_ms;
         let due = |since_ms: u64| self.now_ms >= since_ms + limit_ms;
-        let buried: Vec<Address> = self
+        let expired: Vec<Address> = self
             .suspected_ms
             .iter()
             .filter(|(_, (_, since_ms))| due(*since_ms))
             .map(|(address, _)| *address)
             .collect();
-        for address in buried {
+        for address in expired {
             if let Some(member) = self.table.member(address) {
                 let death = Member {
                     state: MemberState::Dead,
@@ -245,7 +242,7 @@
         }
     }
 
-    fn send(&mut self, to: Address, question: Question) {
+    fn send(&mut self, to: Address, message: Message) {
         let size = self.table.live().count().max(2);
         let limit = self.settings.retransmit_factor * (usize::BITS - size.leading_zeros());
         let mut facts = self
@@ -253,17 +250,17 @@
             .take(&self.table, self.settings.max_packet_bytes, limit);
         let own = Fact::Member(self.own.clone());
         if !facts.contains(&own) {
-            // The receiver may never have heard of this daemon, or may hold it
-            // dead: every packet introduces its sender.
+            // The receiver may not know this daemon, or consider it dead, so every packet contains
+            // its sender.
             facts.push(own);
         }
-        self.push_packet(to, question, facts);
+        self.push_packet(to, message, facts);
     }
 
-    fn push_packet(&mut self, to: Address, question: Question, facts: Vec<Fact>) {
+    fn push_packet(&mut self, to: Address, message: Message, facts: Vec<Fact>) {
         let packet = Packet {
             from: self.own.id,
-            question,
+            message,
             facts,
         };
         self.packets_out.push(Outgoing { to, packet });
--- a/crates/membership/src/detector/packet.rs
+++ b/crates/membership/src/detector/packet.rs
@@ -1,45 +1,45 @@
-//! Packets of other daemons, and the answers to them.
+//! Handling of received packets.
 
-use super::{Detector, Errand, Outgoing, Probe};
+use super::{Detector, IndirectPing, Outgoing, Probe};
 use crate::fact::{Fact, MemberState};
-use crate::gossip::{Packet, Question};
+use crate::gossip::{Message, Packet};
 use fieldhook_model::address::{Address, ProcessId};
 
 impl Detector {
-    /// Takes a packet.
+    /// Handles a received packet and returns the packets to send.
     pub fn receive(&mut self, packet: Packet) -> Vec<Outgoing> {
         for fact in packet.facts {
             self.learn(fact);
         }
         let from = packet.from.address;
-        match packet.question {
-            Question::Ping { sequence } => {
-                self.tell_if_mistaken(packet.from);
-                self.send(from, Question::Ack { sequence });
+        match packet.message {
+            Message::Ping { sequence } => {
+                self.queue_if_not_alive(packet.from);
+                self.send(from, Message::Ack { sequence });
             }
-            Question::Join { sequence } => {
-                self.tell_if_mistaken(packet.from);
-                self.send(from, Question::Ack { sequence });
-                self.tell(from, self.table.all());
+            Message::Join { sequence } => {
+                self.queue_if_not_alive(packet.from);
+                self.send(from, Message::Ack { sequence });
+                self.send_facts(from, self.table.all());
             }
-            Question::Facts => {}
-            Question::Digests { digests } => {
+            Message::Facts => {}
+            Message::Digests { digests } => {
                 let differing = self.table.differing(&digests);
-                self.tell(from, differing);
+                self.send_facts(from, differing);
             }
-            Question::Ack { sequence } => self.take_answer(sequence),
-            Question::PingRequest { sequence, target } => {
+            Message::Ack { sequence } => self.handle_ack(sequence),
+            Message::PingRequest { sequence, target } => {
                 self.sequence += 1;
-                self.errands.insert(
+                self.indirect_pings.insert(
                     self.sequence,
-                    Errand {
-                        asker: from,
-                        asker_sequence: sequence,
+                    IndirectPing {
+                        requester: from,
+                        requester_sequence: sequence,
                     },
                 );
                 self.send(
                     target,
-                    Question::Ping {
+                    Message::Ping {
                         sequence: self.sequence,
                     },
                 );
@@ -48,25 +48,26 @@
         std::mem::take(&mut self.packets_out)
     }
 
-    /// Sends facts, in as many packets as they need.
-    fn tell(&mut self, to: Address, told: Vec<Fact>) {
+    /// Sends facts in as many packets as they need.
+    fn send_facts(&mut self, to: Address, all: Vec<Fact>) {
         let mut facts = Vec::new();
         let mut size = 0;
-        for fact in told {
+        for fact in all {
             if size + fact.size() > self.settings.max_packet_bytes {
-                self.push_packet(to, Question::Facts, std::mem::take(&mut facts));
+                self.push_packet(to, Message::Facts, std::mem::take(&mut facts));
                 size = 0;
             }
             size += fact.size();
             facts.push(fact);
         }
         if !facts.is_empty() {
-            self.push_packet(to, Question::Facts, facts);
+            self.push_packet(to, Message::Facts, facts);
         }
     }
 
-    /// A sender that is held dead here must hear of it, or it never objects.
-    fn tell_if_mistaken(&mut self, from: ProcessId) {
+    /// Queues the state of a sender that is suspected or considered dead here, so that it can
+    /// refute it.
+    fn queue_if_not_alive(&mut self, from: ProcessId) {
         let Some(member) = self.table.member(from.address) else {
             return;
         };
@@ -76,12 +77,12 @@
         }
     }
 
-    fn take_answer(&mut self, sequence: u64) {
-        if let Some(errand) = self.errands.remove(&sequence) {
+    fn handle_ack(&mut self, sequence: u64) {
+        if let Some(ping) = self.indirect_pings.remove(&sequence) {
             self.send(
-                errand.asker,
-                Question::Ack {
-                    sequence: errand.asker_sequence,
+                ping.requester,
+                Message::Ack {
+                    sequence: ping.requester_sequence,
                 },
             );
             return;
--- a/crates/membership/src/detector/probe.rs
+++ b/crates/membership/src/detector/probe.rs
@@ -1,19 +1,19 @@
-//! Whom to probe next, and whom to ask for help where no answer comes.
+//! Selection of probe targets, and indirect probes if a target does not answer.
 
 use super::{Detector, Probe};
 use crate::fact::MemberState;
-use crate::gossip::Question;
+use crate::gossip::Message;
 use fieldhook_model::address::Address;
 
 impl Detector {
     pub(super) fn start_probe(&mut self) {
-        self.errands
+        self.indirect_pings
             .retain(|sequence, _| *sequence + 64 > self.sequence);
         if let Some(probe) = self.probe.take() {
             self.suspect(probe.target);
         }
         let Some(target) = self.next_target() else {
-            self.knock_at_seeds();
+            self.ping_unknown_seeds();
             return;
         };
         self.sequence += 1;
@@ -23,16 +23,16 @@
             target,
             sequence,
             started_ms,
-            helpers_asked: false,
+            indirect_sent: false,
         });
-        self.send(target, Question::Ping { sequence });
-        // A seed nobody has heard of may be a group that split off.
+        self.send(target, Message::Ping { sequence });
+        // A seed that is unknown or considered dead may be part of a partitioned group.
         if sequence.is_multiple_of(8) {
-            self.knock_at_seeds();
+            self.ping_unknown_seeds();
         }
     }
 
-    fn knock_at_seeds(&mut self) {
+    fn ping_unknown_seeds(&mut self) {
         let unknown: Vec<Address> = self
             .seeds
             .iter()
@@ -48,21 +48,21 @@
             self.sequence += 1;
             self.send(
                 seed,
-                Question::Ping {
+                Message::Ping {
                     sequence: self.sequence,
                 },
             );
         }
     }
 
-    /// Goes round all members in random order, so that each is probed once a
-    /// round (SWIM, section 4.3).
+    /// Returns the next probe target. Members are probed in random order, each once per round
+    /// (SWIM, section 4.3).
     fn next_target(&mut self) -> Option<Address> {
-        if self.round.is_empty() {
-            self.round = self.others();
-            self.random.shuffle(&mut self.round);
+        if self.probe_order.is_empty() {
+            self.probe_order = self.live_peers();
+            self.random.shuffle(&mut self.probe_order);
         }
-        while let Some(target) = self.round.pop() {
+        while let Some(target) = self.probe_order.pop() {
             if self
                 .table
                 .member(target)
@@ -74,30 +74,30 @@
         None
     }
 
-    pub(super) fn others(&self) -> Vec<Address> {
+    pub(super) fn live_peers(&self) -> Vec<Address> {
         let live = self.table.live().map(|member| member.id.address);
         live.filter(|address| *address != self.own.id.address)
             .collect()
     }
 
-    pub(super) fn follow_probe(&mut self) {
+    pub(super) fn check_probe(&mut self) {
         let Some(probe) = self.probe else { return };
-        if probe.helpers_asked || self.now_ms < probe.started_ms + self.settings.answer_ms {
+        if probe.indirect_sent || self.now_ms < probe.started_ms + self.settings.answer_ms {
             return;
         }
         self.probe = Some(Probe {
-            helpers_asked: true,
+            indirect_sent: true,
             ..probe
         });
-        let mut helpers = self.others();
+        let mut helpers = self.live_peers();
         helpers.retain(|helper| *helper != probe.target);
         self.random.shuffle(&mut helpers);
         for helper in helpers.into_iter().take(self.settings.indirect_probes) {
-            let question = Question::PingRequest {
+            let message = Message::PingRequest {
                 sequence: probe.sequence,
                 target: probe.target,
             };
-            self.send(helper, question);
+            self.send(helper, message);
         }
     }
 }
--- a/crates/membership/src/fact.rs
+++ b/crates/membership/src/fact.rs
@@ -1,31 +1,30 @@
-//! What daemons tell each other, and which of two statements is newer.
+//! Facts that daemons spread, and the rules by which a newer one replaces an older.
 
 use fieldhook_model::address::{Address, ProcessId};
 use nanoserde::{DeBin, SerBin};
 
-/// State of a member, in the order in which equal claims override each other.
+/// State of a member. Of two statements with the same incarnation and refutation, the later state
+/// in this order wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub enum MemberState {
-    /// Answers.
+    /// Answers probes.
     Alive,
-    /// Did not answer lately; may object.
+    /// Did not answer a probe; may refute the suspicion.
     Suspect,
-    /// Did not object in time.
+    /// Did not refute the suspicion in time.
     Dead,
-    /// Said itself that it goes.
+    /// Announced itself that it leaves.
     Left,
 }
 
-/// A statement about one process.
+/// A statement about one daemon process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, SerBin, DeBin)]
 pub struct Member {
-    /// The process.
     pub id: ProcessId,
     /// Zone of its machine.
     pub zone: String,
-    /// Its state.
     pub state: MemberState,
-    /// Raised by the process itself to object to a suspicion.
+    /// Raised by the process itself to refute a suspicion.
     pub refutation: u32,
 }
 
@@ -35,39 +34,37 @@
     }
 }
 
-/// An engine or server that is going away. The mark holds for one incarnation.
+/// An engine or server that is leaving. The mark holds for one incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, SerBin, DeBin)]
 pub struct LeavingMachine {
-    /// Its address.
     pub address: String,
-    /// Its incarnation, 0 if it has none.
+    /// Its incarnation, or 0 if it has none.
     pub incarnation: u64,
 }
 
-/// A statement that spreads.
+/// A statement that is spread by gossip.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, SerBin, DeBin)]
 pub enum Fact {
-    /// About a daemon.
+    /// State of a daemon.
     Member(Member),
-    /// Length of the configuration log's folded prefix, at the sender.
+    /// Offset up to which the sender has applied the configuration log.
     ConfigOffset(u64),
-    /// About a leaving machine.
+    /// An engine or server that is leaving.
     Leaving(LeavingMachine),
 }
 
-/// What a fact is about: a newer fact of the same subject replaces an older.
+/// What a fact is about. A newer fact replaces an older one with the same subject.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Subject {
-    /// A daemon's address.
+    /// The daemon at an address.
     Member(Address),
     /// The configuration.
     Config,
-    /// A machine's address.
+    /// The engine or server at an address.
     Leaving(String),
 }
 
 impl Fact {
-    /// What the fact is about.
     pub fn subject(&self) -> Subject {
         match self {
             Self::Member(member) => Subject::Member(member.id.address),
@@ -76,7 +73,7 @@
         }
     }
 
-    /// Whether this fact replaces another about the same subject.
+    /// Whether this fact replaces another fact with the same subject.
     pub fn replaces(&self, other: &Fact) -> bool {
         match (self, other) {
             (Self::Member(new), Self::Member(old)) => new.rank() > old.rank(),
@@ -86,7 +83,7 @@
         }
     }
 
-    /// Rough size on the wire, in bytes.
+    /// Approximate size in a packet, in bytes.
     pub fn size(&self) -> usize {
         const PROCESS: usize = 14;
         match self {
--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Packets of the detector and the queue of facts that ride on them.
+//! Packets of the detector and the queue of facts that are sent with them.
 
 use crate::fact::{Fact, Subject};
 use crate::table::FactTable;
@@ -6,36 +6,37 @@
 use nanoserde::{DeBin, SerBin};
 use std::collections::BTreeMap;
 
-/// What a packet asks or answers.
+/// Request or answer in a packet.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
-pub enum Question {
-    /// Are you there?
+pub enum Message {
+    /// Direct probe.
     Ping {
-        /// Matches the answer to the question.
+        /// Repeated in the answer.
         sequence: u64,
     },
-    /// I am here.
+    /// Answer to `Ping`, `PingRequest` or `Join`.
     Ack {
-        /// Sequence of the ping.
+        /// Sequence number of the request.
         sequence: u64,
     },
-    /// I know nobody, or had taken you for dead: tell me everything.
+    /// Request for all facts, from a process that knows no member or had considered the receiver
+    /// dead.
     Join {
-        /// Matches the answer to the question.
+        /// Repeated in the answer.
         sequence: u64,
     },
-    /// No question: part of the answer to `Join` or `Compare`.
+    /// Facts only: part of the answer to `Join` or `Digests`.
     Facts,
-    /// Which of my facts are outdated? Digests of all facts, by bucket.
+    /// Request for facts that differ from the sender's.
     Digests {
-        /// See `FactTable::digests`.
+        /// Digests of the sender's facts by bucket: see `FactTable::digests`.
         digests: Vec<u64>,
     },
-    /// Please ping another and pass its answer on.
+    /// Request to probe another member and pass its answer on (ping-req in SWIM).
     PingRequest {
-        /// Sequence of the asker.
+        /// Repeated in the answer.
         sequence: u64,
-        /// Whom to ping.
+        /// Member to probe.
         target: Address,
     },
 }
@@ -45,26 +46,26 @@
 pub struct Packet {
     /// Sender.
     pub from: ProcessId,
-    /// Question or answer.
-    pub question: Question,
-    /// Facts in passing.
+    /// Request or answer.
+    pub message: Message,
+    /// Facts that are spread with this packet.
     pub facts: Vec<Fact>,
 }
 
-/// Subjects whose newest fact still has to be passed on.
+/// Subjects whose newest fact is still being sent, with the number of times it was sent.
 #[derive(Debug, Default)]
-pub(crate) struct Queue {
+pub(crate) struct GossipQueue {
     sent: BTreeMap<Subject, u32>,
 }
 
-impl Queue {
-    /// Starts passing on the newest fact of a subject.
+impl GossipQueue {
+    /// Queues the newest fact of a subject, to be sent from the start.
     pub(crate) fn add(&mut self, subject: Subject) {
         self.sent.insert(subject, 0);
     }
 
-    /// Takes facts for one packet, those sent least often first; a fact that
-    /// was sent `limit` times is dropped from the queue.
+    /// Takes facts for one packet, those sent least often first. A fact that was sent `limit` times
+    /// is removed from the queue.
     pub(crate) fn take(&mut self, table: &FactTable, bytes: usize, limit: u32) -> Vec<Fact> {
         let mut order: Vec<(u32, Subject)> = self
             .sent
@@ -73,15 +74,15 @@
             .collect();
         order.sort();
         let mut facts = Vec::new();
-        let mut room = bytes;
+        let mut remaining = bytes;
         for (sent, subject) in order {
             let Some(fact) = table.get(&subject) else {
                 continue;
             };
-            if fact.size() > room {
+            if fact.size() > remaining {
                 continue;
             }
-            room -= fact.size();
+            remaining -= fact.size();
             facts.push(fact.clone());
             if sent + 1 >= limit {
                 self.sent.remove(&subject);
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,9 +1,9 @@
-//! Which daemons live, and what they tell each other in passing.
+//! Group membership and dissemination of facts between daemons.
 //!
-//! A SWIM failure detector (Das, Gupta and Motivala, 2002) with incarnations
-//! and suspicion, without I/O: the owner feeds packets and time and sends the
-//! packets that come back. Facts ride on the detector's packets: members, the
-//! configuration's version and leaving machines.
+//! A SWIM failure detector (Das, Gupta and Motivala, 2002) with incarnations and suspicion, and
+//! without I/O: the caller passes in received packets and the time, and sends the packets that are
+//! returned. The detector's packets also carry facts: members, the version of the configuration and
+//! leaving machines.
 
 mod detector;
 mod fact;
@@ -13,6 +13,6 @@
 
 pub use detector::{Detector, Outgoing};
 pub use fact::{Fact, LeavingMachine, Member, MemberState};
-pub use gossip::{Packet, Question};
+pub use gossip::{Message, Packet};
 pub use settings::{Settings, SettingsError};
 pub use table::FactTable;
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,5 +1,3 @@
-//! Timing and sizes of the failure detector.
-
 use std::fmt;
 
 /// Timing and sizes of the failure detector.
@@ -7,18 +5,18 @@
 pub struct Settings {
     /// Time between probes, in milliseconds.
     pub probe_ms: u64,
-    /// Time to wait for a direct answer, in milliseconds.
+    /// Time to wait for the answer to a direct probe, in milliseconds.
     pub answer_ms: u64,
-    /// Members asked to probe in one's stead.
+    /// Number of members asked for an indirect probe.
     pub indirect_probes: usize,
-    /// Time that a suspected member has to object, in milliseconds.
+    /// Time that a suspected member has to refute the suspicion, in milliseconds.
     pub suspicion_ms: u64,
-    /// How often a fact is passed on, times the logarithm of the group's size.
+    /// Number of times a fact is sent, as a factor on the logarithm of the group size.
     pub retransmit_factor: u32,
-    /// Time between two comparisons with a random member, which repair what
-    /// gossip missed, in milliseconds.
+    /// Time between exchanges of digests with a random member, which repair what gossip missed, in
+    /// milliseconds.
     pub sync_ms: u64,
-    /// Most bytes of facts in a packet.
+    /// Maximum size of the facts in a packet, in bytes.
     pub max_packet_bytes: usize,
 }
 
@@ -36,12 +34,12 @@
     }
 }
 
-/// Values that cannot work.
+/// Why settings are invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SettingsError {
-    /// A probe must end before the next begins.
+    /// A probe must end before the next one begins.
     AnswerTooSlow,
-    /// Suspicion must leave time for an objection.
+    /// A suspected member must have time to refute the suspicion.
     SuspicionTooShort,
 }
 
@@ -55,7 +53,7 @@
 }
 
 impl Settings {
-    /// Checks that the values can work.
+    /// Checks the relations between the values.
     ///
     /// # Errors
     /// The first relation that does not hold.
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -1,4 +1,4 @@
-//! All facts known here, newest per subject.
+//! The newest known fact of each subject.
 
 use crate::fact::{Fact, Member, MemberState, Subject};
 use fieldhook_model::address::{Address, ProcessId};
@@ -8,7 +8,7 @@
 const BUCKETS: usize = 64;
 
 fn hash<T: Hash>(value: &T) -> u64 {
-    // Not keyed: all daemons of one version hash alike.
+    // Must not be keyed: all daemons of one version have to compute the same hash.
     let mut hasher = DefaultHasher::new();
     value.hash(&mut hasher);
     hasher.finish()
@@ -18,47 +18,47 @@
     hash(subject) as usize % BUCKETS
 }
 
-/// All facts known here, newest per subject.
+/// The newest known fact of each subject.
 #[derive(Debug, Default)]
 pub struct FactTable {
     facts: BTreeMap<Subject, Fact>,
 }
 
 impl FactTable {
-    /// Takes a fact in; true if it was news.
+    /// Applies a fact. Returns whether it is newer than the known one.
     pub fn insert(&mut self, fact: Fact) -> bool {
         let subject = fact.subject();
-        let news = self
+        let is_newer = self
             .facts
             .get(&subject)
             .is_none_or(|known| fact.replaces(known));
-        if news {
+        if is_newer {
             self.facts.insert(subject, fact);
         }
-        news
+        is_newer
     }
 
     pub(crate) fn get(&self, subject: &Subject) -> Option<&Fact> {
         self.facts.get(subject)
     }
 
-    /// Every fact, for a full exchange.
+    /// Returns all facts, for a full exchange.
     pub fn all(&self) -> Vec<Fact> {
         self.facts.values().cloned().collect()
     }
 
-    /// Digests of all facts by bucket of their subjects: two tables differ only
-    /// in buckets whose digests differ, which spares a full exchange.
+    /// Digests of all facts by bucket of their subjects. Two tables differ only in buckets whose
+    /// digests differ, which avoids a full exchange.
     pub fn digests(&self) -> Vec<u64> {
         let mut digests = vec![0; BUCKETS];
         for (subject, fact) in &self.facts {
-            // Order does not matter, so that each fact is hashed only once.
+            // XOR does not depend on the order, so each fact is hashed only once.
             digests[bucket(subject)] ^= hash(fact);
         }
         digests
     }
 
-    /// Facts in buckets whose digests differ from another table's.
+    /// Returns the facts in buckets whose digests differ from another table's.
     pub fn differing(&self, other: &[u64]) -> Vec<Fact> {
         let own = self.digests();
         let differs = |place: usize| other.get(place) != Some(&own[place]);
@@ -69,7 +69,7 @@
         facts.map(|(_, fact)| fact.clone()).collect()
     }
 
-    /// All daemons, in whatever state.
+    /// All daemons, in any state.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.facts.values().filter_map(|fact| match fact {
             Fact::Member(member) => Some(member),
@@ -77,7 +77,7 @@
         })
     }
 
-    /// What is known of the daemon at an address.
+    /// Returns what is known of the daemon at an address.
     pub fn member(&self, address: Address) -> Option<&Member> {
         match self.facts.get(&Subject::Member(address)) {
             Some(Fact::Member(member)) => Some(member),
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Whether a process is surely gone: another one runs at its address, or it
-    /// left. Silence is no evidence.
+    /// Whether a process is known to have ended: another process runs at its address, or it
+    /// announced its leaving. Missing answers are no proof.
     pub fn is_confirmed_gone(&self, id: ProcessId) -> bool {
         self.member(id.address).is_some_and(|member| {
             member.id.incarnation > id.incarnation
@@ -100,7 +100,7 @@
             .filter(|member| member.state <= MemberState::Suspect)
     }
 
-    /// The longest folded prefix of the configuration log that anyone has.
+    /// Largest offset up to which any daemon has applied the configuration log.
     pub fn config_offset(&self) -> u64 {
         match self.facts.get(&Subject::Config) {
             Some(Fact::ConfigOffset(offset)) => *offset,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Whether a machine of this incarnation is leaving.
+    /// Whether the machine at an address is leaving, in the given incarnation.
     pub fn is_leaving(&self, address: &str, incarnation: u64) -> bool {
         match self.facts.get(&Subject::Leaving(address.to_owned())) {
             Some(Fact::Leaving(machine)) => {
--- a/crates/membership/tests/detector_fuzz.rs
+++ b/crates/membership/tests/detector_fuzz.rs
@@ -1,5 +1,5 @@
-//! Detectors under virtual time against the truth: after the faults end, each
-//! holds exactly the running processes alive and knows the newest facts.
+//! Runs detectors under virtual time with faults. After the faults end, each must consider exactly
+//! the running processes alive, and know no configuration offset that nobody announced.
 
 use fieldhook_membership::{Detector, Fact, MemberState, Outgoing, Settings};
 use fieldhook_model::address::{Address, ProcessId};
@@ -7,7 +7,7 @@
 
 const NODES: usize = 5;
 const TICK_MS: u64 = 50;
-/// Detection, suspicion, spreading, and a knock at the seeds.
+/// Enough for detection, suspicion, dissemination and a ping of the seeds.
 const SETTLE_MS: u64 = 30_000;
 
 #[derive(Clone, Copy, Debug)]
@@ -63,7 +63,7 @@
         address: address(node),
         incarnation,
     };
-    // Only the first two are seeds, as in a large installation.
+    // Only the first two nodes are seeds, as in a large installation.
     let seeds = vec![address(0), address(1)];
     let zone = format!("zone-{}", node % 3);
     Detector::new(
@@ -95,7 +95,7 @@
         }
     }
 
-    fn perform(&mut self, operation: Operation) {
+    fn apply(&mut self, operation: Operation) {
         match operation {
             Operation::Run(span_ms) => self.run(u64::from(span_ms)),
             Operation::Loss(percent) => self.loss_percent = percent,
@@ -127,17 +127,17 @@
         };
     }
 
-    /// A planned stop, unless it would take the last seed that others start from.
+    /// Stops a node as planned, unless it is one of the seeds.
     fn leave(&mut self, node: usize) {
         if node < 2 {
             return;
         }
         if let Some(mut detector) = self.nodes[node].detector.take() {
             detector.leave();
-            let farewell = detector.tick(self.now_ms + TICK_MS);
-            self.post(node, farewell);
-            let again = detector.tick(self.now_ms + 1_000);
-            self.post(node, again);
+            let packets = detector.tick(self.now_ms + TICK_MS);
+            self.send(node, packets);
+            let more = detector.tick(self.now_ms + 1_000);
+            self.send(node, more);
         }
     }
 
@@ -170,12 +170,12 @@
             }
             if let Some(detector) = &mut self.nodes[node].detector {
                 let outgoing = detector.tick(now_ms);
-                self.post(node, outgoing);
+                self.send(node, outgoing);
             }
         }
     }
 
-    fn post(&mut self, from: usize, outgoing: Vec<Outgoing>) {
+    fn send(&mut self, from: usize, outgoing: Vec<Outgoing>) {
         for packet in outgoing {
             let lost = self.random.u8(0..100) < self.loss_percent;
             if !lost && !self.nodes[from].cut {
@@ -206,7 +206,7 @@
             }
             if let Some(detector) = &mut target.detector {
                 let answers = detector.receive(packet);
-                self.post(node, answers);
+                self.send(node, answers);
             }
         }
     }
@@ -226,27 +226,27 @@
                 .map(|member| member.id)
                 .collect();
             alive.sort();
-            assert_eq!(alive, running, "{} is mistaken", detector.id());
+            assert_eq!(alive, running, "{} has the wrong members", detector.id());
             let offset = table.config_offset();
             assert!(
                 offset <= self.newest_offset,
-                "an offset that nobody announced"
+                "offset that no node announced"
             );
         }
     }
 }
 
-fn setting(name: &str, default: u64) -> u64 {
+fn env_number(name: &str, default: u64) -> u64 {
     std::env::var(name)
         .ok()
         .and_then(|text| text.parse().ok())
         .unwrap_or(default)
 }
 
-fn holds(seed: u64, operations: Vec<Operation>) -> bool {
+fn detectors_converge(seed: u64, operations: Vec<Operation>) -> bool {
     let mut simulation = Simulation::new(seed);
     for operation in operations {
-        simulation.perform(operation);
+        simulation.apply(operation);
     }
     simulation.heal();
     simulation.run(SETTLE_MS);
@@ -255,14 +255,14 @@
 }
 
 #[test]
-fn fuzz_detectors_agree_with_the_truth() {
-    let cases = setting("FIELDHOOK_FUZZ_CASES", 200);
+fn fuzz_detectors_converge() {
+    let cases = env_number("FIELDHOOK_FUZZ_CASES", 200);
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(
             40,
-            setting("FIELDHOOK_FUZZ_SEED", 5),
+            env_number("FIELDHOOK_FUZZ_SEED", 5),
         ))
         .tests(cases)
         .max_tests(cases * 2)
-        .quickcheck(holds as fn(u64, Vec<Operation>) -> bool);
+        .quickcheck(detectors_converge as fn(u64, Vec<Operation>) -> bool);
 }
