--- a/crates/gateway/src/ledger/load.rs
+++ b/crates/gateway/src/ledger/load.rs
@@ -77,7 +77,7 @@
             .newest(self.place.clone(), self.after.clone(), self.timeout)
             .await?;
         for (_, record) in &page.records {
-            match Record::read(&record.key, &record.value) {
+            match Record::decode(&record.key, &record.value) {
                 Ok(record) => self.state.load(record),
                 Err(_) => {
                     tracing::error!(event = "record_unreadable", partition = self.place.number);
--- a/crates/gateway/tests/gateway/reserved_at_home.rs
+++ b/crates/gateway/tests/gateway/reserved_at_home.rs
@@ -43,7 +43,7 @@
     let page = world.log.core.borrow_mut().newest(&place, None);
     let mut owner = Partition::after_loss(now_ms(), DOUBT_MS);
     for (_, record) in &page.records {
-        owner.load(Record::read(&record.key, &record.value).expect("a record"));
+        owner.load(Record::decode(&record.key, &record.value).expect("a record"));
     }
     owner.finish_loading();
     owner
--- a/crates/ledger/src/layout.rs
+++ b/crates/ledger/src/layout.rs
@@ -28,8 +28,8 @@
 /// All partitions of a deployment: the free ones first, then those of each region.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Layout {
-    free: u32,
-    per_region: u32,
+    global_count: u32,
+    homes_per_region: u32,
     regions: Vec<Rc<str>>,
 }
 
@@ -38,38 +38,38 @@
     pub fn new(partitions: u32, map: &Map) -> Self {
         let free = partitions.max(1);
         Self {
-            free,
-            per_region: free.min(MAX_HOME_PARTITIONS),
+            global_count: free,
+            homes_per_region: free.min(MAX_HOME_PARTITIONS),
             regions: map.regions(),
         }
     }
 
     /// Number of free partitions.
     pub fn global_count(&self) -> u32 {
-        self.free
+        self.global_count
     }
 
     /// Number of all partitions.
     pub fn count(&self) -> u32 {
-        self.free + self.per_region * self.regions.len() as u32
+        self.global_count + self.homes_per_region * self.regions.len() as u32
     }
 
     /// The numbers of the home partitions.
     pub fn home_partitions(&self) -> std::ops::Range<u32> {
-        self.free..self.count()
+        self.global_count..self.count()
     }
 
     /// Where a partition stands in the log.
     pub fn location(&self, partition: u32) -> Location {
-        let Some(home) = partition.checked_sub(self.free) else {
+        let Some(home) = partition.checked_sub(self.global_count) else {
             return Location {
                 region: None,
                 number: partition,
             };
         };
         Location {
-            region: Some(home / self.per_region),
-            number: home % self.per_region,
+            region: Some(home / self.homes_per_region),
+            number: home % self.homes_per_region,
         }
     }
 
@@ -89,13 +89,13 @@
 
     /// Whether some region of the deployment is allowed.
     pub fn has_allowed_region(&self, homes: &Set) -> bool {
-        homes.is_all() || self.allowed(homes).next().is_some()
+        homes.is_all() || self.allowed_regions(homes).next().is_some()
     }
 
     /// The partition that orders a program, counts its budget and assigns its engine, and
     /// keeps its contents where nothing bounds these.
     pub fn program_partition(&self, program: &str) -> u32 {
-        partition_of(program, self.free)
+        partition_of(program, self.global_count)
     }
 
     /// The home partition that keeps a program's contents. `None` where its homes bind
@@ -113,13 +113,13 @@
             xxh3_64_with_seed(program.as_bytes(), seed)
         };
         let (index, _) = self
-            .allowed(homes)
+            .allowed_regions(homes)
             .max_by_key(|(_, name)| (weight(name), *name))?;
-        let first = self.free + index as u32 * self.per_region;
-        Some(first + partition_of(program, self.per_region))
+        let first = self.global_count + index as u32 * self.homes_per_region;
+        Some(first + partition_of(program, self.homes_per_region))
     }
 
-    fn allowed<'a>(&'a self, homes: &'a Set) -> impl Iterator<Item = (usize, &'a Rc<str>)> {
+    fn allowed_regions<'a>(&'a self, homes: &'a Set) -> impl Iterator<Item = (usize, &'a Rc<str>)> {
         let regions = self.regions.iter().enumerate();
         regions.filter(|(_, name)| homes.contains(Some(name)))
     }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -9,17 +9,17 @@
 //! - [`message`]: what gateways ask an owner, and its answers.
 //! - [`record`]: what is appended, and its keys.
 //! - [`budget`]: how much of its budget a program may still hand out.
-//! - [`open`]: the turns under way of a program, and which of them are in doubt.
+//! - [`open_turns`]: the turns under way of a program, and which of them are in doubt.
 //! - [`uncertainty`]: programs that no record tells of after a take-over.
-//! - [`ended`]: ends of turns that are remembered.
+//! - [`ended_turns`]: ends of turns that are remembered.
 //! - [`partition`]: the state machine of one partition.
 
 pub mod budget;
-pub mod ended;
+pub mod ended_turns;
 pub mod layout;
 pub mod message;
 pub mod name;
-pub mod open;
+pub mod open_turns;
 pub mod partition;
 pub mod record;
 pub mod uncertainty;
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -1,7 +1,7 @@
 //! Messages between gateways and the owner of a partition.
 
 use crate::name::QualifiedName;
-use crate::open::Request;
+use crate::open_turns::TurnRequest;
 use crate::partition_of;
 use nanoserde::{DeBin, SerBin};
 
@@ -80,17 +80,17 @@
 
     /// The name of what it reserves.
     pub fn reservation_id(&self) -> String {
-        reservation(self.attempt)
+        format_reservation_id(self.attempt)
     }
 
     /// What its program's budget is asked for, where this names what it reserves. A turn whose
     /// content this partition keeps ends, for its client, only with the record of it.
-    pub fn of_budget<'a>(&'a self, reservation: &'a str) -> Request<'a> {
-        Request {
-            turn: reservation,
-            most: self.max_tokens,
-            line: self.session.as_deref(),
-            ends_here: self.keeps_context,
+    pub fn budget_request<'a>(&'a self, reservation: &'a str) -> TurnRequest<'a> {
+        TurnRequest {
+            reservation_id: reservation,
+            max_tokens: self.max_tokens,
+            session: self.session.as_deref(),
+            ends_with_record: self.keeps_context,
         }
     }
 
@@ -135,7 +135,7 @@
     pub open_turns: u32,
     /// Tokens that they may hand out at their most.
     pub open_tokens: u64,
-    /// Those of them that nobody may wait for: see [`crate::open`].
+    /// Those of them that nobody may wait for: see [`crate::open_turns`].
     pub in_doubt_turns: u32,
     /// Tokens that these may hand out at their most.
     pub in_doubt_tokens: u64,
@@ -182,12 +182,12 @@
 
     /// The name of what it had reserved.
     pub fn reservation_id(&self) -> String {
-        reservation(self.attempt)
+        format_reservation_id(self.attempt)
     }
 }
 
 /// The name of what a try reserves, as records and log lines have it.
-fn reservation(attempt: u64) -> String {
+fn format_reservation_id(attempt: u64) -> String {
     format!("{attempt:x}")
 }
 
--- a/crates/ledger/src/partition.rs
+++ b/crates/ledger/src/partition.rs
@@ -1,6 +1,6 @@
 //! The state machine of one partition, as its owner runs it.
 
-use crate::budget::{Ahead, Budget, End, Reservation};
+use crate::budget::{Budget, Reservation, ReservePolicy, Settlement};
 use crate::message::{BudgetUsage, CloseTurn, OpenTurn};
 use crate::name::QualifiedName;
 use crate::record::{ProgramRecord, Record, TurnRecord};
@@ -15,10 +15,10 @@
 const PROGRAM_RETENTION_MS: u64 = 180_000;
 
 /// Turns whose content is kept end only with their record.
-fn ahead_for(request: &OpenTurn) -> Ahead {
+fn reserve_policy(request: &OpenTurn) -> ReservePolicy {
     match request.keeps_context {
-        true => Ahead::Turn,
-        false => Ahead::Part,
+        true => ReservePolicy::OneTurn,
+        false => ReservePolicy::Share,
     }
 }
 
@@ -53,7 +53,7 @@
 
 impl Turn {
     /// The turn that this one, of the given name, went on from.
-    fn previous_of(&self, name: &QualifiedName) -> Option<QualifiedName> {
+    fn previous_name(&self, name: &QualifiedName) -> Option<QualifiedName> {
         let previous = self.record.previous.as_deref()?;
         Some(name.in_same_tenant(previous))
     }
@@ -66,51 +66,51 @@
     turns: HashMap<QualifiedName, Turn>,
     /// Programs that were forgotten, with the deletions that are not durable yet: a successor may
     /// read the record of before, and would count that alone.
-    forgotten: HashMap<QualifiedName, u32>,
+    pending_deletions: HashMap<QualifiedName, u32>,
     /// Whether a program that no record tells of may be an earlier owner's.
-    doubt: Uncertainty,
+    uncertainty: Uncertainty,
     /// The owner before was lost: gateways of turns that it told of may be lost with it.
-    is_after_loss: bool,
+    previous_owner_lost: bool,
 }
 
 impl Partition {
-    /// A partition whose last owner was lost. For `doubt_ms` from now on it may have granted
+    /// A partition whose last owner was lost. For `uncertainty_ms` from now on it may have granted
     /// turns which no record tells of: see [`uncertainty_after_loss_ms`].
-    pub fn after_loss(now_ms: u64, doubt_ms: u64) -> Self {
+    pub fn after_loss(now_ms: u64, uncertainty_ms: u64) -> Self {
         Self {
-            is_after_loss: true,
-            ..Self::after_handover(now_ms, doubt_ms)
+            previous_owner_lost: true,
+            ..Self::after_handover(now_ms, uncertainty_ms)
         }
     }
 
     /// A partition whose last owner recorded all that it granted before it gave the partition
-    /// up. For `doubt_ms` from now on unknown programs are in doubt, as they were for it.
-    pub fn after_handover(now_ms: u64, doubt_ms: u64) -> Self {
+    /// up. For `uncertainty_ms` from now on unknown programs are in doubt, as they were for it.
+    pub fn after_handover(now_ms: u64, uncertainty_ms: u64) -> Self {
         Self {
-            doubt: Uncertainty::until(now_ms + doubt_ms),
+            uncertainty: Uncertainty::until(now_ms + uncertainty_ms),
             ..Self::default()
         }
     }
 
     /// How long unknown programs are in doubt from now on, in milliseconds.
     pub fn uncertainty_ms(&self, now_ms: u64) -> u64 {
-        self.doubt.left_ms(now_ms)
+        self.uncertainty.remaining_ms(now_ms)
     }
 
     /// What to append once the partition was read, so that programs may begin without the log
     /// while unknown ones are in doubt.
     pub fn claim_unrecorded_share(&self, now_ms: u64) -> Vec<Record> {
-        let claimed = self.doubt.claim_part(now_ms);
+        let claimed = self.uncertainty.claim_share(now_ms);
         claimed.map(Record::UnrecordedShares).into_iter().collect()
     }
 
     /// Records to be appended before the partition is given up: nothing is reserved ahead
     /// after them, and every program has one.
     pub fn handover_records(&mut self) -> Vec<Record> {
-        self.record_programs(Budget::last_record)
+        self.program_records(Budget::handover_record)
     }
 
-    fn record_programs(
+    fn program_records(
         &mut self,
         record: impl Fn(&mut Budget) -> Option<ProgramRecord>,
     ) -> Vec<Record> {
@@ -121,19 +121,19 @@
         records.collect()
     }
 
-    fn program(&mut self, name: QualifiedName, budget: u64, now_ms: u64) -> &mut Budget {
-        let mut unrecorded = self.doubt.unrecorded(now_ms);
-        unrecorded.may &= !self.forgotten.contains_key(&name);
+    fn program_budget(&mut self, name: QualifiedName, budget: u64, now_ms: u64) -> &mut Budget {
+        let mut unrecorded = self.uncertainty.unrecorded_grants(now_ms);
+        unrecorded.may_grant &= !self.pending_deletions.contains_key(&name);
         self.programs
             .entry(name)
-            .or_insert_with(|| Budget::fresh(budget, unrecorded))
+            .or_insert_with(|| Budget::new(budget, unrecorded))
     }
 
     /// Takes in a record of the topic while taking over.
     pub fn load(&mut self, record: Record) {
         match record {
             Record::Program(name, Some(record)) => {
-                self.programs.insert(name, Budget::recover(&record));
+                self.programs.insert(name, Budget::from_record(&record));
             }
             Record::Turn(name, Some(record)) => {
                 let keep_until_ms = record.ended_ms + record.retention_ms;
@@ -145,7 +145,7 @@
                     },
                 );
             }
-            Record::UnrecordedShares(successors) => self.doubt.load(successors),
+            Record::UnrecordedShares(successors) => self.uncertainty.load(successors),
             Record::Program(name, None) => {
                 self.programs.remove(&name);
             }
@@ -157,8 +157,10 @@
 
     /// All records are in: a chain is kept as long as its latest turn.
     pub fn finish_loading(&mut self) {
-        if self.is_after_loss {
-            self.programs.values_mut().for_each(Budget::doubt_open);
+        if self.previous_owner_lost {
+            self.programs
+                .values_mut()
+                .for_each(Budget::mark_open_in_doubt);
         }
         let ends: Vec<(QualifiedName, u64)> = self
             .turns
@@ -166,7 +168,7 @@
             .map(|(name, turn)| (name.clone(), turn.keep_until_ms))
             .collect();
         for (name, keep_until_ms) in ends {
-            self.keep_chain(&name, keep_until_ms);
+            self.extend_chain_retention(&name, keep_until_ms);
         }
     }
 
@@ -185,20 +187,20 @@
             };
         };
         let name = request.qualified_name(&request.program);
-        let program = self.program(name.clone(), budget, now_ms);
-        program.observe(request.max_tokens, Some(ahead_for(request)));
+        let program = self.program_budget(name.clone(), budget, now_ms);
+        program.observe_turn(request.max_tokens, Some(reserve_policy(request)));
         let turn = request.reservation_id();
-        let allowed = match program.reserve(&request.of_budget(&turn), budget, now_ms) {
+        let allowed = match program.reserve(&request.budget_request(&turn), budget, now_ms) {
             Reservation::Durable => request.max_tokens,
             Reservation::Pending { allowed } => allowed,
-            Reservation::Spent => return OpenOutcome::BudgetSpent(program.shortage(now_ms)),
-            Reservation::Ended => return OpenOutcome::AlreadyEnded,
+            Reservation::Exhausted => return OpenOutcome::BudgetSpent(program.usage(now_ms)),
+            Reservation::AlreadyEnded => return OpenOutcome::AlreadyEnded,
         };
-        let begins = request.previous.is_none() && program.begins_with(&turn);
+        let begins = request.previous.is_none() && program.is_first_turn(&turn);
         let durable = allowed == request.max_tokens;
         let mut records = Vec::new();
         if !durable {
-            let record = program.record(budget);
+            let record = program.next_record(budget);
             records.push(Record::Program(name, Some(record)));
         }
         OpenOutcome::Opened {
@@ -216,12 +218,12 @@
         let mut records = Vec::new();
         if let Some(budget) = request.budget {
             let name = request.qualified_name(&request.program);
-            let program = self.program(name.clone(), budget, now_ms);
-            program.observe(request.max_tokens, None);
+            let program = self.program_budget(name.clone(), budget, now_ms);
+            program.observe_turn(request.max_tokens, None);
             let record = match program.settle(&request.reservation_id(), request.tokens, now_ms) {
-                End::Known => None,
-                End::Unasked => Some(program.record_as_reserved()),
-                End::Counted => Some(program.record(budget)),
+                Settlement::Duplicate => None,
+                Settlement::NotOpened => Some(program.next_record_without_new_reserve()),
+                Settlement::Counted => Some(program.next_record(budget)),
             };
             records.extend(record.map(|record| Record::Program(name, Some(record))));
         }
@@ -238,7 +240,7 @@
                 retention_ms: content.retention_ms,
             };
             self.load(Record::Turn(turn.clone(), Some(record.clone())));
-            self.keep_chain(&turn, now_ms + content.retention_ms);
+            self.extend_chain_retention(&turn, now_ms + content.retention_ms);
             records.push(Record::Turn(turn, Some(record)));
         }
         records
@@ -248,31 +250,31 @@
     pub fn record_appended(&mut self, record: &Record) {
         match record {
             // Before the deletion it is one of the program's life before.
-            Record::Program(name, Some(_)) if !self.forgotten.contains_key(name) => {
+            Record::Program(name, Some(_)) if !self.pending_deletions.contains_key(name) => {
                 if let Some(program) = self.programs.get_mut(name) {
-                    program.appended();
+                    program.record_appended();
                 }
             }
-            Record::Program(name, None) => self.deleted(name),
-            Record::UnrecordedShares(successors) => self.doubt.appended(*successors),
+            Record::Program(name, None) => self.deletion_appended(name),
+            Record::UnrecordedShares(successors) => self.uncertainty.record_appended(*successors),
             _ => {}
         }
     }
 
     /// The deletion of a forgotten program is durable.
-    fn deleted(&mut self, name: &QualifiedName) {
-        let Some(deletions) = self.forgotten.get_mut(name) else {
+    fn deletion_appended(&mut self, name: &QualifiedName) {
+        let Some(deletions) = self.pending_deletions.get_mut(name) else {
             return;
         };
         *deletions -= 1;
         if *deletions == 0 {
-            self.forgotten.remove(name);
+            self.pending_deletions.remove(name);
         }
     }
 
     /// Deletes what need not be kept any longer.
     pub fn expire(&mut self, now_ms: u64) -> Vec<Record> {
-        let mut records = self.end_doubt(now_ms);
+        let mut records = self.end_uncertainty(now_ms);
         self.turns.retain(|name, turn| {
             let keep = now_ms < turn.keep_until_ms + RETENTION_MARGIN_MS;
             if !keep {
@@ -283,7 +285,7 @@
         self.programs.retain(|name, program| {
             let keep = now_ms < program.changed_ms() + PROGRAM_RETENTION_MS;
             if !keep {
-                *self.forgotten.entry(name.clone()).or_default() += 1;
+                *self.pending_deletions.entry(name.clone()).or_default() += 1;
                 records.push(Record::Program(name.clone(), None));
             }
             keep
@@ -292,11 +294,11 @@
     }
 
     /// Says that the doubt is over, after all that was handed out in it.
-    fn end_doubt(&mut self, now_ms: u64) -> Vec<Record> {
-        if !self.doubt.needs_end(now_ms) {
+    fn end_uncertainty(&mut self, now_ms: u64) -> Vec<Record> {
+        if !self.uncertainty.needs_closing_record(now_ms) {
             return Vec::new();
         }
-        let mut records = self.record_programs(Budget::first_record);
+        let mut records = self.program_records(Budget::first_record);
         records.push(Record::UnrecordedShares(0));
         records
     }
@@ -313,7 +315,9 @@
 
     /// The record of a program as it stands, for checks.
     pub fn committed_tokens(&self, program: &QualifiedName) -> u64 {
-        self.programs.get(program).map_or(0, Budget::committed)
+        self.programs
+            .get(program)
+            .map_or(0, Budget::committed_tokens)
     }
 
     fn chain_for(&self, request: &OpenTurn) -> Option<Vec<u8>> {
@@ -335,7 +339,7 @@
 
     /// Inputs and outputs of the chain that ends with a turn, oldest first.
     pub fn chain_contents(&self, last: &QualifiedName) -> Option<Vec<u8>> {
-        let chain = self.chain(last)?;
+        let chain = self.chain_turns(last)?;
         let mut contents = Vec::new();
         for turn in chain.iter().rev() {
             contents.extend_from_slice(&turn.record.input);
@@ -345,7 +349,7 @@
     }
 
     /// The turns from this one back to the first.
-    fn chain(&self, last: &QualifiedName) -> Option<Vec<&Turn>> {
+    fn chain_turns(&self, last: &QualifiedName) -> Option<Vec<&Turn>> {
         let mut chain = Vec::new();
         let mut next = Some(last.clone());
         while let Some(name) = next {
@@ -353,13 +357,13 @@
                 return None;
             }
             let turn = self.turns.get(&name)?;
-            next = turn.previous_of(&name);
+            next = turn.previous_name(&name);
             chain.push(turn);
         }
         Some(chain)
     }
 
-    fn keep_chain(&mut self, last: &QualifiedName, until_ms: u64) {
+    fn extend_chain_retention(&mut self, last: &QualifiedName, until_ms: u64) {
         let mut next = Some(last.clone());
         let mut steps = 0;
         while let Some(name) = next {
@@ -368,7 +372,7 @@
             };
             steps += 1;
             turn.keep_until_ms = turn.keep_until_ms.max(until_ms);
-            next = turn.previous_of(&name);
+            next = turn.previous_name(&name);
             if steps > 10_000 {
                 return;
             }
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -8,7 +8,7 @@
 const TURN_KEY: u8 = b't';
 const TENANT_PROGRAM_KEY: u8 = b'P';
 const TENANT_TURN_KEY: u8 = b'T';
-const DOUBT_KEY: u8 = b'd';
+const UNRECORDED_SHARES_KEY: u8 = b'd';
 
 /// A turn whose end is not known yet.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
@@ -17,7 +17,7 @@
     pub id: String,
     /// Tokens reserved for it.
     pub tokens: u64,
-    /// Nobody may wait for it: see [`crate::open`]. A planned stop hands this on.
+    /// Nobody may wait for it: see [`crate::open_turns`]. A planned stop hands this on.
     pub in_doubt: bool,
 }
 
@@ -25,13 +25,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct ProgramRecord {
     /// Tokens of ended turns.
-    pub settled: u64,
+    pub settled_tokens: u64,
     /// Turns under way.
-    pub open: Vec<OpenReservation>,
+    pub open_reservations: Vec<OpenReservation>,
     /// Tokens reserved ahead of turns that were not yet asked for.
-    pub ahead: u64,
-    /// Reservations of ended turns, so that a repeated end counts once: see [`crate::ended`].
-    pub ended: Vec<String>,
+    pub reserved_ahead: u64,
+    /// Reservations of ended turns, so that a repeated end counts once: see [`crate::ended_turns`].
+    pub ended_reservations: Vec<String>,
     /// Unix time of the last change, in milliseconds.
     pub changed_ms: u64,
 }
@@ -75,7 +75,7 @@
         let (kind, tenant_kind, name) = match self {
             Self::Program(name, _) => (PROGRAM_KEY, TENANT_PROGRAM_KEY, name),
             Self::Turn(name, _) => (TURN_KEY, TENANT_TURN_KEY, name),
-            Self::UnrecordedShares(_) => return vec![DOUBT_KEY],
+            Self::UnrecordedShares(_) => return vec![UNRECORDED_SHARES_KEY],
         };
         let mut key = Vec::with_capacity(name.text.len() + 1);
         match &name.tenant {
@@ -104,16 +104,16 @@
     ///
     /// # Errors
     /// The key or the value is not one of this module's.
-    pub fn read(key: &[u8], value: &[u8]) -> Result<Self, UnreadableRecord> {
+    pub fn decode(key: &[u8], value: &[u8]) -> Result<Self, UnreadableRecord> {
         let (kind, name) = key.split_first().ok_or(UnreadableRecord)?;
-        if *kind == DOUBT_KEY && name.is_empty() {
+        if *kind == UNRECORDED_SHARES_KEY && name.is_empty() {
             let successors = u32::deserialize_bin(value).map_err(|_| UnreadableRecord)?;
             return Ok(Self::UnrecordedShares(successors));
         }
         let (kind, name) = match *kind {
-            TENANT_PROGRAM_KEY => (PROGRAM_KEY, tenants_name(name)?),
-            TENANT_TURN_KEY => (TURN_KEY, tenants_name(name)?),
-            kind => (kind, QualifiedName::new(None, text(name)?)),
+            TENANT_PROGRAM_KEY => (PROGRAM_KEY, decode_tenant_name(name)?),
+            TENANT_TURN_KEY => (TURN_KEY, decode_tenant_name(name)?),
+            kind => (kind, QualifiedName::new(None, decode_utf8(name)?)),
         };
         match (kind, value.is_empty()) {
             (PROGRAM_KEY, true) => Ok(Self::Program(name, None)),
@@ -129,15 +129,18 @@
     }
 }
 
-fn text(bytes: &[u8]) -> Result<&str, UnreadableRecord> {
+fn decode_utf8(bytes: &[u8]) -> Result<&str, UnreadableRecord> {
     std::str::from_utf8(bytes).map_err(|_| UnreadableRecord)
 }
 
 /// The tenant's length, the tenant, and a name of its own.
-fn tenants_name(key: &[u8]) -> Result<QualifiedName, UnreadableRecord> {
+fn decode_tenant_name(key: &[u8]) -> Result<QualifiedName, UnreadableRecord> {
     let (length, rest) = key.split_first().ok_or(UnreadableRecord)?;
     let (tenant, name) = rest
         .split_at_checked(usize::from(*length))
         .ok_or(UnreadableRecord)?;
-    Ok(QualifiedName::new(Some(text(tenant)?), text(name)?))
+    Ok(QualifiedName::new(
+        Some(decode_utf8(tenant)?),
+        decode_utf8(name)?,
+    ))
 }
--- a/crates/ledger/src/uncertainty.rs
+++ b/crates/ledger/src/uncertainty.rs
@@ -10,52 +10,52 @@
 /// Turns' times for which a program without a record may be out of sight after its owner was
 /// lost: a client sends a turn three times, and calls tools for less than a turn's time
 /// before the next one.
-const TURNS_OUT_OF_SIGHT: u64 = 4;
+const UNSEEN_TURNS: u64 = 4;
 /// How long a former owner that was cut off or frozen may go on granting, in milliseconds:
 /// twice what it takes to notice that the log answers others and not itself.
-const FORMER_OWNER_MS: u64 = 4_000;
+const STALE_OWNER_MS: u64 = 4_000;
 /// The doubt at most, also as long as the times of turns are not known, in milliseconds.
-const LONGEST_DOUBT_MS: u64 = 60_000;
+const MAX_UNCERTAINTY_MS: u64 = 60_000;
 
 /// Parts of a budget that owners hand out without a record, one in each: an owner that nobody
 /// was before, and its first successor while in doubt. Programs use a quarter to a third of
 /// their budget, so either part carries most of them through an outage; what both leave still
 /// holds such a program for the owners after them.
-const PARTS: [u64; 2] = [3, 4];
+const SHARE_DIVISORS: [u64; 2] = [3, 4];
 
 /// How long after a take-over an unknown program may have begun under the earlier owner, in
 /// milliseconds, where a turn takes `longest_turn_ms` at most.
 pub fn uncertainty_after_loss_ms(longest_turn_ms: u64) -> u64 {
-    let out_of_sight = longest_turn_ms.saturating_mul(TURNS_OUT_OF_SIGHT);
+    let out_of_sight = longest_turn_ms.saturating_mul(UNSEEN_TURNS);
     out_of_sight
-        .saturating_add(FORMER_OWNER_MS)
-        .min(LONGEST_DOUBT_MS)
+        .saturating_add(STALE_OWNER_MS)
+        .min(MAX_UNCERTAINTY_MS)
 }
 
 /// What may be, or may have been, handed out of a program that no record tells of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Unrecorded {
+pub struct UnrecordedGrants {
     /// Earlier owners that may have handed out their part.
-    pub earlier: usize,
+    pub earlier_owners: usize,
     /// Whether this owner may hand out its own.
-    pub may: bool,
+    pub may_grant: bool,
 }
 
-impl Unrecorded {
+impl UnrecordedGrants {
     /// Tokens that may have been handed out.
-    pub fn spent(&self, budget: u64) -> u64 {
-        let parts = PARTS.iter().take(self.earlier);
+    pub fn earlier_tokens(&self, budget: u64) -> u64 {
+        let parts = SHARE_DIVISORS.iter().take(self.earlier_owners);
         parts.map(|divisor| budget / divisor).sum()
     }
 
     /// Tokens that later owners count as handed out.
-    pub fn mark(&self, budget: u64) -> u64 {
-        let owners = self.earlier + usize::from(self.may);
+    pub fn total_tokens(&self, budget: u64) -> u64 {
+        let owners = self.earlier_owners + usize::from(self.may_grant);
         Self {
-            earlier: owners,
-            may: false,
+            earlier_owners: owners,
+            may_grant: false,
         }
-        .spent(budget)
+        .earlier_tokens(budget)
     }
 }
 
@@ -64,9 +64,9 @@
 pub struct Uncertainty {
     until_ms: u64,
     /// Successors that may hand out their part, by the newest record.
-    recorded: u32,
+    recorded_successors: u32,
     /// This owner is one of them, and the record of it is durable.
-    is_recorded: bool,
+    is_own_share_recorded: bool,
 }
 
 impl Uncertainty {
@@ -79,46 +79,48 @@
     }
 
     /// How long it lasts from now on, in milliseconds.
-    pub fn left_ms(&self, now_ms: u64) -> u64 {
+    pub fn remaining_ms(&self, now_ms: u64) -> u64 {
         self.until_ms.saturating_sub(now_ms)
     }
 
     /// Takes in the record of earlier owners.
     pub fn load(&mut self, successors: u32) {
-        self.recorded = successors;
+        self.recorded_successors = successors;
     }
 
     /// The record to append before this owner hands anything out without records of
     /// programs; `None` where it need not or may not.
-    pub fn claim_part(&self, now_ms: u64) -> Option<u32> {
-        let earlier = self.recorded as usize + 1;
-        let may = self.left_ms(now_ms) > 0 && !self.is_recorded && earlier < PARTS.len();
-        may.then_some(self.recorded + 1)
+    pub fn claim_share(&self, now_ms: u64) -> Option<u32> {
+        let earlier = self.recorded_successors as usize + 1;
+        let may = self.remaining_ms(now_ms) > 0
+            && !self.is_own_share_recorded
+            && earlier < SHARE_DIVISORS.len();
+        may.then_some(self.recorded_successors + 1)
     }
 
     /// The record is durable.
-    pub fn appended(&mut self, successors: u32) {
-        self.is_recorded = successors > self.recorded;
-        self.recorded = successors;
+    pub fn record_appended(&mut self, successors: u32) {
+        self.is_own_share_recorded = successors > self.recorded_successors;
+        self.recorded_successors = successors;
     }
 
     /// Whether it is over and the log does not say so yet.
-    pub fn needs_end(&self, now_ms: u64) -> bool {
-        self.left_ms(now_ms) == 0 && self.recorded > 0
+    pub fn needs_closing_record(&self, now_ms: u64) -> bool {
+        self.remaining_ms(now_ms) == 0 && self.recorded_successors > 0
     }
 
     /// What an unknown program stands for now.
-    pub fn unrecorded(&self, now_ms: u64) -> Unrecorded {
-        if self.left_ms(now_ms) == 0 {
-            return Unrecorded {
-                earlier: 0,
-                may: true,
+    pub fn unrecorded_grants(&self, now_ms: u64) -> UnrecordedGrants {
+        if self.remaining_ms(now_ms) == 0 {
+            return UnrecordedGrants {
+                earlier_owners: 0,
+                may_grant: true,
             };
         }
-        let successors = self.recorded as usize;
-        Unrecorded {
-            earlier: 1 + successors - usize::from(self.is_recorded),
-            may: self.is_recorded,
+        let successors = self.recorded_successors as usize;
+        UnrecordedGrants {
+            earlier_owners: 1 + successors - usize::from(self.is_own_share_recorded),
+            may_grant: self.is_own_share_recorded,
         }
     }
 }
--- a/crates/ledger/tests/budget_fuzz/world.rs
+++ b/crates/ledger/tests/budget_fuzz/world.rs
@@ -257,7 +257,7 @@
 
     fn read_back(&mut self) {
         for (key, value) in &self.log {
-            if let Ok(record) = Record::read(key, value) {
+            if let Ok(record) = Record::decode(key, value) {
                 self.owner.load(record);
             }
         }
--- a/crates/ledger/tests/budget_room/world.rs
+++ b/crates/ledger/tests/budget_room/world.rs
@@ -319,7 +319,7 @@
 
     fn read_back(&mut self) {
         for (key, value) in &self.log {
-            let record = Record::read(key, value).expect("a record as it was written");
+            let record = Record::decode(key, value).expect("a record as it was written");
             self.owner.load(record);
         }
         self.owner.finish_loading();
--- a/crates/ledger/tests/budget_room/world/questions.rs
+++ b/crates/ledger/tests/budget_room/world/questions.rs
@@ -311,10 +311,12 @@
         let Some(value) = self.log.get(&key) else {
             return Vec::new();
         };
-        match Record::read(&key, value) {
-            Ok(Record::Program(_, Some(record))) => {
-                record.open.into_iter().map(|open| open.id).collect()
-            }
+        match Record::decode(&key, value) {
+            Ok(Record::Program(_, Some(record))) => record
+                .open_reservations
+                .into_iter()
+                .map(|open| open.id)
+                .collect(),
             _ => Vec::new(),
         }
     }
--- a/crates/ledger/tests/chain_fuzz.rs
+++ b/crates/ledger/tests/chain_fuzz.rs
@@ -180,7 +180,7 @@
     fn change_owner(&mut self) {
         self.owner = Partition::default();
         for (key, value) in &self.log {
-            if let Ok(record) = Record::read(key, value) {
+            if let Ok(record) = Record::decode(key, value) {
                 self.owner.load(record);
             }
         }
@@ -231,7 +231,7 @@
     let mut world = World::default();
     world.turn(0, None, true);
     for (key, value) in &world.log {
-        if let Ok(Record::Turn(name, Some(mut record))) = Record::read(key, value) {
+        if let Ok(Record::Turn(name, Some(mut record))) = Record::decode(key, value) {
             record.previous = Some(name.text.clone());
             owner.load(Record::Turn(name, Some(record)));
         }
--- a/crates/ledger/tests/records.rs
+++ b/crates/ledger/tests/records.rs
@@ -27,7 +27,7 @@
             );
             for record in [turn, program] {
                 assert_eq!(
-                    Record::read(&record.key(), &record.value()),
+                    Record::decode(&record.key(), &record.value()),
                     Ok(record.clone())
                 );
                 assert!(!keys.contains(&record.key()), "{record:?}");
@@ -40,7 +40,7 @@
 #[test]
 fn records_from_before_there_were_tenants_are_nobodys() {
     let value = Record::Turn(QualifiedName::new(None, "t1"), Some(turn_record())).value();
-    let read = Record::read(b"tt1", &value);
+    let read = Record::decode(b"tt1", &value);
     assert_eq!(
         read,
         Ok(Record::Turn(
@@ -52,6 +52,6 @@
 
 #[test]
 fn a_key_shorter_than_its_tenant_is_unreadable() {
-    assert!(Record::read(&[b'T', 9, b'a'], b"").is_err());
-    assert!(Record::read(b"P", b"").is_err());
+    assert!(Record::decode(&[b'T', 9, b'a'], b"").is_err());
+    assert!(Record::decode(b"P", b"").is_err());
 }
