--- a/crates/ledger/src/budget.rs
+++ b/crates/ledger/src/budget.rs
@@ -1,25 +1,27 @@
 //! Token budget of one program.
 //!
-//! Every token handed to a client must be counted after any crash. A turn's most is
-//! therefore reserved before its first token, and no more is handed out than a successor
-//! will count without a word from this owner. That is a mark: what the newest durable record
-//! tells, and a part of what that leaves, reserved ahead. A program without a record has a
-//! mark as well ([`crate::uncertainty`]): a part of its whole budget. So programs go on, and new ones
-//! begin, while the log is away; a record raises the mark again once it is back. Turns mostly
-//! take much less than their most, so a turn that the mark does not hold whole begins with
-//! what is left of it, and needs the record only if it comes to that.
+//! Every token delivered to a client must still be counted after any crash. Therefore the maximum
+//! of a turn is reserved before its first token, and an owner delivers no more than a successor
+//! would count without hearing from it. This limit is called the durable limit. It consists of what
+//! the newest durable record contains, plus a part of the remaining budget that the record reserves
+//! ahead. A program without a record has a durable limit as well, which is a share of its whole
+//! budget ([`crate::uncertainty`]). So programs can start and continue while the log is
+//! unavailable, and the next record after an outage raises the limit again. Most turns use much
+//! less than their maximum, so a turn whose maximum exceeds the durable limit starts with the
+//! remainder of the limit. It waits for a record only if it needs more.
 //!
-//! A successor can't tell what was reserved ahead and used from what was not: it counts all
-//! of it. So no more is reserved than can be of use ([`Ahead`]): a turn whose content is kept
-//! ends only with its record, so a program of such turns gets no further than one turn
-//! without the log.
+//! A successor cannot tell which tokens reserved ahead were used, so it counts all of them. For
+//! this reason no more is reserved than can be useful ([`ReservePolicy`]): a turn whose content is
+//! stored ends only with its record, so without the log a program of such turns cannot start a
+//! second one.
 //!
-//! A budget may be exceeded by the most of one turn. That covers what was counted in vain:
-//! a turn begins if what is known to be used, or waited for, leaves room for it, and what may
-//! have been used is within the budget. So turns in doubt ([`crate::open_turns`]) refuse nobody
-//! before the budget has no room for what they may have used. Tokens handed out are never more
-//! than what is counted, and the last turn adds its most to that at the most (docs/PROOF.md,
-//! BUDGET; docs/design/losses.md).
+//! A budget may be exceeded by at most the maximum of one turn. This compensates for tokens that
+//! are counted but were never used: a turn is granted if the budget has room for it beside the
+//! tokens of ended turns and the maxima of awaited turns, and if all committed tokens are within
+//! the budget. So turns in doubt ([`crate::open_turns`]) cause refusals only once the tokens that
+//! they may have used exhaust the budget. Delivered tokens never exceed the committed ones, and the
+//! last granted turn adds at most its maximum to these (docs/PROOF.md, BUDGET;
+//! docs/design/losses.md).
 
 use crate::ended_turns::EndedTurns;
 use crate::message::BudgetUsage;
@@ -28,99 +30,101 @@
 use crate::uncertainty::UnrecordedGrants;
 use std::collections::VecDeque;
 
-/// Part of what is left of a budget that is reserved ahead where turns end without the log:
-/// one in this. Programs use less than a half of their budget, so that part carries nearly all
-/// of them through an outage, and what is left holds them after a loss as well.
+/// Divisor for the part of the remaining budget that is reserved ahead if turns end without the
+/// log. Programs use less than half of their budget, so half of it carries nearly all of them
+/// through an outage, and the other half is still enough after a loss.
 const RESERVE_DIVISOR: u64 = 2;
 
 /// Outcome of a reservation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reservation {
-    /// Granted, and within the durable mark.
+    /// Granted, and the maximum of the turn is within the durable limit.
     Durable,
-    /// Granted, but output has to wait for the append once it comes to more than that.
+    /// Granted, but output beyond `allowed` tokens has to wait for the append.
     Pending {
-        /// Tokens that may be handed out before.
+        /// Tokens that may be delivered before.
         allowed: u64,
     },
-    /// The budget does not hold it.
+    /// The budget has no room for the turn.
     Exhausted,
-    /// Its end was told already: nobody waits for it.
+    /// The turn has already ended, so nobody waits for the reservation.
     AlreadyEnded,
 }
 
-/// What the end of a turn changes.
+/// Effect of the end of a turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Settlement {
-    /// Nothing: it was told already.
+    /// The end was already known; nothing changes.
     Duplicate,
-    /// Nothing that is counted, but the turn may not begin any more.
+    /// The turn was not open and delivered nothing. Counters are unchanged, but the turn may not
+    /// start any more.
     NotOpened,
-    /// What is counted.
+    /// The counters changed.
     Counted,
 }
 
-/// How far reservations go ahead of the turns that were asked for.
+/// How much is reserved ahead for turns that were not requested yet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReservePolicy {
-    /// One turn: its end needs the log, so none after it could begin.
+    /// The maximum of one turn. The end of that turn needs the log, so no other turn could start
+    /// after it.
     #[default]
     OneTurn,
-    /// A part of what is left: turns end without the log.
+    /// A share of the remaining budget, because turns end without the log.
     Share,
 }
 
-/// What a successor begins with that has this record, or none.
+/// State that a successor recovers from one record, or without any record.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct RecoveryPoint {
     record: u64,
-    /// Tokens that it reserves for turns that it does not tell of.
+    /// Tokens that the record reserves for turns that it does not contain.
     reserved_ahead: u64,
-    /// Those that such turns handed out which have ended.
+    /// Tokens that ended turns have used of this reserve.
     used_ahead: u64,
 }
 
-/// State of a program's budget in the memory of its owner.
+/// In-memory state of a program's budget at the owner of its partition.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Budget {
     settled_tokens: u64,
     open_turns: OpenTurns,
-    /// The turns whose ends were told, also those that were not asked for before: a question may
-    /// be under way for as long as a cut lasts, and whoever asked has left. Reserved then, the
-    /// most of such a turn would stay reserved for nobody. The question may also reach a later
-    /// owner, after no more than a planned stop, so records tell of them all.
+    /// Turns whose end was reported, including turns that were never opened here. The request to
+    /// open a turn may still be in flight, delayed by a network partition, while its sender has
+    /// given up. If it were granted, nobody would release the reservation. A planned handover may
+    /// even direct the request to a later owner, so records contain these ends as well.
     ended_turns: EndedTurns,
-    /// The newest durable record, and behind it those that are being appended.
+    /// The newest durable record, followed by the records whose append is pending.
     recovery_points: VecDeque<RecoveryPoint>,
-    /// Records made so far.
+    /// Number of records made so far.
     record_count: u64,
-    /// Reserved ahead by an earlier owner; turns that it granted may use it.
+    /// Tokens that earlier owners reserved ahead. Turns that they granted may use them.
     inherited_tokens: u64,
     reserve_policy: ReservePolicy,
-    /// The most of a turn, as far as seen.
+    /// Largest maximum of a turn seen so far.
     max_turn_tokens: u64,
-    /// The budget, as long as no record of it was made.
+    /// Total budget of the program until its first record is made.
     unrecorded_budget: Option<u64>,
     changed_ms: u64,
 }
 
 impl Budget {
-    /// The budget of a program that no record tells of.
+    /// Budget of a program without a record.
     pub fn new(budget: u64, unrecorded: UnrecordedGrants) -> Self {
         let inherited = unrecorded.earlier_tokens(budget);
-        let basis = RecoveryPoint {
+        let point = RecoveryPoint {
             reserved_ahead: unrecorded.total_tokens(budget) - inherited,
             ..RecoveryPoint::default()
         };
         Self {
-            recovery_points: VecDeque::from([basis]),
+            recovery_points: VecDeque::from([point]),
             inherited_tokens: inherited,
             unrecorded_budget: Some(budget),
             ..Self::default()
         }
     }
 
-    /// Takes over from a record of an earlier owner.
+    /// Restores the budget from the record of an earlier owner.
     pub fn from_record(record: &ProgramRecord) -> Self {
         Self {
             settled_tokens: record.settled_tokens,
@@ -136,55 +140,55 @@
         }
     }
 
-    /// The owner that it was taken over from was lost, maybe with gateways of its turns.
+    /// The previous owner was lost, possibly with gateways of open turns.
     pub fn mark_open_in_doubt(&mut self) {
         self.open_turns.mark_all_in_doubt();
     }
 
-    /// Tokens that were handed out or may be.
+    /// Tokens that were or may have been delivered.
     pub fn committed_tokens(&self) -> u64 {
         self.known_tokens() + self.inherited_tokens
     }
 
-    /// Tokens of turns that are known: the ended ones, and the most of those under way.
+    /// Tokens of known turns: those of ended turns and the maxima of open ones.
     fn known_tokens(&self) -> u64 {
         self.settled_tokens + self.open_turns.max_tokens()
     }
 
-    /// Whether a turn may begin that asks for so much.
-    fn has_room_for(&self, most: u64, budget: u64) -> bool {
-        let waited_for = self.settled_tokens + self.open_turns.awaited_max_tokens();
-        waited_for + most <= budget && self.committed_tokens() <= budget
+    /// Whether the budget has room for another turn with this maximum.
+    fn has_room_for(&self, max_tokens: u64, budget: u64) -> bool {
+        let awaited = self.settled_tokens + self.open_turns.awaited_max_tokens();
+        awaited + max_tokens <= budget && self.committed_tokens() <= budget
     }
 
-    /// What may still be allowed to turns. Beyond each record that a successor may begin with,
-    /// the turns that it does not tell of hand out no more than it reserves ahead. What a turn
-    /// that it tells of left of its most is nobody's: the successor frees it once it hears of
-    /// that turn's end.
+    /// Additional tokens that open turns may deliver. For each record that a successor may recover
+    /// from, the turns missing from it may together deliver no more than it reserves ahead. The
+    /// unused part of the maximum of a recorded turn cannot be granted to others, because the
+    /// successor releases it when that turn ends.
     fn grantable_tokens(&self) -> u64 {
-        let rooms = self
+        let grantable = self
             .recovery_points
             .iter()
-            .map(|basis| self.grantable_beyond(basis));
-        rooms.min().unwrap_or(0)
+            .map(|point| self.grantable_beyond(point));
+        grantable.min().unwrap_or(0)
     }
 
     /// The same for one record.
-    fn grantable_beyond(&self, basis: &RecoveryPoint) -> u64 {
-        let untold = self
+    fn grantable_beyond(&self, point: &RecoveryPoint) -> u64 {
+        let unrecorded = self
             .open_turns
             .iter()
-            .filter(|open| !open.is_in_record(basis.record));
-        let allowed: u64 = untold.map(|open| open.allowed).sum();
-        basis
+            .filter(|open| !open.is_in_record(point.record));
+        let allowed: u64 = unrecorded.map(|open| open.allowed).sum();
+        point
             .reserved_ahead
-            .saturating_sub(basis.used_ahead + allowed)
+            .saturating_sub(point.used_ahead + allowed)
     }
 
-    /// Takes in what is seen of the program's turns.
-    pub fn observe_turn(&mut self, most: u64, ahead: Option<ReservePolicy>) {
-        self.max_turn_tokens = self.max_turn_tokens.max(most);
-        self.reserve_policy = ahead.unwrap_or(self.reserve_policy);
+    /// Updates the largest maximum of a turn and the reserve policy.
+    pub fn observe_turn(&mut self, max_tokens: u64, reserve_policy: Option<ReservePolicy>) {
+        self.max_turn_tokens = self.max_turn_tokens.max(max_tokens);
+        self.reserve_policy = reserve_policy.unwrap_or(self.reserve_policy);
     }
 
     /// Unix time of the last change, in milliseconds.
@@ -192,8 +196,8 @@
         self.changed_ms
     }
 
-    /// Whether a turn is the first of its program: nothing was handed out yet, and no other
-    /// turn is under way.
+    /// Whether a turn is the first of its program: nothing was settled yet, and no other turn is
+    /// open.
     pub fn is_first_turn(&self, turn: &str) -> bool {
         self.settled_tokens == 0
             && self
@@ -202,13 +206,13 @@
                 .all(|open| open.reservation_id == turn)
     }
 
-    /// Whether a turn is under way.
+    /// Whether a turn is open.
     pub fn has_open_turn(&self, turn: &str) -> bool {
         self.open_turns.contains(turn)
     }
 
-    /// Reserves the most of a turn. Asking again for the same turn changes nothing that is
-    /// counted.
+    /// Reserves the maximum of a turn. A repeated request for the same turn does not change the
+    /// counters.
     pub fn reserve(&mut self, request: &TurnRequest<'_>, budget: u64, now_ms: u64) -> Reservation {
         if self.ended_turns.contains(request.reservation_id) {
             return Reservation::AlreadyEnded;
@@ -224,7 +228,7 @@
         self.extend_allowance(request.reservation_id)
     }
 
-    /// What is counted, for one whose turn it does not hold.
+    /// Usage of the budget, reported with a refusal.
     pub fn usage(&self, now_ms: u64) -> BudgetUsage {
         let oldest = self.open_turns.iter().min_by_key(|open| open.since_ms);
         BudgetUsage {
@@ -239,13 +243,13 @@
         }
     }
 
-    /// Lets a turn have what the mark holds of its most.
+    /// Raises the tokens that a turn may deliver, as far as the durable limit permits.
     fn extend_allowance(&mut self, turn: &str) -> Reservation {
-        let room = self.grantable_tokens();
+        let grantable = self.grantable_tokens();
         let Some(open) = self.open_turns.get_mut(turn) else {
             return Reservation::Durable;
         };
-        open.allowed += room.min(open.max_tokens - open.allowed);
+        open.allowed += grantable.min(open.max_tokens - open.allowed);
         if open.allowed == open.max_tokens {
             Reservation::Durable
         } else {
@@ -255,70 +259,72 @@
         }
     }
 
-    /// Ends a turn with the tokens that reached the client.
+    /// Settles a turn with the tokens that were delivered to the client.
     pub fn settle(&mut self, turn: &str, tokens: u64, now_ms: u64) -> Settlement {
         if self.ended_turns.contains(turn) {
             return Settlement::Duplicate;
         }
-        // Also where nothing is counted: the program may be known by this alone.
+        // Also set if nothing is counted, because this may be the only trace of the program.
         self.changed_ms = now_ms;
         self.ended_turns.insert(turn);
         if let Some(ended) = self.open_turns.remove(turn) {
-            for basis in &mut self.recovery_points {
-                if !ended.is_in_record(basis.record) {
-                    basis.used_ahead += tokens;
+            for point in &mut self.recovery_points {
+                if !ended.is_in_record(point.record) {
+                    point.used_ahead += tokens;
                 }
             }
         } else if tokens == 0 {
             return Settlement::NotOpened;
         } else {
-            // Granted by an earlier owner from what it had reserved ahead. That owner may
-            // have reserved the rest of this turn's most again for turns whose ends are
-            // never told: only what was handed out is known to be part of this one.
+            // An earlier owner granted this turn from its reserve. It may also have reserved the
+            // unused part of the turn's maximum again, for turns whose end is never reported. Only
+            // the delivered tokens are known to belong to this turn.
             self.inherited_tokens = self.inherited_tokens.saturating_sub(tokens);
         }
         self.settled_tokens += tokens;
         Settlement::Counted
     }
 
-    /// The record to append of a program that none tells of yet.
+    /// First record of a program, if none was made yet.
     pub fn first_record(&mut self) -> Option<ProgramRecord> {
         let budget = self.unrecorded_budget?;
         Some(self.next_record(budget))
     }
 
-    /// The record to append before the partition is given up, where the newest one reserves
-    /// something ahead, does not tell which turns are in doubt, or there is none. A successor
-    /// would count what is reserved in vain, with each planned stop anew. Without it one stop leaves 725 tokens counted of 145 used
+    /// Record to append before a planned handover. Needed if there is none yet, if the newest one
+    /// reserves tokens ahead, or if its in-doubt flags are out of date. Otherwise the successor
+    /// would count the unused reserve, and more of it with each handover: without this record, one
+    /// handover left 725 tokens counted where 145 were used
     /// (`planned_stops_take_nothing_of_a_budget`).
     pub fn handover_record(&mut self) -> Option<ProgramRecord> {
-        let reserves = self
+        let has_reserve = self
             .recovery_points
             .back()
-            .is_some_and(|basis| basis.reserved_ahead > 0);
-        let is_told = self.unrecorded_budget.is_none();
-        if is_told && !reserves && self.open_turns.in_doubt_flags_are_recorded() {
+            .is_some_and(|point| point.reserved_ahead > 0);
+        let is_recorded = self.unrecorded_budget.is_none();
+        if is_recorded && !has_reserve && self.open_turns.in_doubt_flags_are_recorded() {
             return None;
         }
         Some(self.record_with_reserve(0))
     }
 
-    /// The record to append now. Its mark binds from here on, not from the append on: a turn
-    /// granted in between by the former mark would be lost with this owner.
+    /// Next record to append. Its durable limit applies immediately, not only after the append: if
+    /// this owner were lost in between, a turn granted under the previous limit would not be
+    /// counted.
     pub fn next_record(&mut self, budget: u64) -> ProgramRecord {
         let ahead = self.reserve_for(budget.saturating_sub(self.committed_tokens()));
         self.record_with_reserve(ahead)
     }
 
-    /// The record to append where nothing that is counted changed: it reserves no more ahead
-    /// than a successor would count without it, so a loss after it costs no more.
+    /// Next record to append if no counter changed. It reserves no more ahead than a successor
+    /// would count without it, so a loss after it costs no more.
     pub fn next_record_without_new_reserve(&mut self) -> ProgramRecord {
         let newest = self.recovery_points.back();
-        let ahead = newest.map_or(0, |basis| self.grantable_beyond(basis));
+        let ahead = newest.map_or(0, |point| self.grantable_beyond(point));
         self.record_with_reserve(ahead)
     }
 
-    /// A record that reserves so much ahead.
+    /// Makes a record that reserves this many tokens ahead.
     fn record_with_reserve(&mut self, ahead: u64) -> ProgramRecord {
         self.unrecorded_budget = None;
         self.record_count += 1;
@@ -346,13 +352,13 @@
         }
     }
 
-    /// The oldest record under way was appended: what it reserves is durable.
+    /// The oldest pending record was appended, so its reservations are durable.
     pub fn record_appended(&mut self) {
         if self.recovery_points.len() < 2 {
             return;
         }
         self.recovery_points.pop_front();
-        let durable = self.recovery_points.front().map_or(0, |basis| basis.record);
+        let durable = self.recovery_points.front().map_or(0, |point| point.record);
         self.ended_turns.mark_durable(durable);
         self.open_turns.mark_durable(durable);
     }
--- a/crates/ledger/src/ended_turns.rs
+++ b/crates/ledger/src/ended_turns.rs
@@ -1,64 +1,68 @@
-//! Ends of turns that the owner of a program remembers.
+//! Ended turns of one program, remembered to detect duplicate and late messages.
 //!
-//! The end of a turn is told in rounds until a record of it is durable, and its question may come
-//! after it, for as long as a cut lasts. An end that was forgotten by then counts anew with each
-//! round, or its turn is opened for nobody. So an end is remembered until a durable record tells
-//! of it, whatever their number: with a number alone (24) eight rounds of 25 ends counted 11,250
-//! tokens of 1,250 used (`tests/told_in_rounds.rs`). The latest are remembered beyond that, since
-//! one that is on its way may come once more.
+//! Gateways report the end of a turn repeatedly until a record of it is durable, and the request to
+//! open a turn may arrive after its end, delayed by a network partition. If an end were forgotten
+//! by then, each repetition would be counted again, and a late request would reserve tokens that
+//! nobody releases. An end is therefore remembered until a durable record contains it, up to
+//! `MAX_REMEMBERED`. With a limit of 24 alone, eight rounds of 25 ends counted 11,250 tokens
+//! where 1,250 were used (`tests/repeated_ends.rs`). The newest `MIN_REMEMBERED` ends are
+//! remembered even longer, because messages about them may still be in flight.
 
 use std::collections::VecDeque;
 
-/// Ends that are remembered in any case: several times what one program asks for side by side.
+/// Number of ends that are always remembered: several times the number of turns that one program
+/// runs in parallel.
 const MIN_REMEMBERED: usize = 24;
-/// Ends at most: a program that ends a turn every 100 ms through an outage of 25 s. Each end asks
-/// for a record of its own, which then takes 6 KB.
+/// Maximum number of remembered ends: a program that ends a turn every 100 ms during an outage of
+/// 25 s. Each end appends a record of the program, which takes 6 KB at this size.
 const MAX_REMEMBERED: usize = 256;
 
-/// A turn that has ended.
+/// An ended turn.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct EndedTurn {
     reservation_id: String,
-    /// The first record that tells of it.
+    /// Number of the first record that contains it.
     first_record: Option<u64>,
 }
 
-/// The ends that are remembered, the oldest first.
+/// The remembered ends, oldest first.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EndedTurns {
     turns: VecDeque<EndedTurn>,
-    /// The newest record that is durable.
+    /// Number of the newest durable record.
     durable_record: u64,
 }
 
 impl EndedTurns {
-    /// Those that a record of an earlier owner tells of.
-    pub fn from_record(turns: &[String]) -> Self {
-        let ended = |turn: &String| EndedTurn {
-            reservation_id: turn.clone(),
+    /// Restores the ends from the record of an earlier owner.
+    pub fn from_record(reservation_ids: &[String]) -> Self {
+        let ended = |id: &String| EndedTurn {
+            reservation_id: id.clone(),
             first_record: Some(0),
         };
         Self {
-            turns: turns.iter().map(ended).collect(),
+            turns: reservation_ids.iter().map(ended).collect(),
             durable_record: 0,
         }
     }
 
-    /// Whether the end of a turn was told.
-    pub fn contains(&self, turn: &str) -> bool {
-        self.turns.iter().any(|ended| ended.reservation_id == turn)
+    /// Whether the turn has ended.
+    pub fn contains(&self, reservation_id: &str) -> bool {
+        self.turns
+            .iter()
+            .any(|ended| ended.reservation_id == reservation_id)
     }
 
-    /// Takes in an end.
-    pub fn insert(&mut self, turn: &str) {
+    /// Remembers the end of a turn.
+    pub fn insert(&mut self, reservation_id: &str) {
         self.turns.push_back(EndedTurn {
-            reservation_id: turn.to_owned(),
+            reservation_id: reservation_id.to_owned(),
             first_record: None,
         });
         self.prune();
     }
 
-    /// What the record of this number tells.
+    /// Reservation ids to write into the record with this number.
     pub fn record_ids(&mut self, number: u64) -> Vec<String> {
         for ended in &mut self.turns {
             ended.first_record.get_or_insert(number);
@@ -69,7 +73,7 @@
             .collect()
     }
 
-    /// Records up to this number are durable.
+    /// All records up to this number are durable.
     pub fn mark_durable(&mut self, number: u64) {
         self.durable_record = number;
         self.prune();
--- a/crates/ledger/src/layout.rs
+++ b/crates/ledger/src/layout.rs
@@ -1,10 +1,10 @@
-//! Which partition keeps what a program says.
+//! Assigns programs to partitions.
 //!
-//! Free partitions are owned by any daemon. Beside them each region has home partitions of
-//! its own, owned by its daemons alone: they keep the contents of programs whose data may not
-//! leave some regions. What holds no contents (budgets, order, engines, limits of tenants) is
-//! at the program's free partition always, so it stays where it is when homes change.
-//! docs/design/homes.md tells what was weighed.
+//! Global partitions may be owned by any daemon. Each region also has home partitions, which only
+//! daemons of that region own. They store the contents of programs whose data must stay in certain
+//! regions. State without contents (budgets, turn order, engine assignments, tenant limits) is
+//! always kept in the program's global partition, so it does not move when the allowed regions of a
+//! program change. docs/design/homes.md describes the alternatives that were considered.
 
 use crate::partition_of;
 use fieldhook_topology::region::Set;
@@ -12,20 +12,21 @@
 use std::rc::Rc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Home partitions of a region at most. Each costs a claim that all daemons read, and a region
-/// has but a part of the daemons; four let as many of them take over at once.
+/// Maximum number of home partitions per region. Every partition adds a claim that all daemons
+/// read, and a region has only some of the daemons. Four let up to four daemons take over a
+/// region's partitions in parallel.
 const MAX_HOME_PARTITIONS: u32 = 4;
 
-/// Where a partition stands in the log.
+/// Location of a partition in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Location {
-    /// Number of its region, in the order of their names; `None` for a free partition.
+    /// Index of the region in the sorted list of region names; `None` for a global partition.
     pub region: Option<u32>,
-    /// Its number within its topic.
+    /// Number of the partition within its topic.
     pub number: u32,
 }
 
-/// All partitions of a deployment: the free ones first, then those of each region.
+/// All partitions of a deployment: first the global ones, then those of each region.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Layout {
     global_count: u32,
@@ -34,32 +35,33 @@
 }
 
 impl Layout {
-    /// The layout of topics of so many partitions over the regions of a map.
+    /// Layout for `partitions` global partitions and the regions of a map. Each region gets as many
+    /// home partitions, up to `MAX_HOME_PARTITIONS`.
     pub fn new(partitions: u32, map: &Map) -> Self {
-        let free = partitions.max(1);
+        let global_count = partitions.max(1);
         Self {
-            global_count: free,
-            homes_per_region: free.min(MAX_HOME_PARTITIONS),
+            global_count,
+            homes_per_region: global_count.min(MAX_HOME_PARTITIONS),
             regions: map.regions(),
         }
     }
 
-    /// Number of free partitions.
+    /// Number of global partitions.
     pub fn global_count(&self) -> u32 {
         self.global_count
     }
 
-    /// Number of all partitions.
+    /// Number of all partitions, global and home.
     pub fn count(&self) -> u32 {
         self.global_count + self.homes_per_region * self.regions.len() as u32
     }
 
-    /// The numbers of the home partitions.
+    /// Range of the home partitions of all regions.
     pub fn home_partitions(&self) -> std::ops::Range<u32> {
         self.global_count..self.count()
     }
 
-    /// Where a partition stands in the log.
+    /// Location of a partition in the log.
     pub fn location(&self, partition: u32) -> Location {
         let Some(home) = partition.checked_sub(self.global_count) else {
             return Location {
@@ -73,13 +75,13 @@
         }
     }
 
-    /// The region that a partition belongs to; `None` for a free one.
+    /// Region of a home partition; `None` for a global partition.
     pub fn region(&self, partition: u32) -> Option<&Rc<str>> {
         let region = self.location(partition).region?;
         self.regions.get(region as usize)
     }
 
-    /// Whether contents of a program may be kept in a partition.
+    /// Whether a partition may store the contents of a program with these homes.
     pub fn may_store(&self, partition: u32, homes: &Set) -> bool {
         match self.region(partition) {
             Some(region) => homes.contains(Some(region)),
@@ -87,23 +89,23 @@
         }
     }
 
-    /// Whether some region of the deployment is allowed.
+    /// Whether at least one region of the deployment is allowed.
     pub fn has_allowed_region(&self, homes: &Set) -> bool {
         homes.is_all() || self.allowed_regions(homes).next().is_some()
     }
 
-    /// The partition that orders a program, counts its budget and assigns its engine, and
-    /// keeps its contents where nothing bounds these.
+    /// Global partition of a program. It orders the turns, counts the budget, assigns the engine,
+    /// and stores the contents of programs that are not restricted to regions.
     pub fn program_partition(&self, program: &str) -> u32 {
         partition_of(program, self.global_count)
     }
 
-    /// The home partition that keeps a program's contents. `None` where its homes bind
-    /// nothing, or none of them is a region of this deployment.
+    /// Home partition that stores the contents of a program. `None` if the program is not
+    /// restricted to regions, or if none of its allowed regions is in this deployment.
     ///
-    /// Of the allowed regions the one of the greatest weight is taken, and weights depend on
-    /// the program and the region alone: when a region leaves the set, only its own programs
-    /// move; when one joins, only those move that it takes.
+    /// Regions are chosen by rendezvous hashing: each allowed region gets a weight that depends
+    /// only on the program and the region, and the highest weight wins. If a region is removed from
+    /// the set, only its own programs move; if one is added, only the programs that it wins move.
     pub fn home_partition(&self, program: &str, homes: &Set) -> Option<u32> {
         if homes.is_all() {
             return None;
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,17 +1,18 @@
-//! The ledger of programs: chains of turns and token budgets, without I/O.
+//! The ledger of programs: stores chains of turns and enforces token budgets. It does no I/O.
 //!
-//! Programs hash to partitions of a compacted topic. One owner at a time keeps a
-//! partition in memory and appends what must outlive it; a later owner begins
+//! Programs are hashed to partitions of a compacted topic. Each partition has one owner at a time,
+//! which holds its state in memory and appends records to the topic. A new owner recovers the state
 //! from the newest record of each key.
 //!
-//! - [`name`]: names of programs and turns within their tenants.
-//! - [`layout`]: which partition keeps what, and which region may own it.
-//! - [`message`]: what gateways ask an owner, and its answers.
-//! - [`record`]: what is appended, and its keys.
-//! - [`budget`]: how much of its budget a program may still hand out.
-//! - [`open_turns`]: the turns under way of a program, and which of them are in doubt.
-//! - [`uncertainty`]: programs that no record tells of after a take-over.
-//! - [`ended_turns`]: ends of turns that are remembered.
+//! - [`name`]: names of programs and turns, qualified by tenant.
+//! - [`layout`]: which partition stores what, and which region may own it.
+//! - [`message`]: messages between daemons, mainly requests to the owner of a partition and its
+//!   replies.
+//! - [`record`]: records of the topic and their keys.
+//! - [`budget`]: the token budget of one program.
+//! - [`open_turns`]: turns in progress of a program, and which of them are in doubt.
+//! - [`ended_turns`]: recently ended turns, for deduplication.
+//! - [`uncertainty`]: programs that may have started without a record before a takeover.
 //! - [`partition`]: the state machine of one partition.
 
 pub mod budget;
@@ -26,7 +27,7 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The partition that a program belongs to.
+/// Partition of a program, for a given number of partitions.
 pub fn partition_of(program: &str, partitions: u32) -> u32 {
     (xxh3_64(program.as_bytes()) % u64::from(partitions.max(1))) as u32
 }
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -1,59 +1,59 @@
-//! Messages between gateways and the owner of a partition.
+//! Messages between daemons, mainly requests of gateways to the owner of a partition.
 
 use crate::name::QualifiedName;
 use crate::open_turns::TurnRequest;
 use crate::partition_of;
 use nanoserde::{DeBin, SerBin};
 
-/// What the choice of an engine for a turn depends on.
+/// Input for the choice of an engine for a turn.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct PlacementRequest {
-    /// Service whose engines may run it.
+    /// Service whose engines may run the turn.
     pub service: String,
-    /// Hash of the beginning of its prompt that other programs share.
+    /// Hash of the prompt prefix that the program shares with others.
     pub prefix_hash: u64,
-    /// Zone that the turn comes through.
+    /// Zone of the gateway that received the turn.
     pub zone: String,
-    /// Regions that it may run in, where they are bounded.
+    /// Regions in which the turn may run; `None` for all.
     pub regions: Option<Vec<String>>,
 }
 
-/// A turn asks to begin.
+/// Request to open a turn.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct OpenTurn {
-    /// Tenant that the program and its turns belong to.
+    /// Tenant that owns the program and its turns.
     pub tenant: Option<String>,
-    /// Identity of the turn: of the client's attempt.
+    /// Turn id, chosen by the client.
     pub turn: String,
-    /// Drawn by the gateway for this try. What is reserved and ended goes by it: a client may
-    /// try again under the same identity.
+    /// Random number that the gateway draws for each attempt. Reservations and ends are identified
+    /// by it, because a client may retry under the same turn id.
     pub attempt: u64,
-    /// Program that it belongs to.
+    /// Program of the turn.
     pub program: String,
-    /// Line of turns of its program that it belongs to: its client takes the turns of one line
-    /// one after another, so it waits for none of them any more that it asked for earlier.
+    /// Session of the turn within its program. A client runs the turns of a session one after
+    /// another, so a new turn shows that the client no longer waits for earlier ones.
     pub session: Option<String>,
-    /// Turn that it goes on from.
+    /// Turn that this one continues.
     pub previous: Option<String>,
-    /// The gateway needs the contents of the chain.
+    /// Whether the gateway needs the contents of the chain.
     pub wants_chain: bool,
-    /// The chain must be known for the turn to begin.
+    /// Whether the turn may start only if its chain is known.
     pub keeps_context: bool,
-    /// The gateway brings the chain itself: it belongs to another program.
+    /// Whether the gateway supplies the chain itself, because it belongs to another program.
     pub supplies_chain: bool,
-    /// Tokens that all turns of the program may generate, where bounded.
+    /// Total budget of the program in tokens, if it has one.
     pub budget: Option<u64>,
-    /// Most tokens that this turn may generate.
+    /// Maximum number of tokens that this turn may generate.
     pub max_tokens: u64,
-    /// For the choice of its engine, where it needs one.
+    /// Input for the assignment of an engine, if the turn needs one.
     pub placement: Option<PlacementRequest>,
-    /// Home partition that keeps its chain apart from its order, where homes bound it.
+    /// Home partition that stores the chain, if it is not the program's own partition.
     pub home_partition: Option<u32>,
 }
 
 impl OpenTurn {
-    /// The part of it that needs what was said: for the partition that keeps the chain, which
-    /// neither counts nor assigns.
+    /// The part of the request that concerns contents, for the home partition, which neither counts
+    /// tokens nor assigns engines.
     pub fn home_partition_request(&self) -> Self {
         Self {
             budget: None,
@@ -62,8 +62,9 @@
         }
     }
 
-    /// The part of it that needs names alone: for the program's own partition, which orders,
-    /// counts and assigns. All of it where one partition does both.
+    /// The part of the request that concerns names only, for the program's own partition, which
+    /// orders turns, counts tokens and assigns engines. Includes contents if no home partition is
+    /// set.
     pub fn program_partition_request(&self) -> Self {
         Self {
             wants_chain: self.wants_chain && self.home_partition.is_none(),
@@ -73,18 +74,18 @@
         }
     }
 
-    /// A name within its tenant.
+    /// A name qualified by the tenant of the turn.
     pub fn qualified_name(&self, text: &str) -> QualifiedName {
         QualifiedName::new(self.tenant.as_deref(), text)
     }
 
-    /// The name of what it reserves.
+    /// Id of the reservation.
     pub fn reservation_id(&self) -> String {
         format_reservation_id(self.attempt)
     }
 
-    /// What its program's budget is asked for, where this names what it reserves. A turn whose
-    /// content this partition keeps ends, for its client, only with the record of it.
+    /// Request to reserve tokens from the program's budget. If this partition stores the content of
+    /// the turn, its client gets the end of the response only with the record.
     pub fn budget_request<'a>(&'a self, reservation: &'a str) -> TurnRequest<'a> {
         TurnRequest {
             reservation_id: reservation,
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Its end where it was asked for and does not begin.
+    /// Message that ends the turn if it was requested but does not start.
     pub fn cancellation(&self) -> CloseTurn {
         CloseTurn {
             tenant: self.tenant.clone(),
@@ -112,168 +113,168 @@
     }
 }
 
-/// What a finished turn read and made, kept for the turns after it.
+/// Input and output of a completed turn, stored for later turns of the chain.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct TurnContent {
-    /// Turn that it went on from.
+    /// Turn that this one continues.
     pub previous: Option<String>,
     /// New input of the turn.
     pub input: Vec<u8>,
-    /// Its output as the next turn's prompt holds it.
+    /// Output, in the form in which the prompt of the next turn contains it.
     pub output: Vec<u8>,
-    /// How long it is kept after its end, in milliseconds.
+    /// Retention after the end of the turn, in milliseconds.
     pub retention_ms: u64,
 }
 
-/// What a budget counts that does not hold a turn: without it nobody could tell a budget that
-/// is used up from one that is reserved.
+/// Usage of a budget that has no room for a turn. It shows whether the budget is used up or only
+/// reserved.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct BudgetUsage {
     /// Tokens of ended turns.
     pub settled_tokens: u64,
-    /// Turns under way.
+    /// Number of open turns.
     pub open_turns: u32,
-    /// Tokens that they may hand out at their most.
+    /// Maximum number of tokens that open turns may deliver.
     pub open_tokens: u64,
-    /// Those of them that nobody may wait for: see [`crate::open_turns`].
+    /// Number of open turns in doubt: see [`crate::open_turns`].
     pub in_doubt_turns: u32,
-    /// Tokens that these may hand out at their most.
+    /// Maximum number of tokens that the turns in doubt may deliver.
     pub in_doubt_tokens: u64,
-    /// The reservation of the one that has been under way for longest.
+    /// Reservation id of the oldest open turn.
     pub oldest_reservation: Option<String>,
-    /// How long it has, in milliseconds.
+    /// Age of the oldest open turn, in milliseconds.
     pub oldest_age_ms: Option<u64>,
-    /// Reserved ahead by earlier owners.
+    /// Tokens reserved ahead by earlier owners.
     pub inherited_tokens: u64,
 }
 
-/// A turn has ended, whole or not.
+/// Reports the end of a turn, complete or not.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct CloseTurn {
-    /// Tenant that the program and its turns belong to.
+    /// Tenant that owns the program and its turns.
     pub tenant: Option<String>,
-    /// Identity of the turn.
+    /// Turn id, chosen by the client.
     pub turn: String,
-    /// The number that it was opened with.
+    /// Attempt number with which the turn was opened.
     pub attempt: u64,
-    /// Program that it belongs to.
+    /// Program of the turn.
     pub program: String,
-    /// Budget of the program, where bounded.
+    /// Total budget of the program in tokens, if it has one.
     pub budget: Option<u64>,
-    /// Most tokens that it might have generated.
+    /// Maximum number of tokens that the turn might have generated.
     pub max_tokens: u64,
-    /// Tokens handed to the client.
+    /// Tokens delivered to the client.
     pub tokens: u64,
-    /// Its content, where it ended whole and is to be kept.
+    /// Content of the turn, if it completed and is to be stored.
     pub content: Option<TurnContent>,
-    /// Engine that it ran at last.
+    /// Engine that ran the turn last.
     pub engine: Option<String>,
-    /// Home partition that keeps its content apart from its order, where homes bound it.
+    /// Home partition that stores the content, if it is not the program's own partition.
     pub home_partition: Option<u32>,
-    /// Its client's answer ends only once this is durable.
+    /// Whether the response to the client waits until this is durable.
     pub awaited: bool,
 }
 
 impl CloseTurn {
-    /// A name within its tenant.
+    /// A name qualified by the tenant of the turn.
     pub fn qualified_name(&self, text: &str) -> QualifiedName {
         QualifiedName::new(self.tenant.as_deref(), text)
     }
 
-    /// The name of what it had reserved.
+    /// Id of the reservation.
     pub fn reservation_id(&self) -> String {
         format_reservation_id(self.attempt)
     }
 }
 
-/// The name of what a try reserves, as records and log lines have it.
+/// Reservation id of an attempt, as in records and log lines.
 fn format_reservation_id(attempt: u64) -> String {
     format!("{attempt:x}")
 }
 
-/// Asks one partition for the chain that ends with a turn, whatever its program.
+/// Asks one partition for the chain that ends with a turn of any program.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct FindChain {
-    /// Partition that is asked.
+    /// Partition to ask.
     pub partition: u32,
     /// Last turn of the chain.
     pub turn: QualifiedName,
 }
 
-/// What the owner of a tenant's limit is told by a question.
+/// Event that is reported to the owner of a tenant's limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum QuotaEvent {
-    /// One request more is to be sent.
+    /// A request is about to be sent.
     Request,
-    /// The client of the program's last request left in the middle of it, or got no whole answer.
-    /// Nothing is taken, and the answer says what is used.
+    /// The last request of the program was interrupted: its client disconnected or got no complete
+    /// response. Uses nothing of the limit; the reply has the current usage.
     Interrupted,
 }
 
-/// Asks the owner of a tenant's limit for a request.
+/// Asks the owner of a tenant's limit to admit a request.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub struct QuotaRequest {
-    /// What it is about.
+    /// Event to report.
     pub event: QuotaEvent,
     /// Name of the tenant.
     pub tenant: String,
-    /// Requests a second that it may send, as the asking daemon knows.
+    /// Allowed requests per second, as configured at the requesting daemon.
     pub rate_per_s: f64,
-    /// Requests on top of that at one moment.
+    /// Additional requests allowed at once.
     pub burst: f64,
-    /// Version of the configuration that says so.
+    /// Version of that configuration.
     pub version: u64,
     /// Program of the request.
     pub program: Option<String>,
     /// Route of the request.
     pub route: String,
-    /// It is the first request of its program.
+    /// Whether this is the first request of its program.
     pub starts_program: bool,
-    /// How long the request would wait for a place from now on, in milliseconds. A place that
-    /// comes later is not kept for it.
+    /// How long the request can wait to be admitted, in milliseconds. A slot later than that is not
+    /// reserved for it.
     pub max_wait_ms: u64,
 }
 
-/// Asks the owner of a cold server's count whether a request may be sent there now.
+/// Asks the owner of a cold server's request count whether a request may be sent to the server now.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub struct ColdServerRequest {
-    /// Identity of the server.
+    /// Id of the server.
     pub server: String,
-    /// Requests a second that it bears, as the asking daemon knows.
+    /// Requests per second that the server can handle, as configured at the requesting daemon.
     pub rate_per_s: f64,
-    /// Version of the configuration that says so.
+    /// Version of that configuration.
     pub version: u64,
-    /// Rank of the request, 0 is the most urgent.
+    /// Priority of the request; 0 is the most urgent.
     pub rank: u8,
 }
 
-/// The owner's answer to a question about a limit.
+/// Reply to a [`QuotaRequest`] or [`ColdServerRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, SerBin, DeBin)]
 pub enum QuotaReply {
     /// The request may be sent.
     Granted {
-        /// Part of the limit that is used up now, 0 to 1.
+        /// Fraction of the limit in use, 0 to 1.
         used: f64,
     },
-    /// None may be sent now.
+    /// The request may not be sent now.
     Refused {
-        /// When one could be, in milliseconds from now.
+        /// Time until a request could be sent, in milliseconds.
         retry_after_ms: u64,
     },
 }
 
-/// A partition to be claimed for one that cannot.
+/// Asks another daemon to claim a partition, for a sender that cannot claim it.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct ClaimPartition {
-    /// Partition.
+    /// Partition to claim.
     pub partition: u32,
-    /// Epoch of the owner that is to be replaced, or that gave it up; 0 where there was none,
-    /// as epochs begin with 1.
+    /// Epoch of the owner to replace, or of the owner that released the partition. 0 if there was
+    /// none; epochs start at 1.
     pub replaced_epoch: u64,
 }
 
 impl ClaimPartition {
-    /// A partition whose newest claim known has this epoch.
+    /// Claim of a partition whose newest known claim has this epoch.
     pub fn replacing(partition: u32, former_epoch: Option<u64>) -> Self {
         Self {
             partition,
@@ -287,14 +288,14 @@
     }
 }
 
-/// Asks a reader of a followed topic for what stands behind an offset.
+/// Asks a reader of a followed topic for records from an offset on.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct FollowTopic {
     /// Name of the topic.
     pub topic: String,
-    /// Offset from which on records are wanted.
+    /// First offset to return.
     pub from_offset: u64,
-    /// How long to wait for one, in milliseconds.
+    /// How long to wait for a record, in milliseconds.
     pub wait_ms: u64,
 }
 
@@ -303,58 +304,58 @@
 pub struct ListTopic {
     /// Name of the topic.
     pub topic: String,
-    /// The page behind this key is wanted.
+    /// Last key of the previous page; `None` for the first page.
     pub after_key: Option<Vec<u8>>,
 }
 
-/// Records of a followed topic, as a reader knows them.
+/// Records of a followed topic, as known to a reader.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct TopicRecords {
-    /// The records, packed.
+    /// The records, encoded.
     pub packed: Vec<u8>,
-    /// Where the topic ends.
+    /// End offset of the topic.
     pub end_offset: u64,
-    /// Where to read on, of records behind an offset.
+    /// Offset from which to continue, in the reply to [`FollowTopic`].
     pub next_offset: u64,
-    /// Behind which key the next page begins, of a listing.
+    /// Last key of this page, in the reply to [`ListTopic`], if more pages follow.
     pub more_after: Option<Vec<u8>>,
-    /// Time since the log confirmed that this is all, in milliseconds.
+    /// Time since the log confirmed that these records are complete, in milliseconds.
     pub age_ms: u64,
 }
 
-/// A request of a gateway to an owner.
+/// A request of one daemon to another, mostly to the owner of a partition.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub enum LedgerRequest {
-    /// Begin a turn.
+    /// Opens a turn.
     Open(OpenTurn),
-    /// End a turn.
+    /// Ends a turn.
     Close(CloseTurn),
-    /// Find a chain of another program.
+    /// Finds a chain of another program.
     Find(FindChain),
-    /// Tell whether a tenant's limit lets a request through.
+    /// Asks whether a tenant's limit admits a request.
     Quota(QuotaRequest),
-    /// Tell whether a request may be sent to a cold server now.
+    /// Asks whether a request may be sent to a cold server now.
     Cold(ColdServerRequest),
-    /// Tell who owns a partition, as far as known.
+    /// Asks for the owner of a partition, as far as known.
     FindOwner(u32),
-    /// Tell whether the log answers you.
+    /// Asks whether the receiver has had contact with the log just now, without failures.
     HasRecentLogContact,
-    /// Tell whether the log answers you, or was silent for a moment only: an owner with nothing
-    /// to append need not have heard of it.
+    /// Asks whether the receiver still has contact with the log, also if the log has been silent
+    /// for a moment: an owner with nothing to append may not have heard from it recently.
     HasLogContact,
-    /// Tell the newest configuration, if it is newer than this version.
+    /// Asks for the newest configuration, if it is newer than this version.
     Config(u64),
-    /// Claim a partition from the owner of this epoch: the sender is cut off the log,
-    /// so that it can neither append nor claim, or is of another region.
+    /// Asks to claim a partition whose owner has this epoch. The sender cannot append or claim
+    /// itself, because it cannot reach the log or is in another region.
     Claim(ClaimPartition),
-    /// Tell what stands behind an offset of a followed topic.
+    /// Asks for the records of a followed topic from an offset on.
     Follow(FollowTopic),
-    /// Tell the newest records of a followed topic.
+    /// Asks for the newest records of a followed topic.
     List(ListTopic),
 }
 
 impl LedgerRequest {
-    /// Partition that the request is for, where so many are free.
+    /// Partition that the request is for, with `partitions` global partitions.
     pub fn partition(&self, partitions: u32) -> u32 {
         match self {
             Self::Open(open) => open
@@ -364,7 +365,7 @@
                 .home_partition
                 .unwrap_or_else(|| partition_of(&close.program, partitions)),
             Self::Find(find) => find.partition,
-            // A tenant has its limit where a program of that name would be.
+            // The limit of a tenant is kept in the partition of a program with the same name.
             Self::Quota(question) => partition_of(&question.tenant, partitions),
             Self::Cold(question) => partition_of(&question.server, partitions),
             Self::FindOwner(partition) => *partition,
@@ -378,103 +379,105 @@
     }
 }
 
-/// What a daemon knows of one zone: whether its servers get nothing for now.
+/// Evacuation status of one zone, as known to a daemon.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct EvacuationStatus {
-    /// The zone.
+    /// Name of the zone.
     pub zone: String,
-    /// Whether its servers get nothing.
+    /// Whether the servers of the zone get no requests.
     pub is_evacuated: bool,
-    /// Place of the record in the operator's topic; a higher one goes before.
+    /// Offset of the record in the operator's topic. The higher revision wins.
     pub revision: u64,
 }
 
-/// What a daemon knows of the configuration.
+/// Configuration as known to a daemon.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct ConfigUpdate {
-    /// The document, as the adapter reads it; `None` if it is not newer than the one asked about.
+    /// The configuration document in the form that the adapter reads; `None` if it is not newer
+    /// than the requested version.
     pub document: Option<Vec<u8>>,
-    /// Time since it was seen to be the newest, in milliseconds; `None` if it never was.
+    /// Time since the document was confirmed as the newest, in milliseconds; `None` if it never
+    /// was.
     pub age_ms: Option<u64>,
-    /// All that is known of evacuations.
+    /// Status of all known evacuations.
     pub evacuations: Vec<EvacuationStatus>,
 }
 
-/// An owner as another daemon knows it.
+/// Owner of a partition as known to another daemon.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct KnownOwner {
-    /// IP and port.
+    /// IP address and port.
     pub address: String,
-    /// Life of its process.
+    /// Incarnation of its process.
     pub incarnation: u64,
     /// Epoch of its claim.
     pub epoch: u64,
 }
 
-/// Answer of an owner.
+/// Reply to a [`LedgerRequest`].
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub enum LedgerReply {
-    /// The turn may be sent to an engine. Until `durable`, no more than `allowed` tokens may
-    /// reach the client; a later [`LedgerReply::Durable`] lifts that.
+    /// The turn may be sent to an engine. Unless `durable`, at most `allowed` tokens may reach the
+    /// client until a [`LedgerReply::Durable`] follows.
     Opened {
-        /// Inputs and outputs of the chain, oldest first, where wanted.
+        /// Inputs and outputs of the chain, oldest first, if requested.
         chain: Vec<u8>,
-        /// The reservation will survive the owner.
+        /// Whether the reservation survives the loss of the owner.
         durable: bool,
-        /// Tokens that an owner after it will count in any case.
+        /// Tokens that every later owner will count.
         allowed: u64,
-        /// Engine that its program is assigned to.
+        /// Engine assigned to the program.
         engine: Option<String>,
-        /// It is the first turn of its program.
+        /// Whether this is the first turn of its program.
         is_first_turn: bool,
     },
-    /// What the limit of the tenant, or of the cold server, lets through.
+    /// Reply to a request about a tenant's limit or a cold server.
     Quota(QuotaReply),
-    /// The reservation of an opened turn is durable now.
+    /// The reservation of an opened turn is now durable.
     Durable,
-    /// Inputs and outputs of a chain that was asked for.
+    /// Inputs and outputs of the requested chain.
     Chain(Vec<u8>),
-    /// The budget does not hold this turn.
+    /// The budget has no room for this turn.
     BudgetSpent(BudgetUsage),
-    /// No such turn is kept.
+    /// The turn is not stored.
     UnknownTurn,
-    /// The end of the turn is known here, but not durable yet. [`LedgerReply::Closed`]
-    /// follows: an owner whose appends wait for the log is not a silent one.
+    /// The owner knows the end of the turn, but it is not durable yet. [`LedgerReply::Closed`]
+    /// follows. This shows that an owner whose appends wait for the log is still alive.
     Accepted,
     /// The end of the turn is durable.
     Closed,
-    /// This daemon does not own the partition; who does, as far as it knows.
+    /// This daemon does not own the partition. Contains the owner as far as known.
     NotOwner(Option<KnownOwner>),
-    /// Whether the log answers the daemon that was asked.
+    /// Whether the receiver has contact with the log.
     LogContact(bool),
-    /// The configuration as the daemon that was asked knows it.
+    /// The configuration as known to the receiver.
     Config(ConfigUpdate),
-    /// The owner cannot tell now; nothing was done.
+    /// The owner cannot answer now; nothing was done.
     Unavailable,
-    /// The owner has not read the partition, and the log does not answer it: nothing was done,
-    /// and another owner could do it sooner.
+    /// The owner has not loaded the partition, because the log does not answer it. Nothing was
+    /// done, and another owner could act sooner.
     NotLoaded,
     /// Records of a followed topic.
     Topic(TopicRecords),
-    /// Records of a followed topic from there on are not kept here any more; the first that are
-    /// have this offset.
+    /// Records from the requested offset on are no longer stored here. Contains the offset of the
+    /// oldest stored record.
     TopicGone(u64),
-    /// This daemon does not read the topic for others, or not yet.
+    /// This daemon does not serve the topic, or does not serve it yet.
     NotReader,
 }
 
 impl LedgerReply {
-    /// Whether another answer to the same request follows.
+    /// Whether another reply to the same request follows.
     pub fn is_interim(&self) -> bool {
         matches!(self, Self::Opened { durable: false, .. } | Self::Accepted)
     }
 }
 
-/// A request or answer between two daemons.
+/// A request or reply between two daemons.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct Envelope<T> {
     /// Number of the call on its connection.
     pub call_id: u64,
-    /// What is said.
+    /// The request or reply.
     pub body: T,
 }
--- a/crates/ledger/src/open_turns.rs
+++ b/crates/ledger/src/open_turns.rs
@@ -1,55 +1,60 @@
-//! Turns under way of one program, as its budget counts them.
+//! Turns in progress of one program, as its budget counts them.
 //!
-//! Each may hand out all of its most, whoever it runs for. Not each of them is waited for,
-//! though: the client of one may have gone on, and the gateway of one that an earlier owner
-//! opened may have been lost with that owner. Such a turn is in doubt. Its most stays counted,
-//! as it may have been handed out, but it refuses nobody: its end may never be told
-//! (docs/design/losses.md, "Turns in doubt").
+//! Every open turn may deliver up to its maximum number of tokens. A turn is in doubt if its end
+//! may never be reported: its client has moved on, or its gateway may have been lost together with
+//! the owner that opened the turn. The maximum of such a turn remains counted, because it may have
+//! been delivered, but on its own it causes no refusal of another turn (docs/design/losses.md,
+//! "Turns in doubt").
 
 use crate::record::OpenReservation;
 use std::rc::Rc;
 
-/// A turn that asks to begin.
+/// A request to reserve tokens for a turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TurnRequest<'a> {
-    /// The name of what it reserves.
+    /// Id of the reservation.
     pub reservation_id: &'a str,
-    /// Most tokens that it may generate.
+    /// Maximum number of tokens that the turn may generate.
     pub max_tokens: u64,
-    /// Line of turns that it belongs to, whose client takes them one after another.
+    /// Session of the turn. The client of a session runs its turns one after another.
     pub session: Option<&'a str>,
-    /// Its client has the whole answer only once its end is known here.
+    /// Whether the client gets the end of its response only once the owner knows the end of the
+    /// turn.
     pub ends_with_record: bool,
 }
 
 /// Whether somebody waits for a turn, as far as its owner knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WaitState {
-    /// Its gateway asked this owner for it.
+    /// The gateway of the turn requested it from this owner, or an earlier owner handed it over as
+    /// awaited.
     Awaited,
-    /// A record tells of it, of an owner that was lost; nobody has asked for it since.
+    /// The turn is known from a record of an owner that was lost, and was not requested again
+    /// since.
     Unconfirmed,
-    /// Its client went on without its answer: it asked for a further turn of the same line.
+    /// The client requested another turn of the same session without waiting for the response to
+    /// this one.
     Superseded,
 }
 
-/// A turn under way.
+/// A turn in progress.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Turn {
-    /// The name of what it reserved.
+    /// Id of the reservation.
     pub reservation_id: String,
-    /// Most tokens that it may hand out.
+    /// Maximum number of tokens that the turn may deliver.
     pub max_tokens: u64,
-    /// Tokens of it that are within the mark of its budget.
+    /// Tokens that the turn may deliver now, because any successor will count them.
     pub allowed: u64,
-    /// Unix time of its begin, or of the record that told of it, in milliseconds.
+    /// Unix time of the start, or of the record that the turn was restored from, in milliseconds.
     pub since_ms: u64,
-    /// The first record that tells of it: once that is durable, all of its most is allowed.
+    /// Number of the first record that contains the turn. Once it is durable, the turn may deliver
+    /// its maximum.
     first_record: Option<u64>,
     session: Option<Rc<str>>,
     ends_with_record: bool,
     wait_state: WaitState,
-    /// The newest record tells that it is in doubt.
+    /// Whether the newest record marks the turn as in doubt.
     recorded_in_doubt: bool,
 }
 
@@ -68,9 +73,9 @@
         }
     }
 
-    /// A turn that a record tells of. Where its owner gave the partition up in order, its
-    /// gateway lives and tells its end, unless that owner was in doubt about it: an owner that
-    /// took it for waited for would refuse what the one before it granted.
+    /// Restores a turn from a record. After a planned handover its gateway is alive and will report
+    /// the end, unless the previous owner already had the turn in doubt: if that flag were dropped,
+    /// this owner would refuse turns that the previous owner granted.
     fn from_record(reservation: &OpenReservation, since_ms: u64) -> Self {
         Self {
             reservation_id: reservation.id.clone(),
@@ -88,17 +93,18 @@
         }
     }
 
-    /// Whether the record of this number tells of it.
+    /// Whether the record with this number contains the turn.
     pub fn is_in_record(&self, number: u64) -> bool {
         self.first_record.is_some_and(|first| first <= number)
     }
 
-    /// Whether its end may never be told.
+    /// Whether the end of the turn may never be reported.
     fn is_in_doubt(&self) -> bool {
         self.wait_state != WaitState::Awaited
     }
 
-    /// Its gateway asks for it again: it lives. A client that went on does not come back.
+    /// The gateway requests the turn again, so it is alive. A superseded turn stays superseded,
+    /// because its client does not return to it.
     fn request_again(&mut self, request: &TurnRequest<'_>) {
         self.session = request.session.map(Rc::from);
         self.ends_with_record = request.ends_with_record;
@@ -107,11 +113,12 @@
         }
     }
 
-    /// A further turn is asked for. A client that has the whole answer of a turn goes on as
-    /// well; only where the end is known here before that does it tell that it gave up.
+    /// Whether a request shows that the client gave up this turn. A client also sends the next turn
+    /// of a session after it got the whole response. Only if the owner knows the end of the turn
+    /// before the client does can it tell the two cases apart.
     fn is_superseded_by(&self, further: &TurnRequest<'_>) -> bool {
-        let is_of_its_line = self.session.is_some() && self.session.as_deref() == further.session;
-        is_of_its_line && self.ends_with_record && self.reservation_id != further.reservation_id
+        let is_same_session = self.session.is_some() && self.session.as_deref() == further.session;
+        is_same_session && self.ends_with_record && self.reservation_id != further.reservation_id
     }
 
     fn reservation(&self) -> OpenReservation {
@@ -123,12 +130,12 @@
     }
 }
 
-/// The turns under way of a program.
+/// The turns in progress of a program.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OpenTurns(Vec<Turn>);
 
 impl OpenTurns {
-    /// Those that a record tells of.
+    /// Restores the turns from a record.
     pub fn from_record(reservations: &[OpenReservation], since_ms: u64) -> Self {
         let turns = reservations.iter();
         Self(
@@ -138,38 +145,41 @@
         )
     }
 
-    /// All of them.
+    /// All turns in progress.
     pub fn iter(&self) -> impl Iterator<Item = &Turn> {
         self.0.iter()
     }
 
-    /// Those whose ends may never be told.
+    /// Turns whose end may never be reported.
     pub fn in_doubt(&self) -> impl Iterator<Item = &Turn> {
         self.iter().filter(|turn| turn.is_in_doubt())
     }
 
-    /// Whether a turn is under way.
-    pub fn contains(&self, name: &str) -> bool {
-        self.iter().any(|turn| turn.reservation_id == name)
+    /// Whether a turn is in progress.
+    pub fn contains(&self, reservation_id: &str) -> bool {
+        self.iter()
+            .any(|turn| turn.reservation_id == reservation_id)
     }
 
-    /// A turn under way.
-    pub fn get_mut(&mut self, name: &str) -> Option<&mut Turn> {
-        self.0.iter_mut().find(|turn| turn.reservation_id == name)
+    /// The turn with this reservation id, if it is in progress.
+    pub fn get_mut(&mut self, reservation_id: &str) -> Option<&mut Turn> {
+        self.0
+            .iter_mut()
+            .find(|turn| turn.reservation_id == reservation_id)
     }
 
-    /// Tokens that they may hand out at their most.
+    /// Maximum number of tokens that all turns together may deliver.
     pub fn max_tokens(&self) -> u64 {
         self.iter().map(|turn| turn.max_tokens).sum()
     }
 
-    /// The same of those whose ends will be told, as far as known.
+    /// The same without the turns in doubt.
     pub fn awaited_max_tokens(&self) -> u64 {
-        let waited_for = self.iter().filter(|turn| !turn.is_in_doubt());
-        waited_for.map(|turn| turn.max_tokens).sum()
+        let awaited = self.iter().filter(|turn| !turn.is_in_doubt());
+        awaited.map(|turn| turn.max_tokens).sum()
     }
 
-    /// Takes in that a turn is asked for, whether it may begin or not.
+    /// Updates the wait states for a request to open a turn, regardless of its outcome.
     pub fn observe_request(&mut self, request: &TurnRequest<'_>) {
         for turn in &mut self.0 {
             if turn.reservation_id == request.reservation_id {
@@ -180,31 +190,33 @@
         }
     }
 
-    /// A turn begins.
+    /// Adds a turn that was granted.
     pub fn start(&mut self, request: &TurnRequest<'_>, now_ms: u64) {
         self.0.push(Turn::requested(request, now_ms));
     }
 
-    /// The owner that told of them was lost, maybe with their gateways.
+    /// The owner that recorded these turns was lost, possibly with their gateways.
     pub fn mark_all_in_doubt(&mut self) {
         for turn in &mut self.0 {
             turn.wait_state = WaitState::Unconfirmed;
         }
     }
 
-    /// Takes out a turn that has ended.
-    pub fn remove(&mut self, name: &str) -> Option<Turn> {
-        let index = self.iter().position(|turn| turn.reservation_id == name)?;
+    /// Removes a turn that has ended.
+    pub fn remove(&mut self, reservation_id: &str) -> Option<Turn> {
+        let index = self
+            .iter()
+            .position(|turn| turn.reservation_id == reservation_id)?;
         Some(self.0.swap_remove(index))
     }
 
-    /// Whether the newest record tells of each whether it is in doubt.
+    /// Whether the newest record has the current in-doubt flag of every turn.
     pub fn in_doubt_flags_are_recorded(&self) -> bool {
         self.iter()
             .all(|turn| turn.recorded_in_doubt == turn.is_in_doubt())
     }
 
-    /// What the record of this number tells of them.
+    /// Reservations to write into the record with this number.
     pub fn record_reservations(&mut self, number: u64) -> Vec<OpenReservation> {
         for turn in &mut self.0 {
             turn.first_record.get_or_insert(number);
@@ -213,7 +225,7 @@
         self.iter().map(Turn::reservation).collect()
     }
 
-    /// The record of this number is durable.
+    /// The record with this number is durable.
     pub fn mark_durable(&mut self, number: u64) {
         for turn in &mut self.0 {
             if turn.is_in_record(number) {
--- a/crates/ledger/src/partition.rs
+++ b/crates/ledger/src/partition.rs
@@ -1,4 +1,4 @@
-//! The state machine of one partition, as its owner runs it.
+//! State machine of one partition, run by its owner.
 
 use crate::budget::{Budget, Reservation, ReservePolicy, Settlement};
 use crate::message::{BudgetUsage, CloseTurn, OpenTurn};
@@ -8,13 +8,13 @@
 pub use crate::uncertainty::uncertainty_after_loss_ms;
 use std::collections::HashMap;
 
-/// How much longer than promised a turn is kept, in milliseconds: clocks of
-/// different owners differ.
+/// How much longer than promised a turn is stored, in milliseconds: the clocks of successive owners
+/// differ.
 const RETENTION_MARGIN_MS: u64 = 15_000;
-/// How long a program's budget is kept after its last change, in milliseconds.
+/// How long the budget of a program is stored after its last change, in milliseconds.
 const PROGRAM_RETENTION_MS: u64 = 180_000;
 
-/// Turns whose content is kept end only with their record.
+/// Turns whose content is stored end only with their record, so at most one is reserved ahead.
 fn reserve_policy(request: &OpenTurn) -> ReservePolicy {
     match request.keeps_context {
         true => ReservePolicy::OneTurn,
@@ -22,27 +22,27 @@
     }
 }
 
-/// What became of a request to begin a turn.
+/// Outcome of a request to open a turn.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OpenOutcome {
-    /// It may begin.
+    /// The turn may start.
     Opened {
-        /// Contents of the chain, where wanted.
+        /// Contents of the chain, if requested.
         chain: Vec<u8>,
-        /// Output need not wait for the append.
+        /// Whether output may be delivered without waiting for the append.
         durable: bool,
-        /// Where it has to, tokens that may be handed out before.
+        /// Tokens that may be delivered before the append.
         allowed: u64,
-        /// It is the first turn of its program.
+        /// Whether this is the first turn of its program.
         is_first_turn: bool,
-        /// To append.
+        /// Records to append.
         records: Vec<Record>,
     },
-    /// The budget does not hold it.
+    /// The budget has no room for the turn.
     BudgetSpent(BudgetUsage),
-    /// A turn of its chain is not kept.
+    /// A turn of the chain is not stored.
     UnknownTurn,
-    /// Its end was told already: the question was under way when its asker left.
+    /// The turn has already ended: this request was delayed, and its sender has given up.
     AlreadyEnded,
 }
 
@@ -52,7 +52,7 @@
 }
 
 impl Turn {
-    /// The turn that this one, of the given name, went on from.
+    /// Name of the turn that this one continues; `name` is the name of this turn.
     fn previous_name(&self, name: &QualifiedName) -> Option<QualifiedName> {
         let previous = self.record.previous.as_deref()?;
         Some(name.in_same_tenant(previous))
@@ -64,18 +64,19 @@
 pub struct Partition {
     programs: HashMap<QualifiedName, Budget>,
     turns: HashMap<QualifiedName, Turn>,
-    /// Programs that were forgotten, with the deletions that are not durable yet: a successor may
-    /// read the record of before, and would count that alone.
+    /// Number of pending deletions of each expired program. Until they are durable, a successor may
+    /// still read the old record and count only that.
     pending_deletions: HashMap<QualifiedName, u32>,
-    /// Whether a program that no record tells of may be an earlier owner's.
+    /// Whether a program without a record may have been started by an earlier owner.
     uncertainty: Uncertainty,
-    /// The owner before was lost: gateways of turns that it told of may be lost with it.
+    /// The previous owner was lost, and possibly the gateways of its recorded turns as well.
     previous_owner_lost: bool,
 }
 
 impl Partition {
-    /// A partition whose last owner was lost. For `uncertainty_ms` from now on it may have granted
-    /// turns which no record tells of: see [`uncertainty_after_loss_ms`].
+    /// A partition whose previous owner was lost. That owner may have granted turns without a
+    /// record to programs that first appear within the next `uncertainty_ms`: see
+    /// [`uncertainty_after_loss_ms`].
     pub fn after_loss(now_ms: u64, uncertainty_ms: u64) -> Self {
         Self {
             previous_owner_lost: true,
@@ -83,8 +84,8 @@
         }
     }
 
-    /// A partition whose last owner recorded all that it granted before it gave the partition
-    /// up. For `uncertainty_ms` from now on unknown programs are in doubt, as they were for it.
+    /// A partition whose previous owner recorded all its grants before it released the partition.
+    /// Its uncertainty window continues here for the next `uncertainty_ms`.
     pub fn after_handover(now_ms: u64, uncertainty_ms: u64) -> Self {
         Self {
             uncertainty: Uncertainty::until(now_ms + uncertainty_ms),
@@ -92,20 +93,20 @@
         }
     }
 
-    /// How long unknown programs are in doubt from now on, in milliseconds.
+    /// Remaining uncertainty window, in milliseconds.
     pub fn uncertainty_ms(&self, now_ms: u64) -> u64 {
         self.uncertainty.remaining_ms(now_ms)
     }
 
-    /// What to append once the partition was read, so that programs may begin without the log
-    /// while unknown ones are in doubt.
+    /// Records to append once the partition is loaded, so that programs can start without the log
+    /// during the uncertainty window.
     pub fn claim_unrecorded_share(&self, now_ms: u64) -> Vec<Record> {
         let claimed = self.uncertainty.claim_share(now_ms);
         claimed.map(Record::UnrecordedShares).into_iter().collect()
     }
 
-    /// Records to be appended before the partition is given up: nothing is reserved ahead
-    /// after them, and every program has one.
+    /// Records to append before the partition is released. After them no tokens are reserved ahead,
+    /// and every program has a record.
     pub fn handover_records(&mut self) -> Vec<Record> {
         self.program_records(Budget::handover_record)
     }
@@ -129,7 +130,7 @@
             .or_insert_with(|| Budget::new(budget, unrecorded))
     }
 
-    /// Takes in a record of the topic while taking over.
+    /// Applies a record of the topic during a takeover.
     pub fn load(&mut self, record: Record) {
         match record {
             Record::Program(name, Some(record)) => {
@@ -155,24 +156,24 @@
         }
     }
 
-    /// All records are in: a chain is kept as long as its latest turn.
+    /// Called when all records are loaded. A chain is stored as long as its newest turn.
     pub fn finish_loading(&mut self) {
         if self.previous_owner_lost {
             self.programs
                 .values_mut()
                 .for_each(Budget::mark_open_in_doubt);
         }
-        let ends: Vec<(QualifiedName, u64)> = self
+        let chain_ends: Vec<(QualifiedName, u64)> = self
             .turns
             .iter()
             .map(|(name, turn)| (name.clone(), turn.keep_until_ms))
             .collect();
-        for (name, keep_until_ms) in ends {
+        for (name, keep_until_ms) in chain_ends {
             self.extend_chain_retention(&name, keep_until_ms);
         }
     }
 
-    /// A turn asks to begin. The same turn may ask again.
+    /// Opens a turn. A repeated request for the same turn is allowed.
     pub fn open(&mut self, request: &OpenTurn, now_ms: u64) -> OpenOutcome {
         let Some(chain) = self.chain_for(request) else {
             return OpenOutcome::UnknownTurn;
@@ -196,7 +197,7 @@
             Reservation::Exhausted => return OpenOutcome::BudgetSpent(program.usage(now_ms)),
             Reservation::AlreadyEnded => return OpenOutcome::AlreadyEnded,
         };
-        let begins = request.previous.is_none() && program.is_first_turn(&turn);
+        let is_first_turn = request.previous.is_none() && program.is_first_turn(&turn);
         let durable = allowed == request.max_tokens;
         let mut records = Vec::new();
         if !durable {
@@ -207,13 +208,13 @@
             chain,
             durable,
             allowed,
-            is_first_turn: begins,
+            is_first_turn,
             records,
         }
     }
 
-    /// A turn has ended. The same end may be told again: what is known already is
-    /// appended or about to be.
+    /// Ends a turn. A repeated end appends nothing, because what it says was already appended or is
+    /// queued.
     pub fn close(&mut self, request: &CloseTurn, now_ms: u64) -> Vec<Record> {
         let mut records = Vec::new();
         if let Some(budget) = request.budget {
@@ -249,7 +250,7 @@
     /// A record was appended.
     pub fn record_appended(&mut self, record: &Record) {
         match record {
-            // Before the deletion it is one of the program's life before.
+            // A record appended before the deletion belongs to the expired state of the program.
             Record::Program(name, Some(_)) if !self.pending_deletions.contains_key(name) => {
                 if let Some(program) = self.programs.get_mut(name) {
                     program.record_appended();
@@ -261,7 +262,7 @@
         }
     }
 
-    /// The deletion of a forgotten program is durable.
+    /// A deletion of an expired program is durable.
     fn deletion_appended(&mut self, name: &QualifiedName) {
         let Some(deletions) = self.pending_deletions.get_mut(name) else {
             return;
@@ -272,7 +273,7 @@
         }
     }
 
-    /// Deletes what need not be kept any longer.
+    /// Deletes expired turns and programs.
     pub fn expire(&mut self, now_ms: u64) -> Vec<Record> {
         let mut records = self.end_uncertainty(now_ms);
         self.turns.retain(|name, turn| {
@@ -293,7 +294,8 @@
         records
     }
 
-    /// Says that the doubt is over, after all that was handed out in it.
+    /// Records that end the uncertainty window, after a record of every program that was granted
+    /// tokens in it.
     fn end_uncertainty(&mut self, now_ms: u64) -> Vec<Record> {
         if !self.uncertainty.needs_closing_record(now_ms) {
             return Vec::new();
@@ -303,17 +305,17 @@
         records
     }
 
-    /// Turns kept.
+    /// Number of stored turns.
     pub fn turn_count(&self) -> usize {
         self.turns.len()
     }
 
-    /// Programs known.
+    /// Number of known programs.
     pub fn program_count(&self) -> usize {
         self.programs.len()
     }
 
-    /// The record of a program as it stands, for checks.
+    /// Committed tokens of a program, for tests.
     pub fn committed_tokens(&self, program: &QualifiedName) -> u64 {
         self.programs
             .get(program)
@@ -348,7 +350,7 @@
         Some(contents)
     }
 
-    /// The turns from this one back to the first.
+    /// The turns of a chain, from this one back to the first.
     fn chain_turns(&self, last: &QualifiedName) -> Option<Vec<&Turn>> {
         let mut chain = Vec::new();
         let mut next = Some(last.clone());
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -1,83 +1,86 @@
-//! Records of the compacted topic: the newest of each key is kept for good.
+//! Records of the compacted topic. The log keeps the newest record of each key.
 
 use crate::name::QualifiedName;
 use nanoserde::{DeBin, SerBin};
 
-/// Kinds of keys. Those of tenants' names have the tenant's length and name before the name.
+/// Key prefixes. Keys of tenants' names continue with the length of the tenant name (one byte) and
+/// the tenant name.
 const PROGRAM_KEY: u8 = b'p';
 const TURN_KEY: u8 = b't';
 const TENANT_PROGRAM_KEY: u8 = b'P';
 const TENANT_TURN_KEY: u8 = b'T';
 const UNRECORDED_SHARES_KEY: u8 = b'd';
 
-/// A turn whose end is not known yet.
+/// Reservation of a turn whose end is not known yet.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct OpenReservation {
-    /// Its name: the number of the try that it is for, in hexadecimal.
+    /// Id of the reservation: the attempt number in hexadecimal.
     pub id: String,
-    /// Tokens reserved for it.
+    /// Reserved tokens.
     pub tokens: u64,
-    /// Nobody may wait for it: see [`crate::open_turns`]. A planned stop hands this on.
+    /// Whether the turn is in doubt: possibly nobody waits for it any more, see
+    /// [`crate::open_turns`]. The flag is handed over when an owner stops as planned.
     pub in_doubt: bool,
 }
 
-/// Budget of a program.
+/// Budget state of a program.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct ProgramRecord {
-    /// Tokens of ended turns.
+    /// Tokens delivered by ended turns.
     pub settled_tokens: u64,
-    /// Turns under way.
+    /// Reservations of turns in progress.
     pub open_reservations: Vec<OpenReservation>,
-    /// Tokens reserved ahead of turns that were not yet asked for.
+    /// Tokens reserved ahead, for turns that were not requested yet.
     pub reserved_ahead: u64,
-    /// Reservations of ended turns, so that a repeated end counts once: see [`crate::ended_turns`].
+    /// Reservation ids of ended turns, used to count a repeated end only once: see
+    /// [`crate::ended_turns`].
     pub ended_reservations: Vec<String>,
     /// Unix time of the last change, in milliseconds.
     pub changed_ms: u64,
 }
 
-/// A turn that ended whole.
+/// Content of a turn that completed.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct TurnRecord {
-    /// Program that it belongs to.
+    /// Program of the turn.
     pub program: String,
-    /// Turn that it went on from.
+    /// Turn that this one continues.
     pub previous: Option<String>,
-    /// New input.
+    /// New input of the turn.
     pub input: Vec<u8>,
-    /// Output as the next turn's prompt holds it.
+    /// Output, in the form in which the prompt of the next turn contains it.
     pub output: Vec<u8>,
-    /// Unix time of its end, in milliseconds.
+    /// Unix time of the end, in milliseconds.
     pub ended_ms: u64,
-    /// How long it is kept, in milliseconds.
+    /// Retention after the end, in milliseconds.
     pub retention_ms: u64,
 }
 
-/// What a record says; `None` deletes the key.
+/// Content of a record; `None` is a tombstone that deletes the key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Record {
-    /// Budget of a program.
+    /// Budget state of a program.
     Program(QualifiedName, Option<ProgramRecord>),
     /// Content of a turn.
     Turn(QualifiedName, Option<TurnRecord>),
-    /// Successors in a row that may have handed out their part of programs without a record:
-    /// see [`crate::uncertainty`].
+    /// Number of consecutive successors that may have granted their share to programs without a
+    /// record: see [`crate::uncertainty`].
     UnrecordedShares(u32),
 }
 
-/// A record that cannot be read.
+/// A key or value that cannot be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnreadableRecord;
 
 impl Record {
-    /// Key in the topic, of a name that [fits](Name::fits).
+    /// Key in the topic. The name must [fit](QualifiedName::fits_record_key).
     pub fn key(&self) -> Vec<u8> {
         let (kind, tenant_kind, name) = match self {
             Self::Program(name, _) => (PROGRAM_KEY, TENANT_PROGRAM_KEY, name),
             Self::Turn(name, _) => (TURN_KEY, TENANT_TURN_KEY, name),
             Self::UnrecordedShares(_) => return vec![UNRECORDED_SHARES_KEY],
         };
-        let mut key = Vec::with_capacity(name.text.len() + 1);
+        let mut key = Vec::with_capacity(name.name.len() + 1);
         match &name.tenant {
             None => key.push(kind),
             Some(tenant) => {
@@ -86,11 +89,11 @@
                 key.extend_from_slice(tenant.as_bytes());
             }
         }
-        key.extend_from_slice(name.text.as_bytes());
+        key.extend_from_slice(name.name.as_bytes());
         key
     }
 
-    /// Value in the topic; empty where the key is deleted.
+    /// Value in the topic; empty for a tombstone.
     pub fn value(&self) -> Vec<u8> {
         match self {
             Self::Program(_, Some(record)) => record.serialize_bin(),
@@ -100,10 +103,9 @@
         }
     }
 
-    /// Reads a record.
+    /// Decodes a record.
     ///
-    /// # Errors
-    /// The key or the value is not one of this module's.
+    /// # Errors The key or the value was not written by this module.
     pub fn decode(key: &[u8], value: &[u8]) -> Result<Self, UnreadableRecord> {
         let (kind, name) = key.split_first().ok_or(UnreadableRecord)?;
         if *kind == UNRECORDED_SHARES_KEY && name.is_empty() {
@@ -133,7 +135,7 @@
     std::str::from_utf8(bytes).map_err(|_| UnreadableRecord)
 }
 
-/// The tenant's length, the tenant, and a name of its own.
+/// Decodes the tenant and the name from the part of a key that follows the prefix.
 fn decode_tenant_name(key: &[u8]) -> Result<QualifiedName, UnreadableRecord> {
     let (length, rest) = key.split_first().ok_or(UnreadableRecord)?;
     let (tenant, name) = rest
--- a/crates/ledger/src/uncertainty.rs
+++ b/crates/ledger/src/uncertainty.rs
@@ -1,54 +1,56 @@
-//! What a new owner has to assume of programs that no record tells of.
+//! Programs that may have started without a record before a takeover.
 //!
-//! An owner that was lost may have begun programs without a record. For a while after a
-//! take-over an unknown program may be one of those, so what its earlier owners may have
-//! handed out counts as spent. A first successor has a part of budgets of its own to hand out
-//! without a record: the log may go away soon after the owners. A record of the partition says
-//! so before it does, so that the next owner counts that part as well
-//! (docs/design/losses.md).
+//! An owner grants the first tokens of a program without waiting for a record. If it is lost, its
+//! successor cannot know these programs. For some time after the takeover, the uncertainty window,
+//! the successor treats each unknown program as one that an earlier owner may have started, and
+//! counts what that owner may have granted as spent. The first successor has a share of its own
+//! that it may grant without a record of the program, since the log may fail soon after the owners.
+//! Before it grants that share it appends a record for the partition, so that the next owner counts
+//! it as well (docs/design/losses.md).
 
-/// Turns' times for which a program without a record may be out of sight after its owner was
-/// lost: a client sends a turn three times, and calls tools for less than a turn's time
-/// before the next one.
+/// Number of turn durations for which a program without a record may send nothing after its owner
+/// was lost. A client sends a turn up to three times, and then runs tools for less than one turn
+/// duration before the next turn.
 const UNSEEN_TURNS: u64 = 4;
-/// How long a former owner that was cut off or frozen may go on granting, in milliseconds:
-/// twice what it takes to notice that the log answers others and not itself.
+/// How long a replaced owner may continue to grant turns while it is partitioned or frozen, in
+/// milliseconds: twice the time that it takes to notice that the log answers others but not itself.
 const STALE_OWNER_MS: u64 = 4_000;
-/// The doubt at most, also as long as the times of turns are not known, in milliseconds.
+/// Maximum uncertainty window, in milliseconds; also used while turn durations are unknown.
 const MAX_UNCERTAINTY_MS: u64 = 60_000;
 
-/// Parts of a budget that owners hand out without a record, one in each: an owner that nobody
-/// was before, and its first successor while in doubt. Programs use a quarter to a third of
-/// their budget, so either part carries most of them through an outage; what both leave still
-/// holds such a program for the owners after them.
+/// Share of a budget that each owner may grant without a record, as a divisor: one third for an
+/// owner without predecessor, one quarter for its first successor during the uncertainty window.
+/// Programs use a quarter to a third of their budget, so either share lets most of them run through
+/// an outage. What remains after both is still enough for such a program under later owners.
 const SHARE_DIVISORS: [u64; 2] = [3, 4];
 
-/// How long after a take-over an unknown program may have begun under the earlier owner, in
-/// milliseconds, where a turn takes `longest_turn_ms` at most.
+/// Uncertainty window after the loss of an owner, in milliseconds, if a turn takes at most
+/// `longest_turn_ms`: an unknown program that appears within it may have started under an earlier
+/// owner.
 pub fn uncertainty_after_loss_ms(longest_turn_ms: u64) -> u64 {
-    let out_of_sight = longest_turn_ms.saturating_mul(UNSEEN_TURNS);
-    out_of_sight
+    let unseen_ms = longest_turn_ms.saturating_mul(UNSEEN_TURNS);
+    unseen_ms
         .saturating_add(STALE_OWNER_MS)
         .min(MAX_UNCERTAINTY_MS)
 }
 
-/// What may be, or may have been, handed out of a program that no record tells of.
+/// Unrecorded grants that owners may have made, or may make, to a program without a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnrecordedGrants {
-    /// Earlier owners that may have handed out their part.
+    /// Number of earlier owners that may have granted their share.
     pub earlier_owners: usize,
-    /// Whether this owner may hand out its own.
+    /// Whether the current owner may grant its own share.
     pub may_grant: bool,
 }
 
 impl UnrecordedGrants {
-    /// Tokens that may have been handed out.
+    /// Tokens that earlier owners may have granted.
     pub fn earlier_tokens(&self, budget: u64) -> u64 {
-        let parts = SHARE_DIVISORS.iter().take(self.earlier_owners);
-        parts.map(|divisor| budget / divisor).sum()
+        let shares = SHARE_DIVISORS.iter().take(self.earlier_owners);
+        shares.map(|divisor| budget / divisor).sum()
     }
 
-    /// Tokens that later owners count as handed out.
+    /// Tokens that later owners count as granted, including the share of the current owner.
     pub fn total_tokens(&self, budget: u64) -> u64 {
         let owners = self.earlier_owners + usize::from(self.may_grant);
         Self {
@@ -59,18 +61,18 @@
     }
 }
 
-/// The doubt of one owner.
+/// Uncertainty window of one owner.
 #[derive(Debug, Default)]
 pub struct Uncertainty {
     until_ms: u64,
-    /// Successors that may hand out their part, by the newest record.
+    /// Number of successors that may have granted their share, according to the newest record.
     recorded_successors: u32,
-    /// This owner is one of them, and the record of it is durable.
+    /// Whether that number includes this owner and the record of it is durable.
     is_own_share_recorded: bool,
 }
 
 impl Uncertainty {
-    /// In doubt until a time.
+    /// Starts a window that ends at the given time.
     pub fn until(until_ms: u64) -> Self {
         Self {
             until_ms,
@@ -78,38 +80,38 @@
         }
     }
 
-    /// How long it lasts from now on, in milliseconds.
+    /// Remaining duration of the window, in milliseconds.
     pub fn remaining_ms(&self, now_ms: u64) -> u64 {
         self.until_ms.saturating_sub(now_ms)
     }
 
-    /// Takes in the record of earlier owners.
+    /// Applies the record of an earlier owner.
     pub fn load(&mut self, successors: u32) {
         self.recorded_successors = successors;
     }
 
-    /// The record to append before this owner hands anything out without records of
-    /// programs; `None` where it need not or may not.
+    /// Record to append before this owner grants its share to programs without a record. `None` if
+    /// it needs no such record or has no share.
     pub fn claim_share(&self, now_ms: u64) -> Option<u32> {
         let earlier = self.recorded_successors as usize + 1;
-        let may = self.remaining_ms(now_ms) > 0
+        let may_claim = self.remaining_ms(now_ms) > 0
             && !self.is_own_share_recorded
             && earlier < SHARE_DIVISORS.len();
-        may.then_some(self.recorded_successors + 1)
+        may_claim.then_some(self.recorded_successors + 1)
     }
 
-    /// The record is durable.
+    /// The record with this number of successors is durable.
     pub fn record_appended(&mut self, successors: u32) {
         self.is_own_share_recorded = successors > self.recorded_successors;
         self.recorded_successors = successors;
     }
 
-    /// Whether it is over and the log does not say so yet.
+    /// Whether the window has ended and the log still contains a record of unrecorded shares.
     pub fn needs_closing_record(&self, now_ms: u64) -> bool {
         self.remaining_ms(now_ms) == 0 && self.recorded_successors > 0
     }
 
-    /// What an unknown program stands for now.
+    /// Unrecorded grants to assume for an unknown program at this time.
     pub fn unrecorded_grants(&self, now_ms: u64) -> UnrecordedGrants {
         if self.remaining_ms(now_ms) == 0 {
             return UnrecordedGrants {
--- a/crates/ledger/tests/chain_fuzz.rs
+++ b/crates/ledger/tests/chain_fuzz.rs
@@ -232,7 +232,7 @@
     world.turn(0, None, true);
     for (key, value) in &world.log {
         if let Ok(Record::Turn(name, Some(mut record))) = Record::decode(key, value) {
-            record.previous = Some(name.text.clone());
+            record.previous = Some(name.name.clone());
             owner.load(Record::Turn(name, Some(record)));
         }
     }
