--- a/crates/daemon/src/shard/manage.rs
+++ b/crates/daemon/src/shard/manage.rs
@@ -46,7 +46,7 @@
         tracing::info!(event = "shard_lost", shard, epoch = claim.epoch, owner = ?claim.address);
         give_up(node, shard);
     }
-    if mine && held_epoch != Some(claim.epoch) && !node.claims.is_released() {
+    if mine && held_epoch != Some(claim.epoch) && !node.claims.has_stopped_claiming() {
         ntex::rt::spawn(hold(node.clone(), shard, claim.epoch));
     }
 }
@@ -159,7 +159,7 @@
     let dead = table
         .member(owner.address)
         .is_some_and(|member| member.id == owner && member.state >= MemberState::Dead);
-    dead || table.is_surely_gone(owner)
+    dead || table.is_confirmed_gone(owner)
 }
 
 /// One daemon claims a shard, to spare the log a race: the live one that the shard
--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -5,16 +5,16 @@
 use crate::ledger::assigner::Assigner;
 use crate::ledger::client::LedgerClient;
 use crate::ledger::owner::Owner;
-use crate::ledger::quota::Shares;
+use crate::ledger::quota::TenantShares;
 use crate::memory::Memory;
 use crate::metrics::Metrics;
 use crate::places::Places;
 use crate::relay::{self, Relay};
-use crate::serve::answer_times::AnswerTimes;
+use crate::serve::response_times::ResponseTimes;
 use crate::settings::GatewaySettings;
 use crate::upstream::pool::Pools;
 use fieldhook_log::api::LogStore;
-use fieldhook_log::contact::Contact;
+use fieldhook_log::log_health::LogHealth;
 use fieldhook_log::reach::Reach;
 use fieldhook_traffic::assignment::prefix_hash;
 use fieldhook_traffic::directory::Directory;
@@ -54,7 +54,7 @@
     /// Topics of the platform.
     pub topics: Topics,
     /// Contact with the log service.
-    pub contact: Rc<Contact>,
+    pub contact: Rc<LogHealth>,
     /// Routes in force.
     pub routes: RefCell<Option<Rc<RouteTable>>>,
     /// Told when there are new ones.
@@ -68,9 +68,9 @@
     /// Known servers.
     pub directory: Rc<RefCell<Directory>>,
     /// How long answers take.
-    pub answer_times: AnswerTimes,
+    pub answer_times: ResponseTimes,
     /// How long streams say nothing between two pieces.
-    pub pauses: AnswerTimes,
+    pub pauses: ResponseTimes,
     /// Connections to servers.
     pub pools: Rc<Pools>,
     /// Repeats of attempts that are left.
@@ -80,7 +80,7 @@
     /// Asks the owners of partitions.
     pub ledger: Rc<LedgerClient>,
     /// Asks for tenants' requests.
-    pub quota: Shares,
+    pub quota: TenantShares,
     /// What is held for peers that are slow to read.
     pub memory: Rc<Memory>,
     /// Figures.
@@ -106,7 +106,7 @@
     /// Topics of the platform.
     pub topics: Topics,
     /// Contact with the log service, kept by the store.
-    pub contact: Rc<Contact>,
+    pub contact: Rc<LogHealth>,
     /// Figures, counted into by the store.
     pub metrics: Rc<Metrics>,
 }
@@ -144,7 +144,7 @@
             incarnation,
         );
         let ledger = Rc::new(LedgerClient::new(owner.clone(), adapter.contact.clone()));
-        let quota = Shares::new(settings.quota.window_ms);
+        let quota = TenantShares::new(settings.quota.window_ms);
         let memory = Rc::new(Memory::new(settings.slow_peers, adapter.metrics.clone()));
         Rc::new(Self {
             settings,
@@ -158,8 +158,8 @@
             cold,
             servers_listed: Cell::new(false),
             directory,
-            answer_times: AnswerTimes::default(),
-            pauses: AnswerTimes::default(),
+            answer_times: ResponseTimes::default(),
+            pauses: ResponseTimes::default(),
             pools,
             retry_budget: RefCell::default(),
             owner,
@@ -249,15 +249,15 @@
         crate::ledger::peer::listen(self.owner.clone(), self.settings.peers).await?;
         crate::serve::listener::listen(self.clone()).await?;
         ntex::rt::spawn(crate::follow::config::run(self.clone()));
-        ntex::rt::spawn(crate::follow::config::run_peers(self.clone()));
+        ntex::rt::spawn(crate::follow::config::poll_peers(self.clone()));
         ntex::rt::spawn(crate::follow::servers::run(self.clone()));
         ntex::rt::spawn(self.owner.claims.clone().run_follow());
         ntex::rt::spawn(relay::places::run(self.clone()));
-        let patience = self.owner.patience();
-        ntex::rt::spawn(self.owner.claims.clone().run_unowned(patience));
+        let patience = self.owner.claim_delay();
+        ntex::rt::spawn(self.owner.claims.clone().run_claim_unowned(patience));
         ntex::rt::spawn(crate::ledger::owner::run_expiry(self.owner.clone()));
         ntex::rt::spawn(crate::ledger::reach::run(self.clone()));
-        ntex::rt::spawn(crate::ledger::homes::run_watch(self.ledger.clone()));
+        ntex::rt::spawn(crate::ledger::homes::watch_owners(self.ledger.clone()));
         ntex::rt::spawn(sweep_pools(self.clone()));
         ntex::rt::spawn(watch_stops(self.clone()));
         Ok(())
--- a/crates/gateway/src/follow/config.rs
+++ b/crates/gateway/src/follow/config.rs
@@ -45,9 +45,9 @@
         daemon.relay.clone(),
         daemon.contact.clone(),
         partition,
-        super::wait::of_config(&daemon.settings),
+        super::long_poll::max_config_wait(&daemon.settings),
     )
-    .on_answer(Box::new(move |age_ms| known.confirm(age_ms)));
+    .on_caught_up(Box::new(move |age_ms| known.confirm(age_ms)));
     loop {
         let (records, is_listing) = match follower.next_update().await {
             Update::Listing(records) => (records, true),
@@ -93,12 +93,12 @@
 }
 
 /// Asks other daemons for the configuration while the log may answer them and not this one.
-pub async fn run_peers(daemon: Rc<Daemon>) {
+pub async fn poll_peers(daemon: Rc<Daemon>) {
     loop {
         sleep(PEER_PERIOD).await;
         let is_outage = daemon.ledger.reach.get() == Reach::Outage;
         let is_doubtful = daemon.is_doubtful();
-        let may_be_behind = daemon.contact.failing() && !is_outage;
+        let may_be_behind = daemon.contact.is_failing() && !is_outage;
         if !may_be_behind && !is_doubtful {
             continue;
         }
--- a/crates/gateway/src/ledger/client.rs
+++ b/crates/gateway/src/ledger/client.rs
@@ -7,7 +7,7 @@
 use fieldhook_ledger::message::{
     BudgetUsage, CloseTurn, FindChain, LedgerReply, LedgerRequest, OpenTurn,
 };
-use fieldhook_log::contact::Contact;
+use fieldhook_log::log_health::LogHealth;
 use fieldhook_log::reach::Reach;
 use fieldhook_topology::region::Set;
 use futures_util::StreamExt;
@@ -101,7 +101,7 @@
     /// The partitions owned here.
     pub owner: Rc<Owner>,
     /// Contact with the log.
-    pub contact: Rc<Contact>,
+    pub contact: Rc<LogHealth>,
     /// What this daemon reaches, kept by [`super::reach`].
     pub reach: Rc<Cell<Reach>>,
     pub(super) peers: Peers,
@@ -113,7 +113,7 @@
     /// An owner was silent since [`super::reach`] looked last.
     pub(super) silent_owner: Cell<bool>,
     /// Ends of turns that are being told. A planned stop waits for them: nobody else can.
-    pub endings: Cell<usize>,
+    pub pending_closes: Cell<usize>,
     /// Doubts that were said, by partition: each is said once.
     pub(super) doubts: RefCell<HashMap<u32, Doubt>>,
     pub(super) signs: RefCell<Signs>,
@@ -121,7 +121,7 @@
 
 impl LedgerClient {
     /// A client beside this daemon's own partitions.
-    pub fn new(owner: Rc<Owner>, contact: Rc<Contact>) -> Self {
+    pub fn new(owner: Rc<Owner>, contact: Rc<LogHealth>) -> Self {
         Self {
             reach: owner.reach.clone(),
             owner,
@@ -131,7 +131,7 @@
             claim_turn: Mutex::default(),
             searching: RefCell::default(),
             silent_owner: Cell::default(),
-            endings: Cell::default(),
+            pending_closes: Cell::default(),
             doubts: RefCell::default(),
             signs: RefCell::default(),
         }
@@ -299,14 +299,14 @@
     }
 
     /// The home partition that keeps the contents of a program, where homes bind these.
-    pub fn keeper(&self, program: &str, homes: &Set) -> Option<u32> {
+    pub fn home_partition(&self, program: &str, homes: &Set) -> Option<u32> {
         self.owner.places.layout.home_partition(program, homes)
     }
 
     /// Ends once this daemon is cut off from the log with the minority: nothing can be recorded
     /// from here then.
-    pub async fn wait_cut_off(&self) {
-        while self.reach.get() != Reach::Minority || !self.contact.failing() {
+    pub async fn wait_until_cut_off(&self) {
+        while self.reach.get() != Reach::Minority || !self.contact.is_failing() {
             sleep(MINORITY_PERIOD).await;
         }
     }
--- a/crates/gateway/src/ledger/peer.rs
+++ b/crates/gateway/src/ledger/peer.rs
@@ -2,7 +2,7 @@
 //! calls side by side on one connection.
 
 use super::owner::Owner;
-use crate::upstream::connection::prepare;
+use crate::upstream::connection::configure_socket;
 use bytes::{Buf, BytesMut};
 use fieldhook_ledger::message::{Envelope, LedgerReply, LedgerRequest};
 use nanoserde::{DeBin, SerBin};
@@ -88,7 +88,7 @@
     ntex::rt::spawn(async move {
         loop {
             if let Ok((stream, _)) = listener.accept().await {
-                prepare(&stream);
+                configure_socket(&stream);
                 ntex::rt::spawn(serve(owner.clone(), stream));
             }
         }
@@ -137,7 +137,7 @@
 
 impl PeerConnection {
     fn start(stream: TcpStream) -> Rc<Self> {
-        prepare(&stream);
+        configure_socket(&stream);
         let (reader, writer) = stream.into_split();
         let (frames, waiting) = mpsc::unbounded_channel();
         ntex::rt::spawn(write_frames(writer, waiting));
@@ -251,7 +251,7 @@
     }
 
     /// Asks a daemon and waits for its first answer; `None` where none comes in time.
-    pub async fn ask(
+    pub async fn request(
         &self,
         address: SocketAddr,
         question: &LedgerRequest,
@@ -275,7 +275,7 @@
     }
 
     /// Forgets a connection that does not answer. It ends once nobody waits on it.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn discard(&self, address: SocketAddr) {
         let forgotten = self.connections.borrow_mut().remove(&address);
         if let Some(connection) = forgotten {
             connection.forget();
--- a/crates/gateway/src/ledger/reach.rs
+++ b/crates/gateway/src/ledger/reach.rs
@@ -2,8 +2,8 @@
 //! the log fail, and by looking at the zones while an owner is silent.
 
 use crate::daemon::Daemon;
-use crate::upstream::probe::{self, Probed};
-use fieldhook_log::reach::{Judge, Look, Reach, Round};
+use crate::upstream::probe::{self, ProbeOutcome};
+use fieldhook_log::reach::{Look, Reach, ReachTracker, Round};
 use fieldhook_traffic::directory::ServerEntry;
 use futures_util::future::join_all;
 use std::collections::BTreeMap;
@@ -23,7 +23,7 @@
 /// Judges for good. Nobody is asked while the log and the owners answer.
 pub async fn run(daemon: Rc<Daemon>) {
     let ledger = daemon.ledger.clone();
-    let mut judge = Judge::default();
+    let mut tracker = ReachTracker::default();
     let mut changed = Instant::now();
     loop {
         sleep(PERIOD).await;
@@ -31,16 +31,16 @@
         daemon
             .away
             .send_if_modified(|now| std::mem::replace(now, away) != away);
-        let round = match ledger.contact.lost() {
+        let round = match ledger.contact.is_lost() {
             true => ledger.ask_who_reaches_log().await,
             false => Round::Heard,
         };
-        let in_doubt = ledger.silent_owner.take() || judge.reach() == Reach::Minority;
+        let in_doubt = ledger.silent_owner.take() || tracker.reach() == Reach::Minority;
         let look = match in_doubt {
             true => Some(look_around(&daemon).await),
             false => None,
         };
-        let Some(reach) = judge.step_with(round, look) else {
+        let Some(reach) = tracker.update_with(round, look) else {
             continue;
         };
         ledger.reach.set(reach);
@@ -50,7 +50,7 @@
             ?reach,
             ?round,
             ?look,
-            log_age_ms = ledger.contact.age_ms()
+            log_age_ms = ledger.contact.ms_since_answer()
         );
         if matches!(reach, Reach::CutOff | Reach::Minority) {
             ledger.owner.claims.changed.notify_waiters();
@@ -103,7 +103,7 @@
 /// Whether the log answered a moment ago, or does now.
 async fn reaches_log(daemon: &Daemon) -> bool {
     let ledger = &daemon.ledger;
-    ledger.contact.within(PERIOD) || ledger.reaches(ANY_PARTITION).await
+    ledger.contact.answered_within(PERIOD) || ledger.reaches(ANY_PARTITION).await
 }
 
 /// Whether one of some servers lets itself be reached.
@@ -114,5 +114,5 @@
     join_all(probes)
         .await
         .into_iter()
-        .any(|probed| probed != Probed::Unanswered)
+        .any(|probed| probed != ProbeOutcome::Unreachable)
 }
--- a/crates/gateway/src/serve/quota.rs
+++ b/crates/gateway/src/serve/quota.rs
@@ -55,7 +55,7 @@
     fn drop(&mut self) {
         if let Some((daemon, question)) = self.told.take() {
             daemon.metrics.quota.with_label_values(&["left"]).inc();
-            daemon.ledger.tell_client_left(question);
+            daemon.ledger.report_client_left(question);
         }
     }
 }
@@ -85,7 +85,7 @@
     tell(context, outcome, &question);
     let answer = match outcome {
         Outcome::Granted => return Ok(taken),
-        Outcome::Unasked => Ok(Taken::default()),
+        Outcome::AdmittedLocally => Ok(Taken::default()),
         Outcome::Refused { retry_after_ms } => Err(OwnAnswer::over_limit(
             "the tenant is at its limit",
             retry_after_ms,
@@ -107,7 +107,7 @@
     loop {
         let patience = patience(context, question.starts_program);
         question.max_wait_ms = patience.map_or(0, |patience| patience.as_millis() as u64);
-        let outcome = daemon.quota.take(&daemon.ledger, question).await;
+        let outcome = daemon.quota.acquire(&daemon.ledger, question).await;
         let Outcome::Refused { retry_after_ms } = outcome else {
             return outcome;
         };
@@ -143,7 +143,7 @@
 fn tell(context: &RequestContext, outcome: Outcome, question: &QuotaRequest) {
     let (label, wait_ms) = match outcome {
         Outcome::Granted => ("granted", 0),
-        Outcome::Unasked => ("unasked", 0),
+        Outcome::AdmittedLocally => ("unasked", 0),
         Outcome::Refused { retry_after_ms } => ("refused", retry_after_ms),
         Outcome::Unknown => ("unknown", 0),
     };
--- a/crates/gateway/tests/gateway/evacuation.rs
+++ b/crates/gateway/tests/gateway/evacuation.rs
@@ -98,7 +98,7 @@
 async fn until_chosen(gateway: &Gateway, server: &str) {
     let daemon = &gateway.daemon;
     let begun = Instant::now();
-    while daemon.pools.view(server, "z1", daemon.now_ms()).in_flight == 0 {
+    while daemon.pools.status(server, "z1", daemon.now_ms()).in_flight == 0 {
         assert!(begun.elapsed() < BOUND, "{server} was never chosen");
         tokio::task::yield_now().await;
     }
@@ -271,7 +271,7 @@
         let cut = zones.gateway("g2", "z1").await;
         sleep(Duration::from_millis(100)).await;
         cut.store.set_fault(LogFault::Silent);
-        cut.daemon.contact.failed();
+        cut.daemon.contact.record_failure();
         for is_evacuated in [true, false, true] {
             match is_evacuated {
                 true => zones.close("z1").await,
