--- a/crates/gateway/src/ledger/limits.rs
+++ b/crates/gateway/src/ledger/limits.rs
@@ -4,7 +4,7 @@
 use fieldhook_ledger::message::{ColdServerRequest, QuotaReply, QuotaRequest};
 use fieldhook_log::ownership::{self, Claim};
 use fieldhook_traffic::cold;
-use fieldhook_traffic::quota::{PreviousOwner, QuotaDecision, QuotaQuery, QuotaTracker};
+use fieldhook_traffic::quota::{AdmissionRequest, PreviousOwner, QuotaDecision, QuotaTracker};
 use fieldhook_traffic::sliding_window::Bounds;
 use fieldhook_traffic::tenants::Limit;
 use std::cell::RefCell;
@@ -53,7 +53,7 @@
         &self,
         partition: u32,
         claim: &Claim,
-        question: &QuotaQuery<'_>,
+        question: &AdmissionRequest<'_>,
     ) -> QuotaReply {
         self.with_book(partition, claim, |book, now_ms| {
             answer(book.decide(question, now_ms))
@@ -112,8 +112,8 @@
 }
 
 /// A question about a cold server.
-pub(super) fn of_cold(question: &ColdServerRequest) -> QuotaQuery<'_> {
-    cold::permit_query(
+pub(super) fn of_cold(question: &ColdServerRequest) -> AdmissionRequest<'_> {
+    cold::permit_request(
         &question.server,
         question.rate_per_s,
         question.version,
@@ -122,8 +122,8 @@
 }
 
 /// A question about a tenant.
-pub(super) fn of_tenant(question: &QuotaRequest) -> QuotaQuery<'_> {
-    QuotaQuery {
+pub(super) fn of_tenant(question: &QuotaRequest) -> AdmissionRequest<'_> {
+    AdmissionRequest {
         tenant: &question.tenant,
         limit: Limit {
             rate_per_s: question.rate_per_s,
--- a/crates/gateway/tests/cold_bound.rs
+++ b/crates/gateway/tests/cold_bound.rs
@@ -3,7 +3,7 @@
 //! daemons that ask any of them.
 
 use fieldhook_log::lease::{Lease, State};
-use fieldhook_traffic::cold::{PERMIT_BOUNDS, PERMIT_VALIDITY_MS, permit_query};
+use fieldhook_traffic::cold::{PERMIT_BOUNDS, PERMIT_VALIDITY_MS, permit_request};
 use fieldhook_traffic::quota::{PreviousOwner, QuotaDecision, QuotaTracker};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
@@ -152,7 +152,7 @@
             .book
             .get_or_insert_with(|| QuotaTracker::new(PERMIT_BOUNDS, former, now_ms));
         for rank in 0..requests {
-            let question = permit_query("s", self.rate_per_s, 1, rank % 2);
+            let question = permit_request("s", self.rate_per_s, 1, rank % 2);
             let is_void = takes_ms >= PERMIT_VALIDITY_MS && sabotage != Sabotage::OldPermits;
             if let QuotaDecision::Granted { .. } = book.decide(&question, now_ms)
                 && !is_void
--- a/crates/traffic/src/cold.rs
+++ b/crates/traffic/src/cold.rs
@@ -8,7 +8,7 @@
 //! the longer side (docs/design/cold-servers.md).
 
 use crate::config::ColdLimit;
-use crate::quota::QuotaQuery;
+use crate::quota::AdmissionRequest;
 use crate::sliding_window::Bounds;
 use crate::tenants::Limit;
 use std::collections::{HashMap, HashSet};
@@ -45,8 +45,13 @@
 };
 
 /// The question to the owner of a cold server's count.
-pub fn permit_query(server: &str, rate_per_s: f64, version: u64, rank: u8) -> QuotaQuery<'_> {
-    QuotaQuery {
+pub fn permit_request(
+    server: &str,
+    rate_per_s: f64,
+    version: u64,
+    rank: u8,
+) -> AdmissionRequest<'_> {
+    AdmissionRequest {
         tenant: server,
         limit: Limit {
             rate_per_s: rate_per_s * JUDGED_MS as f64 / PERMIT_BOUNDS.window_ms as f64,
--- a/crates/traffic/src/quota.rs
+++ b/crates/traffic/src/quota.rs
@@ -28,7 +28,7 @@
 const SWEEP_MS: u64 = 500;
 /// A question to the owner: may this be sent?
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct QuotaQuery<'a> {
+pub struct AdmissionRequest<'a> {
     /// Name of the tenant.
     pub tenant: &'a str,
     /// Its limit, as the asking daemon knows it.
@@ -110,7 +110,12 @@
 }
 
 impl Account {
-    fn new(question: &QuotaQuery<'_>, bounds: &Bounds, start: PriorGrants, now_ms: u64) -> Self {
+    fn new(
+        question: &AdmissionRequest<'_>,
+        bounds: &Bounds,
+        start: PriorGrants,
+        now_ms: u64,
+    ) -> Self {
         Self {
             version: question.version,
             window: SlidingWindow::new(*bounds, question.limit, start),
@@ -136,7 +141,7 @@
     }
 
     /// Limits of a newer configuration hold from now on.
-    fn learn(&mut self, question: &QuotaQuery<'_>, bounds: &Bounds, now_ms: u64) {
+    fn learn(&mut self, question: &AdmissionRequest<'_>, bounds: &Bounds, now_ms: u64) {
         if question.version <= self.version {
             return;
         }
@@ -153,7 +158,7 @@
         self.room = (self.room + requests).min(most);
     }
 
-    fn take(&mut self, question: &QuotaQuery<'_>, now_ms: u64) -> QuotaDecision {
+    fn take(&mut self, question: &AdmissionRequest<'_>, now_ms: u64) -> QuotaDecision {
         if self.window.available(now_ms) >= f64::from(1 + question.reserved) {
             self.window.add(1, now_ms);
             return QuotaDecision::Granted {
@@ -205,7 +210,7 @@
     }
 
     /// Answers a question.
-    pub fn decide(&mut self, question: &QuotaQuery<'_>, now_ms: u64) -> QuotaDecision {
+    pub fn decide(&mut self, question: &AdmissionRequest<'_>, now_ms: u64) -> QuotaDecision {
         self.forget(now_ms);
         let bounds = self.bounds;
         let cost = self.cost_of(question);
@@ -265,7 +270,7 @@
     }
 
     /// Requests that a program which begins will need; nothing for one under way.
-    fn cost_of(&self, question: &QuotaQuery<'_>) -> f64 {
+    fn cost_of(&self, question: &AdmissionRequest<'_>) -> f64 {
         if !question.starts_program {
             return 0.0;
         }
@@ -279,7 +284,7 @@
     }
 
     /// Counts a request that was granted, of a program that is charged so much for its beginning.
-    fn count(&mut self, question: &QuotaQuery<'_>, charged: f64, now_ms: u64) {
+    fn count(&mut self, question: &AdmissionRequest<'_>, charged: f64, now_ms: u64) {
         let Some(key) = program_key(question.tenant, question.program) else {
             return;
         };
@@ -333,6 +338,6 @@
     Some(xxh3_64_with_seed(program?.as_bytes(), tenant))
 }
 
-fn route_key(question: &QuotaQuery<'_>) -> u64 {
+fn route_key(question: &AdmissionRequest<'_>) -> u64 {
     xxh3_64_with_seed(question.route.as_bytes(), 0)
 }
--- a/crates/traffic/tests/quota.rs
+++ b/crates/traffic/tests/quota.rs
@@ -2,7 +2,7 @@
 //! of time; programs admitted whole.
 
 use fieldhook_traffic::fallback_quota::FallbackQuota;
-use fieldhook_traffic::quota::{PreviousOwner, QuotaDecision, QuotaQuery, QuotaTracker};
+use fieldhook_traffic::quota::{AdmissionRequest, PreviousOwner, QuotaDecision, QuotaTracker};
 use fieldhook_traffic::sliding_window::Bounds;
 use fieldhook_traffic::tenants::Limit;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -18,8 +18,8 @@
     slack: SLACK,
 };
 
-fn question(limit: Limit, version: u64) -> QuotaQuery<'static> {
-    QuotaQuery {
+fn question(limit: Limit, version: u64) -> AdmissionRequest<'static> {
+    AdmissionRequest {
         tenant: "red",
         limit,
         version,
@@ -180,7 +180,7 @@
         burst: 1.0,
     };
     let mut book = QuotaTracker::new(Bounds::default(), PreviousOwner::None, 0);
-    let patient = QuotaQuery {
+    let patient = AdmissionRequest {
         max_wait_ms: 1_000,
         ..question(limit, 1)
     };
@@ -202,8 +202,8 @@
     assert!(matches!(answer, QuotaDecision::Granted { .. }));
 }
 
-fn program<'a>(name: &'a str, begins: bool, limit: Limit) -> QuotaQuery<'a> {
-    QuotaQuery {
+fn program<'a>(name: &'a str, begins: bool, limit: Limit) -> AdmissionRequest<'a> {
+    AdmissionRequest {
         program: Some(name),
         starts_program: begins,
         ..question(limit, 1)
--- a/crates/traffic/tests/quota_programs.rs
+++ b/crates/traffic/tests/quota_programs.rs
@@ -1,6 +1,6 @@
 //! Programs admitted whole where some are cut short: their clients leave, or calls are refused.
 
-use fieldhook_traffic::quota::{PreviousOwner, QuotaDecision, QuotaQuery, QuotaTracker};
+use fieldhook_traffic::quota::{AdmissionRequest, PreviousOwner, QuotaDecision, QuotaTracker};
 use fieldhook_traffic::sliding_window::Bounds;
 use fieldhook_traffic::tenants::Limit;
 use std::cmp::Reverse;
@@ -63,7 +63,7 @@
 
     /// Whether the next request of a program is granted.
     fn ask(&mut self, program: &Program) -> bool {
-        let question = QuotaQuery {
+        let question = AdmissionRequest {
             tenant: "red",
             limit: LIMIT,
             version: 1,
--- a/crates/traffic/tests/quota_waits.rs
+++ b/crates/traffic/tests/quota_waits.rs
@@ -1,6 +1,6 @@
 //! Places at a tenant's limit for those who wait: who stands in whose way, without a network.
 
-use fieldhook_traffic::quota::{PreviousOwner, QuotaDecision, QuotaQuery, QuotaTracker};
+use fieldhook_traffic::quota::{AdmissionRequest, PreviousOwner, QuotaDecision, QuotaTracker};
 use fieldhook_traffic::sliding_window::{Bounds, PriorGrants, SlidingWindow};
 use fieldhook_traffic::tenants::Limit;
 use quickcheck::{Gen, QuickCheck};
@@ -59,8 +59,8 @@
     asked_again: usize,
 }
 
-fn question(patience_ms: u64) -> QuotaQuery<'static> {
-    QuotaQuery {
+fn question(patience_ms: u64) -> AdmissionRequest<'static> {
+    AdmissionRequest {
         tenant: "red",
         limit: LIMIT,
         version: 1,
