--- a/crates/topology/src/evacuation.rs
+++ b/crates/topology/src/evacuation.rs
@@ -1,49 +1,49 @@
-//! Evacuations whose servers get nothing for now, by the operator's word.
+//! Evacuations: zones whose servers receive no requests until the operator ends the evacuation.
 //!
-//! The operator's records are followed like the configuration. A read may be stale, a
-//! listing may come from before a record, and a daemon that the log refuses learns from
-//! others; so each record counts by its revision, the offset at which it stands in its
-//! topic, and nothing older than what is known changes anything.
+//! Daemons follow the operator's records in the same way as the configuration. Reads may be
+//! stale, a listing may be older than a record, and a daemon that the log refuses learns records
+//! from other daemons. Each record therefore has a revision, its offset in the topic, and a
+//! record or listing that is older than the known one is ignored.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// What the newest record of a zone says.
+/// State of a zone according to its newest record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Its servers get nothing.
+    /// The zone's servers receive no requests.
     Evacuated,
-    /// It takes part again.
+    /// The zone is in service.
     Open,
 }
 
-/// The newest that is known of a zone.
+/// The newest known record of a zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// The zone.
+    /// Name of the zone.
     pub zone: Rc<str>,
-    /// What it says.
+    /// State that the record sets.
     pub state: State,
-    /// Its place in the operator's topic; a higher one goes before.
+    /// Offset of the record in the operator's topic. A higher revision replaces a lower one.
     pub revision: u64,
-    /// When this daemon learned it, in milliseconds of its own clock.
+    /// When this daemon learned of the state, in milliseconds of its own clock.
     pub since_ms: u64,
 }
 
-/// What is known of all zones.
+/// The newest known records of all zones.
 #[derive(Clone, Debug, Default)]
 pub struct Evacuations {
     records: BTreeMap<Rc<str>, Record>,
-    /// All that the topic held before this offset is known.
-    listed_to: u64,
+    /// All records before this offset are covered by a listing.
+    listed_until: u64,
 }
 
 impl Evacuations {
-    /// Takes in a record. True if it changes whether the zone is evacuated.
+    /// Applies a record. Returns true if it changes whether the zone is evacuated.
     pub fn apply(&mut self, zone: &str, state: State, revision: u64, now_ms: u64) -> bool {
         let known = self.records.get(zone);
         let is_stale = known.is_some_and(|known| known.revision >= revision);
-        if is_stale || revision < self.listed_to {
+        if is_stale || revision < self.listed_until {
             return false;
         }
         let former = known.map_or(State::Open, |known| known.state);
@@ -62,9 +62,9 @@
         former != state
     }
 
-    /// Takes in which zones a listing names as evacuated that was read where the topic ended
-    /// at `end`; a zone that it does not name was opened before that. Returns the zones that
-    /// this opens.
+    /// Applies a listing of the evacuated zones that was read when the topic ended at offset
+    /// `end`. The evacuation of a zone that is not listed ended before `end`. Returns the zones
+    /// whose evacuation is ended by this call.
     pub fn apply_listing(&mut self, listed: &[&str], end: u64, now_ms: u64) -> Vec<Rc<str>> {
         let Some(newest) = end.checked_sub(1) else {
             return Vec::new();
@@ -78,34 +78,35 @@
             .into_iter()
             .filter(|zone| self.apply(zone, State::Open, newest, now_ms))
             .collect();
-        self.listed_to = self.listed_to.max(end);
+        self.listed_until = self.listed_until.max(end);
         opened
     }
 
-    /// Whether servers of a zone get nothing.
+    /// Whether a zone is evacuated.
     pub fn is_evacuated(&self, zone: &str) -> bool {
         self.evacuated_since_ms(zone).is_some()
     }
 
-    /// Since when this daemon knows that servers of a zone get nothing.
+    /// Since when this daemon knows that a zone is evacuated, if it is.
     pub fn evacuated_since_ms(&self, zone: &str) -> Option<u64> {
         let record = self.records.get(zone)?;
         (record.state == State::Evacuated).then_some(record.since_ms)
     }
 
-    /// Since when this daemon knows that a zone that was evacuated takes part again.
+    /// Since when this daemon knows that the evacuation of a zone has ended, if it has.
     pub fn opened_since_ms(&self, zone: &str) -> Option<u64> {
         let record = self.records.get(zone)?;
         (record.state == State::Open).then_some(record.since_ms)
     }
 
-    /// Evacuations that are evacuated.
+    /// Iterates over the records of evacuated zones.
     pub fn evacuated(&self) -> impl Iterator<Item = &Record> {
         self.records()
             .filter(|record| record.state == State::Evacuated)
     }
 
-    /// All that is known, for daemons that cannot read it themselves.
+    /// Iterates over the records of all zones. Daemons that cannot read the topic receive them
+    /// from this one.
     pub fn records(&self) -> impl Iterator<Item = &Record> {
         self.records.values()
     }
--- a/crates/topology/src/freshness.rs
+++ b/crates/topology/src/freshness.rs
@@ -1,60 +1,63 @@
-//! Whether what a daemon knows of the operator's word is recent enough to act on.
+//! Whether the operator's records that a daemon knows are recent enough to act on.
 //!
-//! A process that was frozen wakes with what it knew before, and one that reaches neither
-//! the log nor another daemon hears of nothing. An outage of the log alone is no cause for
-//! doubt: nobody can know more then, and the service has to go on.
+//! A process that was suspended resumes with outdated records, and a daemon that reaches neither
+//! the log nor another daemon receives no new ones. An outage of the log alone does not make the
+//! records stale: no daemon can know newer ones then, and the service has to go on.
 
-/// A process that did not run for so long was stopped, in milliseconds: an event loop that
-/// is merely busy comes round in less. Shorter stops leave what is known younger than any
-/// bound by themselves.
-const STOPPED_MS: u64 = 1_000;
+/// A process counts as suspended if it did not run for longer than this, in milliseconds. A busy
+/// event loop takes less time to come round. After a shorter suspension the records are still
+/// younger than any limit.
+const SUSPENDED_MS: u64 = 1_000;
 
-/// What a daemon may believe of its own knowledge.
+/// Tracks suspensions of the process and whether its records were confirmed since.
 #[derive(Clone, Debug)]
 pub struct Freshness {
     limit_ms: u64,
     last_run_ms: u64,
-    woken_ms: Option<u64>,
+    resumed_ms: Option<u64>,
 }
 
 impl Freshness {
-    /// What was last confirmed longer than `limit_ms` ago is too old after a stop.
+    /// After a suspension, records are stale if they were last confirmed more than `limit_ms`
+    /// ago.
     pub fn new(limit_ms: u64) -> Self {
         Self {
             limit_ms,
             last_run_ms: 0,
-            woken_ms: None,
+            resumed_ms: None,
         }
     }
 
-    /// The process runs, and what it knows was the newest `age_ms` ago. True if it has been
-    /// stopped before.
+    /// Records that the process is running and that its records were last confirmed `age_ms` ago.
+    /// Returns true if the process was suspended since the previous call.
     pub fn record_run(&mut self, now_ms: u64, age_ms: u64) -> bool {
-        let was_stopped = now_ms.saturating_sub(self.last_run_ms) > STOPPED_MS;
+        let was_suspended = now_ms.saturating_sub(self.last_run_ms) > SUSPENDED_MS;
         self.last_run_ms = now_ms;
-        if was_stopped {
-            self.woken_ms = Some(now_ms);
-        } else if self.is_confirmed_since_stop(now_ms, age_ms) {
-            self.woken_ms = None;
+        if was_suspended {
+            self.resumed_ms = Some(now_ms);
+        } else if self.is_confirmed_since_resume(now_ms, age_ms) {
+            self.resumed_ms = None;
         }
-        was_stopped
+        was_suspended
     }
 
-    /// Others were heard who know no more: nobody can tell for now.
+    /// Accepts the known records without confirmation, because the other daemons that answered
+    /// know no newer ones.
     pub fn accept_unconfirmed(&mut self) {
-        self.woken_ms = None;
+        self.resumed_ms = None;
     }
 
-    /// Whether nothing may be sent before what is known is confirmed. `is_isolated` says that
-    /// neither the log nor another daemon answers.
+    /// Whether the records have to be confirmed before any request is sent. `is_isolated` means
+    /// that neither the log nor another daemon answers.
     pub fn is_stale(&self, now_ms: u64, age_ms: u64, is_isolated: bool) -> bool {
-        let is_old = age_ms > self.limit_ms;
-        let stopped_now = now_ms.saturating_sub(self.last_run_ms) > STOPPED_MS;
-        is_old && (is_isolated || stopped_now || self.woken_ms.is_some())
+        let is_over_limit = age_ms > self.limit_ms;
+        let is_suspended_now = now_ms.saturating_sub(self.last_run_ms) > SUSPENDED_MS;
+        is_over_limit && (is_isolated || is_suspended_now || self.resumed_ms.is_some())
     }
 
-    fn is_confirmed_since_stop(&self, now_ms: u64, age_ms: u64) -> bool {
+    fn is_confirmed_since_resume(&self, now_ms: u64, age_ms: u64) -> bool {
         let confirmed_ms = now_ms.saturating_sub(age_ms);
-        self.woken_ms.is_some_and(|woken| confirmed_ms >= woken)
+        self.resumed_ms
+            .is_some_and(|resumed_ms| confirmed_ms >= resumed_ms)
     }
 }
--- a/crates/topology/src/lib.rs
+++ b/crates/topology/src/lib.rs
@@ -1,11 +1,12 @@
-//! Where machines stand, which places may serve a request, and which are closed.
-//! Without I/O; docs/design/places.md tells what was weighed.
+//! Zones, regions and evacuations: which zones may serve a request and store its data.
 //!
-//! - [`zone`]: zones, the regions that they belong to, and how far two zones are apart.
-//! - [`region`]: sets of regions that data may stay in.
-//! - [`evacuation`]: zones whose servers get nothing for now.
-//! - [`freshness`]: whether what is known of them is recent enough to act on.
-//! - [`zone_rule`]: which places may serve a request or hold its data, and in which order.
+//! This crate does no I/O. The design and its alternatives are in docs/design/places.md.
+//!
+//! - [`zone`]: zones, their regions, and the distance between two zones.
+//! - [`region`]: sets of regions that data may be stored in.
+//! - [`evacuation`]: zones whose servers receive no requests for now.
+//! - [`freshness`]: whether the known evacuations are recent enough to act on.
+//! - [`zone_rule`]: which zones may serve a request or store its data, nearest first.
 
 pub mod evacuation;
 pub mod freshness;
--- a/crates/topology/src/region.rs
+++ b/crates/topology/src/region.rs
@@ -1,21 +1,21 @@
-//! Sets of regions that data may stay in.
+//! Sets of regions that data may be stored in.
 
 use std::collections::BTreeSet;
 use std::fmt;
 use std::rc::Rc;
 
-/// Regions that requests may be served in and their data kept in.
+/// Regions that may serve requests and store their data.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum RegionSet {
     /// Any region.
     #[default]
     All,
-    /// These alone; none of them where two sets have nothing in common.
+    /// Only these regions. The set is empty if two intersected sets have no region in common.
     Only(BTreeSet<Rc<str>>),
 }
 
 impl RegionSet {
-    /// The set of these regions; an empty list binds nothing.
+    /// Creates the set of the named regions. An empty list allows all regions.
     pub fn from_names<'a>(regions: impl IntoIterator<Item = &'a str>) -> Self {
         let regions: BTreeSet<Rc<str>> = regions.into_iter().map(Rc::from).collect();
         match regions.is_empty() {
@@ -24,7 +24,8 @@
         }
     }
 
-    /// What both sets hold: a route's and a tenant's bind together.
+    /// Returns the regions that both sets allow. Used to combine the regions of a route with
+    /// those of a tenant.
     pub fn intersection(&self, other: &Self) -> Self {
         match (self, other) {
             (Self::All, set) | (set, Self::All) => set.clone(),
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Whether any region is allowed.
+    /// Whether all regions are allowed.
     pub fn is_all(&self) -> bool {
         matches!(self, Self::All)
     }
@@ -44,7 +45,8 @@
         matches!(self, Self::Only(regions) if regions.is_empty())
     }
 
-    /// Whether a region belongs to it; one that was not told belongs to [`RegionSet::All`] alone.
+    /// Whether the set allows a region. An unknown region (`None`) is allowed by
+    /// [`RegionSet::All`] only.
     pub fn contains(&self, region: Option<&str>) -> bool {
         match self {
             Self::All => true,
@@ -52,7 +54,7 @@
         }
     }
 
-    /// The regions by name, where it names any.
+    /// Returns the names of the allowed regions, or `None` if all regions are allowed.
     pub fn names(&self) -> Option<impl Iterator<Item = &Rc<str>>> {
         match self {
             Self::All => None,
--- a/crates/topology/src/zone.rs
+++ b/crates/topology/src/zone.rs
@@ -1,27 +1,27 @@
-//! Zones, the regions that they belong to, and how far two zones are apart.
+//! Zones, their regions, and the distance between two zones.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// How far two zones are apart, the nearest first.
+/// Distance between two zones. The variants are ordered from near to far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Distance {
-    /// They are one zone.
+    /// Both are the same zone.
     SameZone,
-    /// They are zones of one region.
+    /// Different zones of the same region.
     SameRegion,
-    /// They belong to different regions, or nobody told the region of one of them.
+    /// Zones of different regions, or the region of at least one is not configured.
     OtherRegion,
 }
 
-/// The zones of a deployment, as the settings tell them.
+/// The zones of a deployment and their regions, as configured in the settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ZoneMap {
     regions: BTreeMap<Rc<str>, Rc<str>>,
 }
 
 impl ZoneMap {
-    /// A map of pairs of a zone and its region.
+    /// Creates a map from pairs of a zone and its region.
     pub fn new<'a>(pairs: impl IntoIterator<Item = (&'a str, &'a str)>) -> Self {
         let pairs = pairs.into_iter();
         Self {
@@ -31,17 +31,17 @@
         }
     }
 
-    /// The region of a zone, where it was told.
+    /// Returns the region of a zone, if it is configured.
     pub fn region(&self, zone: &str) -> Option<&Rc<str>> {
         self.regions.get(zone)
     }
 
-    /// All zones, in their order.
+    /// Iterates over all configured zones in lexical order.
     pub fn zones(&self) -> impl Iterator<Item = &Rc<str>> {
         self.regions.keys()
     }
 
-    /// All regions, each once, in their order.
+    /// Returns all regions in lexical order, without duplicates.
     pub fn regions(&self) -> Vec<Rc<str>> {
         let mut regions: Vec<Rc<str>> = self.regions.values().cloned().collect();
         regions.sort_unstable();
@@ -49,8 +49,9 @@
         regions
     }
 
-    /// How far two zones are apart. Zones that were not told count as far from all others,
-    /// unless no zone was told at all: then there is one region.
+    /// Returns the distance between two zones. A zone without a configured region counts as
+    /// [`Distance::OtherRegion`] from every other zone, unless no zone is configured at all: then
+    /// all zones belong to one region.
     pub fn distance(&self, from: &str, to: &str) -> Distance {
         if from == to {
             return Distance::SameZone;
--- a/crates/topology/src/zone_rule.rs
+++ b/crates/topology/src/zone_rule.rs
@@ -1,16 +1,16 @@
-//! Which places may serve a request or hold its data, and in which order.
+//! Which zones may serve a request or store its data, nearest first.
 
 use crate::evacuation::Evacuations;
 use crate::region::RegionSet;
 use crate::zone::{Distance, ZoneMap};
 use std::fmt;
 
-/// Why a place may not serve a request.
+/// Why a zone may not serve a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denial {
-    /// Its zone is evacuated.
+    /// The zone is evacuated.
     Evacuated,
-    /// Its region is none that the request may be served in.
+    /// The zone's region is not among the allowed regions of the request.
     RegionNotAllowed,
 }
 
@@ -25,24 +25,24 @@
     }
 }
 
-/// What decides about places for one request.
+/// Decides which zones may serve one request.
 #[derive(Clone, Copy, Debug)]
 pub struct ZoneRule<'a> {
     /// The zones of the deployment.
     pub map: &'a ZoneMap,
-    /// Evacuations that are evacuated.
+    /// The known evacuations.
     pub evacuations: &'a Evacuations,
-    /// Regions that its route and its tenant allow, both together.
+    /// Regions that both the route and the tenant of the request allow.
     pub allowed_regions: &'a RegionSet,
-    /// Zone that it is served from.
+    /// Zone that the request is dispatched from.
     pub from_zone: &'a str,
 }
 
 impl ZoneRule<'_> {
-    /// How far a server is that may serve the request: the nearest go first.
+    /// Returns the distance to a zone that may serve the request. Callers prefer the nearest.
     ///
     /// # Errors
-    /// Servers of that zone may not.
+    /// Servers of the zone may not serve the request.
     pub fn serving_distance(&self, zone: &str) -> Result<Distance, Denial> {
         if !self.may_store(zone) {
             return Err(Denial::RegionNotAllowed);
@@ -53,8 +53,8 @@
         Ok(self.map.distance(self.from_zone, zone))
     }
 
-    /// Whether the data of the request may be kept in a zone. An evacuation asks for servers
-    /// alone: what is kept by daemons of the zone stays.
+    /// Whether the data of the request may be stored in a zone. An evacuation applies to servers
+    /// only: daemons in the zone keep the data that they store.
     pub fn may_store(&self, zone: &str) -> bool {
         let region = self.map.region(zone).map(|region| &**region);
         self.allowed_regions.contains(region)
--- a/crates/topology/tests/belief.rs
+++ b/crates/topology/tests/belief.rs
@@ -1,4 +1,4 @@
-//! When a daemon may act on what it knows of the operator's word.
+//! When a daemon may act on the operator's records that it knows.
 
 use fieldhook_topology::freshness::Freshness;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -6,68 +6,68 @@
 const LIMIT_MS: u64 = 5_000;
 
 #[test]
-fn after_a_stop_old_knowledge_waits_for_its_confirmation() {
-    let mut belief = Freshness::new(LIMIT_MS);
+fn records_are_stale_after_a_suspension_until_confirmed() {
+    let mut freshness = Freshness::new(LIMIT_MS);
     for now_ms in (0..20_000).step_by(250) {
-        assert!(!belief.record_run(now_ms, now_ms));
-        assert!(!belief.is_stale(now_ms, now_ms, false), "an outage");
+        assert!(!freshness.record_run(now_ms, now_ms));
+        assert!(!freshness.is_stale(now_ms, now_ms, false), "an outage");
     }
-    // Seen by who runs before the task that notes it.
-    assert!(belief.is_stale(22_000, 6_000, false));
-    assert!(!belief.is_stale(22_000, 4_000, false), "recent enough");
-    assert!(belief.record_run(22_000, 6_000));
-    assert!(belief.is_stale(22_100, 6_100, false));
-    // An answer from before the stop.
-    belief.record_run(22_250, 2_000);
-    assert!(belief.is_stale(26_000, 5_750, false));
-    // One from behind it.
-    belief.record_run(22_500, 100);
+    // A caller may run before the task that records the suspension.
+    assert!(freshness.is_stale(22_000, 6_000, false));
+    assert!(!freshness.is_stale(22_000, 4_000, false), "recent enough");
+    assert!(freshness.record_run(22_000, 6_000));
+    assert!(freshness.is_stale(22_100, 6_100, false));
+    // A confirmation from before the suspension.
+    freshness.record_run(22_250, 2_000);
+    assert!(freshness.is_stale(26_000, 5_750, false));
+    // A confirmation from after the suspension.
+    freshness.record_run(22_500, 100);
     for now_ms in (22_750..40_000).step_by(250) {
-        belief.record_run(now_ms, now_ms - 22_400);
-        assert!(!belief.is_stale(now_ms, now_ms - 22_400, false));
+        freshness.record_run(now_ms, now_ms - 22_400);
+        assert!(!freshness.is_stale(now_ms, now_ms - 22_400, false));
     }
 }
 
 #[test]
-fn what_nobody_can_tell_is_no_cause_for_doubt() {
-    let mut belief = Freshness::new(LIMIT_MS);
-    belief.record_run(10_000, 10_000);
-    assert!(belief.is_stale(10_100, 10_100, false));
-    belief.accept_unconfirmed();
-    assert!(!belief.is_stale(10_100, 10_100, false));
-    assert!(belief.is_stale(10_100, 10_100, true), "isolated");
+fn accepted_unconfirmed_records_are_stale_only_in_isolation() {
+    let mut freshness = Freshness::new(LIMIT_MS);
+    freshness.record_run(10_000, 10_000);
+    assert!(freshness.is_stale(10_100, 10_100, false));
+    freshness.accept_unconfirmed();
+    assert!(!freshness.is_stale(10_100, 10_100, false));
+    assert!(freshness.is_stale(10_100, 10_100, true), "isolated");
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    /// The process runs on for a moment.
+    /// The process runs on for a short time.
     Runs(u8),
-    /// It is stopped.
-    Stops(u8),
-    /// What is known is confirmed as of so long ago.
+    /// The process is suspended for longer than the threshold.
+    Suspended(u8),
+    /// The records are confirmed as of this long ago.
     Confirmed(u8),
-    /// Others were heard who know no more.
-    Settled,
+    /// Other daemons answered and know no newer records.
+    AcceptedUnconfirmed,
 }
 
 impl Arbitrary for Event {
     fn arbitrary(g: &mut Gen) -> Self {
         let number = u8::arbitrary(g);
         match u8::arbitrary(g) % 8 {
-            0 => Self::Stops(number),
+            0 => Self::Suspended(number),
             1 | 2 => Self::Confirmed(number),
-            3 => Self::Settled,
+            3 => Self::AcceptedUnconfirmed,
             _ => Self::Runs(number),
         }
     }
 }
 
-/// The oracle remembers when it was stopped last, and forgets that once it has heard.
+/// Reference model: remembers the end of the last suspension until a later confirmation.
 #[derive(Default)]
 struct Oracle {
     now_ms: u64,
     confirmed_ms: u64,
-    stopped_until_ms: Option<u64>,
+    suspended_until_ms: Option<u64>,
 }
 
 impl Oracle {
@@ -75,56 +75,59 @@
         self.now_ms - self.confirmed_ms
     }
 
-    fn is_doubtful(&self, is_isolated: bool) -> bool {
-        self.age_ms() > LIMIT_MS && (is_isolated || self.stopped_until_ms.is_some())
+    fn is_stale(&self, is_isolated: bool) -> bool {
+        self.age_ms() > LIMIT_MS && (is_isolated || self.suspended_until_ms.is_some())
     }
 }
 
-fn doubts_like_the_oracle(events: Vec<Event>) -> bool {
-    let mut belief = Freshness::new(LIMIT_MS);
+fn agrees_with_oracle(events: Vec<Event>) -> bool {
+    let mut freshness = Freshness::new(LIMIT_MS);
     let mut oracle = Oracle::default();
-    belief.record_run(0, 0);
+    freshness.record_run(0, 0);
     events.into_iter().all(|event| {
         match event {
             Event::Runs(number) => {
                 oracle.now_ms += u64::from(number) * 3;
-                belief.record_run(oracle.now_ms, oracle.age_ms());
+                freshness.record_run(oracle.now_ms, oracle.age_ms());
             }
-            Event::Stops(number) => {
+            Event::Suspended(number) => {
                 oracle.now_ms += 1_001 + u64::from(number) * 30;
-                oracle.stopped_until_ms = Some(oracle.now_ms);
-                // Whoever looks first after the stop sees it, too.
-                if belief.is_stale(oracle.now_ms, oracle.age_ms(), false)
-                    != oracle.is_doubtful(false)
+                oracle.suspended_until_ms = Some(oracle.now_ms);
+                // The suspension shows even before it is recorded.
+                if freshness.is_stale(oracle.now_ms, oracle.age_ms(), false)
+                    != oracle.is_stale(false)
                 {
                     return false;
                 }
-                belief.record_run(oracle.now_ms, oracle.age_ms());
+                freshness.record_run(oracle.now_ms, oracle.age_ms());
             }
             Event::Confirmed(number) => {
                 let at_ms = oracle.now_ms.saturating_sub(u64::from(number) * 20);
                 oracle.confirmed_ms = oracle.confirmed_ms.max(at_ms);
-                if oracle.stopped_until_ms.is_some_and(|until| at_ms >= until) {
-                    oracle.stopped_until_ms = None;
+                if oracle
+                    .suspended_until_ms
+                    .is_some_and(|until| at_ms >= until)
+                {
+                    oracle.suspended_until_ms = None;
                 }
-                belief.record_run(oracle.now_ms, oracle.age_ms());
+                freshness.record_run(oracle.now_ms, oracle.age_ms());
             }
-            Event::Settled => {
-                oracle.stopped_until_ms = None;
-                belief.accept_unconfirmed();
+            Event::AcceptedUnconfirmed => {
+                oracle.suspended_until_ms = None;
+                freshness.accept_unconfirmed();
             }
         }
         [true, false].into_iter().all(|is_isolated| {
-            let doubtful = belief.is_stale(oracle.now_ms, oracle.age_ms(), is_isolated);
-            doubtful == oracle.is_doubtful(is_isolated)
+            let is_stale = freshness.is_stale(oracle.now_ms, oracle.age_ms(), is_isolated);
+            is_stale == oracle.is_stale(is_isolated)
         })
     })
 }
 
 #[test]
-fn doubt_follows_stops_and_confirmations() {
+fn staleness_agrees_with_the_oracle() {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(80, 11))
         .tests(5_000)
-        .quickcheck(doubts_like_the_oracle as fn(Vec<Event>) -> bool);
+        .quickcheck(agrees_with_oracle as fn(Vec<Event>) -> bool);
 }
--- a/crates/topology/tests/places.rs
+++ b/crates/topology/tests/places.rs
@@ -1,4 +1,4 @@
-//! Places: distances, sets of regions, evacuations by revision.
+//! Zone distances, region sets, and evacuations by revision.
 
 use fieldhook_topology::evacuation::{Evacuations, State};
 use fieldhook_topology::region::RegionSet;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn zones_of_one_region_are_nearer_than_others() {
+fn zones_of_the_same_region_are_nearer() {
     let map = map();
     assert_eq!(map.distance("a1", "a1"), Distance::SameZone);
     assert_eq!(map.distance("a1", "a2"), Distance::SameRegion);
@@ -20,12 +20,12 @@
     assert_eq!(map.distance("a1", "unknown"), Distance::OtherRegion);
     assert!(Distance::SameZone < Distance::SameRegion);
     assert!(Distance::SameRegion < Distance::OtherRegion);
-    let untold = ZoneMap::default();
-    assert_eq!(untold.distance("x", "y"), Distance::SameRegion);
+    let unconfigured = ZoneMap::default();
+    assert_eq!(unconfigured.distance("x", "y"), Distance::SameRegion);
 }
 
 #[test]
-fn sets_of_regions_bind_together() {
+fn region_sets_intersect() {
     let both = RegionSet::from_names(["a", "b"]);
     let one = RegionSet::from_names(["b", "c"]);
     assert_eq!(both.intersection(&one), RegionSet::from_names(["b"]));
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_closed_zone_serves_nothing_and_keeps_what_it_has() {
+fn an_evacuated_zone_serves_nothing_but_may_store() {
     let map = map();
     let homes = RegionSet::from_names(["a"]);
     let mut evacuations = Evacuations::default();
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_stale_listing_opens_nothing() {
+fn a_stale_listing_ends_no_evacuation() {
     let mut zones = Evacuations::default();
     zones.apply("z", State::Evacuated, 10, 0);
     assert!(zones.apply_listing(&[], 10, 1).is_empty());
@@ -65,20 +65,20 @@
     assert!(!zones.is_evacuated("z"));
     assert!(
         !zones.apply("z", State::Evacuated, 10, 3),
-        "an old read closes nothing again"
+        "a stale read must not evacuate the zone again"
     );
     assert_eq!(zones.opened_since_ms("z"), Some(2));
 }
 
-/// What reaches a daemon: a record that it reads or another daemon tells, at any time and in
-/// any order, or a listing as of some end of the topic.
+/// An update that reaches a daemon: a record that it reads or gets from another daemon, at any
+/// time and in any order, or a listing as of some end of the topic.
 #[derive(Clone, Debug)]
-enum News {
+enum Update {
     Record(u8),
     Listing(u8),
 }
 
-impl Arbitrary for News {
+impl Arbitrary for Update {
     fn arbitrary(g: &mut Gen) -> Self {
         match bool::arbitrary(g) {
             true => Self::Record(u8::arbitrary(g)),
@@ -87,14 +87,14 @@
     }
 }
 
-/// The topic itself is the oracle: a daemon believes what the topic said at the newest
-/// point that it has heard of.
-fn believes_the_newest(topic: Vec<(u8, bool)>, news: Vec<News>) -> bool {
+/// The topic itself is the oracle: the known state of a zone is the state in the topic at the
+/// newest offset that an update covered.
+fn agrees_with_the_topic(topic: Vec<(u8, bool)>, updates: Vec<Update>) -> bool {
     const ZONES: [&str; 3] = ["x", "y", "z"];
     let topic: Vec<(&str, State)> = topic
         .into_iter()
-        .map(|(zone, closes)| {
-            let state = if closes {
+        .map(|(zone, evacuates)| {
+            let state = if evacuates {
                 State::Evacuated
             } else {
                 State::Open
@@ -106,21 +106,21 @@
         return true;
     }
     let state_at = |zone: &str, end: usize| {
-        let told = topic[..end].iter().rev().find(|(name, _)| *name == zone);
-        told.map_or(State::Open, |(_, state)| *state)
+        let newest = topic[..end].iter().rev().find(|(name, _)| *name == zone);
+        newest.map_or(State::Open, |(_, state)| *state)
     };
     let mut zones = Evacuations::default();
-    let mut heard: BTreeMap<&str, usize> = BTreeMap::new();
-    for (now, item) in news.iter().enumerate() {
+    let mut known_end: BTreeMap<&str, usize> = BTreeMap::new();
+    for (now, item) in updates.iter().enumerate() {
         match item {
-            News::Record(number) => {
+            Update::Record(number) => {
                 let offset = usize::from(*number) % topic.len();
                 let (zone, state) = topic[offset];
                 zones.apply(zone, state, offset as u64, now as u64);
-                let known = heard.entry(zone).or_default();
+                let known = known_end.entry(zone).or_default();
                 *known = (*known).max(offset + 1);
             }
-            News::Listing(number) => {
+            Update::Listing(number) => {
                 let end = usize::from(*number) % (topic.len() + 1);
                 let listed: Vec<&str> = ZONES
                     .into_iter()
@@ -128,26 +128,26 @@
                     .collect();
                 for zone in &listed {
                     let offset = topic[..end].iter().rposition(|(name, _)| name == zone);
-                    let offset = offset.expect("it was evacuated") as u64;
+                    let offset = offset.expect("an evacuation record") as u64;
                     zones.apply(zone, State::Evacuated, offset, now as u64);
                 }
                 zones.apply_listing(&listed, end as u64, now as u64);
                 for zone in ZONES {
-                    let known = heard.entry(zone).or_default();
+                    let known = known_end.entry(zone).or_default();
                     *known = (*known).max(end);
                 }
             }
         }
     }
-    heard
+    known_end
         .iter()
         .all(|(zone, end)| zones.is_evacuated(zone) == (state_at(zone, *end) == State::Evacuated))
 }
 
 #[test]
-fn what_is_believed_of_a_zone_never_goes_back() {
+fn the_known_state_of_a_zone_never_goes_back() {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(60, 7))
         .tests(5_000)
-        .quickcheck(believes_the_newest as fn(Vec<(u8, bool)>, Vec<News>) -> bool);
+        .quickcheck(agrees_with_the_topic as fn(Vec<(u8, bool)>, Vec<Update>) -> bool);
 }
