--- a/crates/traffic/src/assignment.rs
+++ b/crates/traffic/src/assignment.rs
@@ -1,17 +1,18 @@
-//! Which engine the turns of a program run at, one after another.
+//! Assigns the turns of a program to an engine.
 //!
-//! An engine keeps what it has read: a turn at the engine of the turns before it reads
-//! only what is new, and programs that begin alike read their beginning once if they
-//! share an engine. The owner of a program's partition sees all of its turns, whichever
-//! gateways they come through, and so assigns the engine (docs/POLICY.md).
+//! Engines cache the prompts that they have processed. A turn that runs on the engine of the
+//! previous turns processes only its new input, and programs with a common prompt prefix process
+//! the prefix once if they share an engine. The owner of a program's partition sees all turns of
+//! the program, whichever gateways receive them, and therefore assigns the engine
+//! (docs/POLICY.md).
 //!
-//! A program gets an engine of its partition's own group ([`crate::groups`]), whose load the
-//! owner sees, unless that group is full. Engines are ranked by a hash of the prompt's shared
-//! beginning, so that all owners rank them alike without a word to each other. The first one
-//! that has not its fair load yet gets the program: a beginning spreads over as many engines
-//! as its load needs. Engines of the zone that the program came through go first, then
-//! those of its region: their connections and bytes cost less, and a region further off adds
-//! its way to each event.
+//! A program gets an engine of its partition's group ([`crate::groups`]), whose load the owner
+//! sees, unless the group is full. Engines are ranked by a hash of the prompt prefix, so that all
+//! owners rank them identically without communication. The program is assigned to the first engine
+//! below its fair load, so that programs with a common prefix spread over as many engines as their
+//! load requires. Engines in the zone that received the program are preferred, then engines in
+//! its region, because connections and traffic to them cost less, and a distant region adds its
+//! latency to each event.
 
 use fieldhook_topology::zone::Distance;
 use std::cmp::Reverse;
@@ -19,27 +20,30 @@
 use std::rc::Rc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// How long a program is remembered after its last turn began, in milliseconds.
-const REMEMBERED_MS: u64 = 60_000;
-/// A turn whose end was not told counts as under way for this long, in milliseconds: its
-/// gateway is gone, or told the end to another owner of its partition.
-const LONGEST_TURN_MS: u64 = 10_000;
-/// Turns under way at every engine of a group, in parts of their places, from which on
-/// programs go to engines of other groups: an engine holds a few more than it works on, and
-/// what waits there is still served sooner than what reads its prompt anew elsewhere.
-const GROUP_FULL: f64 = 1.5;
-/// Programs remembered from which on a look for forgotten ones is worth its time.
-const SWEEP_FROM: usize = 1_024;
+/// How long the engine of a program is kept after its last turn started, in milliseconds.
+const PROGRAM_EXPIRY_MS: u64 = 60_000;
+/// A turn whose end is not reported counts as open for this long, in milliseconds. Its gateway
+/// has failed, or has reported the end to another owner of the partition.
+const TURN_EXPIRY_MS: u64 = 10_000;
+/// Open turns of an engine, as a multiple of its slots, from which the engine counts as full.
+/// When all engines of a group are full, programs are assigned to other groups. An engine queues
+/// a few turns beyond its slots, and a queued turn is still served sooner than a turn whose prompt
+/// has to be processed again elsewhere.
+const FULL_ENGINE_LOAD: f64 = 1.5;
+/// Number of kept programs from which expired ones are removed. Below it, a sweep is not worth its
+/// cost.
+const SWEEP_THRESHOLD: usize = 1_024;
 
-/// Bounds of the assignment. Their unit is the fair load of an engine: the mean of the
-/// turns under way at all of them, or a part of its places where that is more.
+/// Load limits of the assignment. Their unit is the fair load of an engine: the mean number of
+/// open turns over all engines of the group, or `light_load` of the engine's slots if that is
+/// more.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AssignmentSettings {
-    /// Part of an engine's places below which no load is worth leaving it for.
+    /// Fraction of an engine's slots below which its load is too light to prefer another engine.
     pub light_load: f64,
-    /// Fair loads up to which an engine gets new programs.
+    /// Load up to which an engine gets new programs, in fair loads.
     pub max_load_new: f64,
-    /// Fair loads up to which it keeps programs that it has.
+    /// Load up to which an engine keeps its programs, in fair loads.
     pub max_load_kept: f64,
 }
 
@@ -53,68 +57,69 @@
     }
 }
 
-/// An engine that may be assigned.
+/// An engine that a turn may be assigned to.
 #[derive(Clone, Copy, Debug)]
 pub struct Engine<'a> {
-    /// Identity.
+    /// Identity of the engine.
     pub id: &'a str,
-    /// Zone that it stands in.
+    /// Zone of the engine.
     pub zone: &'a str,
-    /// How far it is from where the turn comes through.
+    /// Distance from the zone that received the turn.
     pub distance: Distance,
-    /// Requests that it works on at once.
+    /// Requests that the engine runs concurrently.
     pub slots: u32,
-    /// It is cold: beyond its places it gets nothing.
+    /// The engine is cold and gets no turns beyond its slots.
     pub is_cold: bool,
-    /// It belongs to the group of the turn's partition.
+    /// The engine belongs to the group of the turn's partition.
     pub is_in_group: bool,
 }
 
-/// A turn that is about to begin.
+/// A turn that is about to start.
 #[derive(Clone, Copy, Debug)]
 pub struct Turn<'a> {
     /// Identity of the turn.
     pub id: &'a str,
-    /// Its program.
+    /// Program of the turn.
     pub program: &'a str,
-    /// Hash of the beginning of its prompt that other programs share.
+    /// Hash of the prompt prefix that the program shares with others.
     pub prefix: u64,
 }
 
 struct Program {
     engine: Rc<str>,
-    seen_ms: u64,
+    last_turn_ms: u64,
 }
 
 struct OpenTurn {
     engine: Rc<str>,
-    since_ms: u64,
+    start_ms: u64,
 }
 
-/// Engines of programs, as one owner assigns them.
+/// The engines that one owner has assigned to programs.
 #[derive(Default)]
 pub struct AssignmentTable {
     settings: AssignmentSettings,
     programs: HashMap<Rc<str>, Program>,
     turns: HashMap<Rc<str>, OpenTurn>,
-    /// When turns began, the oldest first; also of those that have ended since.
-    begun: VecDeque<(u64, Rc<str>)>,
+    /// Start times of turns, the oldest first. Includes turns that have ended since.
+    started: VecDeque<(u64, Rc<str>)>,
+    /// Number of open turns by engine.
     open: HashMap<Rc<str>, u32>,
-    /// Programs remembered from which on forgotten ones are looked for again.
-    sweep_from: usize,
+    /// Number of kept programs from which expired ones are removed again.
+    sweep_threshold: usize,
 }
 
-/// The engines that a turn may be assigned to.
+/// The engines that a turn may be assigned to, and the load of its group.
 struct Choice<'a, 'b> {
     engines: &'b [Engine<'a>],
-    /// Mean of the turns under way at the engines of the turn's group, this one included.
+    /// Mean number of open turns of the engines in the turn's group, including this turn.
     mean: f64,
-    /// Part of the programs of its group that the owner sees.
+    /// Fraction of the group's programs that the owner sees.
     share: f64,
 }
 
 impl AssignmentTable {
-    /// A table without programs.
+    /// Creates an empty table.
     pub fn new(settings: AssignmentSettings) -> Self {
         Self {
             settings,
@@ -122,8 +127,8 @@
         }
     }
 
-    /// Assigns an engine to a turn and counts it as under way there. `share` is the part
-    /// of the programs of the turn's group that this owner sees.
+    /// Assigns an engine to a turn and counts the turn as open there. `share` is the fraction of
+    /// the programs of the turn's group that this owner sees.
     pub fn assign(
         &mut self,
         turn: &Turn<'_>,
@@ -131,35 +136,37 @@
         share: f64,
         now_ms: u64,
     ) -> Option<Rc<str>> {
-        self.forget(now_ms);
+        self.remove_expired(now_ms);
         self.end_turn(turn.id);
-        let under_way: u32 = home(engines).map(|engine| self.open_turns(engine.id)).sum();
+        let open_turns: u32 = group_engines(engines)
+            .map(|engine| self.open_turns(engine.id))
+            .sum();
         let choice = Choice {
             engines,
-            mean: f64::from(under_way + 1) / home(engines).count().max(1) as f64,
+            mean: f64::from(open_turns + 1) / group_engines(engines).count().max(1) as f64,
             share,
         };
-        let engine = match self.kept(turn.program, &choice) {
+        let engine = match self.keep_engine(turn.program, &choice) {
             Some(engine) => engine,
-            None => Rc::from(self.choose(turn, &choice)?),
+            None => Rc::from(self.choose_engine(turn, &choice)?),
         };
         let program = Program {
             engine: engine.clone(),
-            seen_ms: now_ms,
+            last_turn_ms: now_ms,
         };
         self.programs.insert(Rc::from(turn.program), program);
         let open = OpenTurn {
             engine: engine.clone(),
-            since_ms: now_ms,
+            start_ms: now_ms,
         };
         let id: Rc<str> = Rc::from(turn.id);
-        self.begun.push_back((now_ms, id.clone()));
+        self.started.push_back((now_ms, id.clone()));
         self.turns.insert(id, open);
         *self.open.entry(engine.clone()).or_default() += 1;
         Some(engine)
     }
 
-    /// A turn has ended.
+    /// Records that a turn has ended.
     pub fn end_turn(&mut self, turn: &str) {
         let Some(turn) = self.turns.remove(turn) else {
             return;
@@ -172,7 +179,8 @@
         }
     }
 
-    /// A turn ran elsewhere than assigned: what it read is there now.
+    /// Moves a program to the engine on which its turn actually ran, because its prompt is cached
+    /// there.
     pub fn move_program(&mut self, program: &str, engine: &str) {
         if let Some(program) = self.programs.get_mut(program)
             && &*program.engine != engine
@@ -181,110 +189,112 @@
         }
     }
 
-    /// Turns under way at an engine.
+    /// Returns the number of open turns of an engine.
     pub fn open_turns(&self, engine: &str) -> u32 {
         self.open.get(engine).copied().unwrap_or(0)
     }
 
-    /// The engine that a program was assigned to last.
+    /// Returns the engine that a program was last assigned to.
     pub fn assigned_engine(&self, program: &str) -> Option<&str> {
         self.programs.get(program).map(|program| &*program.engine)
     }
 
-    fn kept(&self, program: &str, choice: &Choice<'_, '_>) -> Option<Rc<str>> {
+    fn keep_engine(&self, program: &str, choice: &Choice<'_, '_>) -> Option<Rc<str>> {
         let program = self.programs.get(program)?;
         let engines = &mut choice.engines.iter();
         let engine = engines.find(|engine| *engine.id == *program.engine)?;
-        let limit = self.limit(engine, choice, self.settings.max_load_kept);
-        let has_room = !engine.is_cold || !self.is_cold_full(engine, choice.share);
-        (has_room && f64::from(self.open_turns(engine.id)) < limit).then(|| program.engine.clone())
+        let max_load = self.max_load(engine, choice, self.settings.max_load_kept);
+        let is_available = !engine.is_cold || !self.is_cold_full(engine, choice.share);
+        (is_available && f64::from(self.open_turns(engine.id)) < max_load)
+            .then(|| program.engine.clone())
     }
 
-    fn choose<'a>(&self, turn: &Turn<'_>, choice: &Choice<'a, '_>) -> Option<&'a str> {
+    fn choose_engine<'a>(&self, turn: &Turn<'_>, choice: &Choice<'a, '_>) -> Option<&'a str> {
         let (engines, share) = (choice.engines, choice.share);
         let rank = |engine: &&Engine<'_>| xxh3_64_with_seed(engine.id.as_bytes(), turn.prefix);
-        let has_room = |engine: &&Engine<'_>| {
-            let limit = self.limit(engine, choice, self.settings.max_load_new);
-            f64::from(self.open_turns(engine.id)) < limit && !self.is_full(engine, share)
+        let is_available = |engine: &&Engine<'_>| {
+            let max_load = self.max_load(engine, choice, self.settings.max_load_new);
+            f64::from(self.open_turns(engine.id)) < max_load && !self.is_full(engine, share)
         };
-        let roomy = || home(engines).filter(has_room);
-        let first = roomy().max_by_key(|engine| (Reverse(engine.distance), rank(engine)));
-        if let Some(engine) = first {
+        let available = || group_engines(engines).filter(is_available);
+        let preferred = available().max_by_key(|engine| (Reverse(engine.distance), rank(engine)));
+        if let Some(engine) = preferred {
             return Some(engine.id);
         }
         let load = |engine: &&Engine<'_>| (self.open_turns(engine.id), rank(engine));
-        let least = home(engines).min_by_key(load);
-        match least.filter(|engine| !self.is_full(engine, share)) {
+        let least_loaded = group_engines(engines).min_by_key(load);
+        match least_loaded.filter(|engine| !self.is_full(engine, share)) {
             Some(engine) => Some(engine.id),
             None => self
-                .anywhere(engines, share)
+                .all_groups(engines, share)
                 .min_by_key(load)
                 .map(|engine| engine.id),
         }
     }
 
-    /// Engines of all groups, cold ones only where they have room or there are no others.
-    fn anywhere<'a, 'b>(
+    /// Iterates over the engines of all groups. Full cold engines are included only if there are
+    /// no other engines.
+    fn all_groups<'a, 'b>(
         &'b self,
         engines: &'b [Engine<'a>],
         share: f64,
     ) -> impl Iterator<Item = &'b Engine<'a>> {
-        let bears =
+        let is_available =
             move |engine: &&Engine<'_>| !engine.is_cold || !self.is_cold_full(engine, share);
-        let all_full = !engines.iter().any(|engine| bears(&engine));
+        let all_full = !engines.iter().any(|engine| is_available(&engine));
         engines
             .iter()
-            .filter(move |engine| all_full || bears(engine))
+            .filter(move |engine| all_full || is_available(engine))
     }
 
-    /// Whether a cold engine works on as many turns as it bears.
+    /// Whether a cold engine has as many open turns as it can handle.
     fn is_cold_full(&self, engine: &Engine<'_>, share: f64) -> bool {
         f64::from(self.open_turns(engine.id)) >= f64::from(engine.slots) * share
     }
 
-    /// Whether an engine of the group is too full for more programs.
+    /// Whether an engine of the group gets no more programs.
     fn is_full(&self, engine: &Engine<'_>, share: f64) -> bool {
         if engine.is_cold {
             return self.is_cold_full(engine, share);
         }
-        f64::from(self.open_turns(engine.id)) >= f64::from(engine.slots) * share * GROUP_FULL
+        f64::from(self.open_turns(engine.id)) >= f64::from(engine.slots) * share * FULL_ENGINE_LOAD
     }
 
-    fn limit(&self, engine: &Engine<'_>, choice: &Choice<'_, '_>, factor: f64) -> f64 {
-        let light = f64::from(engine.slots) * choice.share * self.settings.light_load;
-        factor * light.max(choice.mean)
+    fn max_load(&self, engine: &Engine<'_>, choice: &Choice<'_, '_>, factor: f64) -> f64 {
+        let light_load = f64::from(engine.slots) * choice.share * self.settings.light_load;
+        factor * light_load.max(choice.mean)
     }
 
-    fn forget(&mut self, now_ms: u64) {
-        let is_over = |begun: &(u64, Rc<str>)| now_ms >= begun.0 + LONGEST_TURN_MS;
-        while self.begun.front().is_some_and(is_over) {
-            if let Some((since_ms, turn)) = self.begun.pop_front() {
-                self.end_begun_at(&turn, since_ms);
+    fn remove_expired(&mut self, now_ms: u64) {
+        let has_expired = |started: &(u64, Rc<str>)| now_ms >= started.0 + TURN_EXPIRY_MS;
+        while self.started.front().is_some_and(has_expired) {
+            if let Some((start_ms, turn)) = self.started.pop_front() {
+                self.end_started_at(&turn, start_ms);
             }
         }
-        if self.programs.len() >= self.sweep_from.max(SWEEP_FROM) {
+        if self.programs.len() >= self.sweep_threshold.max(SWEEP_THRESHOLD) {
             self.programs
-                .retain(|_, program| now_ms < program.seen_ms + REMEMBERED_MS);
-            // What is remembered is not gone through again with each turn.
-            self.sweep_from = 2 * self.programs.len();
+                .retain(|_, program| now_ms < program.last_turn_ms + PROGRAM_EXPIRY_MS);
+            // The next sweep waits until the number has doubled, so that not every turn sweeps.
+            self.sweep_threshold = 2 * self.programs.len();
         }
     }
 
-    /// Ends a turn unless it has begun anew since then.
-    fn end_begun_at(&mut self, turn: &str, since_ms: u64) {
-        let begun = self.turns.get(turn).map(|open| open.since_ms);
-        if begun == Some(since_ms) {
+    /// Ends a turn unless it was started again after `start_ms`.
+    fn end_started_at(&mut self, turn: &str, start_ms: u64) {
+        let started = self.turns.get(turn).map(|open| open.start_ms);
+        if started == Some(start_ms) {
             self.end_turn(turn);
         }
     }
 }
 
-/// Engines of the turn's own group.
-fn home<'a, 'b>(engines: &'b [Engine<'a>]) -> impl Iterator<Item = &'b Engine<'a>> {
+/// Iterates over the engines of the turn's group.
+fn group_engines<'a, 'b>(engines: &'b [Engine<'a>]) -> impl Iterator<Item = &'b Engine<'a>> {
     engines.iter().filter(|engine| engine.is_in_group)
 }
 
-/// Hash of the beginning of a prompt, the same in all daemons.
-pub fn prefix_hash(beginning: &str) -> u64 {
-    xxh3_64_with_seed(beginning.as_bytes(), 0)
+/// Returns the hash of a prompt prefix. It is the same in all daemons.
+pub fn prefix_hash(prefix: &str) -> u64 {
+    xxh3_64_with_seed(prefix.as_bytes(), 0)
 }
--- a/crates/traffic/src/balance.rs
+++ b/crates/traffic/src/balance.rs
@@ -1,8 +1,8 @@
-//! Choosing a server for one attempt.
+//! Load balancing: chooses a server for one attempt.
 //!
-//! A request of a program prefers the engine that its program hashes to
-//! (rendezvous hashing), so that the prompt it shares with earlier turns is
-//! still cached there; without a key the least loaded server wins.
+//! A request with an affinity key prefers the engine that the key maps to by rendezvous hashing,
+//! because the prompt that it shares with earlier turns of its program is cached there. Without a
+//! key, the least_loaded loaded server is chosen.
 
 use crate::directory::ServerEntry;
 use fieldhook_topology::zone::Distance;
@@ -13,81 +13,82 @@
 pub struct Candidate<'a> {
     /// The server.
     pub server: &'a ServerEntry,
-    /// How far it is from the gateway.
+    /// Distance of the server from the gateway.
     pub distance: Distance,
-    /// Requests of this gateway that it works on.
+    /// Requests of this gateway that the server is processing.
     pub in_flight: u32,
-    /// It failed or refused a moment ago.
+    /// The server failed or refused a request recently.
     pub is_in_backoff: bool,
-    /// It failed last time.
+    /// The last attempt at the server failed.
     pub is_unhealthy: bool,
-    /// It bears only a few requests.
+    /// The server has started recently and can handle only a few requests.
     pub is_cold: bool,
-    /// An open connection waits for use.
+    /// There is an idle connection to the server.
     pub has_idle_connection: bool,
 }
 
-/// What the choice depends on besides the servers.
+/// Properties of the request that affect the choice.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
     /// Key that keeps related requests together, if any.
     pub affinity: Option<&'a str>,
     /// Engine that the program was assigned to, if any.
     pub preferred: Option<&'a str>,
-    /// Identities that this request was sent to before.
+    /// Identities of the servers that this request was already sent to.
     pub tried: &'a [String],
 }
 
-/// Load, in requests, that a server of another zone counts as more.
+/// Additional load of a server in another zone of the region, in requests.
 const OTHER_ZONE_LOAD: f64 = 2.0;
-/// Load, in requests, that a server of another region counts as more: bytes cost about twice
-/// as much, and the way there and back (24 ms on the deployment of three regions) is a third
-/// of what a call works.
+/// Additional load of a server in another region, in requests. Traffic to it costs about twice
+/// as much, and the round trip (24 ms in the deployment of three regions) takes a third of the
+/// processing time of a call.
 const OTHER_REGION_LOAD: f64 = 4.0;
-/// Load that opening a connection counts as.
+/// Additional load of a server to which a connection has to be opened, in requests.
 const CONNECTION_LOAD: f64 = 1.6;
-/// Requests of this gateway at an engine of its own zone from which on engines of
-/// all zones are considered.
+/// Requests of this gateway at an engine of its own zone from which engines of the whole region
+/// are considered.
 const OWN_ZONE_FULL: u32 = 3;
-/// Requests of this gateway at an engine from which on the next choice is taken.
+/// Requests of this gateway at an engine from which the engine ranked next is chosen.
 const AFFINITY_FULL: u32 = 6;
 
-/// The server to send to, as an index of the candidates.
+/// Chooses a server and returns its index in `candidates`. Prefers servers that are neither in
+/// backoff nor unhealthy, then those that are not in backoff, then any that was not tried yet.
 pub fn choose(candidates: &[Candidate<'_>], request: &Request<'_>, random: u64) -> Option<usize> {
-    let fresh = |index: &usize| !request.tried.contains(&candidates[*index].server.id);
-    let sound: Vec<usize> = (0..candidates.len())
-        .filter(fresh)
+    let is_untried = |index: &usize| !request.tried.contains(&candidates[*index].server.id);
+    let healthy: Vec<usize> = (0..candidates.len())
+        .filter(is_untried)
         .filter(|index| !candidates[*index].is_in_backoff && !candidates[*index].is_unhealthy)
         .collect();
-    if let Some(index) = pick_sound(candidates, &sound, request, random) {
+    if let Some(index) = pick_healthy(candidates, &healthy, request, random) {
         return Some(index);
     }
-    let resting: Vec<usize> = (0..candidates.len())
-        .filter(fresh)
+    let not_in_backoff: Vec<usize> = (0..candidates.len())
+        .filter(is_untried)
         .filter(|index| !candidates[*index].is_in_backoff)
         .collect();
-    if let Some(index) = pick(candidates, &resting, request, random) {
+    if let Some(index) = pick(candidates, &not_in_backoff, request, random) {
         return Some(index);
     }
-    let any: Vec<usize> = (0..candidates.len()).filter(fresh).collect();
+    let any: Vec<usize> = (0..candidates.len()).filter(is_untried).collect();
     pick(candidates, &any, request, random)
 }
 
-/// Warm servers go first, unless the program was assigned to a cold one.
-fn pick_sound(
+/// Prefers servers that are not cold, unless the program is assigned to a cold one.
+fn pick_healthy(
     candidates: &[Candidate<'_>],
-    sound: &[usize],
+    healthy: &[usize],
     request: &Request<'_>,
     random: u64,
 ) -> Option<usize> {
-    let warm: Vec<usize> = sound
+    let warm: Vec<usize> = healthy
         .iter()
         .copied()
         .filter(|index| !candidates[*index].is_cold)
         .collect();
-    preferred(candidates, sound, request)
+    preferred(candidates, healthy, request)
         .or_else(|| pick(candidates, &warm, request, random))
-        .or_else(|| by_load(candidates, sound, random))
+        .or_else(|| by_load(candidates, healthy, random))
 }
 
 fn preferred(
@@ -115,10 +116,10 @@
 }
 
 fn by_affinity(candidates: &[Candidate<'_>], allowed: &[usize], key: &str) -> Option<usize> {
-    let key = hash(key);
+    let key = hash_key(key);
     let weight = |index: &usize| xxh3_64_with_seed(candidates[*index].server.id.as_bytes(), key);
     let in_flight = |index: &usize| candidates[*index].in_flight;
-    let near = allowed
+    let in_own_zone = allowed
         .iter()
         .filter(|index| candidates[**index].distance == Distance::SameZone)
         .filter(|index| in_flight(index) < OWN_ZONE_FULL)
@@ -130,14 +131,15 @@
             .filter(|index| in_flight(index) < AFFINITY_FULL)
             .max_by_key(|index| weight(index))
     };
-    let least = || {
+    let least_loaded = || {
         allowed
             .iter()
             .min_by_key(|index| (in_flight(index), weight(index)))
     };
-    near.or_else(|| within(Distance::SameRegion))
+    in_own_zone
+        .or_else(|| within(Distance::SameRegion))
         .or_else(|| within(Distance::OtherRegion))
-        .or_else(least)
+        .or_else(least_loaded)
         .copied()
 }
 
@@ -162,6 +164,6 @@
     })
 }
 
-fn hash(key: &str) -> u64 {
+fn hash_key(key: &str) -> u64 {
     xxh3_64_with_seed(key.as_bytes(), 0)
 }
--- a/crates/traffic/src/candidates.rs
+++ b/crates/traffic/src/candidates.rs
@@ -1,79 +1,85 @@
-//! Which servers are weighed for a request: all of a small service, and of a large one some near
-//! ones and some from anywhere.
+//! Selects the candidate servers for a request: all servers of a small service, and some of the
+//! own zone and of all zones for a large one.
 //!
-//! What one request costs must not grow with the servers that exist. A part of them, drawn from
-//! a place that a key stands for, serves as well: requests of one key are always drawn the same
-//! part, so what an engine keeps is found again, and a daemon's connections are used again.
+//! The cost of a request must not grow with the number of servers. A part of the servers, taken
+//! from the hash ring at a position that depends on the request's key, works as well: requests
+//! with the same key get the same candidates, so that cached prompts and open connections are
+//! reused.
 
 use crate::directory::{ActiveServers, ServerEntry};
 use crate::hash_ring::HashRange;
 use std::rc::Rc;
 
-/// Servers of a service up to which all are weighed.
+/// Number of servers of a service up to which all of them are candidates.
 pub const FULL_SCAN_MAX: usize = 256;
-/// Servers of the own zone that are weighed of a large service: several times those that are
-/// ever full or resting of one daemon's requests.
-const MOST_NEAR: usize = 32;
-/// The same of all zones.
-const MOST_ANYWHERE: usize = 32;
-/// Servers that are looked at for each that is weighed: half of the zones may be evacuated.
-const LOOKED_AT_EACH: usize = 4;
+/// Maximum number of candidates of the own zone in a large service. It is several times the
+/// number of servers that are full or in backoff for one daemon at the same time.
+const MAX_FROM_ZONE: usize = 32;
+/// Maximum number of candidates of all zones in a large service.
+const MAX_FROM_ANYWHERE: usize = 32;
+/// Servers examined per candidate. Several are needed because half of the zones may be
+/// evacuated.
+const EXAMINED_PER_CANDIDATE: usize = 4;
 
-/// Where the servers for a request are drawn.
+/// Where on the hash ring the candidates for a request are taken from.
 #[derive(Clone, Copy, Debug)]
 pub struct CandidateQuery<'a> {
-    /// Zone that the request comes through.
+    /// Zone of the daemon that received the request.
     pub zone: &'a str,
-    /// Part of the order of servers that they stand in.
+    /// Range of the hash ring that contains the candidates.
     pub range: HashRange,
-    /// Number that the key of the request stands for.
+    /// Hash of the request's key, which determines the position in the range to start from.
     pub start: u64,
 }
 
-/// What was drawn.
+/// Result of a selection.
 #[derive(Debug, Default)]
 pub struct Candidates<'a> {
-    /// Servers to weigh, each once, by their identities.
+    /// Candidate servers, ordered by identity and without duplicates.
     pub servers: Vec<&'a Rc<ServerEntry>>,
-    /// Servers that were looked at for that.
+    /// Number of servers that were examined.
     pub examined: usize,
 }
 
 impl<'a> Candidates<'a> {
-    fn take(
+    fn add_usable(
         &mut self,
         servers: impl Iterator<Item = &'a Rc<ServerEntry>>,
-        most: usize,
+        max: usize,
         is_usable: &dyn Fn(&ServerEntry) -> bool,
     ) {
-        let looked_at = &mut self.examined;
+        let examined = &mut self.examined;
         let usable = servers
-            .take(most * LOOKED_AT_EACH)
-            .inspect(|_| *looked_at += 1)
+            .take(max * EXAMINED_PER_CANDIDATE)
+            .inspect(|_| *examined += 1)
             .filter(|server| is_usable(server))
-            .take(most);
+            .take(max);
         self.servers.extend(usable);
     }
 }
 
-/// Draws servers that are usable from a service.
+/// Selects usable servers of a service.
 pub fn select_candidates<'a>(
-    serving: &'a ActiveServers,
-    draw: &CandidateQuery<'_>,
+    servers: &'a ActiveServers,
+    query: &CandidateQuery<'_>,
     is_usable: &dyn Fn(&ServerEntry) -> bool,
 ) -> Candidates<'a> {
-    let mut drawn = Candidates::default();
-    if serving.all.len() <= FULL_SCAN_MAX {
-        let all = serving.all.iter_from(draw.range, draw.start);
-        drawn.take(all, FULL_SCAN_MAX, is_usable);
+    let mut candidates = Candidates::default();
+    if servers.all.len() <= FULL_SCAN_MAX {
+        let all = servers.all.iter_from(query.range, query.start);
+        candidates.add_usable(all, FULL_SCAN_MAX, is_usable);
     } else {
-        if let Some(zone) = serving.zones.get(draw.zone) {
-            drawn.take(zone.iter_from(draw.range, draw.start), MOST_NEAR, is_usable);
+        if let Some(zone) = servers.zones.get(query.zone) {
+            candidates.add_usable(
+                zone.iter_from(query.range, query.start),
+                MAX_FROM_ZONE,
+                is_usable,
+            );
         }
-        let all = serving.all.iter_from(draw.range, draw.start);
-        drawn.take(all, MOST_ANYWHERE, is_usable);
+        let all = servers.all.iter_from(query.range, query.start);
+        candidates.add_usable(all, MAX_FROM_ANYWHERE, is_usable);
     }
-    drawn.servers.sort_unstable_by(|a, b| a.id.cmp(&b.id));
-    drawn.servers.dedup_by(|a, b| a.id == b.id);
-    drawn
+    candidates.servers.sort_unstable_by(|a, b| a.id.cmp(&b.id));
+    candidates.servers.dedup_by(|a, b| a.id == b.id);
+    candidates
 }
--- a/crates/traffic/src/hash_ring.rs
+++ b/crates/traffic/src/hash_ring.rs
@@ -1,6 +1,8 @@
-//! Servers in an order that all daemons know alike, without a word to each other: by a hash of
-//! their identities. A part of them that is drawn from a place of this order is the same
-//! wherever it is drawn, and what comes or goes changes few such parts.
+//! A hash ring of servers, ordered by a hash of their identities.
+//!
+//! All daemons compute the same order without communication. Servers that are selected from a
+//! position on are the same in every daemon, and an added or removed server changes few of these
+//! selections.
 
 use crate::directory::ServerEntry;
 use std::collections::BTreeMap;
@@ -8,19 +10,19 @@
 use std::rc::Rc;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A place in the order, and the identity there: two may share a place.
-type Position = (u64, Rc<str>);
+/// RingKey on the ring and identity of the server there, as two servers may share a position.
+type RingKey = (u64, Rc<str>);
 
-/// Place of an identity in the order.
+/// Returns the position of an identity on the ring.
 pub fn ring_position(id: &str) -> u64 {
     xxh3_64(id.as_bytes())
 }
 
-fn begin(place: u64) -> Position {
-    (place, Rc::from(""))
+fn first_key(position: u64) -> RingKey {
+    (position, Rc::from(""))
 }
 
-/// A part of the order, from one place to another, both included.
+/// A range of positions on the ring. Both ends are included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HashRange {
     first: u64,
@@ -28,34 +30,34 @@
 }
 
 impl HashRange {
-    /// All of it.
+    /// The whole ring.
     pub const FULL: Self = Self {
         first: 0,
         last: u64::MAX,
     };
 
-    /// One of so many parts of the same length.
+    /// Returns the range at `index` of `count` ranges of equal length.
     pub fn nth_of(index: u32, count: u32) -> Self {
         let count = u128::from(count.max(1));
-        let border = |index: u128| ((index << 64) / count) as u64;
+        let start_of = |index: u128| ((index << 64) / count) as u64;
         let index = u128::from(index) % count;
         let last = match index + 1 == count {
             true => u64::MAX,
-            false => border(index + 1) - 1,
+            false => start_of(index + 1) - 1,
         };
         Self {
-            first: border(index),
+            first: start_of(index),
             last,
         }
     }
 
-    /// Whether a place lies in it.
-    pub fn contains(self, place: u64) -> bool {
-        (self.first..=self.last).contains(&place)
+    /// Whether the range contains a position.
+    pub fn contains(self, position: u64) -> bool {
+        (self.first..=self.last).contains(&position)
     }
 
-    /// The place in it that a number stands for.
-    fn at(self, number: u64) -> u64 {
+    /// Maps a number to a position in the range.
+    fn position_of(self, number: u64) -> u64 {
         match (self.last - self.first).checked_add(1) {
             Some(length) => self.first + number % length,
             None => number,
@@ -63,43 +65,48 @@
     }
 }
 
-/// Servers in that order.
+/// Servers ordered by their position.
 #[derive(Debug, Default)]
 pub struct HashRing {
-    servers: BTreeMap<Position, Rc<ServerEntry>>,
+    servers: BTreeMap<RingKey, Rc<ServerEntry>>,
 }
 
 impl HashRing {
-    /// Puts a server in its place.
+    /// Adds a server, or replaces the entry with the same identity.
     pub fn insert(&mut self, server: Rc<ServerEntry>) {
-        let position = (ring_position(&server.id), Rc::from(server.id.as_str()));
-        self.servers.insert(position, server);
+        let key = (ring_position(&server.id), Rc::from(server.id.as_str()));
+        self.servers.insert(key, server);
     }
 
-    /// Takes an identity out.
+    /// Removes the server with the given identity.
     pub fn remove(&mut self, id: &str) {
         self.servers.remove(&(ring_position(id), Rc::from(id)));
     }
 
-    /// Number of servers.
+    /// Returns the number of servers.
     pub fn len(&self) -> usize {
         self.servers.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no servers.
     pub fn is_empty(&self) -> bool {
         self.servers.is_empty()
     }
 
-    /// Servers of an arc, once each, from the place on that a number stands for.
-    pub fn iter_from(&self, arc: HashRange, number: u64) -> impl Iterator<Item = &Rc<ServerEntry>> {
-        let start = arc.at(number);
-        let end = match arc.last.checked_add(1) {
-            Some(behind) => Excluded(begin(behind)),
+    /// Iterates over the servers of a range, once each. The iteration starts at the position that
+    /// `number` maps to and wraps around at the end of the range.
+    pub fn iter_from(
+        &self,
+        range: HashRange,
+        number: u64,
+    ) -> impl Iterator<Item = &Rc<ServerEntry>> {
+        let start = range.position_of(number);
+        let end = match range.last.checked_add(1) {
+            Some(after) => Excluded(first_key(after)),
             None => Unbounded,
         };
-        let later = self.servers.range((Included(begin(start)), end));
-        let earlier = Included(begin(arc.first))..Excluded(begin(start));
+        let later = self.servers.range((Included(first_key(start)), end));
+        let earlier = Included(first_key(range.first))..Excluded(first_key(start));
         let earlier = self.servers.range((earlier.start, earlier.end));
         later.chain(earlier).map(|(_, server)| server)
     }
