--- a/crates/traffic/src/cold.rs
+++ b/crates/traffic/src/cold.rs
@@ -1,11 +1,11 @@
-//! Which servers are cold: they bear a few requests a second, and fall over at well above
-//! that.
+//! Tracks cold servers. A cold server has started recently, can handle only a few requests per
+//! second, and fails at a rate well above that.
 //!
-//! A server tells in its record how much longer it is cold, but a record is read late, and a
-//! server may become cold again before it says so. So a server counts as cold also by what is
-//! seen of it: an incarnation that appears while traffic flows, one that takes connections
-//! again after it took none, one that broke off at once what was sent to it. All times err to
-//! the longer side (docs/design/cold-servers.md).
+//! A server reports in its record how much longer it is cold. The record is read with a delay,
+//! however, and a server may become cold again before it reports so. A server therefore also
+//! counts as cold if its incarnation appears while the daemon is running, if it accepts
+//! connections again after it accepted none, or if it reset a request immediately. All estimates
+//! err on the longer side (docs/design/cold-servers.md).
 
 use crate::config::ColdLimit;
 use crate::quota::AdmissionRequest;
@@ -14,37 +14,38 @@
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 
-/// How long a request may be sent on a permit after the daemon asked for it, in
-/// milliseconds: an answer takes 2 to 20 ms, and what goes out later counts in a window that
-/// its owner does not know.
+/// How long a permit is valid after the daemon requested it, in milliseconds. The owner answers
+/// within 2 to 20 ms. A request that is sent later would fall into a window in which the owner
+/// does not count it.
 pub const PERMIT_VALIDITY_MS: u64 = 50;
-/// Cold servers are judged by seconds.
-const JUDGED_MS: u64 = 1_000;
-/// Places at a cold server that less urgent requests leave for urgent ones.
-const LEFT_FOR_URGENT: u32 = 1;
-/// Rate from which on a cold server has more places at one moment than those, a second.
-const LEAVES_FROM_RATE: f64 = 8.0;
-/// Rank of the most urgent requests.
+/// Length of the window over which a cold server's rate is measured, in milliseconds.
+const RATE_WINDOW_MS: u64 = 1_000;
+/// Permits of a cold server that less urgent requests leave available for the most urgent ones.
+const RESERVED_FOR_URGENT: u32 = 1;
+/// Rate from which permits are reserved, in requests per second. A slower cold server does not
+/// grant more permits at one moment than would be reserved.
+const MIN_RATE_FOR_RESERVE: f64 = 8.0;
+/// Priority of the most urgent requests.
 const MOST_URGENT: u8 = 0;
-/// How long a turn holds its place at an engine, in milliseconds: half of them take 212 and
-/// nine in ten 783 on the deployment measured.
+/// Estimated time that a turn occupies a slot of an engine, in milliseconds. In the measured
+/// deployment, the median is 212 and the 90th percentile 783.
 const TURN_MS: f64 = 300.0;
-/// Identities that are remembered, those that are gone among them: entries lapse while the log
-/// is away and come back the same. From so many on those that are gone are looked for, and again
-/// once there are twice as many as were left.
-const SWEEP_FROM: usize = 8_192;
-
-/// Windows in which requests to cold servers are counted: a second, and for how long a permit
-/// may be used after its count. Each holds what a server bears in a second and nothing beyond
-/// that: the room that the operator's sheet leaves above it is for servers that nobody knows
-/// to be cold yet.
+/// Number of remembered identities from which removed ones are dropped. They are dropped again
+/// when the number has doubled. Removed identities are remembered because entries expire while
+/// the log is unavailable and return unchanged.
+const SWEEP_THRESHOLD: usize = 8_192;
+
+/// Windows in which requests to cold servers are counted. A window lasts one second plus the
+/// validity of a permit, which may be used that long after it was counted. It allows what a
+/// server can handle in one second and no excess, because the tolerance that the operator's
+/// bounds allow is needed for servers that are not known to be cold yet.
 pub const PERMIT_BOUNDS: Bounds = Bounds {
-    window_ms: JUDGED_MS + PERMIT_VALIDITY_MS,
+    window_ms: RATE_WINDOW_MS + PERMIT_VALIDITY_MS,
     overshoot: 0.0,
     slack: 0.0,
 };
 
-/// The question to the owner of a cold server's count.
+/// Creates a permit request to the owner that counts the requests to a cold server.
 pub fn permit_request(
     server: &str,
     rate_per_s: f64,
@@ -54,7 +55,7 @@
     AdmissionRequest {
         tenant: server,
         limit: Limit {
-            rate_per_s: rate_per_s * JUDGED_MS as f64 / PERMIT_BOUNDS.window_ms as f64,
+            rate_per_s: rate_per_s * RATE_WINDOW_MS as f64 / PERMIT_BOUNDS.window_ms as f64,
             burst: 0.0,
         },
         version,
@@ -64,13 +65,13 @@
         max_wait_ms: 0,
         reserved: match rank {
             MOST_URGENT => 0,
-            _ if rate_per_s < LEAVES_FROM_RATE => 0,
-            _ => LEFT_FOR_URGENT,
+            _ if rate_per_s < MIN_RATE_FOR_RESERVE => 0,
+            _ => RESERVED_FOR_URGENT,
         },
     }
 }
 
-/// Requests that an engine works on at once while it gets no more than it bears.
+/// Returns the number of requests that a cold engine runs concurrently at its limited rate.
 pub fn cold_slots(cold: &ColdLimit) -> u32 {
     (cold.rate_per_s * TURN_MS / 1_000.0).ceil().max(1.0) as u32
 }
@@ -78,99 +79,103 @@
 /// Why a server counts as cold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ColdCause {
-    /// Its record says so.
+    /// The server's record says so.
     Reported,
-    /// It appeared while traffic flowed.
+    /// The server appeared while this daemon was running.
     New,
-    /// It takes connections again.
+    /// The server accepts connections again.
     Reconnected,
-    /// It broke off at once what was sent to it.
+    /// The server reset a request immediately.
     Reset,
 }
 
-/// What is known of one server.
+/// What is known about one server.
 #[derive(Clone, Copy, Debug, Default)]
 struct State {
-    /// By its newest record.
-    told_until_ms: u64,
-    /// What was last seen of it, and when.
-    seen: Option<(ColdCause, u64)>,
-    /// No connection came about last time.
-    is_dark: bool,
+    /// When the server stops being cold according to its newest record.
+    reported_until_ms: u64,
+    /// The last observation that indicates a cold server, and when it was made.
+    observed: Option<(ColdCause, u64)>,
+    /// The last connection attempt failed.
+    is_unreachable: bool,
 }
 
-/// What is known of all servers.
+/// Tracks which servers are cold, as seen by one daemon.
 #[derive(Clone, Debug, Default)]
 pub struct ColdTracker {
     states: HashMap<Rc<str>, State>,
-    remembered: HashSet<Rc<str>>,
-    /// Identities remembered from which on those that are gone are looked for again.
-    sweep_from: usize,
-    /// Identities looked through for that so far.
-    swept: usize,
-    /// The first listing was read: what comes after it is new.
-    is_listed: bool,
+    known_ids: HashSet<Rc<str>>,
+    /// Number of known identities from which removed ones are dropped again.
+    sweep_threshold: usize,
+    /// Number of identities examined for that so far.
+    swept_entries: usize,
+    /// The first listing was read. Servers that appear after it are new.
+    has_initial_listing: bool,
 }
 
 impl ColdTracker {
-    /// Takes in a record: it says for how much longer the server is cold, from when it was
-    /// written, which is before it is read.
+    /// Applies a server's record. `cold_ms` is how much longer the server is cold, counted from
+    /// when the record was written. Here it is counted from when the record is read, which is
+    /// later.
     pub fn record_reported(&mut self, id: &str, cold_ms: u64, now_ms: u64) {
-        let is_new = self.remember(id) && self.is_listed;
+        let is_new = self.add_known_id(id) && self.has_initial_listing;
         let state = self.state(id);
-        state.told_until_ms = now_ms + cold_ms;
+        state.reported_until_ms = now_ms + cold_ms;
         if is_new {
-            state.seen = Some((ColdCause::New, now_ms));
+            state.observed = Some((ColdCause::New, now_ms));
         }
     }
 
-    /// The servers that existed at the start of this daemon are known.
+    /// Records that the servers that existed when this daemon started are known.
     pub fn record_initial_listing(&mut self) {
-        self.is_listed = true;
+        self.has_initial_listing = true;
     }
 
-    /// No connection to a server came about.
+    /// Records that a connection to a server could not be established.
     pub fn record_unreachable(&mut self, id: &str) {
-        self.state(id).is_dark = true;
+        self.state(id).is_unreachable = true;
     }
 
-    /// A connection to a server came about. True if none had before: it may have started.
+    /// Records that a connection to a server was established. Returns true if the server was
+    /// unreachable before, in which case it may have restarted.
     pub fn record_connected(&mut self, id: &str, now_ms: u64) -> bool {
-        let Some(state) = self.states.get_mut(id).filter(|state| state.is_dark) else {
+        let Some(state) = self.states.get_mut(id).filter(|state| state.is_unreachable) else {
             return false;
         };
-        state.is_dark = false;
-        state.seen = Some((ColdCause::Reconnected, now_ms));
+        state.is_unreachable = false;
+        state.observed = Some((ColdCause::Reconnected, now_ms));
         true
     }
 
-    /// A server broke off what was sent to it on a connection that was open.
+    /// Records that a server reset a request on an open connection.
     pub fn record_reset(&mut self, id: &str, now_ms: u64) {
-        self.state(id).seen = Some((ColdCause::Reset, now_ms));
+        self.state(id).observed = Some((ColdCause::Reset, now_ms));
     }
 
-    /// Identities that were looked through so far to forget those that are gone.
+    /// Returns the number of identities examined so far to drop removed ones.
     pub fn swept_entries(&self) -> usize {
-        self.swept
+        self.swept_entries
     }
 
-    /// Drops a server that is gone from discovery.
+    /// Drops the state of a server that was removed from discovery.
     pub fn forget(&mut self, id: &str) {
         self.states.remove(id);
     }
 
-    /// Why a server is cold now and for how much longer, in milliseconds. One that takes no
-    /// connections is cold from when it does.
+    /// Returns why a server is cold and for how much longer, in milliseconds. For an unreachable
+    /// server, the time starts when it accepts connections again.
     pub fn cold_cause(&self, id: &str, cold: &ColdLimit, now_ms: u64) -> Option<(ColdCause, u64)> {
         let state = self.states.get(id)?;
-        let told = (ColdCause::Reported, state.told_until_ms);
-        let seen = state
-            .seen
+        let reported = (ColdCause::Reported, state.reported_until_ms);
+        let observed = state
+            .observed
             .map(|(cause, at_ms)| (cause, at_ms + cold.duration_ms));
-        let dark = state
-            .is_dark
+        let unreachable = state
+            .is_unreachable
             .then_some((ColdCause::Reconnected, now_ms + cold.duration_ms));
-        let all = [Some(told), seen, dark].into_iter().flatten();
+        let all = [Some(reported), observed, unreachable]
+            .into_iter()
+            .flatten();
         let (cause, until_ms) = all.max_by_key(|(_, until_ms)| *until_ms)?;
         let left_ms = until_ms
             .checked_sub(now_ms)
@@ -182,43 +187,45 @@
         self.states.entry(Rc::from(id)).or_default()
     }
 
-    /// True if the identity was not known.
-    fn remember(&mut self, id: &str) -> bool {
-        if self.remembered.contains(id) {
+    /// Adds an identity. Returns true if it was not known before.
+    fn add_known_id(&mut self, id: &str) -> bool {
+        if self.known_ids.contains(id) {
             return false;
         }
-        if self.remembered.len() >= self.sweep_from.max(SWEEP_FROM) {
-            self.swept += self.remembered.len();
+        if self.known_ids.len() >= self.sweep_threshold.max(SWEEP_THRESHOLD) {
+            self.swept_entries += self.known_ids.len();
             let states = &self.states;
-            self.remembered.retain(|known| states.contains_key(known));
-            self.sweep_from = 2 * self.remembered.len();
+            self.known_ids.retain(|known| states.contains_key(known));
+            self.sweep_threshold = 2 * self.known_ids.len();
         }
-        self.remembered.insert(Rc::from(id))
+        self.known_ids.insert(Rc::from(id))
     }
 }
 
-/// Cold servers at which no place is free for now, as their owners said, so that nobody asks
-/// before there is one.
+/// Cold servers for which the owner currently grants no permits, so that none are requested
+/// before they may be granted again.
 #[derive(Clone, Debug, Default)]
 pub struct PermitDenials {
     until_ms: HashMap<Rc<str>, u64>,
 }
 
 impl PermitDenials {
-    /// No place is free before a time, in milliseconds from now.
+    /// Records that the owner grants no permit for the next `retry_after_ms` milliseconds.
     pub fn record_denial(&mut self, id: &str, retry_after_ms: u64, now_ms: u64) {
         self.until_ms.retain(|_, until_ms| *until_ms > now_ms);
         self.until_ms.insert(Rc::from(id), now_ms + retry_after_ms);
     }
 
-    /// All of them, with the time until a place may be free, in milliseconds.
+    /// Iterates over the current denials and the time until a permit may be granted, in
+    /// milliseconds.
     pub fn pending(&self, now_ms: u64) -> impl Iterator<Item = (Rc<str>, u64)> {
         let left = move |until_ms: u64| until_ms.checked_sub(now_ms).filter(|left| *left > 0);
         let denials = self.until_ms.iter();
         denials.filter_map(move |(id, until_ms)| Some((id.clone(), left(*until_ms)?)))
     }
 
-    /// Time until a place may be free, in milliseconds, if that is known to be later.
+    /// Returns the time until a permit for a server may be granted, in milliseconds, or `None` if
+    /// it may be granted now.
     pub fn wait_ms(&self, id: &str, now_ms: u64) -> Option<u64> {
         let until_ms = self.until_ms.get(id)?;
         until_ms.checked_sub(now_ms).filter(|wait_ms| *wait_ms > 0)
--- a/crates/traffic/src/directory.rs
+++ b/crates/traffic/src/directory.rs
@@ -1,4 +1,4 @@
-//! The servers that exist, as their service discovery tells them.
+//! The known servers, as reported by service discovery.
 
 use crate::hash_ring::{HashRange, HashRing};
 use std::collections::{BTreeMap, HashMap};
@@ -8,68 +8,68 @@
 /// One incarnation of a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerEntry {
-    /// Identity of this incarnation, see [`identity`]: all that is believed of a server goes by
-    /// it, so that nothing of a former incarnation is believed of the next one.
+    /// Identity of this incarnation, see [`identity`]. All state about a server is stored by
+    /// identity, so that nothing carries over from one incarnation to the next.
     pub id: String,
-    /// Its name in service discovery, which it may keep when it starts again, and by which it
-    /// knows itself.
+    /// Name of the server in service discovery, by which it also knows itself. The name may stay
+    /// the same when the server restarts.
     pub name: String,
-    /// Service that it belongs to.
+    /// Service that the server belongs to.
     pub service: String,
-    /// Where it listens.
+    /// Address that the server listens on.
     pub address: SocketAddr,
-    /// Zone that it stands in.
+    /// Zone of the server.
     pub zone: String,
-    /// Requests that it works on at once.
+    /// Requests that the server processes concurrently.
     pub slots: u32,
-    /// It is about to leave and takes no new work.
+    /// The server is shutting down and accepts no new work.
     pub draining: bool,
-    /// How much longer it is cold, in milliseconds, as it said when this entry was written.
+    /// How much longer the server is cold, in milliseconds, at the time the entry was written.
     pub cold_ms: u64,
 }
 
-/// Identity of an incarnation: the server's name, and the Unix time of its start, in
-/// milliseconds, where it tells that.
-pub fn identity(name: &str, born_ms: Option<u64>) -> String {
-    match born_ms {
-        Some(born_ms) => format!("{name}~{born_ms}"),
+/// Returns the identity of an incarnation: the server's name, followed by the Unix time of its
+/// start in milliseconds if the server reports it.
+pub fn identity(name: &str, started_ms: Option<u64>) -> String {
+    match started_ms {
+        Some(started_ms) => format!("{name}~{started_ms}"),
         None => name.to_owned(),
     }
 }
 
-/// What became of an entry.
+/// Effect of an entry on the directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DirectoryChange {
-    /// A server that was not known.
+    /// The server was not known before.
     Added,
-    /// A known server has started again: nothing holds that was known of it.
+    /// A known server has restarted, so that all earlier state about it is invalid.
     Restarted,
-    /// A known server has begun to leave.
+    /// A known server has started to drain.
     Draining,
-    /// Nothing that matters here.
+    /// The entry changes nothing that callers have to act on.
     Unchanged,
 }
 
-/// Names without a server that are remembered for the place of their last record, at least. A
-/// fleet remembers as many as it has servers: they may all be replaced in one release.
-const LEAST_GONE: usize = 10_000;
+/// Minimum number of removed names whose last revision is kept. A larger fleet keeps as many as
+/// it has servers, because one release may replace all of them.
+const MIN_REMOVED_NAMES: usize = 10_000;
 
 /// The newest record of a name.
-struct Known {
-    /// Identity of its server; none where the record took the name out of use.
+struct NameRecord {
+    /// Identity of the server, or `None` if the record removed the name.
     id: Option<String>,
-    /// Place of the record in its topic.
+    /// Offset of the record in its topic.
     revision: u64,
 }
 
-/// Servers of a service that take new work.
+/// Servers of a service that accept new work.
 #[derive(Debug, Default)]
 pub struct ActiveServers {
-    /// All of them.
+    /// All servers of the service.
     pub all: HashRing,
-    /// Those of each zone.
+    /// The servers by zone.
     pub zones: BTreeMap<String, HashRing>,
-    /// Counts their changes: what was worked out from them holds as long as this stays the same.
+    /// Number of changes. Results derived from the servers are valid while it stays the same.
     pub version: u64,
 }
 
@@ -90,22 +90,25 @@
     }
 }
 
-/// Known servers by identity. Leaving is final for an identity: an older entry
-/// that is read again never makes a leaving server take work. Of two incarnations of one name
-/// the one whose entry was written later is in force; clocks of servers may step back. A
-/// record or a listing that is older than what is known of a name changes nothing.
+/// The known servers by identity.
+///
+/// Draining is final for an identity: an older entry that is read again never makes a draining
+/// server accept work. Of two incarnations of a name, the one whose entry was written later is
+/// current, regardless of their start times, because the clocks of servers may be set back. A
+/// record or listing that is older than the newest known record of a name is ignored.
 #[derive(Default)]
 pub struct Directory {
     servers: HashMap<String, Rc<ServerEntry>>,
-    /// Those that take new work, by service.
+    /// Servers that accept new work, by service.
     services: HashMap<String, ActiveServers>,
-    names: HashMap<String, Known>,
-    /// Names that are known to have no server.
-    gone: usize,
+    names: HashMap<String, NameRecord>,
+    /// Number of names whose newest record removed them.
+    removed_names: usize,
 }
 
 impl Directory {
-    /// Takes an entry of this place in its topic. A listing may be older than what is known.
+    /// Applies an entry with the given offset in its topic. The entry may come from a listing
+    /// that is older than the known records.
     pub fn insert(&mut self, mut entry: ServerEntry, revision: u64) -> DirectoryChange {
         let known = self.names.get(&entry.name);
         if known.is_some_and(|known| revision < known.revision) {
@@ -127,12 +130,12 @@
         };
         entry.draining |= was_draining;
         let id = Some(entry.id.clone());
-        self.know(&entry.name, Known { id, revision });
+        self.set_record(&entry.name, NameRecord { id, revision });
         self.put_server(entry);
         change
     }
 
-    /// Puts a server in place of what was known of its identity.
+    /// Adds a server, or replaces the entry with the same identity.
     fn put_server(&mut self, entry: ServerEntry) {
         if self
             .servers
@@ -159,68 +162,72 @@
         }
     }
 
-    /// Whether a record of this place in the topic is newer than what is known of its name.
+    /// Whether a record with the given offset in its topic is newer than the known one of its
+    /// name.
     pub fn is_newer(&self, name: &str, revision: u64) -> bool {
         let known = self.names.get(name);
         known.is_none_or(|known| revision > known.revision)
     }
 
-    /// Takes a name out of use whose record of this place says that it is gone from discovery,
-    /// or names no server: the identity that it had. The place is remembered, so that an older
-    /// entry does not bring the server back.
+    /// Removes a name because of a record with the given offset, which says that it is no longer
+    /// in discovery or which describes no valid server. Returns the identity that the name had.
+    /// The offset is kept, so that an older entry does not add the server again.
     pub fn remove(&mut self, name: &str, revision: u64) -> Option<String> {
         if !self.is_newer(name, revision) {
             return None;
         }
-        let former = self.know(name, Known { id: None, revision });
-        if self.gone > LEAST_GONE.max(self.servers.len()) {
+        let former = self.set_record(name, NameRecord { id: None, revision });
+        if self.removed_names > MIN_REMOVED_NAMES.max(self.servers.len()) {
             self.names.retain(|_, known| known.id.is_some());
-            self.gone = 0;
+            self.removed_names = 0;
         }
-        self.end(former?)
+        self.drop_former_server(former?)
     }
 
-    /// Takes in the newest record of a name; what was known of it before.
-    fn know(&mut self, name: &str, known: Known) -> Option<Known> {
-        self.gone += usize::from(known.id.is_none());
-        let former = self.names.insert(name.to_owned(), known);
-        self.gone -= usize::from(former.as_ref().is_some_and(|former| former.id.is_none()));
+    /// Sets the newest record of a name. Returns the previous one.
+    fn set_record(&mut self, name: &str, record: NameRecord) -> Option<NameRecord> {
+        self.removed_names += usize::from(record.id.is_none());
+        let former = self.names.insert(name.to_owned(), record);
+        self.removed_names -=
+            usize::from(former.as_ref().is_some_and(|former| former.id.is_none()));
         former
     }
 
-    /// Drops the server of a name; its identity.
-    fn end(&mut self, former: Known) -> Option<String> {
+    /// Drops the server of a previous record. Returns its identity.
+    fn drop_former_server(&mut self, former: NameRecord) -> Option<String> {
         let id = former.id?;
         self.drop_server(&id);
         Some(id)
     }
 
-    /// Identity of a name's incarnation in force.
+    /// Returns the identity of a name's current incarnation.
     pub fn current_identity(&self, name: &str) -> Option<&str> {
         self.names.get(name)?.id.as_deref()
     }
 
-    /// Keeps only the names that a complete listing holds, read where the topic ended at
-    /// `end`, and those whose records are later: the identities that are gone.
+    /// Applies a complete listing that was read when the topic ended at offset `end`. Removes the
+    /// names that are neither listed nor have a later record. Returns the removed identities.
     pub fn retain(&mut self, listed: &dyn Fn(&str) -> bool, end: u64) -> Vec<String> {
-        let is_gone = |name: &String, known: &mut Known| known.revision < end && !listed(name);
-        let gone: Vec<Known> = self
+        let is_removed =
+            |name: &String, known: &mut NameRecord| known.revision < end && !listed(name);
+        let removed: Vec<NameRecord> = self
             .names
-            .extract_if(is_gone)
+            .extract_if(is_removed)
             .map(|(_, known)| known)
             .collect();
-        self.gone -= gone.iter().filter(|known| known.id.is_none()).count();
-        gone.into_iter()
-            .filter_map(|known| self.end(known))
+        self.removed_names -= removed.iter().filter(|known| known.id.is_none()).count();
+        removed
+            .into_iter()
+            .filter_map(|known| self.drop_former_server(known))
             .collect()
     }
 
-    /// Servers of a service that take new work.
+    /// Returns the servers of a service that accept new work.
     pub fn active_servers(&self, service: &str) -> Option<&ActiveServers> {
         self.services.get(service)
     }
 
-    /// Zones in which a service has servers that take new work.
+    /// Iterates over the zones in which a service has servers that accept new work.
     pub fn zones_of(&self, service: &str) -> impl Iterator<Item = &str> {
         let zones = self
             .active_servers(service)
@@ -231,12 +238,13 @@
             .map(|(zone, _)| zone.as_str())
     }
 
-    /// Some servers of each zone that take new work, from the place on that a number stands for.
-    pub fn sample_zones(&self, most: usize, number: u64) -> BTreeMap<&str, Vec<&ServerEntry>> {
+    /// Returns up to `max` servers of each zone and service that accept new work, starting at
+    /// the ring position that `number` maps to.
+    pub fn sample_zones(&self, max: usize, number: u64) -> BTreeMap<&str, Vec<&ServerEntry>> {
         let mut some: BTreeMap<&str, Vec<&ServerEntry>> = BTreeMap::new();
         let rings = self.services.values().flat_map(|serving| &serving.zones);
         for (zone, ring) in rings {
-            let servers = ring.iter_from(HashRange::FULL, number).take(most);
+            let servers = ring.iter_from(HashRange::FULL, number).take(max);
             some.entry(zone)
                 .or_default()
                 .extend(servers.map(|server| &**server));
@@ -245,22 +253,22 @@
         some
     }
 
-    /// Whether this server may still get new work.
+    /// Whether a server is known and accepts new work.
     pub fn accepts_work(&self, id: &str) -> bool {
         self.servers.get(id).is_some_and(|server| !server.draining)
     }
 
-    /// The entry of a server.
+    /// Returns the entry of a server.
     pub fn entry(&self, id: &str) -> Option<&ServerEntry> {
         self.servers.get(id).map(|server| &**server)
     }
 
-    /// Known servers, leaving ones included.
+    /// Returns the number of known servers, including draining ones.
     pub fn len(&self) -> usize {
         self.servers.len()
     }
 
-    /// Names of which the last record is remembered, with a server or without.
+    /// Returns the number of names whose newest record is kept, with or without a server.
     pub fn known_names(&self) -> usize {
         self.names.len()
     }
@@ -270,7 +278,7 @@
         self.servers.is_empty()
     }
 
-    /// All entries.
+    /// Iterates over all entries.
     pub fn entries(&self) -> impl Iterator<Item = &ServerEntry> {
         self.servers.values().map(|server| &**server)
     }
--- a/crates/traffic/src/health.rs
+++ b/crates/traffic/src/health.rs
@@ -1,59 +1,60 @@
-//! Leaving a failing server alone for a while, longer with each failure.
+//! Exponential backoff for failing servers.
 
-/// First pause after a failure, in milliseconds.
-const FIRST_PAUSE_MS: u64 = 300;
-/// Longest pause, in milliseconds.
-const LONGEST_PAUSE_MS: u64 = 3_000;
-/// Pause after a refusal for lack of room, in milliseconds.
-const FULL_PAUSE_MS: u64 = 60;
-/// Failures in a row from which on a server counts as unsound.
-const UNSOUND_FROM: u32 = 1;
+/// Backoff after the first failure, in milliseconds. Each further failure doubles it.
+const FIRST_BACKOFF_MS: u64 = 300;
+/// Longest backoff, in milliseconds.
+const MAX_BACKOFF_MS: u64 = 3_000;
+/// Backoff after the server refused a request because it is full, in milliseconds.
+const FULL_BACKOFF_MS: u64 = 60;
+/// Consecutive failures from which a server counts as unhealthy.
+const UNHEALTHY_FAILURES: u32 = 1;
 
-/// What an attempt at a server showed about it.
+/// What an attempt showed about a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Observation {
-    /// It answered.
+    /// The server answered.
     Answered,
-    /// It refused for lack of room.
+    /// The server refused the request because it is full.
     Full,
-    /// An idle connection turned out to be gone when it was used again. That says
-    /// nothing about the server.
+    /// An idle connection turned out to be closed when it was reused. This says nothing about
+    /// the health of the server.
     Stale,
-    /// No connection, a broken answer or silence.
+    /// No connection, an invalid answer, or no answer.
     Failed,
 }
 
-/// Recent behaviour of one server, as seen by one gateway.
+/// Health of one server, as seen by one gateway.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
     failures: u32,
-    avoid_until_ms: u64,
+    backoff_until_ms: u64,
 }
 
 impl Health {
-    /// Takes in an observation.
+    /// Updates the health after an attempt.
     pub fn observe(&mut self, now_ms: u64, observation: Observation) {
         match observation {
             Observation::Answered => *self = Self::default(),
             Observation::Full => {
-                self.avoid_until_ms = self.avoid_until_ms.max(now_ms + FULL_PAUSE_MS);
+                self.backoff_until_ms = self.backoff_until_ms.max(now_ms + FULL_BACKOFF_MS);
             }
             Observation::Stale => {}
             Observation::Failed => {
                 self.failures = (self.failures + 1).min(8);
-                let pause = FIRST_PAUSE_MS << (self.failures - 1).min(5);
-                self.avoid_until_ms = now_ms + pause.min(LONGEST_PAUSE_MS);
+                let backoff_ms = FIRST_BACKOFF_MS << (self.failures - 1).min(5);
+                self.backoff_until_ms = now_ms + backoff_ms.min(MAX_BACKOFF_MS);
             }
         }
     }
 
-    /// Whether the server should be passed over now.
+    /// Whether the server should be skipped for now.
     pub fn is_in_backoff(&self, now_ms: u64) -> bool {
-        now_ms < self.avoid_until_ms
+        now_ms < self.backoff_until_ms
     }
 
-    /// Whether its last answers failed.
+    /// Whether the last attempts failed. This holds until the server answers again, also after
+    /// the backoff has ended.
     pub fn is_unhealthy(&self) -> bool {
-        self.failures >= UNSOUND_FROM
+        self.failures >= UNHEALTHY_FAILURES
     }
 }
--- a/crates/traffic/src/idle_limit.rs
+++ b/crates/traffic/src/idle_limit.rs
@@ -1,17 +1,17 @@
-//! How long an idle connection to a server may rest before it is used again.
+//! How long a connection to a server may be idle before it is no longer reused.
 //!
-//! A server may forget idle connections without a word, sooner than it tells. The next
-//! request on such a connection is reset, and one that may not be repeated is lost by it:
-//! so what was learned from one reset holds for the connections that follow.
+//! A server may drop idle connections silently and earlier than it announces. The next request on
+//! such a connection is reset, and a request that may not be repeated fails. Therefore the idle
+//! time of a connection that was reset limits the connections that are reused after it.
 
-/// A connection rests for this part of what was too long.
-const TOO_LONG_DIVISOR: u64 = 2;
-/// IdleLimit that is always allowed, in milliseconds.
-const LEAST_MS: u64 = 40;
-/// What was learned holds for this long, in milliseconds.
-const REMEMBERED_MS: u64 = 10_000;
+/// The limit is the idle time of the reset connection divided by this.
+const STALE_DIVISOR: u64 = 2;
+/// Idle time that is always allowed, in milliseconds.
+const MIN_LIMIT_MS: u64 = 40;
+/// How long a limit applies, in milliseconds.
+const LIMIT_VALIDITY_MS: u64 = 10_000;
 
-/// What was learned of one server.
+/// Idle time limit of the connections to one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct IdleLimit {
     limit_ms: Option<u64>,
@@ -19,15 +19,15 @@
 }
 
 impl IdleLimit {
-    /// A connection that had rested this long was gone.
-    pub fn record_stale(&mut self, now_ms: u64, rested_ms: u64) {
-        let limit_ms = (rested_ms / TOO_LONG_DIVISOR).max(LEAST_MS);
+    /// Records that a connection was found closed after it had been idle for `idle_ms`.
+    pub fn record_stale(&mut self, now_ms: u64, idle_ms: u64) {
+        let limit_ms = (idle_ms / STALE_DIVISOR).max(MIN_LIMIT_MS);
         let known = self.limit_ms(now_ms).unwrap_or(u64::MAX);
         self.limit_ms = Some(limit_ms.min(known));
-        self.until_ms = now_ms + REMEMBERED_MS;
+        self.until_ms = now_ms + LIMIT_VALIDITY_MS;
     }
 
-    /// Longest rest, if one was learned lately.
+    /// Returns the longest idle time, if a connection was found closed recently.
     pub fn limit_ms(&self, now_ms: u64) -> Option<u64> {
         self.limit_ms.filter(|_| now_ms < self.until_ms)
     }
--- a/crates/traffic/src/silence.rs
+++ b/crates/traffic/src/silence.rs
@@ -1,127 +1,131 @@
-//! Which servers have gone silent.
+//! Detects silent servers: servers that are no longer reachable over the network.
 //!
-//! A machine without power and a link that is cut say nothing: what was asked there is
-//! answered never, and what was asked of a slow server is answered late. How long an answer
-//! takes does not tell the two apart, but the machine does: it lets a connection come about
-//! while its server works or hangs. So a server that has said nothing for longer than usual
-//! is tried with a connection, and only connections that do not come about count against
-//! it. Two of them make it silent, or one where another server of its zone is silent too and
-//! nothing was heard from that zone since. Where nothing at all is heard, this daemon's own
-//! link may be the one that is full, and more are needed.
+//! A request to a machine without power, or behind a broken link, is never answered, while a slow
+//! server answers late. The time without an answer does not distinguish the two, but the
+//! machine's network stack does: it accepts connections even while its server is busy or hangs.
+//! A server that has not sent anything for longer than usual is therefore probed with a new
+//! connection, and only connect timeouts count against it.
+//!
+//! A server is silent after two connect timeouts, or after one if another server of its zone
+//! has a timeout as well and nothing was received from the zone since. If nothing is received
+//! from any server, this daemon's own link may be saturated, and more timeouts are timeouts_needed.
 
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Connections in a row that did not come about, from which on a server is silent.
-const MISSES: u32 = 2;
-/// The same where a second server of its zone misses as well.
-const MISSES_IN_ZONE: u32 = 1;
-/// The same where no server at all was heard since the first of them.
-const MISSES_ALONE: u32 = 4;
-/// Servers of a zone with misses from which on all of it is in doubt.
-const SERVERS_IN_DOUBT: usize = 2;
-/// What is believed lapses so long after the last miss, in milliseconds: from then on the
-/// server is tried again with what there is to send.
-const LAPSE_MS: u64 = 2_000;
+/// Consecutive connect timeouts after which a server is silent.
+const TIMEOUTS_UNTIL_SILENT: u32 = 2;
+/// Connect timeouts after which a server is silent if its zone is suspect.
+const TIMEOUTS_IN_SUSPECT_ZONE: u32 = 1;
+/// Connect timeouts after which a server is silent if nothing was received from any server since
+/// the first of them.
+const TIMEOUTS_WITHOUT_CONTACT: u32 = 4;
+/// Number of servers with connect timeouts from which their zone is suspect.
+const SUSPECT_ZONE_SERVERS: usize = 2;
+/// Connect timeouts expire this long after the last one, in milliseconds. The server then
+/// receives requests again.
+const TIMEOUT_EXPIRY_MS: u64 = 2_000;
 
 #[derive(Clone, Debug, Default)]
-struct Server {
+struct TimedOutServer {
     zone: Rc<str>,
-    misses: u32,
-    first_miss_ms: u64,
-    last_miss_ms: u64,
+    timeouts: u32,
+    first_timeout_ms: u64,
+    last_timeout_ms: u64,
 }
 
-impl Server {
-    fn holds(&self, now_ms: u64) -> bool {
-        self.misses > 0 && now_ms < self.last_miss_ms + LAPSE_MS
+impl TimedOutServer {
+    fn is_current(&self, now_ms: u64) -> bool {
+        self.timeouts > 0 && now_ms < self.last_timeout_ms + TIMEOUT_EXPIRY_MS
     }
 }
 
-/// What one daemon knows of servers' silence.
+/// Connect timeouts and contacts of servers, as seen by one daemon.
 #[derive(Debug, Default)]
 pub struct SilenceDetector {
-    /// Servers with misses.
-    missed: HashMap<Rc<str>, Server>,
-    heard_by_zone: HashMap<Rc<str>, u64>,
-    heard_ms: Option<u64>,
+    /// Servers with connect timeouts since the last contact.
+    timed_out: HashMap<Rc<str>, TimedOutServer>,
+    zone_contact_ms: HashMap<Rc<str>, u64>,
+    last_contact_ms: Option<u64>,
 }
 
 impl SilenceDetector {
-    /// Something came from a server, or a connection to it came about or was refused. True
-    /// if it had been silent.
+    /// Records that data was received from a server, or that a connection to it was established
+    /// or refused. Returns true if the server was silent before.
     pub fn record_contact(&mut self, server: &str, zone: &str, now_ms: u64) -> bool {
         let was_silent = self.is_silent(server, now_ms);
-        self.missed.remove(server);
-        self.heard_ms = Some(now_ms);
-        match self.heard_by_zone.get_mut(zone) {
+        self.timed_out.remove(server);
+        self.last_contact_ms = Some(now_ms);
+        match self.zone_contact_ms.get_mut(zone) {
             Some(at_ms) => *at_ms = now_ms,
             None => {
-                self.heard_by_zone.insert(Rc::from(zone), now_ms);
+                self.zone_contact_ms.insert(Rc::from(zone), now_ms);
             }
         }
         was_silent
     }
 
-    /// A connection to a server did not come about in time. True if it is silent from now on.
+    /// Records that a connection to a server timed out. Returns true if the server becomes silent
+    /// by this timeout.
     pub fn record_connect_timeout(&mut self, server: &str, zone: &str, now_ms: u64) -> bool {
         let was_silent = self.is_silent(server, now_ms);
-        let state = self.missed.entry(Rc::from(server)).or_default();
-        if !state.holds(now_ms) {
-            *state = Server {
+        let state = self.timed_out.entry(Rc::from(server)).or_default();
+        if !state.is_current(now_ms) {
+            *state = TimedOutServer {
                 zone: Rc::from(zone),
-                first_miss_ms: now_ms,
-                ..Server::default()
+                first_timeout_ms: now_ms,
+                ..TimedOutServer::default()
             };
         }
-        state.misses += 1;
-        state.last_miss_ms = now_ms;
+        state.timeouts += 1;
+        state.last_timeout_ms = now_ms;
         !was_silent && self.is_silent(server, now_ms)
     }
 
-    /// Whether nothing more is to be expected of a server for now.
+    /// Whether a server is silent, so that no answer is expected from it for now.
     pub fn is_silent(&self, server: &str, now_ms: u64) -> bool {
-        let Some(state) = self.missed.get(server) else {
+        let Some(state) = self.timed_out.get(server) else {
             return false;
         };
-        state.holds(now_ms) && state.misses >= self.needed(state, now_ms)
+        state.is_current(now_ms) && state.timeouts >= self.timeouts_needed(state, now_ms)
     }
 
-    fn needed(&self, state: &Server, now_ms: u64) -> u32 {
+    fn timeouts_needed(&self, state: &TimedOutServer, now_ms: u64) -> u32 {
         if self
-            .heard_ms
-            .is_none_or(|at_ms| at_ms < state.first_miss_ms)
+            .last_contact_ms
+            .is_none_or(|at_ms| at_ms < state.first_timeout_ms)
         {
-            MISSES_ALONE
+            TIMEOUTS_WITHOUT_CONTACT
         } else if self.is_zone_suspect(&state.zone, now_ms) {
-            MISSES_IN_ZONE
+            TIMEOUTS_IN_SUSPECT_ZONE
         } else {
-            MISSES
+            TIMEOUTS_UNTIL_SILENT
         }
     }
 
-    /// Whether several servers of a zone do not let themselves be reached, and nothing was
-    /// heard from there since.
+    /// Whether several servers of a zone have connect timeouts, and nothing was received from the
+    /// zone since.
     pub fn is_zone_suspect(&self, zone: &str, now_ms: u64) -> bool {
-        let heard_ms = self.heard_by_zone.get(zone).copied();
-        let missed = self.missed.values().filter(|state| {
+        let last_contact_ms = self.zone_contact_ms.get(zone).copied();
+        let timed_out = self.timed_out.values().filter(|state| {
             *state.zone == *zone
-                && state.holds(now_ms)
-                && heard_ms.is_none_or(|at_ms| at_ms < state.first_miss_ms)
+                && state.is_current(now_ms)
+                && last_contact_ms.is_none_or(|at_ms| at_ms < state.first_timeout_ms)
         });
-        missed.count() >= SERVERS_IN_DOUBT
+        timed_out.count() >= SUSPECT_ZONE_SERVERS
     }
 
-    /// Whether a connection to a server that was kept may be as dead as its machine: a new
-    /// one tells before anything is sent.
+    /// Whether a kept connection to a server may be dead because its machine is unreachable. A
+    /// new connection has to be established before anything is sent.
     pub fn is_suspect(&self, server: &str, zone: &str, now_ms: u64) -> bool {
-        let missed = self.missed.get(server);
-        missed.is_some_and(|state| state.holds(now_ms)) || self.is_zone_suspect(zone, now_ms)
+        let timed_out = self.timed_out.get(server);
+        timed_out.is_some_and(|state| state.is_current(now_ms))
+            || self.is_zone_suspect(zone, now_ms)
     }
 
-    /// Forgets servers that `known` does not name, and misses that are over.
+    /// Removes servers for which `known` returns false, and timeouts that have expired.
     pub fn retain(&mut self, known: &dyn Fn(&str) -> bool, now_ms: u64) {
-        self.missed
-            .retain(|server, state| known(server) && state.holds(now_ms));
+        self.timed_out
+            .retain(|server, state| known(server) && state.is_current(now_ms));
     }
 }
