--- a/crates/traffic/src/attempt.rs
+++ b/crates/traffic/src/attempt.rs
@@ -1,63 +1,63 @@
-//! What may follow an attempt that brought no answer.
+//! Decides what follows an attempt that ended without an answer.
 
 use crate::config::RouteKind;
 
 /// How an attempt at a server ended without an answer for the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptFailure {
-    /// Nothing was sent.
+    /// Nothing was sent to the server.
     NotSent,
-    /// The server said that it did not run the request.
+    /// The server reported that it did not run the request.
     NotRun,
-    /// It may have run: the connection broke, or the answer was not one.
+    /// The request may have run: the connection broke, or the answer was not valid.
     MayHaveRun,
 }
 
-/// What the gateway does next.
+/// What the gateway does after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
     /// Try another server.
     Retry,
-    /// Every place is taken: try all servers again after so many milliseconds.
+    /// All servers are busy: try all of them again after this many milliseconds.
     Wait(u64),
-    /// Tell the client that it has not run and when to come back.
+    /// Tell the client that the request has not run and when to retry it.
     Refuse,
-    /// Tell the client that the outcome is not known.
+    /// Tell the client that the outcome is unknown.
     BadGateway,
 }
 
-/// Attempts of one request so far.
+/// Counts the failed attempts of one request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Attempts {
-    /// Attempts that may have run at a server.
+    /// Attempts that may have run on a server.
     pub may_have_run: u32,
-    /// Attempts that did not run since the last wait.
+    /// Attempts since the last wait that did not run.
     pub not_run: u32,
-    /// Waits for a place.
+    /// Waits for a server with a free slot.
     pub waits: u32,
 }
 
-/// Attempts that did not run are bounded as well, so that a full service is not
-/// asked without end.
-const MOST_NOT_RUN: u32 = 4;
-/// First wait for a place, in milliseconds; each further one is twice as long.
+/// Maximum number of attempts between two waits that did not run. Without it, a full service
+/// would be tried endlessly.
+const MAX_NOT_RUN: u32 = 4;
+/// First wait for a free slot, in milliseconds. Each further wait is twice as long.
 const FIRST_WAIT_MS: u64 = 20;
-/// Longest wait for a place, in milliseconds.
-const LONGEST_WAIT_MS: u64 = 80;
-/// Waits of one request at most.
-const MOST_WAITS: u32 = 6;
+/// Longest wait for a free slot, in milliseconds.
+const MAX_WAIT_MS: u64 = 80;
+/// Maximum number of waits of one request.
+const MAX_WAITS: u32 = 6;
 
-/// What the time of a request still allows.
+/// What the remaining time of a request allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimeLeft {
-    /// Another attempt could still be answered.
+    /// There is enough time for another attempt and its answer.
     pub enough_for_attempt: bool,
-    /// A wait for a place would leave enough for the answer.
+    /// There is enough time for a wait, and for the answer after it.
     pub enough_for_wait: bool,
 }
 
 impl Attempts {
-    /// Counts a failed attempt and says what follows.
+    /// Counts a failed attempt and decides what follows.
     pub fn on_failure(
         &mut self,
         kind: RouteKind,
@@ -72,13 +72,13 @@
         if !self.may_repeat(kind, max_attempts) || !time.enough_for_attempt {
             return self.give_up();
         }
-        match self.not_run < MOST_NOT_RUN {
+        match self.not_run < MAX_NOT_RUN {
             true => NextStep::Retry,
             false => self.wait(time),
         }
     }
 
-    /// Says what follows where no server is left to try.
+    /// Decides what follows if no server is left to try.
     pub fn on_no_server(&mut self, kind: RouteKind, max_attempts: u32, time: TimeLeft) -> NextStep {
         match self.may_repeat(kind, max_attempts) {
             true => self.wait(time),
@@ -86,20 +86,20 @@
         }
     }
 
-    /// A place that comes free soon serves the client better than a refusal: it would
-    /// come back for the same place, and a program ends with a call that fails.
+    /// Waits for a free slot if there is time. A short wait is better than a refusal: the client
+    /// would only retry for the same slot, and a program ends when one of its calls fails.
     fn wait(&mut self, time: TimeLeft) -> NextStep {
-        if !time.enough_for_wait || self.waits >= MOST_WAITS {
+        if !time.enough_for_wait || self.waits >= MAX_WAITS {
             return self.give_up();
         }
         let pause_ms = FIRST_WAIT_MS << self.waits.min(8);
         self.waits += 1;
         self.not_run = 0;
-        NextStep::Wait(pause_ms.min(LONGEST_WAIT_MS))
+        NextStep::Wait(pause_ms.min(MAX_WAIT_MS))
     }
 
     fn give_up(&self) -> NextStep {
-        // Once it may have run, only "unknown" is true, whatever came later.
+        // Once an attempt may have run, the outcome stays unknown whatever happens later.
         if self.may_have_run > 0 {
             NextStep::BadGateway
         } else {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Whether an attempt that may have run, the one under way, could be followed by another.
+    /// Whether the attempt in progress could be followed by another one if it may have run.
     pub fn allows_another(&self, kind: RouteKind, max_attempts: u32) -> bool {
         kind.is_repeatable() && self.may_have_run + 1 < max_attempts
     }
--- a/crates/traffic/src/buffer_memory.rs
+++ b/crates/traffic/src/buffer_memory.rs
@@ -1,169 +1,171 @@
-//! The memory that one daemon spends on peers that are slow to read.
+//! Limits the memory that one daemon uses for data that slow peers have not read yet.
 //!
-//! What came for a client that does not read, and what goes to a server that does not read,
-//! lies in this daemon's memory meanwhile. A few such peers fill a small machine, and a daemon
-//! that is killed for it takes all of its other clients with it. So everything that is held is
-//! counted against one bound. Where that is reached, the answer is given up first whose client
-//! has taken nothing for the longest time; while every client takes something, what would come
-//! new is turned away.
+//! Answers for a client that does not read, and requests for a server that does not read, are
+//! buffered in the daemon's memory. A few such peers can fill the memory of a small machine, and
+//! when the daemon is killed for that, all its other clients lose their connections. All buffers
+//! are therefore counted against one limit. When it is reached, the answer whose client has read
+//! nothing for the longest time is dropped first. While every client reads something, new data is
+//! refused.
 
 use std::collections::HashMap;
 
-/// Without a byte taken for this long, in milliseconds, a client may lose its answer to the need
-/// of others. One that reads at all takes something in each round trip; the farthest are tens of
-/// milliseconds away, and a packet lost on the way comes again within a second.
+/// A client that has read nothing for this long, in milliseconds, is stalled, and its answer may
+/// be dropped to free memory. A client that reads at all does so in every round trip. The
+/// farthest clients have round trips of tens of milliseconds, and a lost packet is sent again
+/// within a second.
 pub const STALLED_MS: u64 = 1_500;
 
-/// Identity of what is held for one peer.
+/// Identifies the buffer of one peer.
 pub type BufferId = u64;
 
-/// What bytes are held for.
+/// Purpose of a buffer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
-    /// A request on its way to a server, or an answer that still comes from one: never given up
-    /// halfway, since it may be running.
+    /// A request that is being sent to a server, or an answer that is still being received. It is
+    /// never dropped, because the request may be running.
     Incoming,
-    /// An answer that its client takes.
+    /// An answer that is being sent to its client.
     Outgoing,
 }
 
-/// Whether more bytes may be held.
+/// Result of a request for more memory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum GrowResult {
-    /// They are counted.
+    /// The bytes are counted.
     Granted,
-    /// They are counted, and these are given up for them.
+    /// The bytes are counted, and these buffers have to be dropped for them.
     GrantedByDropping(Vec<BufferId>),
-    /// There is no room, and nobody to take it from: nothing is counted.
+    /// The limit is reached, and no buffers can be dropped. Nothing is counted.
     Refused,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Holding {
+struct Buffer {
     purpose: Purpose,
     bytes: u64,
-    /// When the peer took something last.
-    taken_ms: u64,
+    /// When the peer last read something.
+    last_read_ms: u64,
 }
 
-/// What a daemon holds, in bytes, and how much it may.
+/// Counts the memory of all buffers of a daemon against a limit, in bytes.
 #[derive(Clone, Debug)]
 pub struct BufferMemory {
     limit: u64,
-    held: u64,
-    holdings: HashMap<BufferId, Holding>,
-    next: BufferId,
+    used: u64,
+    buffers: HashMap<BufferId, Buffer>,
+    next_id: BufferId,
 }
 
 impl BufferMemory {
-    /// Room for so many bytes.
+    /// Creates an empty count with a limit in bytes.
     pub fn new(limit: u64) -> Self {
         Self {
             limit,
-            held: 0,
-            holdings: HashMap::new(),
-            next: 0,
+            used: 0,
+            buffers: HashMap::new(),
+            next_id: 0,
         }
     }
 
-    /// Bytes held.
+    /// Returns the bytes in use.
     pub fn held(&self) -> u64 {
-        self.held
+        self.used
     }
 
-    /// Bytes that may be held.
+    /// Returns the limit in bytes.
     pub fn limit(&self) -> u64 {
         self.limit
     }
 
-    /// Opens an account that holds nothing yet.
+    /// Adds an empty buffer.
     pub fn open(&mut self, purpose: Purpose, now_ms: u64) -> BufferId {
-        let id = self.next;
-        self.next += 1;
-        let holding = Holding {
+        let id = self.next_id;
+        self.next_id += 1;
+        let buffer = Buffer {
             purpose,
             bytes: 0,
-            taken_ms: now_ms,
+            last_read_ms: now_ms,
         };
-        self.holdings.insert(id, holding);
+        self.buffers.insert(id, buffer);
         id
     }
 
-    /// Closes an account with all that it holds.
+    /// Removes a buffer and frees its memory.
     pub fn close(&mut self, id: BufferId) {
-        if let Some(holding) = self.holdings.remove(&id) {
-            self.held -= holding.bytes;
+        if let Some(buffer) = self.buffers.remove(&id) {
+            self.used -= buffer.bytes;
         }
     }
 
-    /// More bytes are to be held.
+    /// Requests more memory for a buffer.
     pub fn grow(&mut self, id: BufferId, bytes: u64, now_ms: u64) -> GrowResult {
-        if !self.holdings.contains_key(&id) {
+        if !self.buffers.contains_key(&id) {
             return GrowResult::Refused;
         }
-        let missing = (self.held + bytes).saturating_sub(self.limit);
-        let Some(given_up) = self.stalled(id, missing, now_ms) else {
+        let needed = (self.used + bytes).saturating_sub(self.limit);
+        let Some(dropped) = self.stalled(id, needed, now_ms) else {
             return GrowResult::Refused;
         };
-        for other in &given_up {
+        for other in &dropped {
             self.close(*other);
         }
-        if let Some(holding) = self.holdings.get_mut(&id) {
-            holding.bytes += bytes;
-            self.held += bytes;
+        if let Some(buffer) = self.buffers.get_mut(&id) {
+            buffer.bytes += bytes;
+            self.used += bytes;
         }
-        match given_up.is_empty() {
+        match dropped.is_empty() {
             true => GrowResult::Granted,
-            false => GrowResult::GrantedByDropping(given_up),
+            false => GrowResult::GrantedByDropping(dropped),
         }
     }
 
-    /// From now on the client takes what is held.
+    /// Records that the buffered answer is being sent to its client from now on.
     pub fn start_delivery(&mut self, id: BufferId, now_ms: u64) {
-        if let Some(holding) = self.holdings.get_mut(&id) {
-            holding.purpose = Purpose::Outgoing;
-            holding.taken_ms = now_ms;
+        if let Some(buffer) = self.buffers.get_mut(&id) {
+            buffer.purpose = Purpose::Outgoing;
+            buffer.last_read_ms = now_ms;
         }
     }
 
-    /// The peer took so many of the bytes.
+    /// Records that the peer has read some of the bytes.
     pub fn shrink(&mut self, id: BufferId, bytes: u64, now_ms: u64) {
-        if let Some(holding) = self.holdings.get_mut(&id) {
-            let taken = bytes.min(holding.bytes);
-            holding.bytes -= taken;
-            holding.taken_ms = now_ms;
-            self.held -= taken;
+        if let Some(buffer) = self.buffers.get_mut(&id) {
+            let read = bytes.min(buffer.bytes);
+            buffer.bytes -= read;
+            buffer.last_read_ms = now_ms;
+            self.used -= read;
         }
     }
 
-    /// Answers whose clients take nothing, the longest first, that together hold what is missing.
-    fn stalled(&self, except: BufferId, missing: u64, now_ms: u64) -> Option<Vec<BufferId>> {
-        if missing == 0 {
+    /// Returns answers of stalled clients, the longest stalled first, that together hold at least
+    /// the needed bytes. Returns `None` if there are not enough of them.
+    fn stalled(&self, except: BufferId, needed: u64, now_ms: u64) -> Option<Vec<BufferId>> {
+        if needed == 0 {
             return Some(Vec::new());
         }
         let mut stalled: Vec<(u64, BufferId, u64)> = self
-            .holdings
+            .buffers
             .iter()
-            .filter(|(id, holding)| **id != except && holding.is_stalled(now_ms))
-            .map(|(id, holding)| (holding.taken_ms, *id, holding.bytes))
+            .filter(|(id, buffer)| **id != except && buffer.is_stalled(now_ms))
+            .map(|(id, buffer)| (buffer.last_read_ms, *id, buffer.bytes))
             .collect();
         stalled.sort_unstable();
-        let mut given_up = Vec::new();
+        let mut dropped = Vec::new();
         let mut found = 0;
         for (_, id, bytes) in stalled {
-            given_up.push(id);
+            dropped.push(id);
             found += bytes;
-            if found >= missing {
-                return Some(given_up);
+            if found >= needed {
+                return Some(dropped);
             }
         }
         None
     }
 }
 
-impl Holding {
+impl Buffer {
     fn is_stalled(&self, now_ms: u64) -> bool {
         let is_outgoing = self.purpose == Purpose::Outgoing && self.bytes > 0;
-        is_outgoing && now_ms >= self.taken_ms + STALLED_MS
+        is_outgoing && now_ms >= self.last_read_ms + STALLED_MS
     }
 }
--- a/crates/traffic/src/config.rs
+++ b/crates/traffic/src/config.rs
@@ -3,16 +3,17 @@
 use crate::tenants::Tenant;
 use fieldhook_topology::region;
 
-/// What may be done with a request of a route.
+/// Whether requests of a route may be repeated, and how they are answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
-    /// May run any number of times.
+    /// Requests may run any number of times.
     Safe,
-    /// Runs at most once.
+    /// Requests run at most once.
     Unsafe,
-    /// Answered by a stream of events. Runs at most once unless it is resumable.
+    /// Requests are answered by a stream of events. They run at most once unless the stream is
+    /// resumable.
     Stream {
-        /// A stream may be taken up at another server after its last event.
+        /// A broken stream may be resumed at another server after its last event.
         resumable: bool,
     },
 }
@@ -29,80 +30,80 @@
     }
 }
 
-/// One service of a route with its share of the requests.
+/// A service of a route and its share of the requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightedService {
     /// Name of the service.
     pub service: String,
-    /// Share relative to the other parts.
+    /// Share of the requests, relative to the weights of the other services.
     pub weight: u32,
 }
 
-/// Where requests of one host and path prefix go.
+/// Routing rule for the requests of one host and path prefix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
     /// Name, shown in logs.
     pub name: String,
-    /// Host that the request names.
+    /// Host name of the requests.
     pub host: String,
-    /// Prefix of the path.
+    /// Prefix of the request path.
     pub path_prefix: String,
-    /// What may be done with its requests.
+    /// Whether requests may be repeated, and how they are answered.
     pub kind: RouteKind,
-    /// Longest time a request is held, in milliseconds.
+    /// Time after which a request fails, in milliseconds.
     pub timeout_ms: u64,
-    /// Time within which an answer is in time, in milliseconds.
+    /// Latency within which an answer is on time, in milliseconds.
     pub target_latency_ms: u64,
-    /// Rank, 0 is the most urgent.
+    /// Priority of the requests. 0 is the most urgent.
     pub priority: u8,
-    /// Services that serve it.
+    /// Services that the requests are distributed to.
     pub services: Vec<WeightedService>,
-    /// Most servers that one request may be sent to.
+    /// Maximum number of servers that one request may be sent to.
     pub max_attempts: u32,
-    /// Requests bring only their new input; the system keeps what was said.
+    /// Requests carry only their new input, because the daemons store the conversation so far.
     pub retains_context: bool,
-    /// How long a turn is kept after its end, in milliseconds.
+    /// How long a turn is stored after its end, in milliseconds.
     pub retention_ms: u64,
-    /// Requests need no key.
+    /// Requests need no API key.
     pub is_public: bool,
-    /// Regions that its requests may be served in and their data kept in.
+    /// Regions that may serve the requests and store their data.
     pub allowed_regions: region::RegionSet,
 }
 
-/// What servers of a service bear for a while after their start.
+/// Limit on the requests to servers of a service for some time after their start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdLimit {
-    /// Requests a second that a cold server bears.
+    /// Requests per second that a cold server can handle.
     pub rate_per_s: f64,
     /// How long a server is cold after its start, in milliseconds.
     pub duration_ms: u64,
 }
 
-/// Servers of one kind.
+/// A group of servers that offer the same function.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Name.
+    /// Name of the service.
     pub name: String,
-    /// Connections that a server accepts from all callers together.
+    /// Connections that one server accepts from all callers together.
     pub max_connections: u32,
-    /// Requests that an engine runs at once, 0 where it is not an engine.
+    /// Requests that one engine runs concurrently. 0 if the servers are not engines.
     pub engine_slots: u32,
-    /// Tokens that one event of a stream carries.
+    /// Tokens per event of a stream.
     pub tokens_per_event: u64,
-    /// What its servers bear while cold, where that is bounded.
+    /// Limit on the requests to cold servers, if there is one.
     pub cold: Option<ColdLimit>,
 }
 
-/// What a client may send and how long it may take.
+/// Limits on the size and duration of client requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientLimits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// Time for a request to arrive whole, in milliseconds.
+    /// Time within which a request has to arrive completely, in milliseconds.
     pub header_timeout_ms: u64,
-    /// Time that a connection may stay idle, in milliseconds.
+    /// Time after which an idle connection is closed, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
@@ -117,23 +118,23 @@
     }
 }
 
-/// The whole configuration.
+/// The complete traffic configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TrafficConfig {
-    /// Rises with every change.
+    /// Version number, which increases with every change.
     pub version: u64,
-    /// Routes.
+    /// All routes.
     pub routes: Vec<Route>,
-    /// Services.
+    /// All services.
     pub services: Vec<Service>,
-    /// Limits for clients.
+    /// Limits on client requests.
     pub limits: ClientLimits,
-    /// Tenants; `None` where requests belong to nobody and need no key.
+    /// Tenants. `None` if requests belong to no tenant and need no API key.
     pub tenants: Option<Vec<Tenant>>,
 }
 
 impl TrafficConfig {
-    /// The service of that name.
+    /// Returns the service with the given name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|service| service.name == name)
     }
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -1,28 +1,29 @@
-//! Decisions about requests, without I/O: which route a request takes, which
-//! server may serve it, and whether it may be sent again.
+//! Decisions about requests: which route a request takes, which server may serve it, and whether
+//! it may be retried. This crate does no I/O.
 //!
-//! - [`config`]: the traffic configuration: routes, services, limits.
-//! - [`tenants`]: whose request it is.
-//! - [`residency`]: regions that may serve a request and keep its data.
-//! - [`quota`]: what tenants may still send, as the owner of their limits counts it.
-//! - [`sliding_window`]: counting what was sent in a sliding window.
-//! - [`fallback_quota`]: what one daemon may send of it while no owner can be asked.
-//! - [`route_table`]: looking up a request's route and tenant.
-//! - [`round_robin`]: dividing a route's requests among weighted services.
-//! - [`directory`]: which servers exist and which of them are leaving.
-//! - [`cold`]: which servers bear only a few requests for now.
-//! - [`health`]: leaving a failing server alone and trying it again.
-//! - [`buffer_memory`]: the memory that is spent on peers that are slow to read.
-//! - [`idle_limit`]: how long an idle connection may rest.
-//! - [`groups`]: which engines the owner of a partition assigns.
-//! - [`assignment`]: the engine at which a program's turns run.
-//! - [`hash_ring`]: servers in an order that all daemons know alike.
-//! - [`candidates`]: which servers are weighed for a request.
-//! - [`balance`]: choosing a server for one attempt.
-//! - [`quota_wait`]: waiting for a place that comes free at a known time.
-//! - [`attempt_timeout`]: how long an attempt is waited for.
-//! - [`attempt`]: what may follow a failed attempt.
-//! - [`retry_budget`]: how many attempts a daemon may repeat over all its requests.
+//! - [`config`]: the traffic configuration with routes, services and limits.
+//! - [`tenants`]: tenants, their API keys and their rate limits.
+//! - [`residency`]: regions that may serve a request and store its data.
+//! - [`quota`]: enforces the limits of tenants at the owner of the limits.
+//! - [`sliding_window`]: a rate limiter over a sliding window.
+//! - [`fallback_quota`]: the quota of a daemon that reaches no owner.
+//! - [`quota_wait`]: how long a request may wait for quota.
+//! - [`route_table`]: looks up the route and the tenant of a request.
+//! - [`round_robin`]: distributes the requests of a route over weighted services.
+//! - [`directory`]: the known servers, and which of them accept work.
+//! - [`cold`]: tracks servers that can handle only a few requests after their start.
+//! - [`health`]: backoff for failing servers.
+//! - [`silence`]: detects servers that are no longer reachable.
+//! - [`buffer_memory`]: limits the memory used for data that slow peers have not read.
+//! - [`idle_limit`]: how long a connection may be idle before it is no longer reused.
+//! - [`groups`]: divides engines into groups for the partitions.
+//! - [`assignment`]: assigns the turns of a program to an engine.
+//! - [`hash_ring`]: orders servers identically in all daemons.
+//! - [`candidates`]: selects the candidate servers for a request.
+//! - [`balance`]: chooses a server for one attempt.
+//! - [`attempt_timeout`]: the timeout of one attempt.
+//! - [`attempt`]: decides what follows a failed attempt.
+//! - [`retry_budget`]: limits the retries of a daemon over all its requests.
 
 pub mod assignment;
 pub mod attempt;
--- a/crates/traffic/src/residency.rs
+++ b/crates/traffic/src/residency.rs
@@ -1,5 +1,5 @@
-//! Homes of data: the regions that a route and a tenant allow, both together, and what is
-//! wrong with them in a configuration.
+//! Data residency: the regions that a route and a tenant allow, and mistakes in their
+//! configuration.
 
 use crate::config::{Route, TrafficConfig};
 use crate::tenants::Tenant;
@@ -9,7 +9,8 @@
 use std::fmt;
 use std::rc::Rc;
 
-/// The regions that a request may be served in and its data kept in.
+/// Returns the regions that may serve a request and store its data: those that both its route
+/// and its tenant allow.
 pub fn allowed_regions(route: &Route, tenant: Option<&Tenant>) -> RegionSet {
     match tenant {
         Some(tenant) => route.allowed_regions.intersection(&tenant.allowed_regions),
@@ -17,12 +18,12 @@
     }
 }
 
-/// Whose homes are wrong.
+/// A mistake in the allowed regions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProblemKind {
-    /// A region that the deployment does not have.
+    /// The deployment has no such region.
     UnknownRegion(Rc<str>),
-    /// The homes of the route and of the tenant have no region in common.
+    /// The route and the tenant allow no region in common.
     NoCommonRegion,
 }
 
@@ -42,18 +43,18 @@
     }
 }
 
-/// Something wrong with the homes of a configuration.
+/// A mistake in the allowed regions of a configuration, and where it is.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// Name of the route, where it is concerned.
+    /// Name of the affected route, if any.
     pub route: Option<String>,
-    /// Name of the tenant, where it is concerned.
+    /// Name of the affected tenant, if any.
     pub tenant: Option<Rc<str>>,
-    /// What is wrong.
+    /// The mistake.
     pub kind: ProblemKind,
 }
 
-/// All regions that some route or tenant allows by name.
+/// Returns all regions that any route or tenant names.
 pub fn named_regions(config: &TrafficConfig) -> BTreeSet<Rc<str>> {
     let routes = config.routes.iter().map(|route| &route.allowed_regions);
     let tenants = config
@@ -65,35 +66,40 @@
     named.cloned().collect()
 }
 
-/// What is wrong with the homes of a configuration in a deployment.
+/// Finds mistakes in the allowed regions of a configuration for the zones of a deployment.
 pub fn find_problems(config: &TrafficConfig, map: &ZoneMap) -> Vec<Problem> {
     let known: BTreeSet<Rc<str>> = map.regions().into_iter().collect();
-    let routes: Vec<&Route> = config.routes.iter().filter(bounded_route).collect();
-    let tenants: Vec<&Tenant> = config.tenants.iter().flatten().filter(bounded).collect();
+    let routes: Vec<&Route> = config.routes.iter().filter(is_route_restricted).collect();
+    let tenants: Vec<&Tenant> = config
+        .tenants
+        .iter()
+        .flatten()
+        .filter(is_tenant_restricted)
+        .collect();
     let mut problems = Vec::new();
     for route in &routes {
         problems.extend(
-            unknown(&route.allowed_regions, &known).map(|fault| Problem {
+            unknown_regions(&route.allowed_regions, &known).map(|kind| Problem {
                 route: Some(route.name.clone()),
                 tenant: None,
-                kind: fault,
+                kind,
             }),
         );
     }
     for tenant in &tenants {
         problems.extend(
-            unknown(&tenant.allowed_regions, &known).map(|fault| Problem {
+            unknown_regions(&tenant.allowed_regions, &known).map(|kind| Problem {
                 route: None,
                 tenant: Some(tenant.name.clone()),
-                kind: fault,
+                kind,
             }),
         );
     }
     for route in &routes {
-        let apart = tenants
+        let disjoint = tenants
             .iter()
             .filter(|tenant| allowed_regions(route, Some(tenant)).is_empty());
-        problems.extend(apart.map(|tenant| Problem {
+        problems.extend(disjoint.map(|tenant| Problem {
             route: Some(route.name.clone()),
             tenant: Some(tenant.name.clone()),
             kind: ProblemKind::NoCommonRegion,
@@ -102,19 +108,19 @@
     problems
 }
 
-fn bounded_route(route: &&Route) -> bool {
+fn is_route_restricted(route: &&Route) -> bool {
     !route.allowed_regions.is_all()
 }
 
-fn bounded(tenant: &&Tenant) -> bool {
+fn is_tenant_restricted(tenant: &&Tenant) -> bool {
     !tenant.allowed_regions.is_all()
 }
 
-fn unknown<'a>(
-    homes: &'a RegionSet,
+fn unknown_regions<'a>(
+    regions: &'a RegionSet,
     known: &'a BTreeSet<Rc<str>>,
 ) -> impl Iterator<Item = ProblemKind> + 'a {
-    let names = homes.names().into_iter().flatten();
+    let names = regions.names().into_iter().flatten();
     names
         .filter(|name| !known.contains(*name))
         .map(|name| ProblemKind::UnknownRegion(name.clone()))
--- a/crates/traffic/src/retry_budget.rs
+++ b/crates/traffic/src/retry_budget.rs
@@ -1,19 +1,19 @@
-//! How many attempts a daemon may repeat, over all its requests.
+//! Limits the retries of a daemon over all its requests.
 //!
-//! Each request bounds its own attempts ([`crate::attempt`]), but where every server refuses,
-//! every request uses all of them, and the servers are asked many times for each answer that
-//! they give. So repeats are bounded by what succeeds: a part of the answers may be repeats,
-//! and a few more a second, so that a daemon with little to do is not held back.
+//! Each request limits its own attempts ([`crate::attempt`]). If every server refuses requests,
+//! however, every request uses all its attempts, and the servers receive many attempts for each
+//! answer that they give. Retries are therefore limited in proportion to the answers, plus a
+//! constant rate so that a daemon with little traffic is not held back.
 
-/// Repeats that each answer allows.
+/// Retries that each answer allows.
 const PER_ANSWER: f64 = 0.5;
-/// Repeats that are allowed each second without any answer.
+/// Retries per second that are allowed without any answer.
 const PER_SECOND: f64 = 20.0;
-/// Repeats that may be saved up: those of some seconds of a busy daemon, so that a short
-/// outage of a service is bridged as it was.
-const MOST: f64 = 200.0;
+/// Maximum number of saved retries. It covers some seconds of a busy daemon, so that retries
+/// still bridge a short outage of a service.
+const MAX_SAVED: f64 = 200.0;
 
-/// The repeats that are left.
+/// The retries that a daemon may still make.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     left: f64,
@@ -23,22 +23,22 @@
 impl Default for RetryBudget {
     fn default() -> Self {
         Self {
-            left: MOST,
+            left: MAX_SAVED,
             at_ms: 0,
         }
     }
 }
 
 impl RetryBudget {
-    /// A server answered.
+    /// Records that a server answered.
     pub fn record_answer(&mut self) {
-        self.left = (self.left + PER_ANSWER).min(MOST);
+        self.left = (self.left + PER_ANSWER).min(MAX_SAVED);
     }
 
-    /// Takes one repeat; false where none is left.
+    /// Takes one retry from the budget. Returns false if none is left.
     pub fn take(&mut self, now_ms: u64) -> bool {
         let passed_s = now_ms.saturating_sub(self.at_ms) as f64 / 1_000.0;
-        self.left = (self.left + passed_s * PER_SECOND).min(MOST);
+        self.left = (self.left + passed_s * PER_SECOND).min(MAX_SAVED);
         self.at_ms = self.at_ms.max(now_ms);
         if self.left < 1.0 {
             return false;
--- a/crates/traffic/src/round_robin.rs
+++ b/crates/traffic/src/round_robin.rs
@@ -1,18 +1,18 @@
-//! Smooth weighted round robin: shares follow the weights over short runs too.
+//! Smooth weighted round robin, which follows the weights even over short sequences of requests.
 //!
-//! Each daemon divides the requests that come to it, without a word to the others. So each
-//! begins at a place of its own in the cycle: a thousand daemons that begin at the same one send
-//! their first requests all to the heaviest part, whatever its weight.
+//! Each daemon distributes its own requests without communication. Each starts at a random
+//! position of the cycle: if all of a thousand daemons started at the same one, their first
+//! requests would all go to the service with the largest weight.
 //!
-//! The parts that a request may go to are those of its route. A part without servers keeps its
-//! share, and what comes to it is refused or waits there: moved to the others, it would run where
-//! the operator did not send it. Cold and leaving servers of a part change nothing either.
+//! Requests are distributed over the services of their route. A service without servers keeps
+//! its share, and its requests are refused or wait. Moved to another service, they would run where
+//! the operator did not send them. Cold and draining servers do not change the shares either.
 
-/// Requests of a cycle that are gone through at most to begin in its middle. A longer cycle has
-/// weights so far apart that where it begins shows in none of its first requests.
-const MOST_SKIPPED: u64 = 4_096;
+/// Maximum number of requests that are skipped to start in the middle of a cycle. In a longer
+/// cycle the weights are so far apart that the start position does not affect the first requests.
+const MAX_SKIPPED: u64 = 4_096;
 
-/// Divides a sequence of requests by weights.
+/// Distributes a sequence of requests according to weights.
 #[derive(Clone, Debug)]
 pub struct WeightedRoundRobin {
     weights: Vec<u32>,
@@ -20,31 +20,31 @@
 }
 
 impl WeightedRoundRobin {
-    /// A split with one weight for each part, that begins where `random` says.
+    /// Creates a distribution with one weight per service. `random` selects the start position.
     pub fn new(weights: Vec<u32>, random: u64) -> Self {
         let credit = vec![0; weights.len()];
-        let mut split = Self { weights, credit };
-        for _ in 0..random % split.cycle().clamp(1, MOST_SKIPPED) {
-            split.next();
+        let mut round_robin = Self { weights, credit };
+        for _ in 0..random % round_robin.cycle_length().clamp(1, MAX_SKIPPED) {
+            round_robin.next();
         }
-        split
+        round_robin
     }
 
-    /// The weights that it divides by.
+    /// Returns the weights.
     pub fn weights(&self) -> &[u32] {
         &self.weights
     }
 
-    /// Requests after which it begins anew.
-    fn cycle(&self) -> u64 {
+    /// Returns the number of requests after which the sequence repeats.
+    fn cycle_length(&self) -> u64 {
         let weights = || self.weights.iter().map(|weight| u64::from(*weight));
-        match weights().fold(0, common_divisor) {
+        match weights().fold(0, greatest_common_divisor) {
             0 => 0,
             divisor => weights().sum::<u64>() / divisor,
         }
     }
 
-    /// Index of the part for the next request; none without a positive weight.
+    /// Returns the index of the service for the next request, or `None` if all weights are 0.
     #[allow(clippy::should_implement_trait)]
     pub fn next(&mut self) -> Option<usize> {
         let total: i64 = self.weights.iter().map(|weight| i64::from(*weight)).sum();
@@ -62,9 +62,9 @@
     }
 }
 
-fn common_divisor(left: u64, right: u64) -> u64 {
+fn greatest_common_divisor(left: u64, right: u64) -> u64 {
     match right {
         0 => left,
-        right => common_divisor(right, left % right),
+        right => greatest_common_divisor(right, left % right),
     }
 }
--- a/crates/traffic/src/route_table.rs
+++ b/crates/traffic/src/route_table.rs
@@ -1,4 +1,5 @@
-//! The routing table: the longest prefix among the routes of a host wins.
+//! The route table. Among the routes of a host, the one with the longest matching path prefix is
+//! selected.
 
 use crate::config::{Route, TrafficConfig};
 use crate::round_robin::WeightedRoundRobin;
@@ -8,39 +9,41 @@
 use std::rc::Rc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// A route with the state of its split.
+/// A route with the state of its weighted round robin.
 pub struct RouteEntry {
-    /// The route.
+    /// Configuration of the route.
     pub route: Route,
-    split: RefCell<WeightedRoundRobin>,
+    round_robin: RefCell<WeightedRoundRobin>,
 }
 
 impl RouteEntry {
-    /// The service for the next request.
+    /// Returns the name of the service for the next request.
     pub fn next_service(&self) -> Option<String> {
-        let index = self.split.borrow_mut().next()?;
+        let index = self.round_robin.borrow_mut().next()?;
         Some(self.route.services[index].service.clone())
     }
 }
 
-/// Configuration with an index for look-ups.
+/// A configuration with its routes and tenants indexed for lookup.
 pub struct RouteTable {
-    /// The configuration that it was built from.
+    /// The configuration that the table was built from.
     pub config: TrafficConfig,
     by_host: HashMap<String, Vec<Rc<RouteEntry>>>,
     tenants: Option<TenantIndex>,
 }
 
 impl RouteTable {
-    /// Builds the index. A route whose parts are those of the former table is divided on from
-    /// where that stands; `random` says where the others begin.
-    pub fn new(config: TrafficConfig, former: Option<&Self>, random: u64) -> Self {
+    /// Builds the table. A route with the same services as in the previous table continues its
+    /// round robin from there. `random` selects the start position of the others.
+    pub fn new(config: TrafficConfig, previous: Option<&Self>, random: u64) -> Self {
         let mut by_host: HashMap<String, Vec<Rc<RouteEntry>>> = HashMap::new();
         for route in &config.routes {
-            let split = former.and_then(|former| former.split_of(route));
+            let round_robin = previous.and_then(|previous| previous.round_robin_of(route));
             let entry = Rc::new(RouteEntry {
                 route: route.clone(),
-                split: RefCell::new(split.unwrap_or_else(|| begin_split(route, random))),
+                round_robin: RefCell::new(
+                    round_robin.unwrap_or_else(|| start_round_robin(route, random)),
+                ),
             });
             by_host
                 .entry(route.host.to_ascii_lowercase())
@@ -58,29 +61,30 @@
         }
     }
 
-    /// The split of a route as it stands, where its parts are the same.
-    fn split_of(&self, route: &Route) -> Option<WeightedRoundRobin> {
+    /// Returns the current round robin state of a route, if it has the same services here.
+    fn round_robin_of(&self, route: &Route) -> Option<WeightedRoundRobin> {
         let entries = self.by_host.get(&route.host.to_ascii_lowercase())?;
         let entry = entries.iter().find(|entry| {
             entry.route.name == route.name && entry.route.services == route.services
         })?;
-        Some(entry.split.borrow().clone())
+        Some(entry.round_robin.borrow().clone())
     }
 
-    /// Whether requests belong to tenants.
+    /// Whether the configuration has tenants.
     pub fn has_tenants(&self) -> bool {
         self.tenants.is_some()
     }
 
-    /// The tenant of that name.
+    /// Returns the tenant with the given name.
     pub fn tenant(&self, name: &str) -> Option<&Rc<Tenant>> {
         self.tenants.as_ref()?.by_name(name)
     }
 
-    /// The tenant that a request of a route belongs to, if there are tenants.
+    /// Returns the tenant that a request belongs to, or `None` if the configuration has no
+    /// tenants or the request needs none.
     ///
     /// # Errors
-    /// It needs a key that a tenant holds.
+    /// The route requires a key, and the request has no key or an unknown one.
     pub fn admit(&self, route: &Route, key: Option<&ApiKey>) -> Result<Option<Rc<Tenant>>, Denial> {
         match &self.tenants {
             Some(tenants) => tenants.admit(key, route.is_public),
@@ -88,7 +92,7 @@
         }
     }
 
-    /// The route of a request; `path` may carry a query.
+    /// Finds the route of a request. `path` may include a query string.
     pub fn find(&self, host: &str, path: &str) -> Option<Rc<RouteEntry>> {
         let path = path.split('?').next().unwrap_or(path);
         let host = without_port(host).to_ascii_lowercase();
@@ -100,7 +104,7 @@
     }
 }
 
-fn begin_split(route: &Route, random: u64) -> WeightedRoundRobin {
+fn start_round_robin(route: &Route, random: u64) -> WeightedRoundRobin {
     let weights = route.services.iter().map(|part| part.weight).collect();
     WeightedRoundRobin::new(weights, xxh3_64_with_seed(route.name.as_bytes(), random))
 }
@@ -112,7 +116,7 @@
     }
 }
 
-/// Whether a configuration may replace the one in force: versions only rise.
+/// Whether a configuration may replace the current one. Versions only increase.
 pub fn supersedes(current: Option<u64>, offered: u64) -> bool {
     current.is_none_or(|version| offered > version)
 }
--- a/crates/traffic/src/tenants.rs
+++ b/crates/traffic/src/tenants.rs
@@ -1,8 +1,8 @@
-//! Tenants: which keys belong to them, and what they may send.
+//! Tenants, their API keys and their rate limits.
 //!
-//! A tenant is one customer of the operator. Its clients show a key with each request; the
-//! configuration in force says whose key that is. Keys may pass from one tenant to another
-//! and may be taken away, so each request is judged by the configuration of its own moment.
+//! A tenant is a customer of the operator. Its clients send an API key with each request, and the
+//! current configuration maps the key to the tenant. Keys may be reassigned or revoked, so each
+//! request is checked against the configuration that is current when it arrives.
 
 use fieldhook_topology::region;
 use std::collections::HashMap;
@@ -10,17 +10,17 @@
 use std::rc::Rc;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A key that a client shows. It is a secret: logs hold its digest alone.
+/// An API key of a client. Keys are secret: logs contain only their digest.
 #[derive(Clone, PartialEq, Eq, Hash)]
 pub struct ApiKey(String);
 
 impl ApiKey {
-    /// The key of this text.
+    /// Creates a key from its text.
     pub fn new(text: &str) -> Self {
         Self(text.to_owned())
     }
 
-    /// A few characters that tell keys apart in logs.
+    /// Returns a short hash that distinguishes keys in logs.
     pub fn digest(&self) -> String {
         format!("{:06x}", xxh3_64(self.0.as_bytes()) & 0xff_ffff)
     }
@@ -28,45 +28,46 @@
 
 impl fmt::Debug for ApiKey {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "Key({})", self.digest())
+        write!(formatter, "ApiKey({})", self.digest())
     }
 }
 
-/// How much a tenant may send, counted over all daemons together.
+/// Rate limit of a tenant over all daemons together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limit {
-    /// Requests a second, above 0.
+    /// Requests per second. Greater than 0.
     pub rate_per_s: f64,
-    /// Requests on top of that at one moment.
+    /// Additional requests in a burst.
     pub burst: f64,
 }
 
-/// A tenant.
+/// A customer of the operator, with its keys and limits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Name, as servers are told it.
+    /// Name of the tenant, as sent to servers.
     pub name: Rc<str>,
-    /// Keys of its clients.
+    /// API keys of the tenant's clients.
     pub keys: Vec<ApiKey>,
-    /// Rank of its requests, 0 is the most urgent; it goes before that of the route.
+    /// Priority of the tenant's requests, which overrides that of the route. 0 is the most
+    /// urgent.
     pub priority: Option<u8>,
-    /// What it may send, where that is bounded.
+    /// Rate limit of the tenant, if it has one.
     pub limit: Option<Limit>,
-    /// Regions that its requests may be served in and their data kept in.
+    /// Regions that may serve the tenant's requests and store their data.
     pub allowed_regions: region::RegionSet,
 }
 
-/// Why a request is not let in.
+/// Why a request is not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denial {
-    /// It shows no key.
+    /// The request has no key.
     NoKey,
-    /// No tenant holds its key.
+    /// The key belongs to no tenant.
     UnknownKey,
 }
 
 impl Denial {
-    /// What the client may do.
+    /// Tells the client what to do about the denial.
     pub fn remedy(self) -> &'static str {
         match self {
             Self::NoKey => "no key was shown; send one",
@@ -75,7 +76,7 @@
     }
 }
 
-/// The tenants of a configuration with an index of their keys.
+/// The tenants of a configuration, indexed by key and by name.
 #[derive(Debug, Default)]
 pub struct TenantIndex {
     by_key: HashMap<ApiKey, Rc<Tenant>>,
@@ -83,7 +84,7 @@
 }
 
 impl TenantIndex {
-    /// Builds the index.
+    /// Builds the index from a list of tenants.
     pub fn new(tenants: &[Tenant]) -> Self {
         let mut index = Self::default();
         for tenant in tenants {
@@ -96,21 +97,25 @@
         index
     }
 
-    /// The tenant of that name.
+    /// Returns the tenant with the given name.
     pub fn by_name(&self, name: &str) -> Option<&Rc<Tenant>> {
         self.by_name.get(name)
     }
 
-    /// The tenant that a request belongs to. A route that is open to all needs no key; one
-    /// that is shown and known still tells whose request it is.
+    /// Returns the tenant that a request belongs to. A public route needs no key, but a known
+    /// key still determines the tenant.
     ///
     /// # Errors
-    /// The route asks for a key, and the request shows none that a tenant holds.
-    pub fn admit(&self, key: Option<&ApiKey>, is_open: bool) -> Result<Option<Rc<Tenant>>, Denial> {
+    /// The route requires a key, and the request has no key or an unknown one.
+    pub fn admit(
+        &self,
+        key: Option<&ApiKey>,
+        is_public: bool,
+    ) -> Result<Option<Rc<Tenant>>, Denial> {
         let tenant = key.and_then(|key| self.by_key.get(key)).cloned();
         match (tenant, key) {
-            (None, None) if !is_open => Err(Denial::NoKey),
-            (None, Some(_)) if !is_open => Err(Denial::UnknownKey),
+            (None, None) if !is_public => Err(Denial::NoKey),
+            (None, Some(_)) if !is_public => Err(Denial::UnknownKey),
             (tenant, _) => Ok(tenant),
         }
     }
