--- a/crates/log/src/follow.rs
+++ b/crates/log/src/follow.rs
@@ -13,11 +13,12 @@
 /// saturated, a page that is given up still costs its bandwidth, and with a fixed limit none would
 /// ever arrive.
 const MAX_PAGE_TIMEOUT: Duration = Duration::from_millis(4_800);
-/// Time that a read may take beyond the wait it sent_at for.
+/// Time that a read may take beyond the wait it asked for.
 pub const READ_MARGIN: Duration = Duration::from_millis(700);
 const INITIAL_PAUSE: Duration = Duration::from_millis(30);
 /// Longest time from a read that is given up until the next one reports what was missed, with a
-/// healthy log: the first pause with its longest jitter, a new connection of at most 300 ms, and an answer.
+/// healthy log: the first pause with its longest jitter, a new connection of at most 300 ms, and
+/// an answer.
 pub const RESUME_DELAY: Duration = Duration::from_millis(400);
 const MAX_PAUSE: Duration = Duration::from_millis(400);
 
--- a/crates/log/src/reader_selector.rs
+++ b/crates/log/src/reader_selector.rs
@@ -14,8 +14,9 @@
 /// Number of readers in other zones that are tried before the log. It is small because their
 /// traffic crosses zones.
 const MAX_REMOTE_READERS: usize = 2;
-/// Fraction of the propagation bound for which only readers are asked: one to two tenths of it,
-/// which leaves the rest for a reader that stops answering and for the answer of the log.
+/// The time within which changes have to be known is divided by this. Only readers are asked for
+/// one to two such parts, which leaves the rest for a reader that stops answering and for the
+/// answer of the log.
 const READERS_ONLY_DIVISOR: u64 = 10;
 /// Factor on the wait before the log is asked, while no reader has answered yet: the first readers
 /// claim their slots while the log still serves what all daemons requested before.
--- a/crates/log/tests/asker.rs
+++ b/crates/log/tests/asker.rs
@@ -21,14 +21,14 @@
 #[test]
 fn newer_records_change_the_holders_of_slots() {
     let mut readers = Readers::default();
-    let mut take = |offset, zone: &str, number, port| {
+    let mut apply = |offset, zone: &str, number, port| {
         readers.apply(offset, &Readers::record(&slot(zone, number), address(port)))
     };
-    assert!(take(5, "z1", 0, 1));
-    assert!(take(6, "z1", 1, 2));
-    assert!(take(7, "z2", 0, 3));
-    assert!(!take(4, "z1", 0, 9), "an older record");
-    assert!(!take(9, "z1", 0, 1), "same holder");
+    assert!(apply(5, "z1", 0, 1));
+    assert!(apply(6, "z1", 1, 2));
+    assert!(apply(7, "z2", 0, 3));
+    assert!(!apply(4, "z1", 0, 9), "an older record");
+    assert!(!apply(9, "z1", 0, 1), "same holder");
     assert!(readers.is_reader("z1", address(2)));
     assert!(!readers.is_reader("z2", address(2)));
     let of_z1: Vec<_> = readers.in_zone("z1").collect();
--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -59,7 +59,7 @@
 }
 
 impl GossipQueue {
-    /// Queues the newest fact of a subject, to be sent from the start.
+    /// Queues the newest fact of a subject, and resets the number of times it was sent.
     pub(crate) fn add(&mut self, subject: Subject) {
         self.sent.insert(subject, 0);
     }
