--- a/crates/gateway/src/ledger/peer.rs
+++ b/crates/gateway/src/ledger/peer.rs
@@ -2,7 +2,7 @@
 //! calls side by side on one connection.
 
 use super::owner::Owner;
-use crate::upstream::connection::prepare;
+use crate::upstream::connection::configure_socket;
 use bytes::{Buf, BytesMut};
 use fieldhook_ledger::message::{Envelope, LedgerReply, LedgerRequest};
 use nanoserde::{DeBin, SerBin};
@@ -88,7 +88,7 @@
     ntex::rt::spawn(async move {
         loop {
             if let Ok((stream, _)) = listener.accept().await {
-                prepare(&stream);
+                configure_socket(&stream);
                 ntex::rt::spawn(serve(owner.clone(), stream));
             }
         }
@@ -103,12 +103,15 @@
     let mut buffer = BytesMut::new();
     while let Ok(envelope) = next_frame::<LedgerRequest>(&mut reader, &mut buffer).await {
         let (sender, mut replies) = mpsc::unbounded_channel();
-        let call = envelope.call;
+        let call = envelope.call_id;
         owner.handle(envelope.body, sender);
         let frames = frames.clone();
         ntex::rt::spawn(async move {
             while let Some(body) = replies.recv().await {
-                let _ = frames.send(encode(&Envelope { call, body }));
+                let _ = frames.send(encode(&Envelope {
+                    call_id: call,
+                    body,
+                }));
             }
         });
     }
@@ -134,7 +137,7 @@
 
 impl PeerConnection {
     fn start(stream: TcpStream) -> Rc<Self> {
-        prepare(&stream);
+        configure_socket(&stream);
         let (reader, writer) = stream.into_split();
         let (frames, waiting) = mpsc::unbounded_channel();
         ntex::rt::spawn(write_frames(writer, waiting));
@@ -163,12 +166,12 @@
                 break;
             };
             let mut calls = self.calls.borrow_mut();
-            let more = envelope.body.has_more();
-            if let Some(sender) = calls.get(&envelope.call) {
+            let more = envelope.body.is_interim();
+            if let Some(sender) = calls.get(&envelope.call_id) {
                 let _ = sender.send(envelope.body);
             }
             if !more {
-                calls.remove(&envelope.call);
+                calls.remove(&envelope.call_id);
             }
         }
         self.closed.set(true);
@@ -205,7 +208,15 @@
         let call = self.next_call.get();
         self.next_call.set(call + 1);
         self.calls.borrow_mut().insert(call, sender);
-        if self.closed.get() || self.frames.send(encode(&Envelope { call, body })).is_err() {
+        if self.closed.get()
+            || self
+                .frames
+                .send(encode(&Envelope {
+                    call_id: call,
+                    body,
+                }))
+                .is_err()
+        {
             self.calls.borrow_mut().remove(&call);
         }
         replies
@@ -240,7 +251,7 @@
     }
 
     /// Asks a daemon and waits for its first answer; `None` where none comes in time.
-    pub async fn ask(
+    pub async fn request(
         &self,
         address: SocketAddr,
         question: &LedgerRequest,
@@ -264,7 +275,7 @@
     }
 
     /// Forgets a connection that does not answer. It ends once nobody waits on it.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn discard(&self, address: SocketAddr) {
         let forgotten = self.connections.borrow_mut().remove(&address);
         if let Some(connection) = forgotten {
             connection.forget();
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -299,13 +299,13 @@
     ) -> Result<NewestPage, StoreError> {
         let question = LedgerRequest::List(ListTopic {
             topic: partition.topic.clone(),
-            after: after.clone(),
+            after_key: after.clone(),
         });
         match self.ask(&partition.topic, &question, PAGE_LIMIT).await {
             Some(Told::Records(told, records)) => Ok(NewestPage {
                 records,
                 more_after: told.more_after,
-                end: told.end,
+                end: told.end_offset,
                 age_ms: told.age_ms,
             }),
             Some(Told::Gone(first)) => Err(StoreError::Gone(first)),
@@ -409,14 +409,14 @@
         let wait = wait.min(self.hold);
         let question = LedgerRequest::Follow(FollowTopic {
             topic: topic.to_owned(),
-            from,
+            from_offset: from,
             wait_ms: wait.as_millis() as u64,
         });
         match self.ask(topic, &question, wait + ANSWER_SLACK).await {
             Some(Told::Records(told, records)) => Ok(Some(ReadBatch {
-                end: told.end,
+                end: told.end_offset,
                 records,
-                next: told.next,
+                next: told.next_offset,
                 age_ms: told.age_ms,
             })),
             Some(Told::Gone(first)) => Err(StoreError::Gone(first)),
@@ -429,7 +429,7 @@
     async fn ask(&self, topic: &str, question: &LedgerRequest, limit: Duration) -> Option<Told> {
         let mut gone = None;
         for reader in self.candidates(topic) {
-            let reply = self.peers.ask(reader, question, limit).await;
+            let reply = self.peers.request(reader, question, limit).await;
             match told(reply, self.most_age_ms()) {
                 Ok(told) => {
                     self.asker.borrow_mut().record_answer(reader, topic);
@@ -441,7 +441,7 @@
                 }
                 Err(cause) => {
                     if cause == SILENT {
-                        self.peers.forget(reader);
+                        self.peers.discard(reader);
                     }
                     self.count(cause);
                     tracing::info!(event = "reader_passed_over", %reader, cause);
--- a/crates/gateway/src/serve/quota.rs
+++ b/crates/gateway/src/serve/quota.rs
@@ -4,7 +4,7 @@
 use super::request::{RequestContext, Served};
 use crate::daemon::Daemon;
 use crate::ledger::quota::Outcome;
-use fieldhook_ledger::message::{QuotaMatter, QuotaQuestion};
+use fieldhook_ledger::message::{QuotaEvent, QuotaRequest};
 use fieldhook_traffic::tenants::Limit;
 use fieldhook_traffic::wait;
 use std::rc::Rc;
@@ -20,17 +20,17 @@
 /// need, and does not need what it was charged.
 #[derive(Default)]
 pub struct Taken {
-    told: Option<(Rc<Daemon>, QuotaQuestion)>,
+    told: Option<(Rc<Daemon>, QuotaRequest)>,
 }
 
 impl Taken {
     /// Before the owner is asked, as its answer may be under way when the client leaves. Only
     /// programs have an end to be told.
-    fn new(context: &RequestContext, question: &QuotaQuestion) -> Self {
+    fn new(context: &RequestContext, question: &QuotaRequest) -> Self {
         let program = question.program.as_ref();
         let told = program.map(|_| {
-            let question = QuotaQuestion {
-                matter: QuotaMatter::ClientLeft,
+            let question = QuotaRequest {
+                event: QuotaEvent::Interrupted,
                 ..question.clone()
             };
             (context.daemon.clone(), question)
@@ -55,7 +55,7 @@
     fn drop(&mut self) {
         if let Some((daemon, question)) = self.told.take() {
             daemon.metrics.quota.with_label_values(&["left"]).inc();
-            daemon.ledger.tell_client_left(question);
+            daemon.ledger.report_client_left(question);
         }
     }
 }
@@ -69,23 +69,23 @@
     let Some((tenant, limit, version)) = limit_of(context) else {
         return Ok(Taken::default());
     };
-    let mut question = QuotaQuestion {
-        matter: QuotaMatter::Request,
+    let mut question = QuotaRequest {
+        event: QuotaEvent::Request,
         tenant,
         rate_per_s: limit.rate_per_s,
         burst: limit.burst,
         version,
         program: context.meta.program.clone(),
         route: context.entry.route.name.clone(),
-        begins,
-        patience_ms: 0,
+        starts_program: begins,
+        max_wait_ms: 0,
     };
     let taken = Taken::new(context, &question);
     let outcome = ask(context, &mut question).await;
     tell(context, outcome, &question);
     let answer = match outcome {
         Outcome::Granted => return Ok(taken),
-        Outcome::Unasked => Ok(Taken::default()),
+        Outcome::AdmittedLocally => Ok(Taken::default()),
         Outcome::Refused { retry_after_ms } => Err(OwnAnswer::over_limit(
             "the tenant is at its limit",
             retry_after_ms,
@@ -102,16 +102,16 @@
 /// Asks until there is a place, or the next one comes too late for the answer. The owner is
 /// told how late that is, and keeps no place that would be too late: where this request leaves
 /// while it waits, its place lapses at its time.
-async fn ask(context: &RequestContext, question: &mut QuotaQuestion) -> Outcome {
+async fn ask(context: &RequestContext, question: &mut QuotaRequest) -> Outcome {
     let daemon = &context.daemon;
     loop {
-        let patience = patience(context, question.begins);
-        question.patience_ms = patience.map_or(0, |patience| patience.as_millis() as u64);
-        let outcome = daemon.quota.take(&daemon.ledger, question).await;
+        let patience = patience(context, question.starts_program);
+        question.max_wait_ms = patience.map_or(0, |patience| patience.as_millis() as u64);
+        let outcome = daemon.quota.acquire(&daemon.ledger, question).await;
         let Outcome::Refused { retry_after_ms } = outcome else {
             return outcome;
         };
-        if retry_after_ms.max(1) > question.patience_ms {
+        if retry_after_ms.max(1) > question.max_wait_ms {
             return outcome;
         }
         daemon.metrics.quota.with_label_values(&["waits"]).inc();
@@ -140,10 +140,10 @@
     Some((name.to_owned(), limit, table.config.version))
 }
 
-fn tell(context: &RequestContext, outcome: Outcome, question: &QuotaQuestion) {
+fn tell(context: &RequestContext, outcome: Outcome, question: &QuotaRequest) {
     let (label, wait_ms) = match outcome {
         Outcome::Granted => ("granted", 0),
-        Outcome::Unasked => ("unasked", 0),
+        Outcome::AdmittedLocally => ("unasked", 0),
         Outcome::Refused { retry_after_ms } => ("refused", retry_after_ms),
         Outcome::Unknown => ("unknown", 0),
     };
@@ -159,9 +159,9 @@
         program = context.meta.program,
         route = context.entry.route.name,
         tenant = context.tenant_name(),
-        begins = question.begins,
+        begins = question.starts_program,
         wait_ms,
-        patience_ms = question.patience_ms,
+        patience_ms = question.max_wait_ms,
         rate_per_s = question.rate_per_s,
         burst = question.burst,
         version = question.version,
--- a/crates/gateway/src/serve/turn.rs
+++ b/crates/gateway/src/serve/turn.rs
@@ -43,7 +43,7 @@
         prompt.extend_from_slice(input);
         let prompt = prompt.freeze();
         self.prompt = prompt.clone();
-        if self.request.brings_chain {
+        if self.request.supplies_chain {
             self.input = prompt.clone();
         }
         prompt
@@ -85,30 +85,30 @@
     /// The turn ends with what was handed out. Said before an answer that sends its client back:
     /// the next try may be there before the end of this one.
     pub fn break_off(&mut self) {
-        let is_apart = self.request.keeper.is_some();
+        let is_apart = self.request.home_partition.is_some();
         if self.closed || (self.request.budget.is_none() && !is_apart) {
             return;
         }
         self.closed = true;
-        self.ledger.tell_end(self.close_request(None));
+        self.ledger.close_in_background(self.close_request(None));
     }
 
     /// What is told of its end: to the partition that keeps its content, or to the one that
     /// ordered it.
     pub(super) fn close_request(&self, content: Option<TurnContent>) -> CloseTurn {
         let has_content = content.is_some();
-        let is_apart = has_content && self.request.keeper.is_some();
+        let is_apart = has_content && self.request.home_partition.is_some();
         CloseTurn {
             tenant: self.request.tenant.clone(),
             turn: self.request.turn.clone(),
             attempt: self.request.attempt,
             program: self.request.program.clone(),
             budget: self.request.budget.filter(|_| !is_apart),
-            most_tokens: self.request.most_tokens,
+            max_tokens: self.request.max_tokens,
             tokens: self.tokens,
             content,
             engine: self.ran_at.borrow().clone(),
-            keeper: self.request.keeper.filter(|_| has_content),
+            home_partition: self.request.home_partition.filter(|_| has_content),
             awaited: has_content,
         }
     }
--- a/crates/gateway/tests/gateway/abandoned.rs
+++ b/crates/gateway/tests/gateway/abandoned.rs
@@ -99,14 +99,16 @@
             ask_and_leave(&other, &fields).await;
             // The stop begins while the end of the last one is told.
             let begun = Instant::now();
-            while other.daemon.ledger.endings.get() == 0 && begun.elapsed() < UNDER_WAY_WITHIN {
+            while other.daemon.ledger.pending_closes.get() == 0
+                && begun.elapsed() < UNDER_WAY_WITHIN
+            {
                 tokio::task::yield_now().await;
             }
-            left = left.max(other.daemon.ledger.endings.get());
+            left = left.max(other.daemon.ledger.pending_closes.get());
         }
         assert!(left > 0, "no end was under way");
         fieldhook_gateway::drain::run(other.daemon.clone()).await;
-        assert_eq!(other.daemon.ledger.endings.get(), 0);
+        assert_eq!(other.daemon.ledger.pending_closes.get(), 0);
         for number in 0..PROGRAMS {
             let fields = format!("Request: next{number}\r\nProgram: q{number}\r\n{BUDGET}");
             let reply = owner.ask("POST", "/chat/1", &fields, "x").await;
@@ -122,15 +124,15 @@
         turn: format!("lost-{program}"),
         attempt: 1,
         program: program.to_owned(),
-        line: Some("a".to_owned()),
+        session: Some("a".to_owned()),
         previous: None,
         wants_chain: true,
         keeps_context: true,
-        brings_chain: false,
+        supplies_chain: false,
         budget: Some(60),
-        most_tokens: 40,
+        max_tokens: 40,
         placement: None,
-        keeper: None,
+        home_partition: None,
     };
     let ledger = &gateway.daemon.ledger;
     let deadline = Instant::now() + KNOWN_WITHIN;
@@ -177,7 +179,7 @@
             let reply = b.ask("POST", "/chat/1", &next, "x").await;
             assert_eq!(reply.head.status, 200, "{program}");
             let ledger = &a.daemon.ledger;
-            let end = left.withdrawn();
+            let end = left.cancellation();
             let is_told = ledger.close(&end, Instant::now() + KNOWN_WITHIN).await;
             assert!(is_told, "its end is not known");
             // Ten tokens are used: the budget holds one more turn.
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -1,17 +1,17 @@
 //! Messages between gateways and the owner of a partition.
 
+use crate::name::QualifiedName;
 use crate::open::Request;
 use crate::partition_of;
-use crate::scope::Name;
 use nanoserde::{DeBin, SerBin};
 
 /// What the choice of an engine for a turn depends on.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
-pub struct Placement {
+pub struct PlacementRequest {
     /// Service whose engines may run it.
     pub service: String,
     /// Hash of the beginning of its prompt that other programs share.
-    pub prefix: u64,
+    pub prefix_hash: u64,
     /// Zone that the turn comes through.
     pub zone: String,
     /// Regions that it may run in, where they are bounded.
@@ -32,7 +32,7 @@
     pub program: String,
     /// Line of turns of its program that it belongs to: its client takes the turns of one line
     /// one after another, so it waits for none of them any more that it asked for earlier.
-    pub line: Option<String>,
+    pub session: Option<String>,
     /// Turn that it goes on from.
     pub previous: Option<String>,
     /// The gateway needs the contents of the chain.
@@ -40,21 +40,21 @@
     /// The chain must be known for the turn to begin.
     pub keeps_context: bool,
     /// The gateway brings the chain itself: it belongs to another program.
-    pub brings_chain: bool,
+    pub supplies_chain: bool,
     /// Tokens that all turns of the program may generate, where bounded.
     pub budget: Option<u64>,
     /// Most tokens that this turn may generate.
-    pub most_tokens: u64,
+    pub max_tokens: u64,
     /// For the choice of its engine, where it needs one.
-    pub placement: Option<Placement>,
+    pub placement: Option<PlacementRequest>,
     /// Home partition that keeps its chain apart from its order, where homes bound it.
-    pub keeper: Option<u32>,
+    pub home_partition: Option<u32>,
 }
 
 impl OpenTurn {
     /// The part of it that needs what was said: for the partition that keeps the chain, which
     /// neither counts nor assigns.
-    pub fn contents(&self) -> Self {
+    pub fn home_partition_request(&self) -> Self {
         Self {
             budget: None,
             placement: None,
@@ -64,22 +64,22 @@
 
     /// The part of it that needs names alone: for the program's own partition, which orders,
     /// counts and assigns. All of it where one partition does both.
-    pub fn order(&self) -> Self {
+    pub fn program_partition_request(&self) -> Self {
         Self {
-            wants_chain: self.wants_chain && self.keeper.is_none(),
-            keeps_context: self.keeps_context && self.keeper.is_none(),
-            keeper: None,
+            wants_chain: self.wants_chain && self.home_partition.is_none(),
+            keeps_context: self.keeps_context && self.home_partition.is_none(),
+            home_partition: None,
             ..self.clone()
         }
     }
 
     /// A name within its tenant.
-    pub fn name(&self, text: &str) -> Name {
-        Name::new(self.tenant.as_deref(), text)
+    pub fn qualified_name(&self, text: &str) -> QualifiedName {
+        QualifiedName::new(self.tenant.as_deref(), text)
     }
 
     /// The name of what it reserves.
-    pub fn reservation(&self) -> String {
+    pub fn reservation_id(&self) -> String {
         reservation(self.attempt)
     }
 
@@ -88,25 +88,25 @@
     pub fn of_budget<'a>(&'a self, reservation: &'a str) -> Request<'a> {
         Request {
             turn: reservation,
-            most: self.most_tokens,
-            line: self.line.as_deref(),
+            most: self.max_tokens,
+            line: self.session.as_deref(),
             ends_here: self.keeps_context,
         }
     }
 
     /// Its end where it was asked for and does not begin.
-    pub fn withdrawn(&self) -> CloseTurn {
+    pub fn cancellation(&self) -> CloseTurn {
         CloseTurn {
             tenant: self.tenant.clone(),
             turn: self.turn.clone(),
             attempt: self.attempt,
             program: self.program.clone(),
             budget: self.budget,
-            most_tokens: self.most_tokens,
+            max_tokens: self.max_tokens,
             tokens: 0,
             content: None,
             engine: None,
-            keeper: None,
+            home_partition: None,
             awaited: false,
         }
     }
@@ -128,23 +128,23 @@
 /// What a budget counts that does not hold a turn: without it nobody could tell a budget that
 /// is used up from one that is reserved.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
-pub struct Shortage {
+pub struct BudgetUsage {
     /// Tokens of ended turns.
-    pub settled: u64,
+    pub settled_tokens: u64,
     /// Turns under way.
     pub open_turns: u32,
     /// Tokens that they may hand out at their most.
-    pub open: u64,
+    pub open_tokens: u64,
     /// Those of them that nobody may wait for: see [`crate::open`].
     pub in_doubt_turns: u32,
     /// Tokens that these may hand out at their most.
-    pub in_doubt: u64,
+    pub in_doubt_tokens: u64,
     /// The reservation of the one that has been under way for longest.
-    pub oldest: Option<String>,
+    pub oldest_reservation: Option<String>,
     /// How long it has, in milliseconds.
-    pub oldest_ms: Option<u64>,
+    pub oldest_age_ms: Option<u64>,
     /// Reserved ahead by earlier owners.
-    pub inherited: u64,
+    pub inherited_tokens: u64,
 }
 
 /// A turn has ended, whole or not.
@@ -161,7 +161,7 @@
     /// Budget of the program, where bounded.
     pub budget: Option<u64>,
     /// Most tokens that it might have generated.
-    pub most_tokens: u64,
+    pub max_tokens: u64,
     /// Tokens handed to the client.
     pub tokens: u64,
     /// Its content, where it ended whole and is to be kept.
@@ -169,19 +169,19 @@
     /// Engine that it ran at last.
     pub engine: Option<String>,
     /// Home partition that keeps its content apart from its order, where homes bound it.
-    pub keeper: Option<u32>,
+    pub home_partition: Option<u32>,
     /// Its client's answer ends only once this is durable.
     pub awaited: bool,
 }
 
 impl CloseTurn {
     /// A name within its tenant.
-    pub fn name(&self, text: &str) -> Name {
-        Name::new(self.tenant.as_deref(), text)
+    pub fn qualified_name(&self, text: &str) -> QualifiedName {
+        QualifiedName::new(self.tenant.as_deref(), text)
     }
 
     /// The name of what it had reserved.
-    pub fn reservation(&self) -> String {
+    pub fn reservation_id(&self) -> String {
         reservation(self.attempt)
     }
 }
@@ -197,24 +197,24 @@
     /// Partition that is asked.
     pub partition: u32,
     /// Last turn of the chain.
-    pub turn: Name,
+    pub turn: QualifiedName,
 }
 
 /// What the owner of a tenant's limit is told by a question.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
-pub enum QuotaMatter {
+pub enum QuotaEvent {
     /// One request more is to be sent.
     Request,
     /// The client of the program's last request left in the middle of it, or got no whole answer.
     /// Nothing is taken, and the answer says what is used.
-    ClientLeft,
+    Interrupted,
 }
 
 /// Asks the owner of a tenant's limit for a request.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
-pub struct QuotaQuestion {
+pub struct QuotaRequest {
     /// What it is about.
-    pub matter: QuotaMatter,
+    pub event: QuotaEvent,
     /// Name of the tenant.
     pub tenant: String,
     /// Requests a second that it may send, as the asking daemon knows.
@@ -228,15 +228,15 @@
     /// Route of the request.
     pub route: String,
     /// It is the first request of its program.
-    pub begins: bool,
+    pub starts_program: bool,
     /// How long the request would wait for a place from now on, in milliseconds. A place that
     /// comes later is not kept for it.
-    pub patience_ms: u64,
+    pub max_wait_ms: u64,
 }
 
 /// Asks the owner of a cold server's count whether a request may be sent there now.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
-pub struct ColdQuestion {
+pub struct ColdServerRequest {
     /// Identity of the server.
     pub server: String,
     /// Requests a second that it bears, as the asking daemon knows.
@@ -249,7 +249,7 @@
 
 /// The owner's answer to a question about a limit.
 #[derive(Clone, Copy, Debug, PartialEq, SerBin, DeBin)]
-pub enum QuotaAnswer {
+pub enum QuotaReply {
     /// The request may be sent.
     Granted {
         /// Part of the limit that is used up now, 0 to 1.
@@ -269,21 +269,21 @@
     pub partition: u32,
     /// Epoch of the owner that is to be replaced, or that gave it up; 0 where there was none,
     /// as epochs begin with 1.
-    pub epoch: u64,
+    pub replaced_epoch: u64,
 }
 
 impl ClaimPartition {
     /// A partition whose newest claim known has this epoch.
-    pub fn after(partition: u32, former_epoch: Option<u64>) -> Self {
+    pub fn replacing(partition: u32, former_epoch: Option<u64>) -> Self {
         Self {
             partition,
-            epoch: former_epoch.unwrap_or(0),
+            replaced_epoch: former_epoch.unwrap_or(0),
         }
     }
 
     /// Epoch of the newest claim that the sender knows.
-    pub fn former_epoch(&self) -> Option<u64> {
-        Some(self.epoch).filter(|epoch| *epoch > 0)
+    pub fn replaced_epoch(&self) -> Option<u64> {
+        Some(self.replaced_epoch).filter(|epoch| *epoch > 0)
     }
 }
 
@@ -293,7 +293,7 @@
     /// Name of the topic.
     pub topic: String,
     /// Offset from which on records are wanted.
-    pub from: u64,
+    pub from_offset: u64,
     /// How long to wait for one, in milliseconds.
     pub wait_ms: u64,
 }
@@ -304,7 +304,7 @@
     /// Name of the topic.
     pub topic: String,
     /// The page behind this key is wanted.
-    pub after: Option<Vec<u8>>,
+    pub after_key: Option<Vec<u8>>,
 }
 
 /// Records of a followed topic, as a reader knows them.
@@ -313,9 +313,9 @@
     /// The records, packed.
     pub packed: Vec<u8>,
     /// Where the topic ends.
-    pub end: u64,
+    pub end_offset: u64,
     /// Where to read on, of records behind an offset.
-    pub next: u64,
+    pub next_offset: u64,
     /// Behind which key the next page begins, of a listing.
     pub more_after: Option<Vec<u8>>,
     /// Time since the log confirmed that this is all, in milliseconds.
@@ -332,16 +332,16 @@
     /// Find a chain of another program.
     Find(FindChain),
     /// Tell whether a tenant's limit lets a request through.
-    Quota(QuotaQuestion),
+    Quota(QuotaRequest),
     /// Tell whether a request may be sent to a cold server now.
-    Cold(ColdQuestion),
+    Cold(ColdServerRequest),
     /// Tell who owns a partition, as far as known.
-    WhoOwns(u32),
+    FindOwner(u32),
     /// Tell whether the log answers you.
-    HasLog,
+    HasRecentLogContact,
     /// Tell whether the log answers you, or was silent for a moment only: an owner with nothing
     /// to append need not have heard of it.
-    KeepsLog,
+    HasLogContact,
     /// Tell the newest configuration, if it is newer than this version.
     Config(u64),
     /// Claim a partition from the owner of this epoch: the sender is cut off the log,
@@ -358,25 +358,29 @@
     pub fn partition(&self, partitions: u32) -> u32 {
         match self {
             Self::Open(open) => open
-                .keeper
+                .home_partition
                 .unwrap_or_else(|| partition_of(&open.program, partitions)),
             Self::Close(close) => close
-                .keeper
+                .home_partition
                 .unwrap_or_else(|| partition_of(&close.program, partitions)),
             Self::Find(find) => find.partition,
             // A tenant has its limit where a program of that name would be.
             Self::Quota(question) => partition_of(&question.tenant, partitions),
             Self::Cold(question) => partition_of(&question.server, partitions),
-            Self::WhoOwns(partition) => *partition,
+            Self::FindOwner(partition) => *partition,
             Self::Claim(claim) => claim.partition,
-            Self::HasLog | Self::KeepsLog | Self::Config(_) | Self::Follow(_) | Self::List(_) => 0,
+            Self::HasRecentLogContact
+            | Self::HasLogContact
+            | Self::Config(_)
+            | Self::Follow(_)
+            | Self::List(_) => 0,
         }
     }
 }
 
 /// What a daemon knows of one zone: whether its servers get nothing for now.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
-pub struct EvacuationNews {
+pub struct EvacuationStatus {
     /// The zone.
     pub zone: String,
     /// Whether its servers get nothing.
@@ -387,13 +391,13 @@
 
 /// What a daemon knows of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
-pub struct ConfigNews {
+pub struct ConfigUpdate {
     /// The document, as the adapter reads it; `None` if it is not newer than the one asked about.
     pub document: Option<Vec<u8>>,
     /// Time since it was seen to be the newest, in milliseconds; `None` if it never was.
     pub age_ms: Option<u64>,
     /// All that is known of evacuations.
-    pub evacuations: Vec<EvacuationNews>,
+    pub evacuations: Vec<EvacuationStatus>,
 }
 
 /// An owner as another daemon knows it.
@@ -422,34 +426,34 @@
         /// Engine that its program is assigned to.
         engine: Option<String>,
         /// It is the first turn of its program.
-        begins: bool,
+        is_first_turn: bool,
     },
     /// What the limit of the tenant, or of the cold server, lets through.
-    Quota(QuotaAnswer),
+    Quota(QuotaReply),
     /// The reservation of an opened turn is durable now.
     Durable,
     /// Inputs and outputs of a chain that was asked for.
     Chain(Vec<u8>),
     /// The budget does not hold this turn.
-    BudgetSpent(Shortage),
+    BudgetSpent(BudgetUsage),
     /// No such turn is kept.
     UnknownTurn,
     /// The end of the turn is known here, but not durable yet. [`LedgerReply::Closed`]
     /// follows: an owner whose appends wait for the log is not a silent one.
-    Noted,
+    Accepted,
     /// The end of the turn is durable.
     Closed,
     /// This daemon does not own the partition; who does, as far as it knows.
     NotOwner(Option<KnownOwner>),
     /// Whether the log answers the daemon that was asked.
-    HasLog(bool),
+    LogContact(bool),
     /// The configuration as the daemon that was asked knows it.
-    Config(ConfigNews),
+    Config(ConfigUpdate),
     /// The owner cannot tell now; nothing was done.
     Unavailable,
     /// The owner has not read the partition, and the log does not answer it: nothing was done,
     /// and another owner could do it sooner.
-    Unreadable,
+    NotLoaded,
     /// Records of a followed topic.
     Topic(TopicRecords),
     /// Records of a followed topic from there on are not kept here any more; the first that are
@@ -461,8 +465,8 @@
 
 impl LedgerReply {
     /// Whether another answer to the same request follows.
-    pub fn has_more(&self) -> bool {
-        matches!(self, Self::Opened { durable: false, .. } | Self::Noted)
+    pub fn is_interim(&self) -> bool {
+        matches!(self, Self::Opened { durable: false, .. } | Self::Accepted)
     }
 }
 
@@ -470,7 +474,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct Envelope<T> {
     /// Number of the call on its connection.
-    pub call: u64,
+    pub call_id: u64,
     /// What is said.
     pub body: T,
 }
--- a/crates/ledger/tests/budget_fuzz/world.rs
+++ b/crates/ledger/tests/budget_fuzz/world.rs
@@ -3,9 +3,9 @@
 pub mod questions;
 
 use fieldhook_ledger::message::{CloseTurn, OpenTurn};
+use fieldhook_ledger::name::QualifiedName;
 use fieldhook_ledger::partition::{OpenOutcome, Partition};
 use fieldhook_ledger::record::Record;
-use fieldhook_ledger::scope::Name;
 use questions::Question;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -87,8 +87,11 @@
 
     /// What the owner counts, if it knows the program.
     pub fn counted(&self) -> Option<u64> {
-        let is_known = self.owner.programs() > 0;
-        is_known.then(|| self.owner.committed(&Name::new(None, PROGRAM)))
+        let is_known = self.owner.program_count() > 0;
+        is_known.then(|| {
+            self.owner
+                .committed_tokens(&QualifiedName::new(None, PROGRAM))
+        })
     }
 
     /// One where each turn has a line of its own: no client goes on before its answer ended.
@@ -117,15 +120,15 @@
             turn,
             attempt: self.next_turn,
             program: PROGRAM.to_owned(),
-            line,
+            session: line,
             previous: None,
             wants_chain: false,
             keeps_context,
-            brings_chain: false,
+            supplies_chain: false,
             budget: Some(BUDGET),
-            most_tokens: MOST,
+            max_tokens: MOST,
             placement: None,
-            keeper: None,
+            home_partition: None,
         }
     }
 
@@ -185,11 +188,11 @@
             attempt: running.attempt,
             program: PROGRAM.to_owned(),
             budget: Some(BUDGET),
-            most_tokens: MOST,
+            max_tokens: MOST,
             tokens: running.tokens,
             content: None,
             engine: None,
-            keeper: None,
+            home_partition: None,
             awaited: false,
         };
         let records = self.owner.close(&request, NOW_MS);
@@ -211,7 +214,7 @@
         };
         self.appended += 1;
         self.log.insert(record.key(), record.value());
-        self.owner.appended(&record);
+        self.owner.record_appended(&record);
         let appended = self.appended;
         let (done, waiting) = std::mem::take(&mut self.waiting)
             .into_iter()
@@ -226,20 +229,20 @@
     }
 
     fn hand_over(&mut self) {
-        let records = self.owner.hand_over();
+        let records = self.owner.handover_records();
         self.push(records);
         while !self.queue.is_empty() {
             self.append();
         }
-        let doubt_ms = self.owner.doubt_ms(NOW_MS);
-        self.owner = Partition::handed_over(NOW_MS, doubt_ms);
+        let doubt_ms = self.owner.uncertainty_ms(NOW_MS);
+        self.owner = Partition::after_handover(NOW_MS, doubt_ms);
         self.read_back();
     }
 
     /// The next owner begins from the log. Turns whose reservation was not durable
     /// are asked for again by their gateways before they hand anything out.
     fn lose_owner(&mut self) {
-        let former = std::mem::replace(&mut self.owner, Partition::taken_over(NOW_MS, DOUBT_MS));
+        let former = std::mem::replace(&mut self.owner, Partition::after_loss(NOW_MS, DOUBT_MS));
         self.formers.push(former);
         self.queue.clear();
         self.queued = self.appended;
@@ -258,7 +261,7 @@
                 self.owner.load(record);
             }
         }
-        self.owner.loaded();
+        self.owner.finish_loading();
     }
 
     fn lose_gateway(&mut self, which: u8) {
--- a/crates/ledger/tests/budget_room/world/questions.rs
+++ b/crates/ledger/tests/budget_room/world/questions.rs
@@ -4,9 +4,9 @@
 use super::standing::Standing;
 use super::{DOUBT_MS, MOST, NOW_MS, PROGRAM, Turn, World};
 use fieldhook_ledger::message::OpenTurn;
+use fieldhook_ledger::name::QualifiedName;
 use fieldhook_ledger::partition::OpenOutcome;
 use fieldhook_ledger::record::{ProgramRecord, Record};
-use fieldhook_ledger::scope::Name;
 use quickcheck::{Arbitrary, Gen};
 
 /// Questions that late ones are taken from as often as from all others.
@@ -116,7 +116,7 @@
     }
 
     fn end_doubt(&mut self) {
-        let is_known = self.owner.programs() > 0 || self.turns.is_empty();
+        let is_known = self.owner.program_count() > 0 || self.turns.is_empty();
         if is_known && self.now_ms < NOW_MS + DOUBTS * DOUBT_MS {
             self.now_ms += DOUBT_MS;
             self.formers.clear();
@@ -133,10 +133,14 @@
         let Some(index) = self.question(which) else {
             return;
         };
-        let OpenTurn { turn, line, .. } = self.questions[index].request.clone();
+        let OpenTurn {
+            turn,
+            session: line,
+            ..
+        } = self.questions[index].request.clone();
         let request = OpenTurn {
             turn,
-            line,
+            session: line,
             ..self.request()
         };
         self.push_question(request);
@@ -168,7 +172,7 @@
         let question = &self.questions[index];
         let (request, waits) = (question.request.clone(), question.waits());
         let outcome = self.owner.open(&request, self.now_ms);
-        if outcome != OpenOutcome::Ended {
+        if outcome != OpenOutcome::AlreadyEnded {
             self.pass(&request);
         }
         let may_refuse = self.may_refuse();
@@ -256,7 +260,7 @@
         let Some(index) = self.left(which) else {
             return;
         };
-        let end = self.questions[index].request.withdrawn();
+        let end = self.questions[index].request.cancellation();
         let records = self.owner.close(&end, self.now_ms);
         self.push(records);
         self.questions[index].told_at.get_or_insert(self.queued);
@@ -266,7 +270,7 @@
         let Some(index) = self.left(which) else {
             return;
         };
-        let end = self.questions[index].request.withdrawn();
+        let end = self.questions[index].request.cancellation();
         if let Some(former) = usize::from(former).checked_rem(self.formers.len()) {
             self.formers[former].close(&end, self.now_ms);
         }
@@ -279,7 +283,7 @@
         for question in &mut self.questions {
             question.gateway_lives &= gateways_live;
             question.told_at = question.told_at.filter(|told| *told <= self.appended);
-            question.reserved &= recorded.contains(&question.request.reservation());
+            question.reserved &= recorded.contains(&question.request.reservation_id());
             let attempt = question.request.attempt;
             if let Some(turn) = never_begun.iter().find(|turn| turn.attempt == attempt) {
                 question.asker = if turn.ended {
@@ -299,13 +303,17 @@
     }
 
     pub(super) fn recorded_reservations(&self) -> Vec<String> {
-        let key = Record::Program(Name::new(None, PROGRAM), Some(ProgramRecord::default())).key();
+        let key = Record::Program(
+            QualifiedName::new(None, PROGRAM),
+            Some(ProgramRecord::default()),
+        )
+        .key();
         let Some(value) = self.log.get(&key) else {
             return Vec::new();
         };
         match Record::read(&key, value) {
             Ok(Record::Program(_, Some(record))) => {
-                record.open.into_iter().map(|open| open.turn).collect()
+                record.open.into_iter().map(|open| open.id).collect()
             }
             _ => Vec::new(),
         }
