--- a/crates/ledger/src/budget.rs
+++ b/crates/ledger/src/budget.rs
@@ -295,7 +295,7 @@
     /// reserves tokens ahead, or if its in-doubt flags are out of date. Otherwise the successor
     /// would count the unused reserve, and more of it with each handover: without this record, one
     /// handover left 725 tokens counted where 145 were used
-    /// (`planned_stops_take_nothing_of_a_budget`).
+    /// (`handovers_cost_no_budget`).
     pub fn handover_record(&mut self) -> Option<ProgramRecord> {
         let has_reserve = self
             .recovery_points
--- a/crates/ledger/tests/budget_fuzz/main.rs
+++ b/crates/ledger/tests/budget_fuzz/main.rs
@@ -103,7 +103,7 @@
 /// An owner that was lost ran many short turns without a record; its successor hears of
 /// some of them only. The others still count.
 #[test]
-fn ends_that_are_told_do_not_hide_those_that_are_not() {
+fn reported_ends_do_not_hide_unreported_ones() {
     let mut steps = Vec::new();
     for _ in 0..16 {
         steps.extend([Step::Open, Step::HandOut(0, 20), Step::Close(0)]);
@@ -122,7 +122,7 @@
 /// Turns that the former owner granted without a record run on after it gave its partition
 /// up, and their gateways are lost before they tell their ends.
 #[test]
-fn a_hand_over_tells_of_programs_that_have_no_record() {
+fn handover_records_programs_without_a_record() {
     let mut steps = vec![Step::Open; 2];
     steps.extend([0, 1].map(|which| Step::HandOut(which, 255)));
     steps.push(Step::HandOver);
--- a/crates/ledger/tests/budget_room/main.rs
+++ b/crates/ledger/tests/budget_room/main.rs
@@ -75,12 +75,12 @@
 }
 
 #[test]
-fn a_program_whose_turns_are_kept_loses_one_turns_most_to_each_loss_after_the_first() {
+fn each_further_loss_costs_at_most_one_turn_if_turns_are_stored() {
     stories(31).quickcheck(kept as fn(Vec<Step>) -> TestResult);
 }
 
 #[test]
-fn a_program_whose_turns_are_not_kept_loses_half_of_what_is_left_to_each_loss() {
+fn each_loss_costs_at_most_half_of_the_rest_if_turns_are_not_stored() {
     stories(32).quickcheck(not_kept as fn(Vec<Step>) -> TestResult);
 }
 
@@ -132,7 +132,7 @@
 /// One turn is recorded, the second is under way when all daemons are lost, the third is
 /// recorded, and all are lost once more: 1,595 of 2,700 tokens at most.
 #[test]
-fn a_turn_of_a_living_program_begins_after_two_losses_of_all_daemons() {
+fn turn_is_granted_after_two_losses_of_all_daemons() {
     let mut world = World::new(true);
     let whole_turn = |part| [Step::Open, Step::AppendAll, Step::Close(0, part)];
     let story = whole_turn(191)
@@ -149,7 +149,7 @@
 
 /// All owners are lost, and a moment later the log: a program that begins then is in doubt.
 #[test]
-fn a_program_that_begins_in_doubt_runs_to_its_end_without_the_log() {
+fn program_started_during_uncertainty_completes_without_the_log() {
     let mut world = World::new(false);
     world.step(Step::LoseAll);
     world.append_all();
@@ -162,7 +162,7 @@
 /// Two owners gave a program a part each that no record tells of; the second one's doubt is over
 /// when it is lost as well.
 #[test]
-fn what_was_handed_out_in_doubt_is_counted_by_owners_after_it() {
+fn tokens_delivered_during_uncertainty_are_counted_by_later_owners() {
     let mut world = World::new(false);
     let turn = [Step::Open, Step::HandOut(0, 255)];
     let story = turn
@@ -183,7 +183,7 @@
 /// What a recorded turn left of its most is freed by the successor that hears of its end, so
 /// its owner may not have given it to another turn.
 #[test]
-fn what_a_recorded_turn_left_is_not_handed_out_under_that_record() {
+fn unused_tokens_of_a_recorded_turn_are_not_granted_under_that_record() {
     let mut world = World::new(true);
     assert!(world.open() && world.open());
     world.append_all();
@@ -201,7 +201,7 @@
 /// An owner that gives its partition up in order leaves nothing reserved ahead behind, however
 /// often that happens.
 #[test]
-fn planned_stops_take_nothing_of_a_budget() {
+fn handovers_cost_no_budget() {
     let mut world = World::new(true);
     for stop in 0..9 {
         assert!(world.open(), "stop {stop}");
@@ -216,7 +216,7 @@
 /// Between two turns nothing is under way: losses there cost nothing that a turn needs, as
 /// long as there are no more of them than the bound tells.
 #[test]
-fn a_loss_between_two_turns_takes_no_turn_from_a_program() {
+fn loss_between_turns_costs_no_turn() {
     let mut world = World::new(true);
     for step in [Step::Open, Step::AppendAll, Step::Close(0, 255)] {
         assert!(world.step(step));
--- a/crates/ledger/tests/chain_fuzz.rs
+++ b/crates/ledger/tests/chain_fuzz.rs
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn chains_hold_exactly_their_own_turns_over_changes_of_owner() {
+fn chains_contain_exactly_their_own_turns_across_owner_changes() {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(80, 31))
         .tests(3_000)
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn a_loop_in_a_damaged_chain_ends() {
+fn cycle_in_a_corrupt_chain_terminates() {
     let mut owner = Partition::default();
     let mut world = World::default();
     world.turn(0, None, true);
--- a/crates/ledger/tests/in_doubt.rs
+++ b/crates/ledger/tests/in_doubt.rs
@@ -1,50 +1,50 @@
-//! Turns in doubt: nobody may wait for them any more, and their ends may never be told. They
-//! count in full for what may have been used, and refuse no turn that the budget holds beside
-//! those that are waited for.
+//! Turns in doubt: possibly nobody waits for them any more, and their ends may never be reported.
+//! They are counted in full, because their tokens may have been used, but must not block a turn
+//! that fits into the budget beside the awaited turns.
 
 use fieldhook_ledger::message::{BudgetUsage, OpenTurn};
 use fieldhook_ledger::name::QualifiedName;
 use fieldhook_ledger::partition::{OpenOutcome, Partition};
 use fieldhook_ledger::record::Record;
 
-/// Holds one turn, and no second one beside it.
+/// Room for one turn, but not for two.
 const BUDGET: u64 = 900;
-const MOST: u64 = 575;
-/// Unix time at which the stories begin, in milliseconds: long after what a program was kept for
-/// that had last changed at 0.
+const MAX_TOKENS: u64 = 575;
+/// Unix time at the start of each test, in milliseconds. Far enough from 0 that a program last
+/// changed at 0 has expired.
 const NOW_MS: u64 = 1_700_000_000_000;
-/// How long an owner that was lost may have granted turns without a record, in milliseconds.
-const DOUBT_MS: u64 = 20_000;
+/// Uncertainty window after a loss, in milliseconds.
+const UNCERTAINTY_MS: u64 = 20_000;
 
-fn turn(attempt: u64, line: Option<&str>) -> OpenTurn {
+fn turn(attempt: u64, session: Option<&str>) -> OpenTurn {
     OpenTurn {
         tenant: None,
         turn: format!("t{attempt}"),
         attempt,
         program: "p".to_owned(),
-        session: line.map(str::to_owned),
+        session: session.map(str::to_owned),
         previous: None,
         wants_chain: true,
         keeps_context: true,
         supplies_chain: false,
         budget: Some(BUDGET),
-        max_tokens: MOST,
+        max_tokens: MAX_TOKENS,
         placement: None,
         home_partition: None,
     }
 }
 
-/// The records to append, where the turn was opened.
-fn opened(partition: &mut Partition, turn: &OpenTurn) -> Option<Vec<Record>> {
+/// Opens a turn and returns the records to append; `None` if it was refused.
+fn open(partition: &mut Partition, turn: &OpenTurn) -> Option<Vec<Record>> {
     match partition.open(turn, NOW_MS) {
         OpenOutcome::Opened { records, .. } => Some(records),
         _ => None,
     }
 }
 
-fn shortage(partition: &mut Partition, turn: &OpenTurn) -> BudgetUsage {
+fn refused_usage(partition: &mut Partition, turn: &OpenTurn) -> BudgetUsage {
     match partition.open(turn, NOW_MS) {
-        OpenOutcome::BudgetSpent(shortage) => shortage,
+        OpenOutcome::BudgetSpent(usage) => usage,
         outcome => panic!("{outcome:?}"),
     }
 }
@@ -59,8 +59,8 @@
     partition.close(&end, NOW_MS);
 }
 
-/// The next owner, which reads what was appended.
-fn reads(mut successor: Partition, records: Vec<Record>) -> Partition {
+/// Loads the records that were appended into a new owner.
+fn load_records(mut successor: Partition, records: Vec<Record>) -> Partition {
     for record in records {
         successor.load(record);
     }
@@ -68,146 +68,153 @@
     successor
 }
 
-/// The owner of a turn is lost once the record of it is durable.
-fn after_a_loss(turn: &OpenTurn) -> Partition {
-    let mut partition = Partition::after_loss(NOW_MS, DOUBT_MS);
-    let records = opened(&mut partition, turn).expect("the first turn of its program");
-    assert!(!records.is_empty(), "nothing tells of it");
-    reads(Partition::after_loss(NOW_MS, DOUBT_MS), records)
+/// New owner after the previous one was lost with an open, durably recorded turn.
+fn owner_after_loss(turn: &OpenTurn) -> Partition {
+    let mut partition = Partition::after_loss(NOW_MS, UNCERTAINTY_MS);
+    let records = open(&mut partition, turn).expect("the first turn of its program");
+    assert!(!records.is_empty(), "the turn is not recorded");
+    load_records(Partition::after_loss(NOW_MS, UNCERTAINTY_MS), records)
 }
 
 #[test]
-fn a_turn_that_was_lost_with_its_owner_and_its_gateway_refuses_no_further_one() {
-    let mut successor = after_a_loss(&turn(1, Some("a")));
+fn turn_lost_with_owner_and_gateway_does_not_block_the_next() {
+    let mut successor = owner_after_loss(&turn(1, Some("a")));
     let next = turn(2, Some("a"));
-    assert!(opened(&mut successor, &next).is_some());
-    assert!(counted(&successor) >= 2 * MOST, "the lost one counts");
-    // What may have been used leaves no room for a third.
-    let shortage = shortage(&mut successor, &turn(3, Some("b")));
-    assert_eq!((shortage.open_turns, shortage.open_tokens), (2, 2 * MOST));
+    assert!(open(&mut successor, &next).is_some());
+    assert!(
+        counted(&successor) >= 2 * MAX_TOKENS,
+        "the lost turn is counted"
+    );
+    // The tokens that may have been used leave no room for a third turn.
+    let usage = refused_usage(&mut successor, &turn(3, Some("b")));
+    assert_eq!((usage.open_turns, usage.open_tokens), (2, 2 * MAX_TOKENS));
     assert_eq!(
-        (shortage.in_doubt_turns, shortage.in_doubt_tokens),
-        (1, MOST)
+        (usage.in_doubt_turns, usage.in_doubt_tokens),
+        (1, MAX_TOKENS)
     );
 }
 
 #[test]
-fn a_turn_that_its_gateway_asks_for_again_after_a_loss_is_waited_for() {
+fn turn_requested_again_after_a_loss_is_awaited() {
     let first = turn(1, Some("a"));
-    let mut successor = after_a_loss(&first);
-    assert!(opened(&mut successor, &first).is_some());
-    let shortage = shortage(&mut successor, &turn(2, Some("b")));
-    assert_eq!(shortage.in_doubt_turns, 0);
+    let mut successor = owner_after_loss(&first);
+    assert!(open(&mut successor, &first).is_some());
+    let usage = refused_usage(&mut successor, &turn(2, Some("b")));
+    assert_eq!(usage.in_doubt_turns, 0);
     // Its client gives up after all.
-    assert!(opened(&mut successor, &turn(3, Some("a"))).is_some());
+    assert!(open(&mut successor, &turn(3, Some("a"))).is_some());
 }
 
 #[test]
-fn a_client_that_goes_on_waits_for_no_earlier_turn_of_its_line() {
+fn next_turn_of_a_session_supersedes_earlier_ones() {
     let mut partition = Partition::default();
-    let (left, next) = (turn(1, Some("a")), turn(2, Some("a")));
-    assert!(opened(&mut partition, &left).is_some());
-    assert!(opened(&mut partition, &next).is_some());
-    let shortage = shortage(&mut partition, &turn(3, Some("a")));
-    assert_eq!(shortage.open_turns, 2, "both count: {shortage:?}");
-    assert_eq!(shortage.in_doubt_turns, 2, "{shortage:?}");
-    // Ends that were slow to be told free what they left.
-    end(&mut partition, &left, 0);
+    let (superseded, next) = (turn(1, Some("a")), turn(2, Some("a")));
+    assert!(open(&mut partition, &superseded).is_some());
+    assert!(open(&mut partition, &next).is_some());
+    let usage = refused_usage(&mut partition, &turn(3, Some("a")));
+    assert_eq!(usage.open_turns, 2, "both are counted: {usage:?}");
+    assert_eq!(usage.in_doubt_turns, 2, "{usage:?}");
+    // Late ends release the unused tokens.
+    end(&mut partition, &superseded, 0);
     end(&mut partition, &next, 200);
     assert_eq!(counted(&partition), 200);
-    assert!(opened(&mut partition, &turn(4, Some("a"))).is_some());
+    assert!(open(&mut partition, &turn(4, Some("a"))).is_some());
 }
 
 #[test]
-fn a_turn_of_another_line_is_waited_for() {
-    for lines in [[Some("a"), Some("b")], [None, None], [Some("a"), None]] {
+fn turn_of_another_session_stays_awaited() {
+    for sessions in [[Some("a"), Some("b")], [None, None], [Some("a"), None]] {
         let mut partition = Partition::default();
-        assert!(opened(&mut partition, &turn(1, lines[0])).is_some());
-        let shortage = shortage(&mut partition, &turn(2, lines[1]));
-        assert_eq!(shortage.in_doubt_turns, 0, "{lines:?}");
+        assert!(open(&mut partition, &turn(1, sessions[0])).is_some());
+        let usage = refused_usage(&mut partition, &turn(2, sessions[1]));
+        assert_eq!(usage.in_doubt_turns, 0, "{sessions:?}");
     }
 }
 
-/// The end of a turn that is not kept is told beside its answer: a client that has the whole of it
-/// may go on before the owner knows.
+/// The end of a turn whose content is not stored is reported in parallel with its response, so a
+/// client that got the whole response may continue before the owner knows the end.
 #[test]
-fn a_turn_that_is_not_kept_is_waited_for_until_its_end_is_told() {
+fn turn_without_stored_content_is_awaited_until_its_end() {
     let mut partition = Partition::default();
     let [first, next] = [1, 2].map(|attempt| OpenTurn {
         keeps_context: false,
         ..turn(attempt, Some("a"))
     });
-    assert!(opened(&mut partition, &first).is_some());
-    assert_eq!(shortage(&mut partition, &next).in_doubt_turns, 0);
-    end(&mut partition, &first, MOST);
-    assert_eq!(shortage(&mut partition, &next).settled_tokens, MOST);
+    assert!(open(&mut partition, &first).is_some());
+    assert_eq!(refused_usage(&mut partition, &next).in_doubt_turns, 0);
+    end(&mut partition, &first, MAX_TOKENS);
+    assert_eq!(
+        refused_usage(&mut partition, &next).settled_tokens,
+        MAX_TOKENS
+    );
 }
 
-/// Nothing is lost with a planned stop: a turn that is under way over it is waited for.
+/// A planned handover loses nothing, so a turn that is open across it stays awaited.
 #[test]
-fn a_turn_under_way_over_a_planned_stop_is_waited_for() {
+fn open_turn_stays_awaited_across_a_handover() {
     let mut partition = Partition::default();
-    let mut records = opened(&mut partition, &turn(1, Some("a"))).expect("the first turn");
+    let mut records = open(&mut partition, &turn(1, Some("a"))).expect("the first turn");
     records.extend(partition.handover_records());
-    let mut successor = reads(Partition::after_handover(NOW_MS, 0), records);
-    assert_eq!(counted(&successor), MOST);
-    let shortage = shortage(&mut successor, &turn(2, Some("b")));
-    assert_eq!(shortage.in_doubt_turns, 0);
+    let mut successor = load_records(Partition::after_handover(NOW_MS, 0), records);
+    assert_eq!(counted(&successor), MAX_TOKENS);
+    let usage = refused_usage(&mut successor, &turn(2, Some("b")));
+    assert_eq!(usage.in_doubt_turns, 0);
 }
 
-/// Its question may come twice; the client that went on does not come back.
+/// The request may arrive twice, but a client that moved on does not return.
 #[test]
-fn a_turn_whose_client_went_on_is_in_doubt_also_where_it_is_asked_for_again() {
+fn superseded_turn_stays_in_doubt_when_requested_again() {
     let budget = Some(1_300);
-    let [left, next, other] = [(1, "a"), (2, "a"), (3, "b")].map(|(attempt, line)| OpenTurn {
-        budget,
-        ..turn(attempt, Some(line))
-    });
+    let [superseded, next, other] =
+        [(1, "a"), (2, "a"), (3, "b")].map(|(attempt, session)| OpenTurn {
+            budget,
+            ..turn(attempt, Some(session))
+        });
     let mut partition = Partition::default();
-    assert!(opened(&mut partition, &left).is_some());
-    assert!(opened(&mut partition, &next).is_some());
-    assert!(opened(&mut partition, &left).is_some());
-    assert_eq!(counted(&partition), 2 * MOST, "counted once");
-    assert!(opened(&mut partition, &other).is_some());
+    assert!(open(&mut partition, &superseded).is_some());
+    assert!(open(&mut partition, &next).is_some());
+    assert!(open(&mut partition, &superseded).is_some());
+    assert_eq!(counted(&partition), 2 * MAX_TOKENS, "counted once");
+    assert!(open(&mut partition, &other).is_some());
 }
 
-/// However often a client gives up, no more is handed out than the budget and one turn's most.
+/// However often a client gives up, no more is granted than the budget and the maximum of one turn.
 #[test]
-fn turns_that_were_given_up_are_counted_at_their_most() {
+fn superseded_turns_are_counted_at_their_maximum() {
     let mut partition = Partition::default();
     let granted = (1..20).filter(|attempt| {
         let next = turn(*attempt, Some("a"));
-        opened(&mut partition, &next).is_some()
+        open(&mut partition, &next).is_some()
     });
     assert_eq!(granted.count(), 2);
-    assert!(counted(&partition) <= BUDGET + MOST);
+    assert!(counted(&partition) <= BUDGET + MAX_TOKENS);
 }
 
-/// Story: all daemons are lost with a turn under way. Its program goes on at the next owner, which
-/// holds that turn to be in doubt. That owner stops as planned, and the one after it reads a record
-/// that tells of a turn under way and not that it is in doubt.
+/// Guards against losing the in-doubt flag in a handover. All daemons are lost with an open turn,
+/// and the next owner has that turn in doubt. When its record did not contain the flag, the owner
+/// after a planned handover took the turn for awaited and refused others.
 #[test]
-fn a_turn_in_doubt_stays_so_over_a_planned_stop() {
-    let mut first = Partition::after_loss(NOW_MS, DOUBT_MS);
-    let mut log = opened(&mut first, &turn(1, Some("a"))).expect("the first turn of its program");
-    let mut successor = reads(Partition::after_loss(NOW_MS, DOUBT_MS), log.clone());
-    log.extend(opened(&mut successor, &turn(2, Some("b"))).expect("turn 1 is in doubt"));
-    let withdrawn = turn(2, Some("b")).cancellation();
-    log.extend(successor.close(&withdrawn, NOW_MS));
+fn in_doubt_flag_survives_a_handover() {
+    let mut first = Partition::after_loss(NOW_MS, UNCERTAINTY_MS);
+    let mut log = open(&mut first, &turn(1, Some("a"))).expect("the first turn of its program");
+    let mut successor = load_records(Partition::after_loss(NOW_MS, UNCERTAINTY_MS), log.clone());
+    log.extend(open(&mut successor, &turn(2, Some("b"))).expect("turn 1 is in doubt"));
+    let cancellation = turn(2, Some("b")).cancellation();
+    log.extend(successor.close(&cancellation, NOW_MS));
     log.extend(successor.handover_records());
-    let mut next = reads(Partition::after_handover(NOW_MS, DOUBT_MS), log);
+    let mut next = load_records(Partition::after_handover(NOW_MS, UNCERTAINTY_MS), log);
     let outcome = next.open(&turn(3, Some("c")), NOW_MS);
     assert!(matches!(outcome, OpenOutcome::Opened { .. }), "{outcome:?}");
 }
 
-/// The same, where the program asks only after the planned stop.
+/// The same, but the program sends its next request only after the handover.
 #[test]
-fn a_turn_of_a_lost_gateway_refuses_nobody_after_a_planned_stop() {
-    let mut first = Partition::after_loss(NOW_MS, DOUBT_MS);
-    let mut log = opened(&mut first, &turn(1, Some("a"))).expect("the first turn of its program");
-    let mut successor = reads(Partition::after_loss(NOW_MS, DOUBT_MS), log.clone());
+fn turn_of_a_lost_gateway_does_not_block_after_a_handover() {
+    let mut first = Partition::after_loss(NOW_MS, UNCERTAINTY_MS);
+    let mut log = open(&mut first, &turn(1, Some("a"))).expect("the first turn of its program");
+    let mut successor = load_records(Partition::after_loss(NOW_MS, UNCERTAINTY_MS), log.clone());
     log.extend(successor.handover_records());
-    let mut next = reads(Partition::after_handover(NOW_MS, DOUBT_MS), log);
+    let mut next = load_records(Partition::after_handover(NOW_MS, UNCERTAINTY_MS), log);
     let outcome = next.open(&turn(3, Some("a")), NOW_MS);
     assert!(matches!(outcome, OpenOutcome::Opened { .. }), "{outcome:?}");
 }
--- a/crates/ledger/tests/layout.rs
+++ b/crates/ledger/tests/layout.rs
@@ -1,4 +1,4 @@
-//! Which partition keeps what, against random sets of homes.
+//! Assignment of programs to partitions, for random sets of allowed regions.
 
 use fieldhook_ledger::layout::Layout;
 use fieldhook_ledger::partition_of;
@@ -23,7 +23,7 @@
     Map::new(zones.iter().map(|(zone, region)| (zone.as_str(), *region)))
 }
 
-/// A subset of the names, by the bits of a number; some may not be regions of the map.
+/// A subset of the names, chosen by the bits of a number. Some may not be regions of the map.
 fn homes(bits: u8) -> Set {
     let chosen = NAMES
         .iter()
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_program_is_kept_within_its_homes_or_nowhere() {
+fn contents_stay_within_allowed_regions() {
     fn property(regions: u8, partitions: u8, bits: u8) -> bool {
         let map = map(usize::from(regions % 7));
         let layout = Layout::new(u32::from(partitions % 12), &map);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_change_of_homes_moves_only_what_must_move() {
+fn narrowing_homes_moves_only_affected_programs() {
     fn property(regions: u8, bits: u8, changed: u8) -> bool {
         let map = map(usize::from(regions % 7));
         let layout = Layout::new(8, &map);
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn unbounded_programs_stay_where_they_are_without_homes() {
+fn unrestricted_programs_use_global_partitions() {
     let layout = Layout::new(8, &map(3));
     for number in 0..PROGRAMS {
         let program = format!("p{number}");
@@ -103,18 +103,20 @@
 }
 
 #[test]
-fn no_two_partitions_share_a_place() {
+fn partitions_have_distinct_locations() {
     fn property(regions: u8, partitions: u8, _unused: u8) -> bool {
         let partitions = u32::from(partitions % 12);
         let layout = Layout::new(partitions, &map(usize::from(regions % 7)));
-        let mut places: Vec<_> = (0..layout.count())
+        let mut locations: Vec<_> = (0..layout.count())
             .map(|partition| layout.location(partition))
-            .map(|place| (place.region, place.number))
+            .map(|location| (location.region, location.number))
             .collect();
-        let fits = places.iter().all(|(_, number)| *number < partitions.max(1));
-        places.sort_unstable();
-        places.dedup();
-        fits && places.len() == layout.count() as usize
+        let fits = locations
+            .iter()
+            .all(|(_, number)| *number < partitions.max(1));
+        locations.sort_unstable();
+        locations.dedup();
+        fits && locations.len() == layout.count() as usize
     }
     check(property);
 }
@@ -124,12 +126,12 @@
     let layout = Layout::new(8, &map(4));
     let homes = Set::of(["ash", "elm"]);
     for region in ["ash", "elm"] {
-        let kept = (0..PROGRAMS).filter(|number| {
+        let stored = (0..PROGRAMS).filter(|number| {
             let partition = layout.home_partition(&format!("p{number}"), &homes);
-            let kept_in = partition.and_then(|partition| layout.region(partition));
-            kept_in.is_some_and(|name| &**name == region)
+            let home_region = partition.and_then(|partition| layout.region(partition));
+            home_region.is_some_and(|name| &**name == region)
         });
-        let part = kept.count() as f64 / f64::from(PROGRAMS);
+        let part = stored.count() as f64 / f64::from(PROGRAMS);
         assert!((0.35..0.65).contains(&part), "{region} {part}");
     }
 }
--- a/crates/ledger/tests/records.rs
+++ b/crates/ledger/tests/records.rs
@@ -1,4 +1,4 @@
-//! Records as the log holds them.
+//! Encoding of records and their keys.
 
 use fieldhook_ledger::name::QualifiedName;
 use fieldhook_ledger::record::{ProgramRecord, Record, TurnRecord};
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn names_of_tenants_survive_the_log_and_differ_from_each_other() {
+fn records_round_trip_and_keys_are_unique_per_tenant() {
     let tenants = [None, Some("a"), Some("ab"), Some(""), Some("b")];
     let mut keys = Vec::new();
     for tenant in tenants {
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn records_from_before_there_were_tenants_are_nobodys() {
+fn keys_without_a_tenant_decode_without_one() {
     let value = Record::Turn(QualifiedName::new(None, "t1"), Some(turn_record())).value();
     let read = Record::decode(b"tt1", &value);
     assert_eq!(
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_key_shorter_than_its_tenant_is_unreadable() {
+fn truncated_tenant_key_is_unreadable() {
     assert!(Record::decode(&[b'T', 9, b'a'], b"").is_err());
     assert!(Record::decode(b"P", b"").is_err());
 }
--- a/crates/ledger/tests/told_in_rounds.rs
+++ b/crates/ledger/tests/repeated_ends.rs
@@ -1,23 +1,22 @@
-//! Ends of turns that are told again and again while the log is away.
+//! Ends of turns that are reported repeatedly while the log is unavailable.
 //!
-//! Story: a program has many turns side by side and one after another, whose content is not
-//! kept. The log goes away. Each turn ends, its owner notes the end and can't append it, and the
-//! gateway tells it once more every few seconds until it is durable. The owner remembers the
-//! latest ends; where the program has one more than those, each round finds every end forgotten
-//! by the one told before it, and counts it anew. Cause: an end counts as told by a memory that is
-//! bounded by a number, while the rounds are bounded by time.
+//! Guards against counting an end more than once. A program has many turns whose content is not
+//! stored. During an outage of the log the owner cannot append their ends, so the gateway reports
+//! each end again every few seconds. When the owner remembered only a fixed number of ends and the
+//! program had one more, each report evicted the end that was reported next, and every round
+//! counted all ends again.
 
 use fieldhook_ledger::message::OpenTurn;
 use fieldhook_ledger::name::QualifiedName;
 use fieldhook_ledger::partition::{OpenOutcome, Partition};
 
 const BUDGET: u64 = 10_000;
-const MOST: u64 = 100;
-/// What each turn handed out.
+const MAX_TOKENS: u64 = 100;
+/// Tokens delivered by each turn.
 const TOKENS: u64 = 50;
-/// One more than an owner remembers.
+/// One more than the number of ends that an owner always remembers.
 const TURNS: u64 = 25;
-/// An outage of some ten seconds.
+/// Rounds of an outage of about ten seconds.
 const ROUNDS: usize = 8;
 const NOW_MS: u64 = 1_700_000_000_000;
 
@@ -33,14 +32,14 @@
         keeps_context: false,
         supplies_chain: false,
         budget: Some(BUDGET),
-        max_tokens: MOST,
+        max_tokens: MAX_TOKENS,
         placement: None,
         home_partition: None,
     }
 }
 
 #[test]
-fn ends_that_are_told_in_rounds_are_counted_once() {
+fn repeated_ends_are_counted_once() {
     let mut owner = Partition::default();
     for attempt in 0..TURNS {
         let opened = owner.open(&turn(attempt), NOW_MS);
@@ -61,7 +60,7 @@
     let used = TURNS * TOKENS;
     assert!(
         matches!(next, OpenOutcome::Opened { .. }),
-        "{counted} of {BUDGET} counted, {used} used: {next:?}"
+        "counted {counted} of {BUDGET} tokens, used {used}: {next:?}"
     );
-    assert_eq!(counted, used + MOST);
+    assert_eq!(counted, used + MAX_TOKENS);
 }
--- a/crates/ledger/tests/uncertainty.rs
+++ b/crates/ledger/tests/uncertainty.rs
@@ -1,12 +1,12 @@
-//! How long a new owner counts what earlier ones may have granted without a record.
+//! How long a new owner counts what earlier owners may have granted without a record.
 
 use fieldhook_ledger::message::OpenTurn;
 use fieldhook_ledger::partition::{OpenOutcome, Partition, uncertainty_after_loss_ms};
 
 const TURN_MS: u64 = 4_000;
-const TAKEN_OVER_MS: u64 = 1_000_000;
+const TAKEOVER_MS: u64 = 1_000_000;
 const BUDGET: u64 = 900;
-const MOST: u64 = 273;
+const MAX_TOKENS: u64 = 273;
 
 fn turn(program: &str, number: u32) -> OpenTurn {
     OpenTurn {
@@ -20,7 +20,7 @@
         keeps_context: false,
         supplies_chain: false,
         budget: Some(BUDGET),
-        max_tokens: MOST,
+        max_tokens: MAX_TOKENS,
         placement: None,
         home_partition: None,
     }
@@ -34,15 +34,15 @@
 }
 
 #[test]
-fn a_program_that_begins_after_the_doubt_spends_its_whole_budget_and_needs_no_log() {
-    let doubt_ms = uncertainty_after_loss_ms(TURN_MS);
-    let mut partition = Partition::after_loss(TAKEN_OVER_MS, doubt_ms);
-    let before = TAKEN_OVER_MS + doubt_ms - 1;
+fn program_started_after_the_window_gets_its_whole_budget_without_the_log() {
+    let window_ms = uncertainty_after_loss_ms(TURN_MS);
+    let mut partition = Partition::after_loss(TAKEOVER_MS, window_ms);
+    let before = TAKEOVER_MS + window_ms - 1;
     assert_eq!(
         is_durable(&mut partition, &turn("old", 0), before),
         Some(false)
     );
-    let after = TAKEN_OVER_MS + 20_000;
+    let after = TAKEOVER_MS + 20_000;
     assert_eq!(
         is_durable(&mut partition, &turn("new", 0), after),
         Some(true)
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn the_doubt_outlasts_three_tries_of_a_turn_and_the_calls_of_tools_after_it() {
+fn window_outlasts_three_attempts_and_tool_calls() {
     assert_eq!(uncertainty_after_loss_ms(TURN_MS), 20_000);
     assert!(uncertainty_after_loss_ms(500) > 4 * 500);
     assert_eq!(uncertainty_after_loss_ms(30_000), 60_000);
