--- a/crates/ledger/tests/budget_fuzz/world.rs
+++ b/crates/ledger/tests/budget_fuzz/simulation.rs
@@ -1,25 +1,25 @@
-//! One program, the owners of its partition, and what was handed out of it.
+//! Simulation of one program and the owners of its partition, which counts the delivered tokens.
 
-pub mod questions;
+pub mod requests;
 
 use fieldhook_ledger::message::{CloseTurn, OpenTurn};
 use fieldhook_ledger::name::QualifiedName;
 use fieldhook_ledger::partition::{OpenOutcome, Partition};
 use fieldhook_ledger::record::Record;
-use questions::Question;
+use requests::DelayedRequest;
 use std::collections::{BTreeMap, VecDeque};
 
 pub const BUDGET: u64 = 1_000;
-pub const MOST: u64 = 90;
+pub const MAX_TOKENS: u64 = 90;
 const PROGRAM: &str = "p";
-/// Longer than any story: its clock stands still.
-const DOUBT_MS: u64 = 60_000;
-/// Unix time of every story, in milliseconds: long after what a program was kept for that had last
-/// changed at 0.
+/// Outlasts every scenario, because the clock does not advance.
+const UNCERTAINTY_MS: u64 = 60_000;
+/// Unix time of every scenario, in milliseconds. Far enough from 0 that a program last changed at 0
+/// has expired.
 const NOW_MS: u64 = 1_700_000_000_000;
-/// Lines of the turns, one after another, where clients go on from turns that they gave up; and
-/// which of these turns end with their record.
-const LINES: [(Option<&str>, bool); 6] = [
+/// Sessions of successive turns, with clients that give up turns and send the next one; and whether
+/// the content of the turn is stored, so that it ends with its record.
+const SESSIONS: [(Option<&str>, bool); 6] = [
     (None, true),
     (Some("a"), true),
     (Some("a"), true),
@@ -27,65 +27,65 @@
     (Some("a"), true),
     (Some("b"), true),
 ];
-/// Ended turns that an owner remembers.
-const ENDS_TOLD_AGAIN: usize = 24;
+/// Number of ended turns that an owner always remembers.
+const REPEATED_ENDS: usize = 24;
 
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
-    /// A turn asks to begin.
+    /// Requests a turn.
     Open,
-    /// A turn asks a former owner that lives on and does not know that it was replaced.
+    /// Requests a turn from a former owner that does not know that it was replaced.
     OpenAtFormer(u8),
-    /// A running turn hands tokens out.
-    HandOut(u8, u8),
-    /// A running turn ends and says so.
+    /// A running turn delivers tokens.
+    Deliver(u8, u8),
+    /// A running turn ends, and its end is reported.
     Close(u8),
-    /// A running turn's end is told once more.
-    CloseAgain(u8),
-    /// The oldest append is done.
+    /// The end of an ended turn is reported again.
+    RepeatEnd(u8),
+    /// The oldest pending append completes.
     Append,
-    /// The owner gives the partition up in order: what it granted is durable first.
+    /// The owner hands the partition over after all its grants are durable.
     HandOver,
-    /// The owner is lost with what it had not appended; gateways live on.
+    /// The owner is lost with its pending appends; gateways survive.
     LoseOwner,
-    /// A running turn's gateway is lost; nobody tells its end.
+    /// The gateway of a running turn is lost, so nobody reports its end.
     LoseGateway(u8),
-    /// What becomes of a question that is under way.
-    Question(questions::Step),
+    /// A step of a delayed request.
+    Request(requests::Step),
 }
 
 #[derive(Clone)]
-pub struct Running {
+pub struct RunningTurn {
     turn: String,
     attempt: u64,
     pub tokens: u64,
-    may_hand_out: bool,
+    may_deliver: bool,
 }
 
 #[derive(Default)]
-pub struct World {
+pub struct Simulation {
     owner: Partition,
-    formers: Vec<Partition>,
+    former_owners: Vec<Partition>,
     log: BTreeMap<Vec<u8>, Vec<u8>>,
     queue: VecDeque<Record>,
     waiting: Vec<(usize, u64)>,
-    pub running: Vec<Running>,
-    pub ended: Vec<Running>,
-    questions: Vec<Question>,
-    is_patient: bool,
-    pub handed_out: u64,
+    pub running: Vec<RunningTurn>,
+    pub ended: Vec<RunningTurn>,
+    requests: Vec<DelayedRequest>,
+    has_separate_sessions: bool,
+    pub delivered_tokens: u64,
     pub next_turn: u64,
     appended: usize,
     queued: usize,
 }
 
-impl World {
+impl Simulation {
     fn push(&mut self, records: Vec<Record>) {
         self.queued += records.len();
         self.queue.extend(records);
     }
 
-    /// What the owner counts, if it knows the program.
+    /// Tokens that the owner counts, if it knows the program.
     pub fn counted(&self) -> Option<u64> {
         let is_known = self.owner.program_count() > 0;
         is_known.then(|| {
@@ -94,53 +94,54 @@
         })
     }
 
-    /// One where each turn has a line of its own: no client goes on before its answer ended.
-    pub fn patient() -> Self {
+    /// A simulation where each turn has its own session, so that no client sends the next turn of a
+    /// session before the response.
+    pub fn with_separate_sessions() -> Self {
         Self {
-            is_patient: true,
+            has_separate_sessions: true,
             ..Self::default()
         }
     }
 
-    /// The line of a turn, and whether it ends with its record.
-    fn line(&self, turn: u64) -> (Option<String>, bool) {
-        let (line, is_kept) = LINES[turn as usize % LINES.len()];
-        match self.is_patient {
-            true => (Some(turn.to_string()), is_kept),
-            false => (line.map(str::to_owned), is_kept),
+    /// Session of a turn, and whether its content is stored.
+    fn session(&self, turn: u64) -> (Option<String>, bool) {
+        let (session, is_stored) = SESSIONS[turn as usize % SESSIONS.len()];
+        match self.has_separate_sessions {
+            true => (Some(turn.to_string()), is_stored),
+            false => (session.map(str::to_owned), is_stored),
         }
     }
 
     fn next_request(&mut self) -> OpenTurn {
         let turn = format!("t{}", self.next_turn);
-        let (line, keeps_context) = self.line(self.next_turn);
+        let (session, keeps_context) = self.session(self.next_turn);
         self.next_turn += 1;
         OpenTurn {
             tenant: None,
             turn,
             attempt: self.next_turn,
             program: PROGRAM.to_owned(),
-            session: line,
+            session,
             previous: None,
             wants_chain: false,
             keeps_context,
             supplies_chain: false,
             budget: Some(BUDGET),
-            max_tokens: MOST,
+            max_tokens: MAX_TOKENS,
             placement: None,
             home_partition: None,
         }
     }
 
-    /// What a former owner grants goes out at once or never: it can append nothing.
+    /// A former owner cannot append, so its grants start at once or never.
     fn open_at_former(&mut self, which: u8) {
         let request = self.next_request();
-        let Some(index) = usize::from(which).checked_rem(self.formers.len()) else {
+        let Some(index) = usize::from(which).checked_rem(self.former_owners.len()) else {
             return;
         };
-        let outcome = self.formers[index].open(&request, NOW_MS);
+        let outcome = self.former_owners[index].open(&request, NOW_MS);
         if let OpenOutcome::Opened { durable: true, .. } = outcome {
-            self.begin(&request, true);
+            self.start_turn(&request, true);
         }
     }
 
@@ -151,44 +152,44 @@
         } = self.owner.open(&request, NOW_MS)
         {
             self.push(records);
-            self.begin(&request, durable);
+            self.start_turn(&request, durable);
         }
     }
 
-    /// A turn was opened; until that is durable it waits for what is queued.
-    fn begin(&mut self, request: &OpenTurn, durable: bool) {
+    /// Adds a granted turn. If the grant is not durable, the turn waits for the queued records.
+    fn start_turn(&mut self, request: &OpenTurn, durable: bool) {
         if !durable {
             self.waiting.push((self.queued, request.attempt));
         }
-        self.running.push(Running {
+        self.running.push(RunningTurn {
             turn: request.turn.clone(),
             attempt: request.attempt,
             tokens: 0,
-            may_hand_out: durable,
+            may_deliver: durable,
         });
     }
 
-    fn hand_out(&mut self, which: u8, tokens: u8) {
+    fn deliver(&mut self, which: u8, tokens: u8) {
         let count = self.running.len();
         if count == 0 {
             return;
         }
         let running = &mut self.running[usize::from(which) % count];
-        if running.may_hand_out {
-            let more = u64::from(tokens).min(MOST - running.tokens);
+        if running.may_deliver {
+            let more = u64::from(tokens).min(MAX_TOKENS - running.tokens);
             running.tokens += more;
-            self.handed_out += more;
+            self.delivered_tokens += more;
         }
     }
 
-    fn tell_end(&mut self, running: &Running) {
+    fn report_end(&mut self, running: &RunningTurn) {
         let request = CloseTurn {
             tenant: None,
             turn: running.turn.clone(),
             attempt: running.attempt,
             program: PROGRAM.to_owned(),
             budget: Some(BUDGET),
-            max_tokens: MOST,
+            max_tokens: MAX_TOKENS,
             tokens: running.tokens,
             content: None,
             engine: None,
@@ -204,7 +205,7 @@
             return;
         }
         let running = self.running.remove(usize::from(which) % self.running.len());
-        self.tell_end(&running);
+        self.report_end(&running);
         self.ended.push(running);
     }
 
@@ -223,7 +224,7 @@
         let done: Vec<(usize, u64)> = done;
         for running in &mut self.running {
             if done.iter().any(|(_, attempt)| *attempt == running.attempt) {
-                running.may_hand_out = true;
+                running.may_deliver = true;
             }
         }
     }
@@ -234,28 +235,31 @@
         while !self.queue.is_empty() {
             self.append();
         }
-        let doubt_ms = self.owner.uncertainty_ms(NOW_MS);
-        self.owner = Partition::after_handover(NOW_MS, doubt_ms);
-        self.read_back();
+        let uncertainty_ms = self.owner.uncertainty_ms(NOW_MS);
+        self.owner = Partition::after_handover(NOW_MS, uncertainty_ms);
+        self.load_log();
     }
 
-    /// The next owner begins from the log. Turns whose reservation was not durable
-    /// are asked for again by their gateways before they hand anything out.
+    /// A new owner loads the log. Turns whose reservation was not durable have delivered nothing,
+    /// and their gateways request them again.
     fn lose_owner(&mut self) {
-        let former = std::mem::replace(&mut self.owner, Partition::after_loss(NOW_MS, DOUBT_MS));
-        self.formers.push(former);
+        let former = std::mem::replace(
+            &mut self.owner,
+            Partition::after_loss(NOW_MS, UNCERTAINTY_MS),
+        );
+        self.former_owners.push(former);
         self.queue.clear();
         self.queued = self.appended;
         self.waiting.clear();
-        self.read_back();
+        self.load_log();
         let running = std::mem::take(&mut self.running).into_iter();
-        let (running, never_begun): (Vec<Running>, Vec<Running>) =
-            running.partition(|running| running.may_hand_out);
+        let (running, never_started): (Vec<RunningTurn>, Vec<RunningTurn>) =
+            running.partition(|running| running.may_deliver);
         self.running = running;
-        self.ask_for_again(&never_begun);
+        self.reset_never_started(&never_started);
     }
 
-    fn read_back(&mut self) {
+    fn load_log(&mut self) {
         for (key, value) in &self.log {
             if let Ok(record) = Record::decode(key, value) {
                 self.owner.load(record);
@@ -275,22 +279,22 @@
         match step {
             Step::Open => self.open(),
             Step::OpenAtFormer(which) => self.open_at_former(which),
-            Step::HandOut(which, tokens) => self.hand_out(which, tokens),
+            Step::Deliver(which, tokens) => self.deliver(which, tokens),
             Step::Close(which) => self.close(which),
-            Step::CloseAgain(which) => {
-                // Ends are told again within seconds, so only the latest ones.
-                let latest = self.ended.len().saturating_sub(ENDS_TOLD_AGAIN);
+            Step::RepeatEnd(which) => {
+                // Ends are repeated within seconds, so only the newest ones.
+                let latest = self.ended.len().saturating_sub(REPEATED_ENDS);
                 let ended = &self.ended[latest..];
                 if let Some(index) = usize::from(which).checked_rem(ended.len()) {
                     let running = ended[index].clone();
-                    self.tell_end(&running);
+                    self.report_end(&running);
                 }
             }
             Step::Append => self.append(),
             Step::LoseOwner => self.lose_owner(),
             Step::HandOver => self.hand_over(),
             Step::LoseGateway(which) => self.lose_gateway(which),
-            Step::Question(step) => self.step_question(step),
+            Step::Request(step) => self.step_request(step),
         }
     }
 }
