--- a/crates/ledger/tests/budget_room/main.rs
+++ b/crates/ledger/tests/budget_room/main.rs
@@ -1,31 +1,33 @@
-//! What losses of owners take from a program's budget: a turn is refused only where what ended
-//! and what is waited for leaves no room for it, or what the program can have used at its most
-//! is beyond a stated bound. It begins only beside what is waited for.
+//! Checks how much of a program's budget is lost with its owners. A turn may be refused only if the
+//! budget has no room for it beside the tokens of ended turns and the maxima of awaited ones, or if
+//! the tokens that the program may have used exceed a stated bound. A turn may be granted only if
+//! there is that room.
 //!
-//! The oracle counts a turn whose end was recorded by its tokens, any other turn that may
-//! have handed something out at its most. Each loss of an owner may hide at most what was
-//! reserved ahead; of that the most of one turn costs nothing, as a budget may be exceeded by
-//! it. The other side is checked beside it, as in `budget_fuzz/`: the tokens handed out are
-//! never more than the budget and one turn's most, also where turns hand out what they are
-//! allowed before their record and successors in doubt have parts of their own. A turn that never
-//! ran and whose end was told counts nothing, whenever its question reaches an owner.
+//! The oracle counts a turn whose end was recorded by its tokens, and any other turn that may have
+//! delivered tokens by its maximum. Each loss of an owner may hide at most what was reserved ahead.
+//! Of that, the maximum of one turn costs nothing, because a budget may be exceeded by as much.
+//!
+//! As in `budget_fuzz/`, the tests also check the upper bound: delivered tokens never exceed the
+//! budget and the maximum of one turn, even though turns deliver tokens before their record and
+//! successors grant shares of their own. A turn that never ran and whose end was reported counts
+//! nothing, no matter when its request reaches an owner.
 
-mod world;
+mod simulation;
 
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult};
-use world::{MOST, Step, World, questions};
+use simulation::{MAX_TOKENS, Simulation, Step, requests};
 
-/// Holds one turn, and no second one beside it.
+/// Room for one turn, but not for two.
 const SMALL_BUDGET: u64 = 900;
 
-/// Steps of which half are those of questions under way.
+/// A scenario of which half of the steps concern delayed requests.
 #[derive(Clone, Debug)]
-struct Story(Vec<Step>);
+struct Scenario(Vec<Step>);
 
-impl Arbitrary for Story {
+impl Arbitrary for Scenario {
     fn arbitrary(g: &mut Gen) -> Self {
         let step = |g: &mut Gen| match bool::arbitrary(g) {
-            true => Step::Question(questions::Step::arbitrary(g)),
+            true => Step::Request(requests::Step::arbitrary(g)),
             false => Step::arbitrary(g),
         };
         Self((0..g.size()).map(|_| step(g)).collect())
@@ -42,58 +44,61 @@
     }
 }
 
-fn refusals_are_owed(mut world: World, steps: &[Step]) -> TestResult {
+fn refusals_are_justified(mut simulation: Simulation, steps: &[Step]) -> TestResult {
     for step in steps {
-        if !world.step(*step) {
+        if !simulation.step(*step) {
             return TestResult::error(format!(
-                "refused with {} of {} used at most, after {} losses",
-                world.used(),
-                world.budget,
-                world.losses
+                "refused with at most {} of {} tokens used, after {} losses",
+                simulation.max_used_tokens(),
+                simulation.budget,
+                simulation.losses
             ));
         }
-        if !world.counts_all() {
+        if !simulation.counts_all_delivered() {
             return TestResult::error(format!(
-                "an owner counts {} of {} handed out",
-                world.counted(),
-                world.handed_out()
+                "an owner counts {} of {} delivered tokens",
+                simulation.counted(),
+                simulation.delivered_tokens()
             ));
         }
-        if world.handed_out() > world.budget + MOST {
-            return TestResult::error(format!("{} handed out", world.handed_out()));
+        if simulation.delivered_tokens() > simulation.budget + MAX_TOKENS {
+            return TestResult::error(format!(
+                "{} tokens delivered",
+                simulation.delivered_tokens()
+            ));
         }
     }
     TestResult::passed()
 }
 
-fn kept(steps: Vec<Step>) -> TestResult {
-    refusals_are_owed(World::new(true), &steps)
+fn stored_turns(steps: Vec<Step>) -> TestResult {
+    refusals_are_justified(Simulation::new(true), &steps)
 }
 
-fn not_kept(steps: Vec<Step>) -> TestResult {
-    refusals_are_owed(World::new(false), &steps)
+fn unstored_turns(steps: Vec<Step>) -> TestResult {
+    refusals_are_justified(Simulation::new(false), &steps)
 }
 
 #[test]
 fn each_further_loss_costs_at_most_one_turn_if_turns_are_stored() {
-    stories(31).quickcheck(kept as fn(Vec<Step>) -> TestResult);
+    scenarios(31).quickcheck(stored_turns as fn(Vec<Step>) -> TestResult);
 }
 
 #[test]
 fn each_loss_costs_at_most_half_of_the_rest_if_turns_are_not_stored() {
-    stories(32).quickcheck(not_kept as fn(Vec<Step>) -> TestResult);
+    scenarios(32).quickcheck(unstored_turns as fn(Vec<Step>) -> TestResult);
 }
 
-fn questions_kept(story: Story) -> TestResult {
-    refusals_are_owed(World::new(true), &story.0)
+fn requests_of_stored_turns(scenario: Scenario) -> TestResult {
+    refusals_are_justified(Simulation::new(true), &scenario.0)
 }
 
-fn questions_not_kept(story: Story) -> TestResult {
-    refusals_are_owed(World::new(false), &story.0)
+fn requests_of_unstored_turns(scenario: Scenario) -> TestResult {
+    refusals_are_justified(Simulation::new(false), &scenario.0)
 }
 
-fn questions_of_one_turn(story: Story) -> TestResult {
-    refusals_are_owed(World::with_budget(true, SMALL_BUDGET), &story.0)
+fn requests_with_room_for_one_turn(scenario: Scenario) -> TestResult {
+    refusals_are_justified(Simulation::with_budget(true, SMALL_BUDGET), &scenario.0)
 }
 
 fn setting(name: &str, default: u64) -> u64 {
@@ -103,131 +108,143 @@
         .unwrap_or(default)
 }
 
-/// Plays stories of a seed, or of those that a longer run asks for.
-fn stories(seed: u64) -> QuickCheck {
+/// Runs random scenarios. The environment may override seed and number of cases for longer runs.
+fn scenarios(seed: u64) -> QuickCheck {
     let seed = setting("FIELDHOOK_FUZZ_SEED", seed);
     let cases = setting("FIELDHOOK_FUZZ_CASES", 20_000);
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(60, seed))
         .tests(cases)
-        // Otherwise no more than 10,000 are played.
+        // The default limit is 10,000.
         .max_tests(cases * 2)
 }
 
 #[test]
 fn fuzz_questions_under_way_of_a_program_whose_turns_are_kept() {
-    stories(33).quickcheck(questions_kept as fn(Story) -> TestResult);
+    scenarios(33).quickcheck(requests_of_stored_turns as fn(Scenario) -> TestResult);
 }
 
 #[test]
 fn fuzz_questions_under_way_of_a_program_whose_turns_are_not_kept() {
-    stories(34).quickcheck(questions_not_kept as fn(Story) -> TestResult);
+    scenarios(34).quickcheck(requests_of_unstored_turns as fn(Scenario) -> TestResult);
 }
 
 #[test]
 fn fuzz_questions_under_way_of_a_program_that_holds_one_turn() {
-    stories(35).quickcheck(questions_of_one_turn as fn(Story) -> TestResult);
+    scenarios(35).quickcheck(requests_with_room_for_one_turn as fn(Scenario) -> TestResult);
 }
 
-/// One turn is recorded, the second is under way when all daemons are lost, the third is
-/// recorded, and all are lost once more: 1,595 of 2,700 tokens at most.
+/// One turn is recorded, the second is open when all daemons are lost, the third is recorded, and
+/// all daemons are lost again. At most 1,595 of 2,700 tokens were used.
 #[test]
 fn turn_is_granted_after_two_losses_of_all_daemons() {
-    let mut world = World::new(true);
-    let whole_turn = |part| [Step::Open, Step::AppendAll, Step::Close(0, part)];
-    let story = whole_turn(191)
+    let mut simulation = Simulation::new(true);
+    let recorded_turn = |part| [Step::Open, Step::AppendAll, Step::Close(0, part)];
+    let scenario = recorded_turn(191)
         .into_iter()
         .chain([Step::AppendAll, Step::Open, Step::AppendAll, Step::LoseAll])
-        .chain(whole_turn(255))
+        .chain(recorded_turn(255))
         .chain([Step::AppendAll, Step::LoseAll]);
-    for step in story {
-        assert!(world.step(step), "{step:?}");
+    for step in scenario {
+        assert!(simulation.step(step), "{step:?}");
     }
-    assert_eq!(world.used(), 434 + 2 * MOST);
-    assert!(world.open(), "the budget holds one more turn");
+    assert_eq!(simulation.max_used_tokens(), 434 + 2 * MAX_TOKENS);
+    assert!(simulation.open(), "the budget has room for one more turn");
 }
 
-/// All owners are lost, and a moment later the log: a program that begins then is in doubt.
+/// All owners are lost, and then the log. A program that starts now is in the uncertainty window
+/// and must complete without the log.
 #[test]
 fn program_started_during_uncertainty_completes_without_the_log() {
-    let mut world = World::new(false);
-    world.step(Step::LoseAll);
-    world.append_all();
+    let mut simulation = Simulation::new(false);
+    simulation.step(Step::LoseAll);
+    simulation.append_all();
     for turn in 0..3 {
-        assert!(world.open(), "turn {turn}");
-        world.end_with(145);
+        assert!(simulation.open(), "turn {turn}");
+        simulation.end_with_tokens(145);
     }
 }
 
-/// Two owners gave a program a part each that no record tells of; the second one's doubt is over
-/// when it is lost as well.
+/// Two owners each granted the program a share without a record. The uncertainty window of the
+/// second owner has ended when it is lost as well.
 #[test]
 fn tokens_delivered_during_uncertainty_are_counted_by_later_owners() {
-    let mut world = World::new(false);
-    let turn = [Step::Open, Step::HandOut(0, 255)];
-    let story = turn
+    let mut simulation = Simulation::new(false);
+    let turn = [Step::Open, Step::Deliver(0, 255)];
+    let scenario = turn
         .into_iter()
         .chain([Step::LoseOwner, Step::AppendAll, Step::Open])
-        .chain([Step::HandOut(1, 255)])
-        .chain([questions::Step::EndDoubt].map(Step::Question))
+        .chain([Step::Deliver(1, 255)])
+        .chain([requests::Step::EndUncertainty].map(Step::Request))
         .chain([Step::AppendAll, Step::LoseOwner, Step::Open])
-        .chain([Step::AppendAll, Step::HandOut(2, 255)]);
-    for step in story {
-        assert!(world.step(step), "{step:?}");
+        .chain([Step::AppendAll, Step::Deliver(2, 255)]);
+    for step in scenario {
+        assert!(simulation.step(step), "{step:?}");
     }
-    assert_eq!(world.handed_out(), 3 * MOST);
-    let counted = world.counted();
-    assert!(world.counts_all(), "{counted} of {}", 3 * MOST);
+    assert_eq!(simulation.delivered_tokens(), 3 * MAX_TOKENS);
+    let counted = simulation.counted();
+    assert!(
+        simulation.counts_all_delivered(),
+        "{counted} of {}",
+        3 * MAX_TOKENS
+    );
 }
 
-/// What a recorded turn left of its most is freed by the successor that hears of its end, so
-/// its owner may not have given it to another turn.
+/// The successor releases the unused tokens of a recorded turn when it learns of its end, so the
+/// previous owner must not grant them to another turn.
 #[test]
 fn unused_tokens_of_a_recorded_turn_are_not_granted_under_that_record() {
-    let mut world = World::new(true);
-    assert!(world.open() && world.open());
-    world.append_all();
-    assert!(world.open());
-    world.step(Step::Close(1, 221));
-    assert!(world.open());
+    let mut simulation = Simulation::new(true);
+    assert!(simulation.open() && simulation.open());
+    simulation.append_all();
+    assert!(simulation.open());
+    simulation.step(Step::Close(1, 221));
+    assert!(simulation.open());
     for which in 0..3 {
-        world.step(Step::HandOut(which, 255));
+        simulation.step(Step::Deliver(which, 255));
     }
-    world.step(Step::LoseOwner);
-    let (counted, handed_out) = (world.counted(), world.handed_out());
-    assert!(world.counts_all(), "{counted} of {handed_out}");
+    simulation.step(Step::LoseOwner);
+    let (counted, delivered_tokens) = (simulation.counted(), simulation.delivered_tokens());
+    assert!(
+        simulation.counts_all_delivered(),
+        "{counted} of {delivered_tokens}"
+    );
 }
 
-/// An owner that gives its partition up in order leaves nothing reserved ahead behind, however
-/// often that happens.
+/// An owner that hands its partition over leaves no tokens reserved ahead, however often that
+/// happens.
 #[test]
 fn handovers_cost_no_budget() {
-    let mut world = World::new(true);
-    for stop in 0..9 {
-        assert!(world.open(), "stop {stop}");
-        world.append_all();
-        world.end_with(145);
-        world.append_all();
-        world.step(Step::HandOver);
-        assert_eq!(world.counted(), world.used(), "stop {stop}");
+    let mut simulation = Simulation::new(true);
+    for handover in 0..9 {
+        assert!(simulation.open(), "handover {handover}");
+        simulation.append_all();
+        simulation.end_with_tokens(145);
+        simulation.append_all();
+        simulation.step(Step::HandOver);
+        assert_eq!(
+            simulation.counted(),
+            simulation.max_used_tokens(),
+            "handover {handover}"
+        );
     }
 }
 
-/// Between two turns nothing is under way: losses there cost nothing that a turn needs, as
-/// long as there are no more of them than the bound tells.
+/// Between two turns no turn is open. Losses at this point cost no turn, up to the number of losses
+/// that the bound allows.
 #[test]
 fn loss_between_turns_costs_no_turn() {
-    let mut world = World::new(true);
+    let mut simulation = Simulation::new(true);
     for step in [Step::Open, Step::AppendAll, Step::Close(0, 255)] {
-        assert!(world.step(step));
+        assert!(simulation.step(step));
     }
-    world.step(Step::AppendAll);
-    world.step(Step::LoseAll);
+    simulation.step(Step::AppendAll);
+    simulation.step(Step::LoseAll);
     for turn in 1..4 {
-        assert!(world.open(), "turn {turn}");
-        world.append_all();
-        world.step(Step::Close(0, 255));
-        world.append_all();
+        assert!(simulation.open(), "turn {turn}");
+        simulation.append_all();
+        simulation.step(Step::Close(0, 255));
+        simulation.append_all();
     }
-    assert!(!world.open(), "2,320 of 2,700 are used");
+    assert!(!simulation.open(), "2,320 of 2,700 are used");
 }
--- a/crates/ledger/tests/budget_room/world.rs
+++ b/crates/ledger/tests/budget_room/simulation.rs
@@ -1,51 +1,53 @@
-//! One program, the owners of its partition, and the oracle of what it can have used.
+//! Simulation of one program and the owners of its partition, with an oracle of the tokens that the
+//! program may have used.
 
-pub mod questions;
-mod standing;
+pub mod requests;
+mod wait_state;
 
 use fieldhook_ledger::message::{CloseTurn, OpenTurn, TurnContent};
 use fieldhook_ledger::name::QualifiedName;
 use fieldhook_ledger::partition::{OpenOutcome, Partition};
 use fieldhook_ledger::record::Record;
-use questions::Question;
 use quickcheck::{Arbitrary, Gen};
-use standing::Standing;
+use requests::DelayedRequest;
 use std::collections::{BTreeMap, VecDeque};
+use wait_state::WaitState;
 
 const BUDGET: u64 = 2_700;
-pub const MOST: u64 = 580;
+pub const MAX_TOKENS: u64 = 580;
 const PROGRAM: &str = "p";
-/// Lines of the turns, one after another: clients of some go on, of others they wait.
-const LINES: [Option<&str>; 4] = [None, Some("a"), Some("a"), Some("b")];
-const DOUBT_MS: u64 = 60_000;
-/// Unix time at which every story begins, in milliseconds: long after what a program was kept for
-/// that had last changed at 0. The clock stands still but for [`questions::Step::EndDoubt`].
+/// Sessions of successive turns. In some sessions clients send the next turn before the response to
+/// the last one.
+const SESSIONS: [Option<&str>; 4] = [None, Some("a"), Some("a"), Some("b")];
+const UNCERTAINTY_MS: u64 = 60_000;
+/// Unix time at the start of every scenario, in milliseconds. Far enough from 0 that a program last
+/// changed at 0 has expired. The clock advances only in [`requests::Step::EndUncertainty`].
 const NOW_MS: u64 = 1_700_000_000_000;
 
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
-    /// A turn asks to begin; its gateway waits for the append where it has to.
+    /// Requests a turn. Its gateway waits for the append if it has to.
     Open,
-    /// A turn asks a former owner that lives on and does not know that it was replaced.
+    /// Requests a turn from a former owner that does not know that it was replaced.
     OpenAtFormer(u8),
-    /// A running turn hands out so much of what it may (in 255ths).
-    HandOut(u8, u8),
-    /// A running turn ends whole, having handed out so much of its most (in 255ths).
+    /// A running turn delivers a fraction (in 255ths) of the tokens that it may deliver now.
+    Deliver(u8, u8),
+    /// A running turn delivers a fraction (in 255ths) of what it may deliver now and completes.
     Close(u8, u8),
-    /// The oldest append is done.
+    /// The oldest pending append completes.
     Append,
-    /// All appends are done.
+    /// All pending appends complete.
     AppendAll,
-    /// The owner gives the partition up in order.
+    /// The owner hands the partition over as planned.
     HandOver,
-    /// The owner is lost; turns under way go on at their gateways.
+    /// The owner is lost; open turns continue at their gateways.
     LoseOwner,
-    /// All daemons are lost: nobody tells the end of any turn.
+    /// All daemons are lost, so nobody reports the end of any turn.
     LoseAll,
-    /// The gateway of a running turn is lost; the owner lives.
+    /// The gateway of a running turn is lost; the owner survives.
     LoseGateway(u8),
-    /// What becomes of a question that is under way.
-    Question(questions::Step),
+    /// A step of a delayed request.
+    Request(requests::Step),
 }
 
 impl Arbitrary for Step {
@@ -55,7 +57,7 @@
         match u8::arbitrary(g) % 17 {
             0..3 => Self::Open,
             3 if part < 64 => Self::OpenAtFormer(which),
-            3..5 => Self::HandOut(which, part),
+            3..5 => Self::Deliver(which, part),
             5..9 => Self::Close(which, part),
             9..11 => Self::Append,
             11..14 => Self::AppendAll,
@@ -67,45 +69,45 @@
     }
 }
 
-/// A turn that may have handed something out.
+/// A turn that may have delivered tokens.
 #[derive(Clone, Debug)]
 struct Turn {
     id: String,
     attempt: u64,
-    /// What it may hand out.
+    /// Tokens that the turn may deliver now.
     allowed: u64,
-    /// What it handed out.
+    /// Tokens that the turn has delivered.
     tokens: u64,
-    /// It ended with that, and its client has seen so or its gateway can tell.
+    /// Whether the turn ended with these tokens, as seen by its client or reported by its gateway.
     ended: bool,
-    /// Appends after which it may hand out all of its most.
+    /// Number of appends after which the turn may deliver its maximum.
     durable_at: usize,
-    /// Appends after which its end is recorded.
+    /// Number of appends after which the end of the turn is recorded.
     recorded_at: usize,
     gateway_lives: bool,
-    line: Option<String>,
-    standing: Standing,
+    session: Option<String>,
+    wait_state: WaitState,
 }
 
-pub struct World {
+pub struct Simulation {
     pub budget: u64,
     now_ms: u64,
     owner: Partition,
-    formers: Vec<Partition>,
+    former_owners: Vec<Partition>,
     keeps_context: bool,
     log: BTreeMap<Vec<u8>, Vec<u8>>,
     queue: VecDeque<Record>,
     turns: Vec<Turn>,
-    questions: Vec<Question>,
+    requests: Vec<DelayedRequest>,
     next_turn: u64,
     appended: usize,
     queued: usize,
-    /// What the losses so far leave of the budget at least.
-    room: u64,
+    /// Part of the budget that remains usable after the losses so far, at least.
+    guaranteed_budget: u64,
     pub losses: u32,
 }
 
-impl World {
+impl Simulation {
     pub fn new(keeps_context: bool) -> Self {
         Self::with_budget(keeps_context, BUDGET)
     }
@@ -115,44 +117,48 @@
             budget,
             now_ms: NOW_MS,
             owner: Partition::default(),
-            formers: Vec::new(),
+            former_owners: Vec::new(),
             keeps_context,
             log: BTreeMap::new(),
             queue: VecDeque::new(),
             turns: Vec::new(),
-            questions: Vec::new(),
+            requests: Vec::new(),
             next_turn: 0,
             appended: 0,
             queued: 0,
-            room: budget,
+            guaranteed_budget: budget,
             losses: 0,
         }
     }
 
-    /// Tokens that the program can have used at its most.
-    pub fn used(&self) -> u64 {
+    /// Tokens that the program may have used, at most.
+    pub fn max_used_tokens(&self) -> u64 {
         let of_turn = |turn: &Turn| match turn.ended {
             true => turn.tokens,
-            false => MOST,
+            false => MAX_TOKENS,
         };
         let turns: u64 = self.turns.iter().map(of_turn).sum();
-        let questions: u64 = self.questions.iter().map(Question::used).sum();
-        turns + questions
+        let requests: u64 = self
+            .requests
+            .iter()
+            .map(DelayedRequest::max_used_tokens)
+            .sum();
+        turns + requests
     }
 
-    pub fn handed_out(&self) -> u64 {
+    pub fn delivered_tokens(&self) -> u64 {
         self.turns.iter().map(|turn| turn.tokens).sum()
     }
 
-    /// A refusal is right if the budget does not hold the turn beside those that are waited
-    /// for, or the losses may have hidden so much.
+    /// A refusal is justified if the budget has no room for the turn beside the awaited ones, or if
+    /// the losses may have hidden as much.
     fn may_refuse(&self) -> bool {
-        !self.may_grant() || self.used() > self.room
+        !self.may_grant() || self.max_used_tokens() > self.guaranteed_budget
     }
 
-    /// A turn may begin only where the budget holds it beside those that are waited for.
+    /// A turn may be granted only if the budget has room for it beside the awaited ones.
     fn may_grant(&self) -> bool {
-        self.waited_for() + MOST <= self.budget
+        self.awaited_tokens() + MAX_TOKENS <= self.budget
     }
 
     pub fn counted(&self) -> u64 {
@@ -160,9 +166,9 @@
             .committed_tokens(&QualifiedName::new(None, PROGRAM))
     }
 
-    /// An owner that knows the program counts all that was handed out of it, by whomever.
-    pub fn counts_all(&self) -> bool {
-        self.owner.program_count() == 0 || self.counted() >= self.handed_out()
+    /// An owner that knows the program counts all its delivered tokens, whoever granted them.
+    pub fn counts_all_delivered(&self) -> bool {
+        self.owner.program_count() == 0 || self.counted() >= self.delivered_tokens()
     }
 
     fn push(&mut self, records: Vec<Record>) {
@@ -170,59 +176,69 @@
         self.queue.extend(records);
     }
 
-    fn request(&mut self) -> OpenTurn {
+    fn next_request(&mut self) -> OpenTurn {
         let turn = format!("t{}", self.next_turn);
-        let line = LINES[self.next_turn as usize % LINES.len()];
+        let session = SESSIONS[self.next_turn as usize % SESSIONS.len()];
         self.next_turn += 1;
         OpenTurn {
             tenant: None,
             turn,
             attempt: self.next_turn,
             program: PROGRAM.to_owned(),
-            session: line.map(str::to_owned),
+            session: session.map(str::to_owned),
             previous: None,
             wants_chain: self.keeps_context,
             keeps_context: self.keeps_context,
             supplies_chain: false,
             budget: Some(self.budget),
-            max_tokens: MOST,
+            max_tokens: MAX_TOKENS,
             placement: None,
             home_partition: None,
         }
     }
 
-    /// Begins a turn. False if it was refused.
+    /// Opens a turn. Returns false if it was refused.
     pub fn open(&mut self) -> bool {
-        let request = self.request();
+        let request = self.next_request();
         let outcome = self.owner.open(&request, self.now_ms);
-        self.pass(&request);
+        self.supersede(&request);
         let OpenOutcome::Opened {
             allowed, records, ..
         } = outcome
         else {
             return false;
         };
-        assert!(self.may_grant(), "granted beside {}", self.waited_for());
+        assert!(
+            self.may_grant(),
+            "granted with {} awaited tokens",
+            self.awaited_tokens()
+        );
         self.push(records);
-        self.begun(request, allowed, self.queued, Standing::WaitedFor);
+        self.start_turn(request, allowed, self.queued, WaitState::Awaited);
         true
     }
 
-    /// What a former owner grants goes out at once or never: it can append nothing.
+    /// A former owner cannot append, so its grants start at once or never.
     fn open_at_former(&mut self, which: u8) {
-        let request = self.request();
-        let Some(index) = usize::from(which).checked_rem(self.formers.len()) else {
+        let request = self.next_request();
+        let Some(index) = usize::from(which).checked_rem(self.former_owners.len()) else {
             return;
         };
-        let outcome = self.formers[index].open(&request, self.now_ms);
+        let outcome = self.former_owners[index].open(&request, self.now_ms);
         if let OpenOutcome::Opened { allowed, .. } = outcome
             && allowed > 0
         {
-            self.begun(request, allowed, usize::MAX, Standing::Untold);
+            self.start_turn(request, allowed, usize::MAX, WaitState::Unconfirmed);
         }
     }
 
-    fn begun(&mut self, request: OpenTurn, allowed: u64, durable_at: usize, standing: Standing) {
+    fn start_turn(
+        &mut self,
+        request: OpenTurn,
+        allowed: u64,
+        durable_at: usize,
+        wait_state: WaitState,
+    ) {
         self.turns.push(Turn {
             id: request.turn,
             attempt: request.attempt,
@@ -232,8 +248,8 @@
             durable_at,
             recorded_at: usize::MAX,
             gateway_lives: true,
-            line: request.session,
-            standing,
+            session: request.session,
+            wait_state,
         });
     }
 
@@ -244,7 +260,7 @@
         Some(running.swap_remove(index))
     }
 
-    fn hand_out(&mut self, which: u8, part: u8) {
+    fn deliver(&mut self, which: u8, part: u8) {
         if let Some(turn) = self.running(which) {
             let left = turn.allowed - turn.tokens;
             turn.tokens += left * u64::from(part) / 255;
@@ -252,31 +268,31 @@
     }
 
     fn close(&mut self, which: u8, part: u8) {
-        self.hand_out(which, part);
+        self.deliver(which, part);
         let Some(turn) = self.running(which) else {
             return;
         };
         turn.ended = true;
         let (id, attempt, tokens) = (turn.id.clone(), turn.attempt, turn.tokens);
-        self.tell_end(&id, attempt, tokens);
+        self.report_end(&id, attempt, tokens);
     }
 
-    /// Ends the turn under way with so many tokens, which it has to be allowed.
-    pub fn end_with(&mut self, tokens: u64) {
+    /// Ends the running turn with this many tokens, which it must be allowed to deliver.
+    pub fn end_with_tokens(&mut self, tokens: u64) {
         let turn = self.running(0).expect("a turn under way");
         assert!(turn.allowed >= tokens, "{turn:?}");
         turn.tokens = tokens;
         self.close(0, 0);
     }
 
-    fn tell_end(&mut self, id: &str, attempt: u64, tokens: u64) {
+    fn report_end(&mut self, id: &str, attempt: u64, tokens: u64) {
         let request = CloseTurn {
             tenant: None,
             turn: id.to_owned(),
             attempt,
             program: PROGRAM.to_owned(),
             budget: Some(self.budget),
-            max_tokens: MOST,
+            max_tokens: MAX_TOKENS,
             tokens,
             content: self.keeps_context.then(|| TurnContent {
                 previous: None,
@@ -306,7 +322,7 @@
         let appended = self.appended;
         for turn in &mut self.turns {
             if turn.durable_at <= appended {
-                turn.allowed = MOST;
+                turn.allowed = MAX_TOKENS;
             }
         }
     }
@@ -317,7 +333,7 @@
         }
     }
 
-    fn read_back(&mut self) {
+    fn load_log(&mut self) {
         for (key, value) in &self.log {
             let record = Record::decode(key, value).expect("a record as it was written");
             self.owner.load(record);
@@ -327,61 +343,61 @@
         self.push(records);
     }
 
-    /// What one more owner may have reserved ahead is gone.
+    /// Accounts for what one more owner may have reserved ahead.
     fn count_loss(&mut self) {
         self.losses += 1;
         let hidden = match (self.losses, self.keeps_context) {
-            // Half of the budget of a program that had no record.
-            (1, _) | (_, false) => MOST.max(self.room / 2),
-            (_, true) => MOST,
+            // Half of the budget if the program had no record.
+            (1, _) | (_, false) => MAX_TOKENS.max(self.guaranteed_budget / 2),
+            (_, true) => MAX_TOKENS,
         };
-        self.room = self.room.saturating_sub(hidden);
+        self.guaranteed_budget = self.guaranteed_budget.saturating_sub(hidden);
     }
 
-    /// Takes nothing of a program that the owner knows. One that it does not know may have used
-    /// what unknown programs are given in doubt.
+    /// Costs nothing for a program that the owner knows. A program that it does not know may have
+    /// used the share that is granted in the uncertainty window.
     fn hand_over(&mut self) {
         let is_known = self.owner.program_count() > 0;
         let records = self.owner.handover_records();
         self.push(records);
         self.append_all();
-        let doubt_ms = self.owner.uncertainty_ms(self.now_ms);
-        self.owner = Partition::after_handover(self.now_ms, doubt_ms);
+        let uncertainty_ms = self.owner.uncertainty_ms(self.now_ms);
+        self.owner = Partition::after_handover(self.now_ms, uncertainty_ms);
         if !is_known {
             self.count_loss();
         }
-        self.read_back();
-        self.trust_recorded();
+        self.load_log();
+        self.confirm_recorded();
     }
 
     fn lose_gateway(&mut self, which: u8) {
         if let Some(turn) = self.running(which) {
             turn.gateway_lives = false;
             let attempt = turn.attempt;
-            self.lose_asker(attempt);
+            self.lose_requester(attempt);
         }
     }
 
     fn lose_owner(&mut self, gateways_live: bool) {
         let former = std::mem::replace(
             &mut self.owner,
-            Partition::after_loss(self.now_ms, DOUBT_MS),
+            Partition::after_loss(self.now_ms, UNCERTAINTY_MS),
         );
         if gateways_live {
-            self.formers.push(former);
+            self.former_owners.push(former);
         }
         self.queue.clear();
         self.queued = self.appended;
         self.count_loss();
         let appended = self.appended;
-        // What was allowed nothing has handed out nothing; it asks again.
-        let has_begun = |turn: &Turn| turn.allowed > 0 || turn.recorded_at <= appended;
+        // A turn without allowed tokens has delivered none, and is requested again.
+        let has_started = |turn: &Turn| turn.allowed > 0 || turn.recorded_at <= appended;
         let turns = std::mem::take(&mut self.turns).into_iter();
-        let (begun, never_begun): (Vec<Turn>, Vec<Turn>) = turns.partition(has_begun);
-        self.turns = begun;
-        self.lose_questions(gateways_live, &never_begun);
-        self.doubt_all();
-        let mut told_again = Vec::new();
+        let (started, never_started): (Vec<Turn>, Vec<Turn>) = turns.partition(has_started);
+        self.turns = started;
+        self.lose_requests(gateways_live, &never_started);
+        self.mark_all_unconfirmed();
+        let mut repeated_ends = Vec::new();
         for turn in &mut self.turns {
             turn.gateway_lives &= gateways_live;
             if turn.durable_at > appended {
@@ -389,19 +405,19 @@
             }
             if turn.ended && turn.recorded_at > appended {
                 match turn.gateway_lives {
-                    true => told_again.push((turn.id.clone(), turn.attempt, turn.tokens)),
-                    // No client has seen its end: it waited for the record.
+                    true => repeated_ends.push((turn.id.clone(), turn.attempt, turn.tokens)),
+                    // No client has seen this end, because it waited for the record.
                     false => turn.ended = false,
                 }
             }
         }
-        self.read_back();
-        for (id, attempt, tokens) in told_again {
-            self.tell_end(&id, attempt, tokens);
+        self.load_log();
+        for (id, attempt, tokens) in repeated_ends {
+            self.report_end(&id, attempt, tokens);
         }
     }
 
-    /// Does a step. False if a turn was refused that has to be granted.
+    /// Executes a step. Returns false if a turn was refused without justification.
     pub fn step(&mut self, step: Step) -> bool {
         match step {
             Step::Open => {
@@ -409,7 +425,7 @@
                 return self.open() || may_refuse;
             }
             Step::OpenAtFormer(which) => self.open_at_former(which),
-            Step::HandOut(which, part) => self.hand_out(which, part),
+            Step::Deliver(which, part) => self.deliver(which, part),
             Step::Close(which, part) => self.close(which, part),
             Step::Append => self.append(),
             Step::AppendAll => self.append_all(),
@@ -417,7 +433,7 @@
             Step::LoseOwner => self.lose_owner(true),
             Step::LoseAll => self.lose_owner(false),
             Step::LoseGateway(which) => self.lose_gateway(which),
-            Step::Question(step) => return self.step_question(step),
+            Step::Request(step) => return self.step_request(step),
         }
         true
     }
