--- a/crates/ledger/tests/chain_fuzz.rs
+++ b/crates/ledger/tests/chain_fuzz.rs
@@ -1,7 +1,7 @@
-//! Chains of turns over changes of owner, against an oracle that keeps each turn's
-//! prompt and output: a chain holds exactly its own inputs and outputs, and a turn
-//! whose end was acknowledged is known within its retention. Tenants use the same names
-//! for their turns; none ever goes on from a turn of another.
+//! Chains of turns across changes of owner, checked against an oracle that keeps the prompt and
+//! output of each turn. A chain contains exactly its own inputs and outputs, and a turn whose end
+//! was acknowledged is known during its retention. Tenants use the same turn ids, and a turn never
+//! continues a turn of another tenant.
 
 use fieldhook_ledger::message::{CloseTurn, OpenTurn, TurnContent};
 use fieldhook_ledger::name::QualifiedName;
@@ -11,24 +11,24 @@
 use std::collections::BTreeMap;
 
 const RETENTION_MS: u64 = 60_000;
-/// Nobody's requests, and those of two tenants.
+/// Requests without a tenant, and those of two tenants.
 const TENANTS: [Option<&str>; 3] = [None, Some("a"), Some("b")];
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// A turn begins after one of the acknowledged ones, or anew.
+    /// A turn continues an acknowledged one, or starts a chain.
     Turn {
         tenant: usize,
         after: Option<u8>,
         acknowledged: bool,
     },
-    /// A turn names one that only other tenants have.
-    Foreign { tenant: usize },
-    /// A turn names one that never was.
-    Unknown,
-    /// A new owner begins from the log.
+    /// A turn names a previous turn that only other tenants have.
+    ContinueForeign { tenant: usize },
+    /// A turn names a previous turn that does not exist.
+    ContinueUnknown,
+    /// A new owner loads the log.
     ChangeOwner,
-    /// Time passes, in seconds; what is over its time is deleted.
+    /// Time passes (in seconds), and expired state is deleted.
     Wait(u8),
 }
 
@@ -41,30 +41,30 @@
                 after: Option::arbitrary(g),
                 acknowledged: u8::arbitrary(g) % 5 > 0,
             },
-            6 => Self::Unknown,
+            6 => Self::ContinueUnknown,
             7..=8 => Self::ChangeOwner,
-            9 => Self::Foreign { tenant },
+            9 => Self::ContinueForeign { tenant },
             _ => Self::Wait(u8::arbitrary(g) % 30),
         }
     }
 }
 
-struct Known {
+struct KnownTurn {
     turn: String,
     contents: Vec<u8>,
     ended_ms: u64,
 }
 
 #[derive(Default)]
-struct World {
+struct Simulation {
     owner: Partition,
     log: BTreeMap<Vec<u8>, Vec<u8>>,
-    known: [Vec<Known>; TENANTS.len()],
+    known: [Vec<KnownTurn>; TENANTS.len()],
     now_ms: u64,
-    next: [u64; TENANTS.len()],
+    next_turn: [u64; TENANTS.len()],
 }
 
-impl World {
+impl Simulation {
     fn append(&mut self, records: &[Record]) {
         for record in records {
             let value = record.value();
@@ -95,9 +95,9 @@
         self.owner.open(&request, self.now_ms)
     }
 
-    fn turn(&mut self, tenant: usize, after: Option<u8>, acknowledged: bool) -> bool {
-        let turn = format!("t{}", self.next[tenant]);
-        self.next[tenant] += 1;
+    fn run_turn(&mut self, tenant: usize, after: Option<u8>, acknowledged: bool) -> bool {
+        let turn = format!("t{}", self.next_turn[tenant]);
+        self.next_turn[tenant] += 1;
         let known = &self.known[tenant];
         let previous = after
             .and_then(|index| usize::from(index).checked_rem(known.len()))
@@ -105,12 +105,12 @@
         let expected = previous
             .map(|known| known.contents.clone())
             .unwrap_or_default();
-        let fresh = previous.is_none_or(|known| self.now_ms < known.ended_ms + RETENTION_MS);
+        let is_retained = previous.is_none_or(|known| self.now_ms < known.ended_ms + RETENTION_MS);
         let name = previous.map(|known| known.turn.clone());
         let chain = match self.open(tenant, &turn, name.clone()) {
             OpenOutcome::Opened { chain, .. } => chain,
-            // Over its retention a turn may be forgotten, never within it.
-            _ => return !fresh,
+            // A turn may be forgotten after its retention, but never before.
+            _ => return !is_retained,
         };
         if chain != expected {
             return false;
@@ -149,7 +149,8 @@
         };
         let records = self.owner.close(&close, self.now_ms);
         if !acknowledged {
-            // The owner is lost before the append: the client never gets the end.
+            // The owner is lost before the append, so the client never gets the end of the
+            // response.
             self.change_owner();
             return;
         }
@@ -157,21 +158,21 @@
         let mut contents = chain;
         contents.extend_from_slice(&input);
         contents.extend_from_slice(&output);
-        self.known[tenant].push(Known {
+        self.known[tenant].push(KnownTurn {
             turn: turn.to_owned(),
             contents,
             ended_ms: self.now_ms,
         });
     }
 
-    /// Goes on from a turn of the tenant that has the most of them. One that this tenant has
-    /// a turn of the same name for is passed over.
-    fn foreign(&mut self, tenant: usize) -> bool {
-        let other = (0..TENANTS.len()).max_by_key(|other| self.next[*other]);
-        let Some(number) = other.and_then(|other| self.next[other].checked_sub(1)) else {
+    /// Tries to continue a turn of the tenant that has the most turns. Does nothing if this tenant
+    /// has a turn with the same id.
+    fn continue_foreign(&mut self, tenant: usize) -> bool {
+        let other = (0..TENANTS.len()).max_by_key(|other| self.next_turn[*other]);
+        let Some(number) = other.and_then(|other| self.next_turn[other].checked_sub(1)) else {
             return true;
         };
-        if number < self.next[tenant] {
+        if number < self.next_turn[tenant] {
             return true;
         }
         self.open(tenant, "x", Some(format!("t{number}"))) == OpenOutcome::UnknownTurn
@@ -193,9 +194,9 @@
                 tenant,
                 after,
                 acknowledged,
-            } => self.turn(tenant, after, acknowledged),
-            Step::Foreign { tenant } => self.foreign(tenant),
-            Step::Unknown => {
+            } => self.run_turn(tenant, after, acknowledged),
+            Step::ContinueForeign { tenant } => self.continue_foreign(tenant),
+            Step::ContinueUnknown => {
                 self.open(0, "x", Some("never".to_owned())) == OpenOutcome::UnknownTurn
             }
             Step::ChangeOwner => {
@@ -212,9 +213,9 @@
     }
 }
 
-fn chains_hold(steps: Vec<Step>) -> bool {
-    let mut world = World::default();
-    steps.into_iter().all(|step| world.step(step))
+fn chains_match(steps: Vec<Step>) -> bool {
+    let mut simulation = Simulation::default();
+    steps.into_iter().all(|step| simulation.step(step))
 }
 
 #[test]
@@ -222,15 +223,15 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(80, 31))
         .tests(3_000)
-        .quickcheck(chains_hold as fn(Vec<Step>) -> bool);
+        .quickcheck(chains_match as fn(Vec<Step>) -> bool);
 }
 
 #[test]
 fn cycle_in_a_corrupt_chain_terminates() {
     let mut owner = Partition::default();
-    let mut world = World::default();
-    world.turn(0, None, true);
-    for (key, value) in &world.log {
+    let mut simulation = Simulation::default();
+    simulation.run_turn(0, None, true);
+    for (key, value) in &simulation.log {
         if let Ok(Record::Turn(name, Some(mut record))) = Record::decode(key, value) {
             record.previous = Some(name.name.clone());
             owner.load(Record::Turn(name, Some(record)));
