--- a/crates/gateway/src/http/body.rs
+++ b/crates/gateway/src/http/body.rs
@@ -1,35 +1,35 @@
-//! Framing of bodies.
+//! Decoding of message bodies.
 
 use bytes::{Buf, Bytes, BytesMut};
 
-/// Longest line of a chunk's size or of a trailer, in bytes.
+/// Longest chunk-size line or trailer line accepted, in bytes.
 const MAX_LINE_BYTES: usize = 4_096;
 
-/// How the end of a body is found.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
     /// No body.
     Empty,
-    /// A number of bytes.
+    /// `Content-Length` with this many bytes.
     Length(u64),
-    /// Chunks.
+    /// `Transfer-Encoding: chunked`.
     Chunked,
-    /// All bytes until the peer closes.
+    /// The body ends when the peer closes the connection.
     UntilClose,
 }
 
-/// What the bytes at hand hold.
+/// Result of decoding the buffered bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Piece {
-    /// Part of the body.
+    /// Bytes of the body.
     Data(Bytes),
-    /// The body is whole.
+    /// The body is complete.
     End,
-    /// More bytes are needed.
+    /// More input is needed.
     Incomplete,
 }
 
-/// Bytes that are no chunk.
+/// The input is not valid chunked encoding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InvalidFraming;
 
@@ -42,7 +42,7 @@
     Done,
 }
 
-/// Takes a body off a buffer piece by piece.
+/// Incremental decoder for one message body.
 #[derive(Clone, Debug)]
 pub struct BodyDecoder {
     framing: Framing,
@@ -51,7 +51,7 @@
 }
 
 impl BodyDecoder {
-    /// A decoder at the start of a body.
+    /// Creates a decoder positioned at the start of a body.
     pub fn new(framing: Framing) -> Self {
         let remaining = match framing {
             Framing::Length(length) => length,
@@ -64,20 +64,20 @@
         }
     }
 
-    /// How the end of the body is found.
+    /// Returns how the end of the body is determined.
     pub fn framing(&self) -> Framing {
         self.framing
     }
 
-    /// Whether the end is where the peer closes.
+    /// Returns whether the body ends when the peer closes the connection.
     pub fn ends_with_connection(&self) -> bool {
         self.framing == Framing::UntilClose
     }
 
-    /// The next piece.
+    /// Decodes the next piece from `buffer`.
     ///
     /// # Errors
-    /// The bytes are not framed as announced.
+    /// The input is not valid chunked encoding.
     pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Piece, InvalidFraming> {
         match self.framing {
             Framing::Empty => Ok(Piece::End),
@@ -148,7 +148,8 @@
     }
 }
 
-/// Takes a line off the buffer and tells its length without its end.
+/// Removes a line from the buffer and returns its length without the line ending, or `None` if the
+/// line is incomplete.
 fn skip_trailer_line(buffer: &mut BytesMut) -> Result<Option<usize>, InvalidFraming> {
     match buffer.windows(2).position(|pair| pair == b"\r\n") {
         Some(length) => {
--- a/crates/gateway/src/http/events.rs
+++ b/crates/gateway/src/http/events.rs
@@ -1,49 +1,49 @@
-//! Streams of events (`text/event-stream`).
+//! Decoding of server-sent events (`text/event-stream`).
 
 use bytes::{Bytes, BytesMut};
 
-/// One whole event.
+/// One complete event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Its bytes as they came, with the blank line behind.
+    /// Raw bytes of the event, including the blank line that ends it.
     pub raw: Bytes,
-    /// Its id, where it has a number.
+    /// The `id` field, if it is a number.
     pub id: Option<u64>,
-    /// Its data, lines joined by line feeds; `None` where it has no data.
+    /// The `data` lines joined by line feeds; `None` without a `data` field.
     pub data: Option<Vec<u8>>,
 }
 
-/// Cuts a body into whole events.
+/// Splits a body into complete events.
 #[derive(Debug, Default)]
 pub struct EventDecoder {
     buffer: BytesMut,
 }
 
 impl EventDecoder {
-    /// Adds bytes of the body.
+    /// Appends bytes of the body to the buffer.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next event that is there whole.
+    /// Returns the next complete event in the buffer.
     pub fn next_event(&mut self) -> Option<Event> {
         let end = event_end(&self.buffer)?;
         let raw = self.buffer.split_to(end).freeze();
         Some(parse_event(raw))
     }
 
-    /// Whether bytes of an unfinished event are left.
+    /// Returns whether the buffer ends with an incomplete event.
     pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Bytes of an unfinished event.
+    /// Number of bytes buffered for an incomplete event.
     pub fn partial_len(&self) -> usize {
         self.buffer.len()
     }
 }
 
-/// Position behind the blank line that ends the first event.
+/// Returns the position after the blank line that ends the first event.
 fn event_end(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (position, byte) in bytes.iter().enumerate() {
--- a/crates/gateway/src/http/head.rs
+++ b/crates/gateway/src/http/head.rs
@@ -1,4 +1,4 @@
-//! Heads of requests and answers.
+//! Parsing of request and response heads.
 
 use super::body::Framing;
 use super::headers::Headers;
@@ -7,12 +7,12 @@
 
 const MAX_FIELDS: usize = 128;
 
-/// Why a message cannot be taken.
+/// Why a message head is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeadError {
-    /// Not HTTP/1.1, or ambiguous.
+    /// The head is not valid HTTP/1.1, or is ambiguous.
     Malformed(&'static str),
-    /// The head is over the limit.
+    /// The head exceeds the size limit.
     TooLarge,
 }
 
@@ -33,34 +33,34 @@
 /// Head of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
-    /// Method as it came.
+    /// Method as received.
     pub method: String,
-    /// Path with query as it came.
+    /// Request target (path and query) as received.
     pub target: String,
-    /// Host that it names.
+    /// Value of the `Host` field.
     pub host: String,
-    /// Fields.
+    /// Header fields.
     pub headers: Headers,
-    /// How its body is framed.
+    /// How the end of the body is determined.
     pub framing: Framing,
-    /// The connection may serve another request.
+    /// Whether the connection may serve another request.
     pub keep_alive: bool,
-    /// The client waits for a go-ahead before it sends the body.
+    /// Whether the client sent `Expect: 100-continue`.
     pub expects_continue: bool,
 }
 
-/// Head of an answer.
+/// Head of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// Status.
+    /// Status code.
     pub status: u16,
     /// Reason phrase.
     pub reason: String,
-    /// Fields.
+    /// Header fields.
     pub headers: Headers,
-    /// How its body is framed.
+    /// How the end of the body is determined.
     pub framing: Framing,
-    /// The connection may serve another request.
+    /// Whether the connection may serve another request.
     pub keep_alive: bool,
 }
 
@@ -88,7 +88,7 @@
         .ok_or(HeadError::Malformed("length is not a number"))
 }
 
-/// Whether the body comes in chunks.
+/// Whether the body uses chunked transfer coding.
 fn is_chunked(headers: &Headers) -> Result<bool, HeadError> {
     let mut values = headers.get_all("transfer-encoding");
     let Some(value) = values.next() else {
@@ -102,10 +102,10 @@
     }
 }
 
-/// Takes a request's head off the buffer, once it is there whole.
+/// Parses and removes a request head from `buffer`. Returns `None` while it is incomplete.
 ///
 /// # Errors
-/// The head is malformed, ambiguous or over `limit` bytes.
+/// The head is malformed, ambiguous or larger than `limit` bytes.
 pub fn decode_request_head(
     buffer: &mut BytesMut,
     limit: usize,
@@ -158,11 +158,11 @@
     })
 }
 
-/// Takes an answer's head off the buffer, once it is there whole. Interim answers
-/// (1xx) are passed over.
+/// Parses and removes a response head from `buffer`. Returns `None` while it is incomplete. Interim
+/// responses (1xx) are skipped.
 ///
 /// # Errors
-/// The bytes form no answer.
+/// The head is malformed or larger than `limit` bytes.
 pub fn decode_response_head(
     buffer: &mut BytesMut,
     limit: usize,
--- a/crates/gateway/src/http/headers.rs
+++ b/crates/gateway/src/http/headers.rs
@@ -1,6 +1,6 @@
-//! Header fields in the order and spelling they came in.
+//! Header fields, with order and spelling preserved.
 
-/// Fields that concern one connection only; they are never passed on.
+/// Hop-by-hop fields, which are never forwarded.
 const CONNECTION_FIELDS: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -13,23 +13,23 @@
     "upgrade",
 ];
 
-/// One field.
+/// One header field.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Field {
-    /// Name as it came.
+    /// Name as received.
     pub name: String,
-    /// Value without surrounding blanks.
+    /// Value without surrounding whitespace.
     pub value: Vec<u8>,
 }
 
-/// All fields of a message.
+/// Header fields of a message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Headers {
     fields: Vec<Field>,
 }
 
 impl Headers {
-    /// Adds a field behind the others.
+    /// Appends a field.
     pub fn append(&mut self, name: &str, value: impl Into<Vec<u8>>) {
         self.fields.push(Field {
             name: name.to_owned(),
@@ -37,19 +37,19 @@
         });
     }
 
-    /// Replaces all fields of a name by one.
+    /// Replaces all fields of this name with a single one.
     pub fn set(&mut self, name: &str, value: impl Into<Vec<u8>>) {
         self.remove(name);
         self.append(name, value);
     }
 
-    /// Removes all fields of a name.
+    /// Removes all fields of this name.
     pub fn remove(&mut self, name: &str) {
         self.fields
             .retain(|field| !field.name.eq_ignore_ascii_case(name));
     }
 
-    /// The first value of a name as text.
+    /// Returns the first value of this name if it is valid UTF-8.
     pub fn text(&self, name: &str) -> Option<&str> {
         let field = self
             .fields
@@ -58,7 +58,7 @@
         std::str::from_utf8(&field.value).ok()
     }
 
-    /// All values of a name.
+    /// Returns all values of this name.
     pub fn get_all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> + 'a {
         self.fields
             .iter()
@@ -66,17 +66,17 @@
             .map(|field| field.value.as_slice())
     }
 
-    /// Whether a field of that name is there.
+    /// Returns whether a field of this name exists.
     pub fn has(&self, name: &str) -> bool {
         self.get_all(name).next().is_some()
     }
 
-    /// All fields.
+    /// Returns all fields in order.
     pub fn fields(&self) -> &[Field] {
         &self.fields
     }
 
-    /// Whether a comma-separated field holds a word.
+    /// Returns whether a comma-separated field contains this token.
     pub fn contains_token(&self, name: &str, word: &str) -> bool {
         self.get_all(name).any(|value| {
             std::str::from_utf8(value).is_ok_and(|text| {
@@ -86,7 +86,7 @@
         })
     }
 
-    /// Removes what concerns one connection only, with what `Connection` names.
+    /// Removes all hop-by-hop fields, including those listed in `Connection`.
     pub fn remove_connection_fields(&mut self) {
         let named: Vec<String> = self
             .get_all("connection")
--- a/crates/gateway/src/http/mod.rs
+++ b/crates/gateway/src/http/mod.rs
@@ -1,14 +1,14 @@
-//! HTTP/1.1 as this gateway speaks it on both sides.
+//! HTTP/1.1 for connections to clients and to servers.
 //!
-//! The library's own server and client hide what the rules of forwarding turn
-//! on (bytes behind an answer, answers without a length, which request an answer
-//! belongs to), so heads are parsed by `httparse` on connections of our own.
+//! The client and server of the HTTP library hide details that forwarding depends on (bytes after a
+//! response, responses without a length, which request a response belongs to), so this module
+//! parses heads with `httparse` and the gateway manages its own connections.
 //!
-//! - [`headers`]: header fields in the order and spelling they came in.
-//! - [`head`]: heads of requests and answers.
-//! - [`body`]: framing of bodies.
-//! - [`events`]: streams of events.
-//! - [`write`]: writing heads and chunks.
+//! - [`headers`]: header fields, with order and spelling preserved.
+//! - [`head`]: parsing of request and response heads.
+//! - [`body`]: decoding of message bodies.
+//! - [`events`]: decoding of server-sent events.
+//! - [`write`]: encoding of heads and chunks.
 
 pub mod body;
 pub mod events;
--- a/crates/gateway/src/http/write.rs
+++ b/crates/gateway/src/http/write.rs
@@ -1,4 +1,4 @@
-//! Writing heads and chunks.
+//! Encoding of heads and chunks.
 
 use super::headers::Headers;
 use std::io::Write;
@@ -12,7 +12,7 @@
     }
 }
 
-/// A request with its whole body behind a length.
+/// Encodes a request with its complete body.
 pub fn request(method: &str, target: &str, headers: &Headers, body: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(512 + body.len());
     let _ = write!(bytes, "{method} {target} HTTP/1.1\r\n");
@@ -25,16 +25,16 @@
     bytes
 }
 
-/// How an answer's body is framed.
+/// How the body of a response is framed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseFraming {
-    /// This many bytes.
+    /// `Content-Length` with this many bytes.
     Length(usize),
-    /// Chunks.
+    /// Chunked transfer coding.
     Chunked,
 }
 
-/// Head of an answer.
+/// Encodes the head of a response.
 pub fn response_head(
     status: u16,
     reason: &str,
@@ -59,7 +59,7 @@
     bytes
 }
 
-/// One chunk.
+/// Encodes one chunk.
 pub fn chunk(data: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(data.len() + 16);
     let _ = write!(bytes, "{:x}\r\n", data.len());
@@ -68,10 +68,10 @@
     bytes
 }
 
-/// The chunk that ends a body.
+/// The last chunk, which ends a chunked body.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// Reason phrase of the gateway's own answers.
+/// Returns the reason phrase for responses that the gateway generates.
 pub fn reason(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -1,8 +1,7 @@
 //! Connections to servers and the pools that keep them.
 //!
-//! Place in the request path: [`crate::serve`] takes a connection here for each
-//! attempt. A connection goes back to its pool only when nothing about it is in
-//! doubt, so that an answer never reaches another request.
+//! [`crate::serve`] acquires a connection from a pool for each attempt. A connection returns to its
+//! pool only if its state is certain, so that a response is never delivered to the wrong request.
 
 pub mod connection;
 pub mod pool;
--- a/crates/gateway/src/upstream/connection.rs
+++ b/crates/gateway/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a server, serving one request at a time.
+//! A connection to a server, which handles one request at a time.
 
 use crate::dialect::{AnswerMeta, Dialect};
 use crate::http::body::{BodyDecoder, Piece};
@@ -13,28 +13,28 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout};
 
-/// Largest head of an answer, in bytes.
+/// Maximum size of a response head, in bytes.
 const RESPONSE_HEAD_LIMIT: usize = 64 << 10;
-/// Unacknowledged bytes end a connection after this time: a cut says nothing.
+/// `TCP_USER_TIMEOUT`: closes a connection whose data stays unacknowledged this long, because a
+/// network partition produces no error.
 const USER_TIMEOUT: Duration = Duration::from_secs(3);
-/// Answers of other requests that are passed over before a connection is given up.
+/// Number of responses to other requests that are skipped before the connection is abandoned.
 const MAX_FOREIGN_RESPONSES: u32 = 3;
 const READ_SIZE: usize = 16 << 10;
 
-/// Why an exchange brought no answer. Once anything was written, the request may
-/// have run.
+/// Why an exchange yielded no response. Once any byte was written, the request may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExchangeError {
-    /// The connection ended before an answer.
+    /// The connection ended before a response arrived.
     ConnectionLost,
-    /// The bytes form no answer.
+    /// The received bytes are not a valid response.
     InvalidResponse,
-    /// The server's machine lets itself be reached no more.
+    /// The machine of the server can no longer be reached.
     ServerSilent,
 }
 
 impl ExchangeError {
-    /// Name for logs.
+    /// Name for logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::ConnectionLost => "lost",
@@ -44,25 +44,25 @@
     }
 }
 
-/// The head of an answer with what the adapter reads in it.
+/// The head of a response and the meaning of its fields for the dialect.
 #[derive(Debug)]
 pub struct ServerResponse {
-    /// Head.
+    /// Parsed head.
     pub head: ResponseHead,
-    /// Meaning of its fields.
+    /// What the dialect reads from the header fields.
     pub meta: AnswerMeta,
-    /// Reads its body.
+    /// Decoder for the body.
     pub body: BodyDecoder,
 }
 
-/// A request as it goes to a server.
+/// An encoded request to a server.
 #[derive(Clone, Copy, Debug)]
 pub struct OutgoingRequest<'a> {
-    /// Method, for the framing of the answer.
+    /// Method, which the framing of the response depends on.
     pub method: &'a str,
-    /// Identity that the answer has to carry.
+    /// Request id that the response must carry.
     pub id: &'a str,
-    /// Head and body.
+    /// Encoded head and body.
     pub bytes: &'a [u8],
 }
 
@@ -71,21 +71,21 @@
     stream: TcpStream,
     buffer: BytesMut,
     reusable: bool,
-    /// When the last answer was whole.
+    /// When the last response was complete.
     pub idle_since: Instant,
-    /// How long it had been idle when it was taken for its present request.
+    /// How long the connection was idle before the current request.
     pub idle_before_use: Duration,
-    /// How long the server keeps it while idle.
+    /// How long the connection may be idle before it is no longer used.
     pub idle_limit: Duration,
-    /// It has served a request before.
+    /// Whether the connection has served a request before.
     pub has_served: bool,
 }
 
 impl ServerConnection {
-    /// Connects.
+    /// Opens a connection.
     ///
     /// # Errors
-    /// Nothing listens there, or nothing answers within `limit`.
+    /// The connection is refused or not established within `limit`.
     pub async fn connect(address: SocketAddr, limit: Duration) -> io::Result<Self> {
         let stream = timeout(limit, TcpStream::connect(address))
             .await
@@ -102,7 +102,7 @@
         })
     }
 
-    /// Whether nothing has happened on it while it was idle: no close, no bytes.
+    /// Returns whether the server has neither closed the idle connection nor sent anything on it.
     pub fn has_no_input(&self) -> bool {
         let mut byte = [MaybeUninit::<u8>::uninit()];
         let peeked = SockRef::from(&self.stream).peek(&mut byte);
@@ -111,27 +111,27 @@
         would_block && self.buffer.is_empty()
     }
 
-    /// Whether the next request may use it.
+    /// Returns whether the connection may serve another request.
     pub fn is_reusable(&self) -> bool {
         self.reusable && self.buffer.is_empty()
     }
 
-    /// It would_block for its next request, and takes no memory meanwhile.
+    /// Marks the connection as idle and frees its read buffer.
     pub fn mark_idle(&mut self) {
         self.buffer = BytesMut::new();
         self.idle_since = Instant::now();
     }
 
-    /// Never use it again.
+    /// Excludes the connection from further use.
     pub fn mark_unusable(&mut self) {
         self.reusable = false;
     }
 
-    /// Sends a request and reads the head of its answer. Late answers of other
-    /// requests are passed over.
+    /// Sends a request and reads the head of the response. Late responses to other requests are
+    /// skipped.
     ///
     /// # Errors
-    /// No answer came; the request may have run.
+    /// No response arrived; the request may have run.
     pub async fn exchange(
         &mut self,
         outgoing: &OutgoingRequest<'_>,
@@ -178,7 +178,7 @@
             tokio::select! {
                 sent = writer.write(unsent), if !unsent.is_empty() => match sent {
                     Ok(size) if size > 0 => *written += size,
-                    // The answer may be on its way although the rest is not taken.
+                    // The server may respond without having read the rest of the request.
                     _ => self.reusable = false,
                 },
                 read = reader.read_buf(&mut self.buffer) => match read {
@@ -197,10 +197,10 @@
         }
     }
 
-    /// The next piece of an answer's body; [`Piece::Incomplete`] is never returned.
+    /// Reads the next piece of a response body. Never returns [`Piece::Incomplete`].
     ///
     /// # Errors
-    /// The body broke off.
+    /// The body ended early or is malformed.
     pub async fn next_piece(&mut self, body: &mut BodyDecoder) -> Result<Piece, ExchangeError> {
         loop {
             match body.next(&mut self.buffer) {
@@ -217,10 +217,10 @@
         }
     }
 
-    /// Reads a body whole.
+    /// Reads a complete body.
     ///
     /// # Errors
-    /// The body broke off or is over `limit`.
+    /// The body ended early, is malformed or exceeds `limit` bytes.
     pub async fn read_body(
         &mut self,
         body: &mut BodyDecoder,
@@ -240,7 +240,7 @@
     }
 }
 
-/// Sets what every connection of this daemon has.
+/// Sets the socket options used for every TCP connection of the daemon.
 pub fn configure_socket(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let _ = SockRef::from(stream).set_tcp_user_timeout(Some(USER_TIMEOUT));
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections, requests under way and health of each server.
+//! Idle connections, requests in flight and health of each server.
 
 use super::connection::ServerConnection;
 use crate::metrics::Metrics;
@@ -12,14 +12,14 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A connection that does not come about in this time counts as refused.
+/// A connection that is not established within this time counts as failed.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Idle time allowed where a server does not tell its own.
+/// Idle time allowed if the server does not announce a keep-alive time.
 const DEFAULT_IDLE_LIMIT: Duration = Duration::from_millis(300);
-/// Part of a server's idle time after which a connection is not used any more:
-/// a close by the server must not cross a request that may not be repeated.
+/// Fraction of the keep-alive time announced by a server after which a connection is no longer
+/// used: the server must not close it while a request that cannot be retried is being sent.
 const IDLE_LIMIT_FACTOR: f64 = 0.88;
-/// Idle connections is_known to one server.
+/// Maximum number of idle connections to one server.
 const MAX_IDLE_PER_SERVER: usize = 16;
 
 #[derive(Default)]
@@ -28,20 +28,20 @@
     in_flight: u32,
     health: Health,
     rest: Rest,
-    /// When its machine answered a try last.
+    /// When the machine of the server last answered a probe.
     last_probe_answer: Option<Instant>,
 }
 
-/// All servers' pools.
+/// Connection pools and health state of all servers.
 #[derive(Default)]
 pub struct Pools {
     servers: RefCell<HashMap<String, ServerState>>,
     silence: RefCell<Silence>,
-    /// Servers that are being tried.
+    /// Servers that are being probed.
     probing: RefCell<HashSet<String>>,
 }
 
-/// A server is being tried until this is dropped.
+/// Marks a server as being probed until dropped.
 pub struct ProbeGuard<'a> {
     pools: &'a Pools,
     id: String,
@@ -53,7 +53,7 @@
     }
 }
 
-/// Counts a request as under way at a server until it is dropped.
+/// Counts a request as in flight at a server until dropped.
 pub struct InFlightGuard {
     pools: Rc<Pools>,
     id: String,
@@ -67,21 +67,21 @@
     }
 }
 
-/// What the pools know about a server.
+/// Current state of a server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServerStatus {
-    /// Requests under way.
+    /// Number of requests in flight.
     pub in_flight: u32,
-    /// It is passed over for now.
+    /// The server is currently not chosen for requests.
     pub avoided: bool,
-    /// Its last attempt failed.
+    /// The last attempt at the server failed.
     pub unsound: bool,
-    /// An idle connection waits.
+    /// An idle connection is available.
     pub has_idle_connection: bool,
 }
 
 impl Pools {
-    /// What is known about a server.
+    /// Returns the current state of a server.
     pub fn status(&self, id: &str, zone: &str, now_ms: u64) -> ServerStatus {
         let servers = self.servers.borrow();
         let in_doubt = self.silence.borrow().is_in_doubt(id, zone, now_ms);
@@ -98,42 +98,44 @@
         }
     }
 
-    /// Something came from a server's machine. True if it had been silent.
+    /// Records that the machine of a server responded. Returns true if it had been silent.
     pub fn mark_responsive(&self, server: &ServerEntry, now_ms: u64) -> bool {
         let mut silence = self.silence.borrow_mut();
         silence.heard(&server.id, &server.zone, now_ms)
     }
 
-    /// A connection to a server did not come about in time. True if it is silent from now on.
+    /// Records that a connection to a server timed out. Returns true if the server counts as silent
+    /// from now on.
     pub fn mark_unresponsive(&self, server: &ServerEntry, now_ms: u64) -> bool {
         let mut silence = self.silence.borrow_mut();
         silence.missed(&server.id, &server.zone, now_ms)
     }
 
-    /// Whether a server's machine says nothing.
+    /// Returns whether the machine of a server counts as silent.
     pub fn is_silent(&self, id: &str, now_ms: u64) -> bool {
         self.silence.borrow().is_silent(id, now_ms)
     }
 
-    /// Whether several servers of a zone say nothing, and none of them does.
+    /// Returns whether several servers of a zone are silent and none of them responds.
     pub fn is_zone_in_doubt(&self, zone: &str, now_ms: u64) -> bool {
         self.silence.borrow().is_zone_in_doubt(zone, now_ms)
     }
 
-    /// The machine of a server answered a try.
+    /// Records that the machine of a server answered a probe.
     pub fn record_probe_answer(&self, id: &str) {
         let mut servers = self.servers.borrow_mut();
         servers.entry(id.to_owned()).or_default().last_probe_answer = Some(Instant::now());
     }
 
-    /// Whether it did within this time: all that wait for the server know by one try.
+    /// Returns whether the machine of the server answered a probe within the last `time`, so that
+    /// all requests waiting for the server share the result of one probe.
     pub fn answered_probe_within(&self, id: &str, time: Duration) -> bool {
         let servers = self.servers.borrow();
         let answered_at = servers.get(id).and_then(|state| state.last_probe_answer);
         answered_at.is_some_and(|at| at.elapsed() < time)
     }
 
-    /// Whoever tries a server holds this; `None` while another does.
+    /// Reserves the right to probe a server; `None` while another task is probing it.
     pub fn begin_probe(&self, id: &str) -> Option<ProbeGuard<'_>> {
         let is_first = self.probing.borrow_mut().insert(id.to_owned());
         is_first.then(|| ProbeGuard {
@@ -142,7 +144,7 @@
         })
     }
 
-    /// Counts a request at a server.
+    /// Counts a request as in flight at a server.
     pub fn start_request(self: &Rc<Self>, id: &str) -> InFlightGuard {
         let mut servers = self.servers.borrow_mut();
         servers.entry(id.to_owned()).or_default().in_flight += 1;
@@ -152,7 +154,7 @@
         }
     }
 
-    /// Takes in how an attempt went.
+    /// Updates the health of a server with the result of an attempt.
     pub fn observe(&self, id: &str, now_ms: u64, observation: Observation) {
         let mut servers = self.servers.borrow_mut();
         let state = servers.entry(id.to_owned()).or_default();
@@ -162,7 +164,8 @@
         }
     }
 
-    /// An idle connection was gone when it was used again after this rest.
+    /// Records that a pooled connection turned out to be closed after having been idle for
+    /// `idle_time`.
     pub fn record_stale(&self, id: &str, now_ms: u64, idle_time: Duration) {
         let mut servers = self.servers.borrow_mut();
         let state = servers.entry(id.to_owned()).or_default();
@@ -171,11 +174,11 @@
             .was_too_long(now_ms, idle_time.as_millis() as u64);
     }
 
-    /// A connection for the next request: a new one where the server's machine is in doubt,
-    /// so that nothing is sent to one that is gone.
+    /// Returns a connection for the next request. If the machine of the server is in doubt, the
+    /// connection is always new, so that no request is sent to a machine that is gone.
     ///
     /// # Errors
-    /// None came about; nothing was sent.
+    /// No connection was established; nothing was sent.
     pub async fn acquire(
         &self,
         server: &ServerEntry,
@@ -207,8 +210,8 @@
         None
     }
 
-    /// Keeps a connection whose last answer is whole. `keep_alive` is the server's idle
-    /// time, where it tells one.
+    /// Returns a connection whose last response is complete to the pool. `keep_alive` is the
+    /// keep-alive time announced by the server, if any.
     pub fn release(
         &self,
         id: &str,
@@ -228,7 +231,7 @@
         }
     }
 
-    /// Keeps a connection that nothing was sent on, as it was taken.
+    /// Returns a connection to the pool on which nothing was sent since it was acquired.
     pub fn release_unused(&self, id: &str, mut connection: ServerConnection) {
         if !connection.has_served {
             connection.idle_limit = DEFAULT_IDLE_LIMIT;
@@ -240,8 +243,8 @@
         }
     }
 
-    /// Closes idle connections that are over their time, and forgets servers that
-    /// `known` does not name.
+    /// Closes idle connections that have exceeded their limit, and removes servers for which
+    /// `known` returns false.
     pub fn sweep(&self, known: &dyn Fn(&str) -> bool, now_ms: u64) {
         self.silence.borrow_mut().retain(known, now_ms);
         let mut servers = self.servers.borrow_mut();
--- a/crates/gateway/src/upstream/probe.rs
+++ b/crates/gateway/src/upstream/probe.rs
@@ -1,5 +1,5 @@
-//! Trying whether a server's machine lets itself be reached, and waiting for a server only
-//! as long as it does. docs/design/zones-lost.md tells what was weighed.
+//! Probes whether the machine of a server can be reached, and waits for a response only as long as
+//! it can. docs/design/zones-lost.md discusses the design.
 
 use super::connection::ServerConnection;
 use crate::daemon::Daemon;
@@ -9,28 +9,28 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// A machine answers within this time or not at all: eight times the way to the farthest
-/// region and back, and below the second after which a lost packet is sent again.
+/// Timeout of a probe: eight times the round trip to the farthest region, and less than the one
+/// second after which TCP retransmits a lost packet.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
-/// A time-out that fires this much late shows that the process did not run.
+/// If a timeout fires this much late, the process itself was not running.
 const WAKEUP_TOLERANCE: Duration = Duration::from_millis(150);
-/// Nothing is tried earlier than after this much silence.
+/// Minimum silence before a server is probed.
 const MIN_PROBE_DELAY: Duration = Duration::from_millis(150);
-/// Pause while another waits for the outcome of the same try.
+/// Pause while another task probes the same server.
 const SHARED_PROBE_PAUSE: Duration = Duration::from_millis(30);
 
-/// What a try showed.
+/// Result of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeOutcome {
-    /// The machine answers, whatever its server does.
+    /// The machine responded, even if the server did not accept the connection.
     Reachable,
-    /// Nothing came back.
+    /// Nothing came back from the machine.
     Unreachable,
-    /// This process did not run: nobody can tell.
+    /// This process was not running, so the result is meaningless.
     Inconclusive,
 }
 
-/// Tries a connection to a server; one that comes about is kept for a request.
+/// Probes a server by opening a connection. A connection that is established goes to the pool.
 pub async fn probe(daemon: &Daemon, server: &ServerEntry) -> ProbeOutcome {
     let started = Instant::now();
     daemon.metrics.connections.inc();
@@ -49,7 +49,7 @@
     outcome
 }
 
-/// Whether a failed connection shows that nothing came back from the machine.
+/// Returns whether a connect error means that nothing came back from the machine.
 pub fn is_unreachable(kind: ErrorKind) -> bool {
     matches!(
         kind,
@@ -57,7 +57,7 @@
     )
 }
 
-/// Takes in what a try showed, and tells where that changes what is believed.
+/// Records the result of a probe, and logs when it changes whether the server counts as silent.
 pub fn record(daemon: &Daemon, server: &ServerEntry, outcome: ProbeOutcome) {
     let now_ms = daemon.now_ms();
     let has_changed = match outcome {
@@ -80,8 +80,8 @@
     );
 }
 
-/// Waits for what a server says next, and gives it up where its machine has gone silent:
-/// `None` stands for that. `expected` is the time after which its answers were late so far.
+/// Waits for `response`, and returns `None` if the machine of the server becomes silent first.
+/// `expected` is the time after which responses of the server have been late so far.
 pub async fn with_silence_detection<T>(
     daemon: &Daemon,
     server: &ServerEntry,
@@ -104,7 +104,7 @@
     }
 }
 
-/// Ends once a server is silent.
+/// Returns once the server counts as silent.
 async fn wait_until_silent(daemon: &Daemon, server: &ServerEntry, probe_delay: Duration) {
     sleep(probe_delay).await;
     loop {
