--- a/crates/gateway/src/serve/attempt.rs
+++ b/crates/gateway/src/serve/attempt.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Maximum size of a refusal body that is read in order to reuse the connection, in bytes. Real
-/// refusals are much shorter.
+/// Maximum size of a refusal body that is read in order to reuse the connection, in bytes. A larger
+/// body is not a refusal message.
 const MAX_REFUSAL_BODY: usize = 64 << 10;
 /// How long to wait for the rest of a refusal: several round trips between regions.
 const REFUSAL_BODY_TIMEOUT: Duration = Duration::from_millis(500);
--- a/crates/gateway/src/serve/turn.rs
+++ b/crates/gateway/src/serve/turn.rs
@@ -13,7 +13,7 @@
 /// Maximum size of the input or output in one log record, in bytes.
 pub(super) const MAX_RECORD_BYTES: usize = 200 << 10;
 
-/// A turn in progress. Dropping it reports to the ledger that it was aborted.
+/// A turn in progress. Dropping it reports its end to the ledger, unless that was done before.
 pub struct Turn {
     pub(super) ledger: Rc<LedgerClient>,
     pub(super) metrics: Rc<Metrics>,
--- a/crates/gateway/tests/gateway/abandoned.rs
+++ b/crates/gateway/tests/gateway/abandoned_turns.rs
@@ -1,13 +1,11 @@
-//! Turns whose clients leave while the owner of their program is asked.
+//! Turns whose clients leave while the gateway asks the owner of their program.
 //!
-//! What users saw: after a loss of all power a program that went on from a kept turn was told at
-//! each try, for as long as it asked, that its budget was spent, though nothing of it had run.
-//! Order of events: its first try waits for an owner that reads its partition; the owner opens
-//! the turn and reserves its most; in the same moment the client leaves, and the gateway drops
-//! the question with the request. Cause: the end of a turn was told by whoever had the owner's
-//! answer, and nobody had. Evidence: in a play of such a day just those programs were refused
-//! whose clients left before their gateway had said `turn_opened`, and those who left a moment
-//! after it were served.
+//! Guards against leaked token reservations: the client of a turn left in the moment in which the
+//! owner opened the turn and reserved its maximum tokens. The gateway dropped the question together
+//! with the request, so nobody received the response of the owner and nobody reported the end of
+//! the turn. Every later attempt of the program was refused because its budget was spent. This was
+//! observed after a loss of all power, and only for programs whose clients left before their
+//! gateway had logged `turn_opened`.
 
 use crate::support::{Act, Gateway, Server, World, run};
 use fieldhook_ledger::message::OpenTurn;
@@ -15,16 +13,16 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Holds one turn and no second one beside it.
+/// Covers one turn but not two at the same time.
 const BUDGET: &str = "Budget: 60\r\nMost: 40\r\n";
-/// Programs of one test: which of two gateways owns their partition differs.
+/// Programs per test; with this many, each of the two gateways owns some of their partitions.
 const PROGRAMS: usize = 8;
-/// An end is under way so soon after its client left, where its gateway tells one.
-const UNDER_WAY_WITHIN: Duration = Duration::from_millis(5);
-/// How long the end of a turn may take to be known.
-const KNOWN_WITHIN: Duration = Duration::from_secs(2);
+/// How soon after its client left a gateway starts to report the end of a turn, if it reports one.
+const REPORT_STARTS_WITHIN: Duration = Duration::from_millis(5);
+/// How long it may take until the end of a turn is known.
+const REPORTED_WITHIN: Duration = Duration::from_secs(2);
 
-/// Two gateways, which both have asked the owner of each partition before.
+/// Starts two gateways that have both asked the owner of each partition before.
 async fn two_gateways(world: &World, server: &Server) -> [Gateway; 2] {
     let a = world.ready(&[server]).await;
     let b = world.gateway("g2").await;
@@ -43,14 +41,14 @@
     [a, b]
 }
 
-/// Asks for a turn and leaves at once.
-async fn ask_and_leave(gateway: &Gateway, fields: &str) {
+/// Sends a request for a turn and disconnects at once.
+async fn send_and_disconnect(gateway: &Gateway, fields: &str) {
     let mut client = gateway.client().await;
     client.send("POST", "/chat/1", fields, "x").await;
 }
 
 #[test]
-fn a_turn_whose_client_left_before_the_owners_answer_takes_nothing_of_the_budget() {
+fn client_leaving_while_its_turn_opens_frees_the_reservation() {
     run(async {
         let act = Act::Events(vec!["one".to_owned()], None);
         let server = Server::start("s1", act).await;
@@ -59,9 +57,9 @@
             for number in 0..PROGRAMS {
                 let program = format!("Program: q{number}-{}\r\n{BUDGET}", gateway.address);
                 let first = format!("Request: left{number}\r\n{program}");
-                ask_and_leave(&gateway, &first).await;
+                send_and_disconnect(&gateway, &first).await;
                 sleep(Duration::from_millis(50)).await;
-                let until = Instant::now() + KNOWN_WITHIN;
+                let deadline = Instant::now() + REPORTED_WITHIN;
                 let mut tries = 0;
                 loop {
                     tries += 1;
@@ -72,8 +70,8 @@
                     }
                     assert_eq!(reply.head.status, 402);
                     assert!(
-                        Instant::now() < until,
-                        "program {number} is refused for good"
+                        Instant::now() < deadline,
+                        "program {number} is still refused"
                     );
                     sleep(Duration::from_millis(50)).await;
                 }
@@ -82,29 +80,30 @@
     });
 }
 
-/// A process that ends with such an end untold leaves a reservation that nobody ends.
+/// A process that exits without reporting such an end leaks the reservation.
 #[test]
-fn a_planned_stop_waits_for_the_ends_of_turns_whose_clients_left() {
+fn planned_stop_waits_until_ends_of_abandoned_turns_are_reported() {
     run(async {
         let act = Act::Events(vec!["one".to_owned()], None);
         let server = Server::start("s1", act).await;
         let world = World::new().await;
         world.partitions.set(1);
         let [a, b] = two_gateways(&world, &server).await;
-        let owns = a.daemon.owner.held_count() > 0;
-        let (owner, other) = if owns { (a, b) } else { (b, a) };
-        let mut left = 0;
+        let a_is_owner = a.daemon.owner.held_count() > 0;
+        let (owner, other) = if a_is_owner { (a, b) } else { (b, a) };
+        let mut pending_reports = 0;
         for number in 0..PROGRAMS {
             let fields = format!("Request: left{number}\r\nProgram: q{number}\r\n{BUDGET}");
-            ask_and_leave(&other, &fields).await;
-            // The stop begins while the end of the last one is told.
-            let begun = Instant::now();
-            while other.daemon.ledger.endings.get() == 0 && begun.elapsed() < UNDER_WAY_WITHIN {
+            send_and_disconnect(&other, &fields).await;
+            // The stop begins while the end of the last turn is being reported.
+            let started = Instant::now();
+            while other.daemon.ledger.endings.get() == 0 && started.elapsed() < REPORT_STARTS_WITHIN
+            {
                 tokio::task::yield_now().await;
             }
-            left = left.max(other.daemon.ledger.endings.get());
+            pending_reports = pending_reports.max(other.daemon.ledger.endings.get());
         }
-        assert!(left > 0, "no end was under way");
+        assert!(pending_reports > 0, "no end was being reported");
         fieldhook_gateway::drain::run(other.daemon.clone()).await;
         assert_eq!(other.daemon.ledger.endings.get(), 0);
         for number in 0..PROGRAMS {
@@ -115,8 +114,8 @@
     });
 }
 
-/// A turn that the owner opens for a gateway which tells nothing of it any more.
-async fn open_and_fall_silent(gateway: &Gateway, program: &str) -> OpenTurn {
+/// Opens a turn at the owner on behalf of a gateway that never reports its end.
+async fn open_without_ending(gateway: &Gateway, program: &str) -> OpenTurn {
     let mut request = OpenTurn {
         tenant: None,
         turn: format!("lost-{program}"),
@@ -133,15 +132,16 @@
         keeper: None,
     };
     let ledger = &gateway.daemon.ledger;
-    let deadline = Instant::now() + KNOWN_WITHIN;
+    let deadline = Instant::now() + REPORTED_WITHIN;
     let opened = ledger.open(&mut request, &Cell::default(), deadline).await;
-    assert!(opened.is_ok(), "the owner did not open it");
+    assert!(opened.is_ok(), "the owner did not open the turn");
     request
 }
 
-/// What users saw: 402 to the only try that a program made after its gateway was gone.
+/// Guards against a leaked reservation of a lost gateway: the only retry that a program made after
+/// its gateway was gone got 402.
 #[test]
-fn the_next_try_of_a_line_is_served_where_the_gateway_of_the_former_one_is_lost() {
+fn next_turn_of_a_session_is_served_after_its_gateway_was_lost() {
     run(async {
         let act = Act::Events(vec!["one".to_owned()], None);
         let server = Server::start("s1", act).await;
@@ -149,12 +149,16 @@
         let [a, b] = two_gateways(&world, &server).await;
         for number in 0..PROGRAMS {
             let program = format!("q{number}");
-            open_and_fall_silent(&a, &program).await;
+            open_without_ending(&a, &program).await;
             let before = server.count();
             let other = format!("Request: other{number}\r\nProgram: {program}\r\nSession: b\r\n");
             let reply = b.ask("POST", "/chat/1", &(other + BUDGET), "x").await;
-            assert_eq!(reply.head.status, 402, "{program} of another line");
-            assert_eq!(server.count(), before, "a refusal is true");
+            assert_eq!(reply.head.status, 402, "{program} in another session");
+            assert_eq!(
+                server.count(),
+                before,
+                "a refused request was sent to the server"
+            );
             let next = format!("Request: next{number}\r\nProgram: {program}\r\nSession: a\r\n");
             let reply = b.ask("POST", "/chat/1", &(next + BUDGET), "x").await;
             assert_eq!(reply.head.status, 200, "{program}");
@@ -163,7 +167,7 @@
 }
 
 #[test]
-fn an_end_that_is_slow_to_be_told_does_not_refuse_the_next_try_of_its_line() {
+fn late_end_of_a_turn_does_not_block_the_next_turn_of_its_session() {
     run(async {
         let act = Act::Events(vec!["one".to_owned()], None);
         let server = Server::start("s1", act).await;
@@ -171,19 +175,19 @@
         let [a, b] = two_gateways(&world, &server).await;
         for number in 0..PROGRAMS {
             let program = format!("q{number}");
-            let left = open_and_fall_silent(&a, &program).await;
+            let abandoned = open_without_ending(&a, &program).await;
             let fields = format!("Program: {program}\r\nSession: a\r\n{BUDGET}");
             let next = format!("Request: next{number}\r\n{fields}");
             let reply = b.ask("POST", "/chat/1", &next, "x").await;
             assert_eq!(reply.head.status, 200, "{program}");
             let ledger = &a.daemon.ledger;
-            let end = left.withdrawn();
-            let is_told = ledger.close(&end, Instant::now() + KNOWN_WITHIN).await;
-            assert!(is_told, "its end is not known");
-            // Ten tokens are used: the budget holds one more turn.
+            let end = abandoned.withdrawn();
+            let is_recorded = ledger.close(&end, Instant::now() + REPORTED_WITHIN).await;
+            assert!(is_recorded, "the end of the turn was not recorded");
+            // Ten tokens are used, so the budget covers one more turn.
             let last = format!("Request: last{number}\r\n{fields}");
             let reply = b.ask("POST", "/chat/1", &last, "x").await;
-            assert_eq!(reply.head.status, 200, "{program} at last");
+            assert_eq!(reply.head.status, 200, "{program}, last turn");
         }
     });
 }
--- a/crates/gateway/tests/gateway/cancellation.rs
+++ b/crates/gateway/tests/gateway/cancellation.rs
@@ -1,14 +1,13 @@
-//! What is given up halfway leaves nothing behind, and nothing untrue
-//! (docs/design/cancellation.md).
+//! Abandoned work releases its resources and is reported correctly (docs/design/cancellation.md).
 
 use crate::support::{Act, Server, World, run};
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// An attempt is given up for another one while its connection still comes up: the request
-/// was not sent, and its client may be told so.
+/// If an attempt is abandoned while its connection is still being established, the request was not
+/// sent, and the client may be told that it was not run.
 #[test]
-fn an_attempt_given_up_before_it_was_sent_has_not_run() {
+fn attempt_abandoned_while_connecting_has_not_run() {
     run(async {
         let mut servers = [
             Server::start_frail("a", Act::Silent).await,
@@ -19,7 +18,7 @@
         for server in &mut servers {
             server.lose_power().await;
         }
-        // A quarter of this is waited for an answer, less than for a connection.
+        // The attempt timeout is a quarter of this, which is less than the connect timeout.
         let fields = "Request: r1\r\nDeadline: 800\r\n";
         let reply = gateway.ask("GET", "/safe/1", fields, "").await;
         assert_eq!(reply.head.status, 503, "{}", reply.text());
@@ -28,36 +27,37 @@
     });
 }
 
-/// The rest of a refusal is read beside the request; where it never comes, nobody waits.
+/// The rest of a refusal is read in the background; if it never arrives, nothing waits for it.
 #[test]
-fn a_refusal_that_is_cut_short_holds_its_connection_for_a_moment_only() {
+fn truncated_refusal_releases_its_connection_soon() {
     run(async {
-        let (cut, sound) = (
+        let (truncating, responsive) = (
             Server::start("a", Act::NotRunCutShort).await,
             Server::start("b", Act::Answer(200, "fine".to_owned())).await,
         );
         let world = World::new().await;
-        // The one that refuses is in the gateway's own zone: it is asked first.
-        world.list_in(&cut, "z1").await;
-        world.list_in(&sound, "z2").await;
+        // The refusing server is in the zone of the gateway, so it is tried first.
+        world.list_in(&truncating, "z1").await;
+        world.list_in(&responsive, "z2").await;
         let gateway = world.gateway_in("g1", "z1").await;
         gateway.wait_ready(2).await;
         let reply = gateway
             .ask("POST", "/unsafe/1", "Request: r1\r\n", "x")
             .await;
         assert_eq!(reply.text(), "fine");
-        assert_eq!(cut.count(), 1);
-        let until = Instant::now() + Duration::from_secs(3);
-        while cut.closed_early.get() == 0 {
-            assert!(Instant::now() < until, "its connection is still held");
+        assert_eq!(truncating.count(), 1);
+        let deadline = Instant::now() + Duration::from_secs(3);
+        while truncating.closed_early.get() == 0 {
+            assert!(Instant::now() < deadline, "the connection is still open");
             sleep(Duration::from_millis(20)).await;
         }
     });
 }
 
-/// A planned stop waits until no request is under way.
+/// A planned stop waits until no request is in flight, so a task that panics must still be counted
+/// out.
 #[test]
-fn a_request_whose_task_ends_early_is_under_way_no_more() {
+fn panicking_request_is_not_counted_as_in_flight() {
     run(async {
         let server = Server::start("a", Act::Answer(200, "fine".to_owned())).await;
         let world = World::new().await;
--- a/crates/gateway/tests/gateway/forwarding.rs
+++ b/crates/gateway/tests/gateway/forwarding.rs
@@ -1,16 +1,16 @@
-//! Requests and answers as they came, attempts, cancellation, leaving servers.
+//! Forwarding of requests and responses, retries, cancellation and draining servers.
 
 use crate::support::{Act, SERVERS, Server, World, run};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-fn answer(text: &str) -> Act {
+fn respond_with(text: &str) -> Act {
     Act::Answer(200, text.to_owned())
 }
 
 #[test]
-fn a_request_goes_on_as_it_came_and_its_answer_comes_back() {
+fn request_and_response_are_forwarded() {
     run(async {
         let server = Server::start("s1", Act::Answer(201, "made".to_owned())).await;
         let world = World::new().await;
@@ -34,22 +34,25 @@
         assert_eq!(seen.head.headers.text("other"), Some("kept"));
         assert_eq!(seen.head.headers.text("server"), Some("s1"));
         assert!(!seen.head.headers.has("private"));
-        let left: u64 = seen
+        let forwarded_ms: u64 = seen
             .head
             .headers
             .text("deadline")
             .unwrap_or("")
             .parse()
             .expect("a time");
-        assert!(left <= 900, "a longer time was handed on: {left}");
-        // The same connection serves the next request.
+        assert!(
+            forwarded_ms <= 900,
+            "deadline was extended: {forwarded_ms} ms"
+        );
+        // The same connection serves another request.
         client.send("GET", "/safe/2", "Request: id-8\r\n", "").await;
         assert_eq!(client.reply().await.head.status, 201);
     });
 }
 
 #[test]
-fn a_request_that_may_not_be_repeated_runs_at_most_once() {
+fn non_retryable_request_runs_at_most_once() {
     run(async {
         let (a, b) = (
             Server::start("a", Act::Reset).await,
@@ -66,7 +69,7 @@
 }
 
 #[test]
-fn a_request_that_may_be_repeated_is_tried_elsewhere_within_its_attempts() {
+fn retryable_request_is_retried_up_to_the_attempt_limit() {
     run(async {
         let servers = [
             Server::start("a", Act::Reset).await,
@@ -80,7 +83,7 @@
         let attempts: usize = servers.iter().map(Server::count).sum();
         assert_eq!(attempts, 2, "the route allows two attempts");
         for server in &servers {
-            server.set(answer("fine"));
+            server.set(respond_with("fine"));
         }
         let reply = gateway.ask("GET", "/safe/1", "Request: r2\r\n", "").await;
         assert_eq!(reply.text(), "fine");
@@ -88,32 +91,35 @@
 }
 
 #[test]
-fn an_answer_that_does_not_come_is_asked_for_elsewhere_while_there_is_time() {
+fn overdue_retryable_request_is_retried_before_its_deadline() {
     run(async {
-        let (silent, sound) = (
+        let (silent, responsive) = (
             Server::start("a", Act::Silent).await,
-            Server::start("b", answer("fine")).await,
+            Server::start("b", respond_with("fine")).await,
         );
         let world = World::new().await;
-        // The silent server is in the gateway's own zone: it is asked first.
+        // The silent server is in the zone of the gateway, so it is tried first.
         world.list_in(&silent, "z1").await;
-        world.list_in(&sound, "z2").await;
+        world.list_in(&responsive, "z2").await;
         let gateway = world.gateway_in("g1", "z1").await;
         gateway.wait_ready(2).await;
-        let asked = Instant::now();
+        let started = Instant::now();
         let fields = "Request: r1\r\nDeadline: 800\r\n";
         let reply = gateway.ask("GET", "/safe/1", fields, "").await;
         assert_eq!(reply.text(), "fine");
-        assert!(asked.elapsed() < Duration::from_millis(500), "waited on");
+        assert!(
+            started.elapsed() < Duration::from_millis(500),
+            "waited for the silent server"
+        );
         assert_eq!(silent.count(), 1);
-        // The request that was given up is not left to the server.
+        // The abandoned request is cancelled at the server.
         sleep(Duration::from_millis(50)).await;
         assert_eq!(silent.closed_early.get(), 1);
     });
 }
 
 #[test]
-fn an_answer_that_does_not_come_is_waited_for_where_it_may_not_be_asked_for_again() {
+fn overdue_non_retryable_request_waits_until_its_deadline() {
     run(async {
         let (a, b) = (
             Server::start("a", Act::Silent).await,
@@ -121,17 +127,20 @@
         );
         let world = World::new().await;
         let gateway = world.ready(&[&a, &b]).await;
-        let asked = Instant::now();
+        let started = Instant::now();
         let fields = "Request: r1\r\nDeadline: 600\r\n";
         let reply = gateway.ask("POST", "/unsafe/1", fields, "x").await;
         assert_eq!(reply.head.status, 504);
-        assert!(asked.elapsed() >= Duration::from_millis(550), "given up");
+        assert!(
+            started.elapsed() >= Duration::from_millis(550),
+            "abandoned too early"
+        );
         assert_eq!(a.count() + b.count(), 1);
     });
 }
 
 #[test]
-fn a_refusal_of_a_server_goes_elsewhere_and_a_full_service_is_a_promise() {
+fn refused_request_goes_to_another_server_or_gets_503() {
     run(async {
         let (a, b) = (
             Server::start("a", Act::NotRun).await,
@@ -139,14 +148,17 @@
         );
         let world = World::new().await;
         let gateway = world.ready(&[&a, &b]).await;
-        let begun = Instant::now();
+        let started = Instant::now();
         let reply = gateway
             .ask("POST", "/unsafe/1", "Request: r1\r\n", "x")
             .await;
         assert_eq!(reply.head.status, 503);
         assert!(reply.head.headers.has("come-back-ms"));
-        assert!(begun.elapsed() < Duration::from_millis(500), "held back");
-        b.set(answer("taken"));
+        assert!(
+            started.elapsed() < Duration::from_millis(500),
+            "refusal was delayed"
+        );
+        b.set(respond_with("taken"));
         a.set(Act::NotRun);
         sleep(Duration::from_millis(100)).await;
         let reply = gateway
@@ -157,15 +169,15 @@
 }
 
 #[test]
-fn a_place_that_comes_free_is_better_than_a_refusal() {
+fn request_waits_for_a_full_server_to_regain_capacity() {
     run(async {
         let server = Rc::new(Server::start("a", Act::NotRun).await);
         let world = World::new().await;
         let gateway = world.ready(&[&server]).await;
-        let busy = server.clone();
+        let full_server = server.clone();
         ntex::rt::spawn(async move {
             sleep(Duration::from_millis(150)).await;
-            busy.set(answer("taken"));
+            full_server.set(respond_with("taken"));
         });
         let reply = gateway
             .ask("POST", "/unsafe/1", "Request: r1\r\n", "x")
@@ -175,7 +187,7 @@
 }
 
 #[test]
-fn answers_of_other_requests_are_passed_over() {
+fn responses_to_other_requests_are_skipped() {
     run(async {
         let server = Server::start("s1", Act::ForeignFirst("mine".to_owned())).await;
         let world = World::new().await;
@@ -193,7 +205,7 @@
 }
 
 #[test]
-fn an_answer_without_a_length_is_whole_with_its_close_and_not_with_a_reset() {
+fn response_without_length_is_complete_on_close_but_not_on_reset() {
     run(async {
         let server = Server::start("s1", Act::Unframed("all of it".to_owned(), false)).await;
         let world = World::new().await;
@@ -214,7 +226,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_request_along() {
+fn client_disconnect_cancels_its_request() {
     run(async {
         let server = Server::start("s1", Act::Silent).await;
         let world = World::new().await;
@@ -234,33 +246,33 @@
 }
 
 #[test]
-fn an_unanswered_request_ends_at_its_routes_time() {
+fn unanswered_request_ends_at_its_deadline() {
     run(async {
         let server = Server::start("s1", Act::Silent).await;
         let world = World::new().await;
         let gateway = world.ready(&[&server]).await;
-        let begun = Instant::now();
+        let started = Instant::now();
         let reply = gateway
             .ask("POST", "/unsafe/1", "Request: r1\r\nDeadline: 300\r\n", "x")
             .await;
         assert_eq!(reply.head.status, 504);
-        let took = begun.elapsed().as_millis();
+        let took = started.elapsed().as_millis();
         assert!((280..700).contains(&took), "{took} ms");
         assert_eq!(server.count(), 1);
     });
 }
 
 #[test]
-fn a_leaving_server_gets_nothing_new() {
+fn draining_server_gets_no_new_requests() {
     run(async {
         let (a, b) = (
-            Server::start("a", answer("a")).await,
-            Server::start("b", answer("b")).await,
+            Server::start("a", respond_with("a")).await,
+            Server::start("b", respond_with("b")).await,
         );
         let world = World::new().await;
         let gateway = world.ready(&[&a, &b]).await;
-        let leaving = format!("service {} draining", a.address);
-        world.put(SERVERS, "a", &leaving).await;
+        let draining_entry = format!("service {} draining", a.address);
+        world.put(SERVERS, "a", &draining_entry).await;
         sleep(Duration::from_millis(400)).await;
         let before = a.count();
         for number in 0..20 {
@@ -276,7 +288,7 @@
 }
 
 #[test]
-fn a_planned_stop_finishes_what_runs_and_tells_clients_to_close() {
+fn planned_stop_finishes_requests_and_closes_connections() {
     run(async {
         let slow = Act::Slow(Duration::from_millis(400), "whole".to_owned());
         let server = Server::start("s1", slow).await;
@@ -294,7 +306,7 @@
         let stopped = ntex::rt::spawn(fieldhook_gateway::drain::run(daemon));
         sleep(Duration::from_millis(20)).await;
         assert!(!gateway.daemon.is_ready());
-        // A request that crosses the stop on a kept connection is served.
+        // A request on a kept-alive connection that arrives after the stop began is served.
         idle.send("POST", "/unsafe/2", "Request: r2\r\n", "x").await;
         for client in [&mut client, &mut idle] {
             let reply = client.reply().await;
@@ -307,23 +319,23 @@
 }
 
 #[test]
-fn a_planned_stop_takes_nothing_new_that_it_could_not_finish() {
+fn planned_stop_refuses_requests_that_it_could_not_finish() {
     run(async {
         let slow = Act::Slow(Duration::from_millis(1_950), "whole".to_owned());
         let server = Server::start("s1", slow).await;
         let world = World::new().await;
         let gateway = world.ready(&[&server]).await;
         let mut client = gateway.client().await;
-        let mut kept = gateway.client().await;
+        let mut idle = gateway.client().await;
         client
             .send("POST", "/unsafe/1", "Request: r1\r\n", "x")
             .await;
         sleep(Duration::from_millis(100)).await;
         ntex::rt::spawn(fieldhook_gateway::drain::run(gateway.daemon.clone()));
-        // Three eighths of the grace time are over.
+        // Three eighths of the grace period are over.
         sleep(Duration::from_millis(1_600)).await;
-        kept.send("POST", "/unsafe/2", "Request: r2\r\n", "x").await;
-        let reply = kept.reply().await;
+        idle.send("POST", "/unsafe/2", "Request: r2\r\n", "x").await;
+        let reply = idle.reply().await;
         assert_eq!(reply.head.status, 503);
         assert_eq!(reply.head.headers.text("connection"), Some("close"));
         assert!(
@@ -337,7 +349,7 @@
 }
 
 #[test]
-fn where_every_server_refuses_repeats_are_bounded_over_all_requests() {
+fn retry_budget_bounds_attempts_when_all_servers_refuse() {
     run(async {
         let servers = [
             Server::start("s1", Act::NotRun).await,
@@ -345,7 +357,7 @@
         ];
         let world = World::new().await;
         let gateway = world.ready(&[&servers[0], &servers[1]]).await;
-        let begun = Instant::now();
+        let started = Instant::now();
         let requests = (0..100).map(|number| {
             let fields = format!("Request: r{number}\r\n");
             let gateway = &gateway;
@@ -355,9 +367,12 @@
             assert_eq!(reply.head.status, 503);
             assert!(reply.head.headers.has("come-back-ms"));
         }
-        let seen = servers[0].count() + servers[1].count();
-        // One attempt each, what was saved up, and some a second.
-        let most = 100 + 200 + 20 * (begun.elapsed().as_secs() as usize + 1);
-        assert!(seen <= most, "{seen} attempts, {most} allowed");
+        let attempts = servers[0].count() + servers[1].count();
+        // One attempt per request, plus the saved retry budget, plus the retries added each second.
+        let max_attempts = 100 + 200 + 20 * (started.elapsed().as_secs() as usize + 1);
+        assert!(
+            attempts <= max_attempts,
+            "{attempts} attempts, {max_attempts} allowed"
+        );
     });
 }
--- a/crates/gateway/tests/gateway/kept.rs
+++ b/crates/gateway/tests/gateway/keep_alive.rs
@@ -1,5 +1,5 @@
-//! A request that was passed on from a kept connection gets its answer on it, whatever else
-//! happens to the connection meanwhile.
+//! A request received on a kept-alive connection gets its response, whatever else happens to the
+//! connection in the meantime.
 
 use crate::support::{Act, Gateway, Server, World, run};
 use fieldhook_gateway::daemon::Stopping;
@@ -18,11 +18,11 @@
     Act::Slow(ms(400), "late".to_owned())
 }
 
-/// Has a client get an answer on a connection, send a second request on it, and then do or
-/// suffer something while that is under way: it is answered.
-async fn is_answered_beside<F: Future<Output = ()>>(
+/// Receives a response on a connection, sends a second request on it, runs `during` while that
+/// request is in flight, and checks that the request is answered.
+async fn assert_answered_during<F: Future<Output = ()>>(
     world: World,
-    beside: impl FnOnce(Gateway, tokio::net::tcp::OwnedWriteHalf) -> F,
+    during: impl FnOnce(Gateway, tokio::net::tcp::OwnedWriteHalf) -> F,
 ) {
     let server = Server::start("s1", Act::Answer(200, "first".to_owned())).await;
     let gateway = world.ready(&[&server]).await;
@@ -35,14 +35,14 @@
         sleep(ms(5)).await;
     }
     let (read, write) = client.stream.into_split();
-    let happening = beside(gateway, write);
+    let during = during(gateway, write);
     let reply = async {
         let mut bytes = Vec::new();
         while !bytes.windows(4).any(|end| end == b"late") {
             read.readable().await.expect("open");
             match read.try_read_buf(&mut bytes) {
                 Ok(0) => panic!(
-                    "closed without an answer: {}",
+                    "closed without a response: {}",
                     String::from_utf8_lossy(&bytes)
                 ),
                 Ok(_) => {}
@@ -52,14 +52,14 @@
         assert!(bytes.starts_with(b"HTTP/1.1 200"));
     };
     let timed = tokio::time::timeout(ms(3_000), reply);
-    let (reply, ()) = futures_util::future::join(timed, happening).await;
-    assert!(reply.is_ok(), "no answer in time");
+    let (reply, ()) = futures_util::future::join(timed, during).await;
+    assert!(reply.is_ok(), "no response in time");
 }
 
 #[test]
-fn beside_a_broken_head_that_follows() {
+fn answered_despite_a_malformed_next_request() {
     run(async {
-        is_answered_beside(World::new().await, |_gateway, write| async move {
+        assert_answered_during(World::new().await, |_gateway, write| async move {
             write.try_write(b"no request at all\r\n\r\n").expect("sent");
             sleep(ms(600)).await;
         })
@@ -68,9 +68,9 @@
 }
 
 #[test]
-fn beside_more_requests_than_are_read_ahead() {
+fn answered_despite_more_pipelined_requests_than_are_read_ahead() {
     run(async {
-        is_answered_beside(World::new().await, |_gateway, write| async move {
+        assert_answered_during(World::new().await, |_gateway, write| async move {
             for _ in 0..4_000 {
                 if write.try_write(REQUEST.as_bytes()).is_err() {
                     break;
@@ -83,11 +83,11 @@
 }
 
 #[test]
-fn longer_than_a_connection_may_stay_idle() {
+fn answered_after_the_idle_timeout() {
     run(async {
         let world = World::new().await;
         world.configs.borrow_mut()[0].limits.idle_timeout_ms = 100;
-        is_answered_beside(world, |_gateway, write| async move {
+        assert_answered_during(world, |_gateway, write| async move {
             sleep(ms(600)).await;
             drop(write);
         })
@@ -96,9 +96,9 @@
 }
 
 #[test]
-fn beside_a_planned_stop() {
+fn answered_during_a_planned_stop() {
     run(async {
-        is_answered_beside(World::new().await, |gateway, write| async move {
+        assert_answered_during(World::new().await, |gateway, write| async move {
             let _ = gateway.daemon.stopping.send(Stopping::Leaving);
             sleep(ms(100)).await;
             let _ = gateway.daemon.stopping.send(Stopping::Refusing);
@@ -111,14 +111,14 @@
 }
 
 #[test]
-fn beside_others_that_take_all_memory() {
+fn answered_while_others_use_all_memory() {
     run(async {
         let world = World::new().await;
         world.slow_peers.set(SlowPeers {
             held_bytes: 4_096,
             ..SlowPeers::default()
         });
-        is_answered_beside(world, |gateway, write| async move {
+        assert_answered_during(world, |gateway, write| async move {
             let held = gateway.daemon.memory.open(Purpose::Incoming);
             assert!(held.grow(4_096).is_ok());
             sleep(ms(600)).await;
--- a/crates/gateway/tests/gateway/limits.rs
+++ b/crates/gateway/tests/gateway/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of tenants: counted over all gateways, also when their owner changes.
+//! Request limits of tenants, which are shared by all gateways, also when their owner changes.
 
 use crate::support::{Act, Gateway, Reply, Server, World, config_of, run, tenant};
 use fieldhook_traffic::tenants::{Limit, Tenant};
@@ -7,8 +7,8 @@
 
 const BURST: u32 = 6;
 
-/// A tenant that sends hardly anything beyond its burst.
-fn limited() -> Tenant {
+/// A tenant whose limit allows hardly anything beyond its burst.
+fn tenant_with_burst_only() -> Tenant {
     Tenant {
         limit: Some(Limit {
             rate_per_s: 0.2,
@@ -28,7 +28,7 @@
     let a = world.ready(&[server]).await;
     let b = world.gateway("g2").await;
     b.wait_ready(1).await;
-    // Until every partition has its owner.
+    // Wait until every partition has an owner.
     sleep(Duration::from_millis(900)).await;
     [a, b]
 }
@@ -47,37 +47,37 @@
     statuses
 }
 
-fn answered(statuses: &[u16], status: u16) -> usize {
+fn count_status(statuses: &[u16], status: u16) -> usize {
     statuses.iter().filter(|found| **found == status).count()
 }
 
 #[test]
-fn a_limit_holds_over_all_gateways_together() {
+fn limit_is_shared_by_all_gateways() {
     run(async {
         let server = Server::start("s1", Act::Answer(200, "yes".to_owned())).await;
-        let world = world_of(vec![limited(), tenant("blue", "k2")]).await;
+        let world = world_of(vec![tenant_with_burst_only(), tenant("blue", "k2")]).await;
         let [a, b] = two_gateways(&world, &server).await;
         let statuses = statuses(&[&a, &b], 10).await;
-        assert_eq!(answered(&statuses, 200), BURST as usize);
-        assert_eq!(answered(&statuses, 429), 10 - BURST as usize);
+        assert_eq!(count_status(&statuses, 200), BURST as usize);
+        assert_eq!(count_status(&statuses, 429), 10 - BURST as usize);
         assert_eq!(server.count(), BURST as usize);
-        let mut nearest = Vec::new();
+        let mut usage_lines = Vec::new();
         for gateway in [&a, &b] {
             gateway.daemon.owner.tell_limits();
             let metrics = gateway.daemon.metrics.text();
             let lines = metrics
                 .lines()
                 .filter(|line| line.contains("tenant_limit_used{"));
-            nearest.extend(lines.map(str::to_owned));
+            usage_lines.extend(lines.map(str::to_owned));
         }
-        assert_eq!(nearest.len(), 1, "{nearest:?}");
-        assert!(nearest[0].contains("red"), "{nearest:?}");
+        assert_eq!(usage_lines.len(), 1, "{usage_lines:?}");
+        assert!(usage_lines[0].contains("red"), "{usage_lines:?}");
         let refused = ask(&b, 11).await;
-        let come_back = refused.head.headers.text("come-back-ms");
-        let come_back: u64 = come_back.expect("a time").parse().expect("a number");
-        // The next place is there after five seconds.
-        assert!((3_000..=5_000).contains(&come_back), "{come_back}");
-        // Another tenant is not touched.
+        let retry_ms = refused.head.headers.text("come-back-ms");
+        let retry_ms: u64 = retry_ms.expect("a time").parse().expect("a number");
+        // The next slot is free after five seconds.
+        assert!((3_000..=5_000).contains(&retry_ms), "{retry_ms}");
+        // Other tenants are not affected.
         let fields = "Request: other\r\nKey: k2\r\n";
         assert_eq!(
             a.ask("POST", "/unsafe/1", fields, "").await.head.status,
@@ -87,10 +87,10 @@
 }
 
 #[test]
-fn a_new_owner_grants_no_second_burst() {
+fn new_owner_grants_no_second_burst() {
     run(async {
         let server = Server::start("s1", Act::Answer(200, "yes".to_owned())).await;
-        let world = world_of(vec![limited()]).await;
+        let world = world_of(vec![tenant_with_burst_only()]).await;
         let [a, b] = two_gateways(&world, &server).await;
         assert_eq!(statuses(&[&a, &b], 6).await, [200; 6]);
         let partition = a.daemon.ledger.partition_of("red");
@@ -101,16 +101,16 @@
         };
         fieldhook_gateway::drain::run(owner.daemon.clone()).await;
         let statuses = statuses(&[&other], 4).await;
-        assert_eq!(answered(&statuses, 200), 0, "{statuses:?}");
+        assert_eq!(count_status(&statuses, 200), 0, "{statuses:?}");
     });
 }
 
 #[test]
-fn a_lower_limit_holds_from_the_next_question_on() {
+fn lowered_limit_applies_from_the_next_request() {
     run(async {
         let server = Server::start("s1", Act::Answer(200, "yes".to_owned())).await;
-        let world = world_of(vec![limited()]).await;
-        let mut lower = limited();
+        let world = world_of(vec![tenant_with_burst_only()]).await;
+        let mut lower = tenant_with_burst_only();
         lower.limit = Some(Limit {
             rate_per_s: 0.2,
             burst: 2.0,
@@ -121,16 +121,16 @@
         world.publish(1).await;
         sleep(Duration::from_millis(300)).await;
         let statuses = statuses(&[&a, &b], 5).await;
-        assert_eq!(answered(&statuses, 200), 2, "{statuses:?}");
+        assert_eq!(count_status(&statuses, 200), 2, "{statuses:?}");
     });
 }
 
 #[test]
-fn a_program_is_turned_away_at_its_first_turn_or_served() {
+fn program_is_refused_at_its_first_turn_or_not_at_all() {
     run(async {
         let server = Server::start("s1", Act::Events(vec!["one".to_owned()], None)).await;
-        // Room for one program, by what programs are thought to need at first.
-        let mut red = limited();
+        // Enough for one program, by the initial estimate of what a program needs.
+        let mut red = tenant_with_burst_only();
         red.limit = Some(Limit {
             rate_per_s: 2.0,
             burst: 12.0,
@@ -160,8 +160,8 @@
     });
 }
 
-/// A tenant with three places at once, then one each 700 ms; a call has 2,000 ms.
-fn slow() -> Tenant {
+/// A tenant with three slots at once, then one every 700 ms; a call has 2,000 ms.
+fn tenant_with_slow_refill() -> Tenant {
     let rate_per_s = 1.0 / 0.525;
     Tenant {
         limit: Some(Limit {
@@ -172,13 +172,13 @@
     }
 }
 
-/// A call of a program under way that is told a place in time waits for it: refused, it
-/// would end the program.
+/// A call of a running program waits for a slot that becomes free before its deadline, because a
+/// refusal would end the program.
 #[test]
-fn a_call_waits_for_a_place_that_comes_in_its_time() {
+fn call_waits_for_a_slot_before_its_deadline() {
     run(async {
         let server = Server::start("s1", Act::Answer(200, "yes".to_owned())).await;
-        let world = world_of(vec![slow()]).await;
+        let world = world_of(vec![tenant_with_slow_refill()]).await;
         let gateway = world.ready(&[&server]).await;
         sleep(Duration::from_millis(900)).await;
         for number in 0..4 {
@@ -194,13 +194,13 @@
     });
 }
 
-/// No place is kept for calls whose time is over before it comes: the next one that can wait
-/// gets it.
+/// No slot is reserved for calls whose deadline passes before it is free; the next call that can
+/// wait gets it.
 #[test]
-fn calls_that_cannot_wait_for_a_place_stand_in_nobodys_way() {
+fn calls_that_cannot_wait_reserve_no_slot() {
     run(async {
         let server = Server::start("s1", Act::Answer(200, "yes".to_owned())).await;
-        let world = world_of(vec![slow()]).await;
+        let world = world_of(vec![tenant_with_slow_refill()]).await;
         let gateway = world.ready(&[&server]).await;
         sleep(Duration::from_millis(900)).await;
         assert_eq!(statuses(&[&gateway], 3).await, [200; 3]);
@@ -214,15 +214,15 @@
     });
 }
 
-/// Clients that leave in the middle of their programs' first turns neither make programs of the
-/// route look short, so that more begin than before, nor keep what these were charged.
+/// Clients that leave during the first turns of their programs must not lower the estimate of what
+/// programs of the route need, which would admit more programs than before, and their programs must
+/// not stay charged.
 #[test]
-fn programs_whose_clients_left_are_neither_charged_nor_taken_for_short_ones() {
+fn abandoned_programs_are_neither_charged_nor_counted_as_short() {
     run(async {
         let server = Server::start("s1", Act::Silent).await;
-        // Room for five programs, by what they are thought to need at first, and for one more
-        // each six seconds.
-        let mut red = limited();
+        // Enough for five programs by the initial estimate, and for one more every six seconds.
+        let mut red = tenant_with_burst_only();
         red.limit = Some(Limit {
             rate_per_s: 2.0,
             burst: 50.0,
@@ -236,7 +236,7 @@
             sleep(Duration::from_millis(100)).await;
         }
         assert_eq!(server.count(), 3);
-        // Until they count as over.
+        // Wait until they count as finished.
         sleep(Duration::from_millis(4_600)).await;
         let left = |gateway: &Gateway| {
             let metrics = &gateway.daemon.metrics;
--- a/crates/gateway/tests/gateway/main.rs
+++ b/crates/gateway/tests/gateway/main.rs
@@ -1,7 +1,7 @@
 //! The gateway with a log in memory, an adapter of its own spelling, and stand-ins of
 //! servers on loopback.
 
-mod abandoned;
+mod abandoned_turns;
 mod cancellation;
 mod cold;
 mod evacuation;
@@ -9,13 +9,12 @@
 mod homes;
 mod incarnations;
 mod input;
-mod kept;
+mod keep_alive;
 mod limits;
 mod outage;
 mod ownership;
 mod peers;
 mod readers;
-mod reading;
 mod relay;
 mod reserved_at_home;
 mod room;
@@ -24,4 +23,5 @@
 mod support;
 mod tenants;
 mod turns;
+mod unreadable_partitions;
 mod zones;
--- a/crates/gateway/tests/gateway/slow_peers.rs
+++ b/crates/gateway/tests/gateway/slow_peers.rs
@@ -1,5 +1,5 @@
-//! Clients and servers that are slow to read: what is held for them is bounded, and nobody else
-//! notices.
+//! Clients and servers that read slowly: the memory held for them is bounded, and other peers are
+//! not affected.
 
 use crate::support::{Act, Gateway, Lines, Server, World, run};
 use fieldhook_gateway::settings::SlowPeers;
@@ -10,14 +10,14 @@
 use tokio::time::{Instant, sleep};
 
 const KIB: usize = 1 << 10;
-/// More than lies in the buffers of the machine between two ends.
+/// More than the socket buffers between two peers hold.
 const LARGE: usize = 12 << 20;
 
 fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
 }
 
-/// A text in which no two places nearby look alike.
+/// Returns a text without short repetitions, so that misplaced bytes are detected.
 fn text(length: usize) -> String {
     let numbers = (0..).flat_map(|number: u64| format!("{number:x}.").into_bytes());
     String::from_utf8(numbers.take(length).collect()).expect("text")
@@ -40,17 +40,17 @@
     (world, gateway)
 }
 
-async fn holds_nothing(gateway: &Gateway) {
-    let until = Instant::now() + ms(3_000);
+async fn wait_until_memory_is_freed(gateway: &Gateway) {
+    let deadline = Instant::now() + ms(3_000);
     while gateway.daemon.memory.held() > 0 {
-        assert!(Instant::now() < until, "held on");
+        assert!(Instant::now() < deadline, "memory was not freed");
         sleep(ms(5)).await;
     }
 }
 
-/// It was read whole before: one such client took 16 MB twice.
+/// Guards against buffering complete responses: one such client used 16 MB twice.
 #[test]
-fn a_large_answer_reaches_a_slow_client_whole_and_takes_little_memory() {
+fn large_response_to_a_slow_client_uses_little_memory() {
     run(async {
         let body = text(LARGE);
         let server = Server::start("s1", Act::Answer(200, body.clone())).await;
@@ -63,13 +63,13 @@
         }
         let reply = client.reply().await;
         assert!(reply.whole);
-        assert!(reply.text() == body, "not the same bytes");
-        holds_nothing(&gateway).await;
+        assert!(reply.text() == body, "the body differs");
+        wait_until_memory_is_freed(&gateway).await;
     });
 }
 
 #[test]
-fn a_client_that_reads_nothing_is_left_after_a_while() {
+fn client_that_reads_nothing_is_disconnected() {
     run(async {
         let lines = Lines::start();
         let server = Server::start("s1", Act::Answer(200, text(LARGE))).await;
@@ -82,33 +82,33 @@
         client.send("GET", "/safe/1", "Request: a\r\n", "").await;
         sleep(ms(100)).await;
         assert!(gateway.daemon.memory.held() > 0);
-        holds_nothing(&gateway).await;
-        let told = lines.of("client_stalled");
-        assert_eq!(told.len(), 1, "{told:?}");
-        assert!(told[0].contains("\"request\":\"a\""), "{told:?}");
+        wait_until_memory_is_freed(&gateway).await;
+        let logged = lines.of("client_stalled");
+        assert_eq!(logged.len(), 1, "{logged:?}");
+        assert!(logged[0].contains("\"request\":\"a\""), "{logged:?}");
         assert_eq!(gateway.daemon.pools.status("s1", "z1", 0).in_flight, 0);
     });
 }
 
 #[test]
-fn a_hundred_clients_that_read_nothing_leave_room_for_one_that_does() {
+fn hundred_stalled_clients_do_not_block_others() {
     run(async {
         let lines = Lines::start();
         let server = Server::start("s1", Act::Large(LARGE)).await;
         let limit = 4 << 20;
         let (_world, gateway) = gateway(bounds(limit, 256 * KIB), &server).await;
-        let mut stuck = Vec::new();
+        let mut stalled = Vec::new();
         for number in 0..100 {
             let mut client = gateway.narrow_client().await;
             let fields = format!("Request: r{number}\r\n");
             client.send("GET", "/safe/1", &fields, "").await;
-            stuck.push(client);
+            stalled.push(client);
         }
         sleep(ms(300)).await;
         server.set(Act::Answer(200, text(200 * KIB)));
-        let begun = Instant::now();
+        let started = Instant::now();
         let mut served = 0;
-        while begun.elapsed() < ms(3_000) {
+        while started.elapsed() < ms(3_000) {
             let held = gateway.daemon.memory.held();
             assert!(held <= limit as u64, "{held} bytes");
             let reply = gateway.ask("GET", "/safe/2", "Request: b\r\n", "").await;
@@ -118,16 +118,16 @@
             sleep(ms(20)).await;
         }
         assert!(served > 20, "{served}");
-        // Some had to give up what others needed; which is told.
-        let told = lines.of("client_stalled");
-        assert!(!told.is_empty());
-        drop(stuck);
-        holds_nothing(&gateway).await;
+        // Some stalled clients were disconnected to free memory, which is logged.
+        let logged = lines.of("client_stalled");
+        assert!(!logged.is_empty());
+        drop(stalled);
+        wait_until_memory_is_freed(&gateway).await;
     });
 }
 
 #[test]
-fn a_server_is_read_at_its_own_pace_while_its_client_is_slow() {
+fn server_is_read_at_full_speed_while_its_client_is_slow() {
     run(async {
         let events: Vec<String> = (0..200).map(|_| text(KIB)).collect();
         let server = Server::start("s1", Act::Events(events.clone(), None)).await;
@@ -139,7 +139,7 @@
         sleep(ms(300)).await;
         let in_flight = gateway.daemon.pools.status("s1", "z1", 0).in_flight;
         assert_eq!(in_flight, 0, "the server still waits for the client");
-        // A byte at a time.
+        // Read one byte at a time.
         let mut first = [0; 64];
         for byte in &mut first {
             *byte = client.stream.read_u8().await.expect("a byte");
@@ -150,36 +150,36 @@
         assert!(reply.whole);
         let data = reply.text().matches("data: ").count();
         assert_eq!(data, events.len());
-        holds_nothing(&gateway).await;
+        wait_until_memory_is_freed(&gateway).await;
     });
 }
 
-/// A server that takes the connection and reads nothing.
-async fn deaf_server() -> (TcpListener, SocketAddr) {
+/// A server that accepts connections but never reads.
+async fn non_reading_server() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("binds");
     let address = listener.local_addr().expect("an address");
     (listener, address)
 }
 
 #[test]
-fn a_server_that_stops_reading_holds_a_request_no_longer_than_its_deadline() {
+fn server_that_stops_reading_times_out_at_the_deadline() {
     run(async {
         let mut server = Server::start("s1", Act::Silent).await;
-        let (_listener, address) = deaf_server().await;
+        let (_listener, address) = non_reading_server().await;
         server.address = address;
         let (_world, gateway) = gateway(bounds(4 * LARGE, 64 * KIB), &server).await;
         let fields = "Request: a\r\nDeadline: 900\r\n";
         let body = text(LARGE);
-        let begun = Instant::now();
+        let started = Instant::now();
         let reply = gateway.ask("POST", "/unsafe/1", fields, &body).await;
         assert_eq!(reply.head.status, 504);
-        assert!(begun.elapsed() < ms(1_500), "{:?}", begun.elapsed());
-        holds_nothing(&gateway).await;
+        assert!(started.elapsed() < ms(1_500), "{:?}", started.elapsed());
+        wait_until_memory_is_freed(&gateway).await;
     });
 }
 
 #[test]
-fn a_body_that_finds_no_room_is_refused_before_anything_is_sent() {
+fn body_over_the_memory_limit_is_refused_before_sending() {
     run(async {
         let server = Server::start("s1", Act::Answer(200, "fine".to_owned())).await;
         let (_world, gateway) = gateway(bounds(100 * KIB, 64 * KIB), &server).await;
@@ -191,11 +191,11 @@
         assert_eq!(server.count(), 0);
         let reply = gateway.ask("POST", "/unsafe/1", fields, "small").await;
         assert_eq!(reply.head.status, 200);
-        holds_nothing(&gateway).await;
+        wait_until_memory_is_freed(&gateway).await;
     });
 }
 
-/// Each held a buffer before, also while nothing came.
+/// Guards against idle connections that each hold a read buffer.
 #[test]
 fn idle_connections_hold_no_buffers() {
     run(async {
