--- a/crates/gateway/src/http/mod.rs
+++ b/crates/gateway/src/http/mod.rs
@@ -8,7 +8,7 @@
 //! - [`head`]: parsing of request and response heads.
 //! - [`body`]: decoding of message bodies.
 //! - [`events`]: decoding of server-sent events.
-//! - [`write`]: encoding of heads and chunks.
+//! - [`mod@write`]: encoding of heads and chunks.
 
 pub mod body;
 pub mod events;
--- a/crates/gateway/src/serve/dispatch.rs
+++ b/crates/gateway/src/serve/dispatch.rs
@@ -40,7 +40,7 @@
         if !context.is_still_admitted() {
             return Err(DispatchFailure::KeyRevoked);
         }
-        send_check::wait_for_evacuations(context).await?;
+        send_check::wait_for_evacuation_state(context).await?;
         let homes = homes::current(context);
         let Some(server) = choose(context, &homes, history) else {
             break;
@@ -58,7 +58,7 @@
             context.daemon.pools.release_unused(&server.id, connection);
             continue;
         }
-        send_check::recheck(context, &server)?;
+        send_check::recheck_server(context, &server)?;
         history.stage = Stage::Sent;
         return send(context, server, connection, in_flight, last_event).await;
     }
--- a/crates/gateway/src/serve/quota.rs
+++ b/crates/gateway/src/serve/quota.rs
@@ -17,7 +17,7 @@
 /// A request charged, or about to be charged, to the limit of its tenant. If it is dropped before
 /// it finishes, the client has left or received an incomplete response, and the owner of the limit
 /// is informed: an aborted program says nothing about how many requests programs of its route need,
-/// and must not keep the requests that it was charged for.
+/// and does not need the requests that it was charged for.
 #[derive(Default)]
 pub struct QuotaCharge {
     report: Option<(Rc<Daemon>, QuotaQuestion)>,
--- a/crates/gateway/src/serve/send_check.rs
+++ b/crates/gateway/src/serve/send_check.rs
@@ -21,11 +21,11 @@
 ///
 /// # Errors
 /// The state is still too old after the wait.
-pub async fn wait_for_evacuations(context: &RequestContext) -> Result<(), DispatchFailure> {
+pub async fn wait_for_evacuation_state(context: &RequestContext) -> Result<(), DispatchFailure> {
     let daemon = &context.daemon;
-    let until = Instant::now() + CONFIRM_TIMEOUT;
+    let deadline = Instant::now() + CONFIRM_TIMEOUT;
     while daemon.is_doubtful() {
-        if Instant::now() >= until {
+        if Instant::now() >= deadline {
             tracing::info!(
                 event = "evacuations_uncertain",
                 request = context.meta.id,
@@ -46,13 +46,16 @@
 ///
 /// # Errors
 /// The server may not be used; nothing was sent.
-pub fn recheck(context: &RequestContext, server: &ServerEntry) -> Result<(), DispatchFailure> {
+pub fn recheck_server(
+    context: &RequestContext,
+    server: &ServerEntry,
+) -> Result<(), DispatchFailure> {
     let daemon = &context.daemon;
     let cause = if !daemon.directory.borrow().takes_work(&server.id) {
         "server_leaves"
     } else if daemon.places.is_evacuated(&server.zone) {
         "zone_evacuated"
-    } else if !may_hold(context, server) {
+    } else if !is_in_home_region(context, server) {
         "homes_narrowed"
     } else if daemon.is_doubtful() {
         "evacuations_uncertain"
@@ -71,7 +74,7 @@
 }
 
 /// Returns whether the server is in a region allowed by the current configuration.
-fn may_hold(context: &RequestContext, server: &ServerEntry) -> bool {
+fn is_in_home_region(context: &RequestContext, server: &ServerEntry) -> bool {
     let places = &context.daemon.places;
     let homes = homes::current(context);
     places.with_rule(&homes, &server.zone, |rule| rule.may_hold(&server.zone))
--- a/crates/gateway/src/serve/turn_record.rs
+++ b/crates/gateway/src/serve/turn_record.rs
@@ -27,7 +27,7 @@
             // The client sends the turn again elsewhere while it has time.
             () = self.ledger.wait_cut_off() => false,
         };
-        // Without a budget, the end is reported to the partition that orders the turn separately,
+        // Without a budget, the partition that orders the turn gets a separate report of its end
         // when the turn is dropped.
         self.closed = recorded && (!self.has_separate_keeper() || self.request.budget.is_some());
         tracing::info!(
