--- a/crates/gateway/src/ledger/hold.rs
+++ b/crates/gateway/src/ledger/hold.rs
@@ -7,7 +7,7 @@
 use fieldhook_ledger::partition::Partition;
 use fieldhook_log::api::StoreError;
 use fieldhook_log::appender::{AppendEnd, Appender};
-use fieldhook_log::ownership::Former;
+use fieldhook_log::ownership::PreviousOwner;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -38,10 +38,10 @@
 /// Reads a claimed partition; `None` once it is another's.
 async fn read(owner: &Owner, partition: u32, epoch: u64) -> Option<Loaded> {
     let claim = owner.claims.claim(partition);
-    let state = match claim.map_or(Former::Lost, |claim| claim.former) {
-        Former::None => Partition::default(),
-        Former::Settled { doubt_ms } => Partition::handed_over(unix_ms(), doubt_ms),
-        Former::Lost => Partition::taken_over(unix_ms(), owner.doubt_after_loss_ms()),
+    let state = match claim.map_or(PreviousOwner::Lost, |claim| claim.previous_owner) {
+        PreviousOwner::None => Partition::default(),
+        PreviousOwner::Settled { doubt_ms } => Partition::after_handover(unix_ms(), doubt_ms),
+        PreviousOwner::Lost => Partition::after_loss(unix_ms(), owner.doubt_after_loss_ms()),
     };
     let mut load = Load::new(owner.place(partition), epoch, state);
     loop {
@@ -101,9 +101,9 @@
         event = "partition_owned",
         partition,
         epoch,
-        turns = state.borrow().turns(),
-        programs = state.borrow().programs(),
-        doubt_ms = state.borrow().doubt_ms(unix_ms()),
+        turns = state.borrow().turn_count(),
+        programs = state.borrow().program_count(),
+        doubt_ms = state.borrow().uncertainty_ms(unix_ms()),
         took_ms = started.elapsed().as_millis() as u64,
     );
     let owned = Owned {
@@ -119,7 +119,7 @@
         .insert(partition, Hold::Serving(owned));
     owner.note_held(&owner.held.borrow());
     owner.claims.changed.notify_waiters();
-    appender.trimmer.inherited(loaded.end);
+    appender.trimmer.inherit_history(loaded.end);
     let end = tokio::select! {
         end = appender.run(|took| owner.metrics.append_seconds.observe(took.as_secs_f64())) => end,
         never = appender.trimmer.run() => match never {},
--- a/crates/gateway/src/ledger/homes.rs
+++ b/crates/gateway/src/ledger/homes.rs
@@ -35,14 +35,14 @@
 
 /// Looks for good whether the owners of this region's home partitions are there. Nobody is
 /// asked while none was claimed.
-pub async fn run_watch(ledger: Rc<LedgerClient>) {
+pub async fn watch_owners(ledger: Rc<LedgerClient>) {
     loop {
         let jitter = Duration::from_millis(fastrand::u64(0..LOOK_JITTER_MS));
         sleep(LOOK_PERIOD + jitter).await;
-        if ledger.owner.claims.is_released() {
+        if ledger.owner.claims.has_stopped_claiming() {
             return;
         }
-        for partition in ledger.owner.places.layout.homes() {
+        for partition in ledger.owner.places.layout.home_partitions() {
             look(&ledger, partition).await;
         }
     }
@@ -59,11 +59,11 @@
         return;
     }
     let exchange = ledger
-        .exchange(partition, &LedgerRequest::KeepsLog, ANSWER_LIMIT)
+        .exchange(partition, &LedgerRequest::HasLogContact, ANSWER_LIMIT)
         .await;
     ledger.note(partition, Some(&exchange));
     match exchange {
-        Exchange::Answered(LedgerReply::HasLog(false), _) => {
+        Exchange::Answered(LedgerReply::LogContact(false), _) => {
             ledger.replace_silent(partition, claim.epoch).await;
         }
         doubtful => ledger.act_on_doubt(partition, &doubtful).await,
--- a/crates/gateway/src/ledger/region.rs
+++ b/crates/gateway/src/ledger/region.rs
@@ -98,7 +98,7 @@
             asked = asked.len(),
             known
         );
-        let question = LedgerRequest::Claim(ClaimPartition::after(partition, epoch));
+        let question = LedgerRequest::Claim(ClaimPartition::replacing(partition, epoch));
         let calls = asked
             .into_iter()
             .map(|other| self.ask_peer(other, &question, ASK_LIMIT));
@@ -131,7 +131,7 @@
         let layout = &self.owner.places.layout;
         let region = layout.region(partition);
         let mut owners: Vec<SocketAddr> = layout
-            .homes()
+            .home_partitions()
             .filter(|other| layout.region(*other) == region)
             .filter_map(|other| claims.claim(other)?.address)
             .collect();
--- a/crates/gateway/src/relay/places.rs
+++ b/crates/gateway/src/relay/places.rs
@@ -3,9 +3,9 @@
 
 use super::Relay;
 use crate::daemon::Daemon;
-use fieldhook_log::lottery;
-use fieldhook_log::patience::{Capacity, before_claim};
-use fieldhook_log::readers::{Place, Readers};
+use fieldhook_log::claim_delay::{Capacity, claim_delay};
+use fieldhook_log::random_delay;
+use fieldhook_log::readers::{ReaderSlot, Readers};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::sleep;
@@ -22,7 +22,7 @@
         let Some(place) = relay.vacancy() else {
             continue;
         };
-        sleep(patience + lottery::delay(fastrand::u64(..))).await;
+        sleep(patience + random_delay::draw(fastrand::u64(..))).await;
         let is_vacant = || relay.vacancy().as_ref() == Some(&place);
         if !is_vacant() || daemon.is_stopping() {
             continue;
@@ -41,21 +41,21 @@
 
 /// Small machines let all large ones go first.
 fn patience(capacity: Capacity) -> Duration {
-    match before_claim(capacity, 0).is_zero() {
+    match claim_delay(capacity, 0).is_zero() {
         true => Duration::ZERO,
-        false => lottery::longest(),
+        false => random_delay::max(),
     }
 }
 
 impl Relay {
     /// A place that this daemon might take.
-    fn vacancy(&self) -> Option<Place> {
+    fn vacancy(&self) -> Option<ReaderSlot> {
         if !self.is_shared() || self.is_reader() {
             return None;
         }
         let asker = self.asker.borrow();
         let now_ms = self.now_ms();
         let is_lost = |reader| asker.is_lost(reader, now_ms);
-        self.readers.borrow().vacancy(&self.zone, &is_lost)
+        self.readers.borrow().vacant_slot(&self.zone, &is_lost)
     }
 }
--- a/crates/gateway/src/serve/cold.rs
+++ b/crates/gateway/src/serve/cold.rs
@@ -3,7 +3,7 @@
 use super::attempt::AttemptHistory;
 use super::local_response::LocalResponse;
 use super::request::{RETRY_SOON_MS, RequestContext};
-use fieldhook_ledger::message::{ColdQuestion, QuotaAnswer};
+use fieldhook_ledger::message::{ColdServerRequest, QuotaReply};
 use fieldhook_traffic::cold::PERMIT_MS;
 use fieldhook_traffic::config::Cold;
 use fieldhook_traffic::directory::ServerEntry;
@@ -25,19 +25,19 @@
 /// none; the server is then skipped for a while.
 pub async fn request_permit(context: &RequestContext, server: &ServerEntry, cold: &Cold) -> bool {
     let daemon = &context.daemon;
-    let question = ColdQuestion {
+    let request = ColdServerRequest {
         server: server.id.clone(),
         rate_per_s: cold.rate_per_s,
         version: daemon.cold.version(),
         rank: context.priority(),
     };
     let asked = Instant::now();
-    let response = daemon.ledger.ask_cold(&question).await;
+    let response = daemon.ledger.request_cold_permit(&request).await;
     let is_late = asked.elapsed() >= Duration::from_millis(PERMIT_MS);
     let (outcome, wait_ms) = match response {
-        Some(QuotaAnswer::Granted { .. }) if !is_late => ("granted", None),
-        Some(QuotaAnswer::Granted { .. }) => ("late", Some(LATE_PERMIT_PAUSE_MS)),
-        Some(QuotaAnswer::Refused { retry_after_ms }) => ("refused", Some(retry_after_ms)),
+        Some(QuotaReply::Granted { .. }) if !is_late => ("granted", None),
+        Some(QuotaReply::Granted { .. }) => ("late", Some(LATE_PERMIT_PAUSE_MS)),
+        Some(QuotaReply::Refused { retry_after_ms }) => ("refused", Some(retry_after_ms)),
         None => ("no_owner", Some(NO_OWNER_PAUSE_MS)),
     };
     let permits = &daemon.metrics.cold_permits;
@@ -49,8 +49,8 @@
         server = server.id,
         outcome,
         wait_ms,
-        rank = question.rank,
-        rate_per_s = question.rate_per_s,
+        rank = request.rank,
+        rate_per_s = request.rate_per_s,
         partition = daemon.ledger.partition_of(&server.id),
         took_ms = asked.elapsed().as_millis() as u64,
         age_ms = context.age_ms()
--- a/crates/gateway/src/serve/homes.rs
+++ b/crates/gateway/src/serve/homes.rs
@@ -22,7 +22,7 @@
     tenant: Option<&Tenant>,
 ) -> Result<Set, LocalResponse> {
     let homes = homes::of(route, tenant);
-    if daemon.places.layout.has_home(&homes) {
+    if daemon.places.layout.has_allowed_region(&homes) {
         return Ok(homes);
     }
     count_outcome(daemon, "no_region");
@@ -60,7 +60,7 @@
 }
 
 /// Logs and counts that no owner in the home regions responded, so the request was not run.
-pub fn report_no_owner(context: &RequestContext, partition: Option<u32>) {
+pub fn report_no_owner(context: &RequestContext, home_partition: Option<u32>) {
     count_outcome(&context.daemon, "no_owner");
     tracing::info!(
         event = "refused_for_home",
@@ -69,7 +69,7 @@
         route = context.entry.route.name,
         tenant = context.tenant_name(),
         homes = %current(context),
-        keeper = partition,
+        keeper = home_partition,
         cause = "no owner in the home regions responded",
         age_ms = context.age_ms()
     );
@@ -113,7 +113,7 @@
 
 /// Logs and counts that a chain was read from a region that may no longer store it, and is now
 /// stored in the home regions.
-pub fn report_chain_moved(context: &RequestContext, keeper: Option<u32>) {
+pub fn report_chain_moved(context: &RequestContext, home_partition: Option<u32>) {
     count_outcome(&context.daemon, "chain_brought");
     tracing::info!(
         event = "chain_brought_home",
@@ -121,7 +121,7 @@
         program = context.meta.program,
         previous = context.meta.previous,
         homes = %current(context),
-        keeper
+        keeper = home_partition
     );
 }
 
--- a/crates/gateway/src/serve/quota.rs
+++ b/crates/gateway/src/serve/quota.rs
@@ -4,7 +4,7 @@
 use super::request::{ConnectionAction, RequestContext};
 use crate::daemon::Daemon;
 use crate::ledger::quota::Outcome;
-use fieldhook_ledger::message::{QuotaMatter, QuotaQuestion};
+use fieldhook_ledger::message::{QuotaEvent, QuotaRequest};
 use fieldhook_traffic::tenants::Limit;
 use fieldhook_traffic::wait;
 use std::rc::Rc;
@@ -20,20 +20,20 @@
 /// and does not need the requests that it was charged for.
 #[derive(Default)]
 pub struct QuotaCharge {
-    report: Option<(Rc<Daemon>, QuotaQuestion)>,
+    report: Option<(Rc<Daemon>, QuotaRequest)>,
 }
 
 impl QuotaCharge {
     /// Created before the owner is asked, because the client may leave while the grant is in
     /// transit. Only programs have an end to report.
-    fn new(context: &RequestContext, question: &QuotaQuestion) -> Self {
-        let program = question.program.as_ref();
+    fn new(context: &RequestContext, request: &QuotaRequest) -> Self {
+        let program = request.program.as_ref();
         let report = program.map(|_| {
-            let question = QuotaQuestion {
-                matter: QuotaMatter::ClientLeft,
-                ..question.clone()
+            let request = QuotaRequest {
+                event: QuotaEvent::Interrupted,
+                ..request.clone()
             };
-            (context.daemon.clone(), question)
+            (context.daemon.clone(), request)
         });
         Self { report }
     }
@@ -53,38 +53,41 @@
 
 impl Drop for QuotaCharge {
     fn drop(&mut self) {
-        if let Some((daemon, question)) = self.report.take() {
+        if let Some((daemon, request)) = self.report.take() {
             daemon.metrics.quota.with_label_values(&["left"]).inc();
-            daemon.ledger.tell_client_left(question);
+            daemon.ledger.report_client_left(request);
         }
     }
 }
 
-/// Charges a request to the limit of its tenant; `begins` marks the first request of a program.
+/// Charges a request to the limit of its tenant; `starts_program` marks the first request of a program.
 ///
 /// # Errors
 /// The request may not be sent; contains the response for the client.
-pub async fn acquire(context: &RequestContext, begins: bool) -> Result<QuotaCharge, LocalResponse> {
+pub async fn acquire(
+    context: &RequestContext,
+    starts_program: bool,
+) -> Result<QuotaCharge, LocalResponse> {
     let Some((tenant, limit, version)) = tenant_limit(context) else {
         return Ok(QuotaCharge::default());
     };
-    let mut question = QuotaQuestion {
-        matter: QuotaMatter::Request,
+    let mut request = QuotaRequest {
+        event: QuotaEvent::Request,
         tenant,
         rate_per_s: limit.rate_per_s,
         burst: limit.burst,
         version,
         program: context.meta.program.clone(),
         route: context.entry.route.name.clone(),
-        begins,
-        patience_ms: 0,
+        starts_program,
+        max_wait_ms: 0,
     };
-    let charge = QuotaCharge::new(context, &question);
-    let outcome = ask_until_granted(context, &mut question).await;
-    log_outcome(context, outcome, &question);
+    let charge = QuotaCharge::new(context, &request);
+    let outcome = ask_until_granted(context, &mut request).await;
+    log_outcome(context, outcome, &request);
     let response = match outcome {
         Outcome::Granted => return Ok(charge),
-        Outcome::Unasked => Ok(QuotaCharge::default()),
+        Outcome::AdmittedLocally => Ok(QuotaCharge::default()),
         Outcome::Refused { retry_after_ms } => Err(LocalResponse::over_limit(
             "the tenant is at its limit",
             retry_after_ms,
@@ -101,16 +104,16 @@
 /// Asks the owner until the request is granted or the next free slot is too late. The owner is told
 /// how long the request can wait and reserves no slot later than that. If the request is abandoned
 /// while it waits, its slot expires unused.
-async fn ask_until_granted(context: &RequestContext, question: &mut QuotaQuestion) -> Outcome {
+async fn ask_until_granted(context: &RequestContext, request: &mut QuotaRequest) -> Outcome {
     let daemon = &context.daemon;
     loop {
-        let max_wait = max_wait(context, question.begins);
-        question.patience_ms = max_wait.map_or(0, |max_wait| max_wait.as_millis() as u64);
-        let outcome = daemon.quota.take(&daemon.ledger, question).await;
+        let max_wait = max_wait(context, request.starts_program);
+        request.max_wait_ms = max_wait.map_or(0, |max_wait| max_wait.as_millis() as u64);
+        let outcome = daemon.quota.acquire(&daemon.ledger, request).await;
         let Outcome::Refused { retry_after_ms } = outcome else {
             return outcome;
         };
-        if retry_after_ms.max(1) > question.patience_ms {
+        if retry_after_ms.max(1) > request.max_wait_ms {
             return outcome;
         }
         daemon.metrics.quota.with_label_values(&["waits"]).inc();
@@ -121,9 +124,9 @@
 /// Returns how long it is worth waiting for a slot. The wait delays a new program as a whole, so
 /// beyond the target of its route the client should rather retry later. Requests of a running
 /// program wait as long as there is time left for the response.
-fn max_wait(context: &RequestContext, begins: bool) -> Option<Duration> {
+fn max_wait(context: &RequestContext, starts_program: bool) -> Option<Duration> {
     let route = &context.entry.route;
-    if begins {
+    if starts_program {
         let remaining_ms = route.target_ms.saturating_sub(context.age_ms());
         return wait::patience(Duration::ZERO, Duration::from_millis(remaining_ms));
     }
@@ -139,10 +142,10 @@
     Some((name.to_owned(), limit, table.config.version))
 }
 
-fn log_outcome(context: &RequestContext, outcome: Outcome, question: &QuotaQuestion) {
+fn log_outcome(context: &RequestContext, outcome: Outcome, request: &QuotaRequest) {
     let (label, wait_ms) = match outcome {
         Outcome::Granted => ("granted", 0),
-        Outcome::Unasked => ("unasked", 0),
+        Outcome::AdmittedLocally => ("unasked", 0),
         Outcome::Refused { retry_after_ms } => ("refused", retry_after_ms),
         Outcome::Unknown => ("unknown", 0),
     };
@@ -158,12 +161,12 @@
         program = context.meta.program,
         route = context.entry.route.name,
         tenant = context.tenant_name(),
-        begins = question.begins,
+        begins = request.starts_program,
         wait_ms,
-        patience_ms = question.patience_ms,
-        rate_per_s = question.rate_per_s,
-        burst = question.burst,
-        version = question.version,
+        patience_ms = request.max_wait_ms,
+        rate_per_s = request.rate_per_s,
+        burst = request.burst,
+        version = request.version,
         age_ms = context.age_ms()
     );
 }
--- a/crates/gateway/src/serve/turn.rs
+++ b/crates/gateway/src/serve/turn.rs
@@ -43,7 +43,7 @@
         prompt.extend_from_slice(input);
         let prompt = prompt.freeze();
         self.prompt = prompt.clone();
-        if self.request.brings_chain {
+        if self.request.supplies_chain {
             self.input = prompt.clone();
         }
         prompt
@@ -85,30 +85,30 @@
     /// Reports that the turn ended with the tokens delivered so far. Called before a response that
     /// makes the client retry, because the retry may arrive before this turn would otherwise end.
     pub fn abort(&mut self) {
-        let has_separate_keeper = self.request.keeper.is_some();
-        if self.closed || (self.request.budget.is_none() && !has_separate_keeper) {
+        let has_separate_home_partition = self.request.home_partition.is_some();
+        if self.closed || (self.request.budget.is_none() && !has_separate_home_partition) {
             return;
         }
         self.closed = true;
-        self.ledger.tell_end(self.close_request(None));
+        self.ledger.close_in_background(self.close_request(None));
     }
 
     /// Builds the report of the end of the turn, either for the partition that stores its content
     /// or for the one that orders it.
     pub(super) fn close_request(&self, content: Option<TurnContent>) -> CloseTurn {
         let has_content = content.is_some();
-        let has_separate_keeper = has_content && self.request.keeper.is_some();
+        let has_separate_home_partition = has_content && self.request.home_partition.is_some();
         CloseTurn {
             tenant: self.request.tenant.clone(),
             turn: self.request.turn.clone(),
             attempt: self.request.attempt,
             program: self.request.program.clone(),
-            budget: self.request.budget.filter(|_| !has_separate_keeper),
-            most_tokens: self.request.most_tokens,
+            budget: self.request.budget.filter(|_| !has_separate_home_partition),
+            max_tokens: self.request.max_tokens,
             tokens: self.tokens,
             content,
             engine: self.last_server.borrow().clone(),
-            keeper: self.request.keeper.filter(|_| has_content),
+            home_partition: self.request.home_partition.filter(|_| has_content),
             awaited: has_content,
         }
     }
--- a/crates/gateway/src/serve/turn_open.rs
+++ b/crates/gateway/src/serve/turn_open.rs
@@ -6,7 +6,7 @@
 use crate::ledger::client::{LedgerClient, OpenFailure, OpenedTurn};
 use crate::metrics::Metrics;
 use bytes::BytesMut;
-use fieldhook_ledger::message::{OpenTurn, Placement};
+use fieldhook_ledger::message::{OpenTurn, PlacementRequest};
 use fieldhook_log::reach::Reach;
 use fieldhook_topology::region::Set;
 use std::cell::Cell;
@@ -61,7 +61,9 @@
     }
     let homes = homes::current(context);
     let request = open_request(context, &homes)?;
-    if !request.name(&request.turn).fits() || !request.name(&request.program).fits() {
+    if !request.qualified_name(&request.turn).fits_record_key()
+        || !request.qualified_name(&request.program).fits_record_key()
+    {
         return Err(TurnRefusal::TooLarge);
     }
     let deadline = open_deadline(context)?;
@@ -81,7 +83,11 @@
         ))),
         Err(failure) => {
             pending.log_refusal(context, &failure);
-            Err(turn_refusal(&failure, context, pending.request.keeper))
+            Err(turn_refusal(
+                &failure,
+                context,
+                pending.request.home_partition,
+            ))
         }
     }
 }
@@ -91,9 +97,9 @@
     let route = &context.entry.route;
     let meta = &context.meta;
     let program = meta.program.clone().unwrap_or_default();
-    let keeper = context.daemon.ledger.keeper(&program, homes);
-    let keeper = keeper.filter(|_| route.keeps_context);
-    if route.keeps_context && keeper.is_none() && !homes.is_all() {
+    let home_partition = context.daemon.ledger.home_partition(&program, homes);
+    let home_partition = home_partition.filter(|_| route.keeps_context);
+    if route.keeps_context && home_partition.is_none() && !homes.is_all() {
         homes::report_no_owner(context, None);
         return Err(TurnRefusal::NoOwnerInHomes);
     }
@@ -102,15 +108,15 @@
         turn: meta.id.clone(),
         attempt: attempt_id(context),
         program,
-        line: meta.session.clone(),
+        session: meta.session.clone(),
         previous: meta.previous.clone(),
         wants_chain: route.keeps_context,
         keeps_context: route.keeps_context,
-        brings_chain: false,
+        supplies_chain: false,
         budget: meta.budget,
-        most_tokens: meta.most_tokens,
+        max_tokens: meta.most_tokens,
         placement: placement(context, homes),
-        keeper,
+        home_partition,
     })
 }
 
@@ -124,12 +130,12 @@
 }
 
 /// Returns what the owner needs in order to assign an engine.
-fn placement(context: &RequestContext, homes: &Set) -> Option<Placement> {
+fn placement(context: &RequestContext, homes: &Set) -> Option<PlacementRequest> {
     let meta = &context.meta;
     let prefix = meta.prefix.as_ref().or(meta.program.as_ref())?;
-    Some(Placement {
+    Some(PlacementRequest {
         service: context.service()?.to_owned(),
-        prefix: fieldhook_traffic::assignment::prefix_hash(prefix),
+        prefix_hash: fieldhook_traffic::assignment::prefix_hash(prefix),
         zone: context.daemon.settings.zone.clone(),
         regions: region_names(homes),
     })
@@ -160,7 +166,7 @@
         request = context.meta.id,
         program = context.meta.program,
         cause,
-        log_age_ms = context.daemon.ledger.contact.age_ms()
+        log_age_ms = context.daemon.ledger.contact.ms_since_answer()
     );
     Err(TurnRefusal::Unavailable)
 }
@@ -174,8 +180,8 @@
 ) -> Turn {
     let ledger = context.daemon.ledger.clone();
     let meta = &context.meta;
-    if request.brings_chain && request.keeper.is_some() {
-        homes::report_chain_moved(context, request.keeper);
+    if request.supplies_chain && request.home_partition.is_some() {
+        homes::report_chain_moved(context, request.home_partition);
     }
     tracing::info!(
         event = "turn_opened",
@@ -185,11 +191,11 @@
         budget = meta.budget,
         most = meta.most_tokens,
         partition = ledger.partition_of(&request.program),
-        keeper = request.keeper,
+        keeper = request.home_partition,
         durable = opened.is_durable(),
         allowed = opened.allowed(),
         engine = opened.engine,
-        reservation = request.reservation(),
+        reservation = request.reservation_id(),
         took_ms
     );
     Turn {
@@ -220,14 +226,14 @@
 fn turn_refusal(
     failure: &OpenFailure,
     context: &RequestContext,
-    keeper: Option<u32>,
+    home_partition: Option<u32>,
 ) -> TurnRefusal {
     match failure {
         OpenFailure::BudgetSpent(_) => TurnRefusal::BudgetSpent,
         OpenFailure::UnknownTurn => TurnRefusal::UnknownTurn,
         OpenFailure::Unavailable => TurnRefusal::Unavailable,
         OpenFailure::HomeUnavailable => {
-            homes::report_no_owner(context, keeper);
+            homes::report_no_owner(context, home_partition);
             TurnRefusal::NoOwnerInHomes
         }
     }
@@ -263,16 +269,16 @@
             partition = self.ledger.partition_of(&self.request.program),
             previous = self.request.previous,
             budget = self.request.budget,
-            most = self.request.most_tokens,
+            most = self.request.max_tokens,
             cause = failure.cause(),
-            settled = shortage.map(|shortage| shortage.settled),
+            settled = shortage.map(|shortage| shortage.settled_tokens),
             open_turns = shortage.map(|shortage| shortage.open_turns),
-            open = shortage.map(|shortage| shortage.open),
+            open = shortage.map(|shortage| shortage.open_tokens),
             in_doubt_turns = shortage.map(|shortage| shortage.in_doubt_turns),
-            in_doubt = shortage.map(|shortage| shortage.in_doubt),
-            oldest_open = shortage.and_then(|shortage| shortage.oldest.as_deref()),
-            oldest_open_ms = shortage.and_then(|shortage| shortage.oldest_ms),
-            reserved_ahead = shortage.map(|shortage| shortage.inherited),
+            in_doubt = shortage.map(|shortage| shortage.in_doubt_tokens),
+            oldest_open = shortage.and_then(|shortage| shortage.oldest_reservation.as_deref()),
+            oldest_open_ms = shortage.and_then(|shortage| shortage.oldest_age_ms),
+            reserved_ahead = shortage.map(|shortage| shortage.inherited_tokens),
             took_ms = self.took_ms(),
             age_ms = context.age_ms()
         );
@@ -291,10 +297,10 @@
             request = self.request.turn,
             program = self.request.program,
             partition = self.ledger.partition_of(&self.request.program),
-            reservation = self.request.reservation(),
+            reservation = self.request.reservation_id(),
             took_ms = self.took_ms(),
             "an owner may have opened the turn; reporting its end"
         );
-        self.ledger.tell_end(self.request.withdrawn());
+        self.ledger.close_in_background(self.request.cancellation());
     }
 }
--- a/crates/gateway/src/serve/turn_record.rs
+++ b/crates/gateway/src/serve/turn_record.rs
@@ -16,7 +16,7 @@
             return true;
         }
         let homes = homes::current(context);
-        if !self.move_to_allowed_keeper(&homes) {
+        if !self.move_to_allowed_partition(&homes) {
             homes::report_no_owner(context, None);
             return false;
         }
@@ -25,11 +25,12 @@
             biased;
             recorded = self.record_all(context.deadline) => recorded,
             // The client sends the turn again elsewhere while it has time.
-            () = self.ledger.wait_cut_off() => false,
+            () = self.ledger.wait_until_cut_off() => false,
         };
         // Without a budget, the partition that orders the turn gets a separate report of its end
         // when the turn is dropped.
-        self.closed = recorded && (!self.has_separate_keeper() || self.request.budget.is_some());
+        self.closed =
+            recorded && (!self.has_separate_home_partition() || self.request.budget.is_some());
         tracing::info!(
             event = "turn_recorded",
             request = self.request.turn,
@@ -46,8 +47,8 @@
 
     /// Returns whether the partition that stores the content differs from the one that orders the
     /// turn and counts its tokens.
-    fn has_separate_keeper(&self) -> bool {
-        self.request.keeper.is_some()
+    fn has_separate_home_partition(&self) -> bool {
+        self.request.home_partition.is_some()
     }
 
     /// Records the content and the tokens. If two partitions are involved, the response waits for
@@ -61,7 +62,7 @@
 
     /// Records the tokens, unless recording the content does so.
     async fn record_tokens(&self, deadline: Instant) -> bool {
-        if !self.has_separate_keeper() || self.request.budget.is_none() {
+        if !self.has_separate_home_partition() || self.request.budget.is_none() {
             return true;
         }
         let close = CloseTurn {
@@ -76,7 +77,7 @@
     /// this one continues from.
     async fn record_content(&self, deadline: Instant) -> bool {
         let mut parts = vec![&self.input[..]];
-        if self.request.brings_chain && self.input.len() > MAX_RECORD_BYTES {
+        if self.request.supplies_chain && self.input.len() > MAX_RECORD_BYTES {
             parts = self.input.chunks(MAX_RECORD_BYTES).collect();
         }
         let last = parts.len() - 1;
@@ -127,22 +128,22 @@
     /// Makes sure that the content is stored in a region that is allowed now, since the allowed
     /// regions may have been narrowed since the turn started. The earlier turns that it continues
     /// from move along. Returns false if no region is allowed any more.
-    fn move_to_allowed_keeper(&mut self, homes: &Set) -> bool {
+    fn move_to_allowed_partition(&mut self, homes: &Set) -> bool {
         let layout = &self.ledger.owner.places.layout;
         let program = &self.request.program;
-        let keeper = self.request.keeper;
-        let partition = keeper.unwrap_or_else(|| layout.order(program));
-        if layout.may_keep(partition, homes) {
+        let home_partition = self.request.home_partition;
+        let partition = home_partition.unwrap_or_else(|| layout.program_partition(program));
+        if layout.may_store(partition, homes) {
             return true;
         }
-        self.request.keeper = layout.keeper(program, homes);
-        self.request.brings_chain = true;
+        self.request.home_partition = layout.home_partition(program, homes);
+        self.request.supplies_chain = true;
         self.input = self.prompt.clone();
-        self.request.keeper.is_some()
+        self.request.home_partition.is_some()
     }
 
     fn recorded_previous(&self) -> Option<String> {
         let previous = self.request.previous.clone();
-        previous.filter(|_| !self.request.brings_chain)
+        previous.filter(|_| !self.request.supplies_chain)
     }
 }
--- a/crates/gateway/tests/gateway/abandoned_turns.rs
+++ b/crates/gateway/tests/gateway/abandoned_turns.rs
@@ -1,11 +1,11 @@
 //! Turns whose clients leave while the gateway asks the owner of their program.
 //!
 //! Guards against leaked token reservations: the client of a turn left in the moment in which the
-//! owner opened the turn and reserved its maximum tokens. The gateway dropped the question together
-//! with the request, so nobody received the response of the owner and nobody reported the end of
-//! the turn. Every later attempt of the program was refused because its budget was spent. This was
-//! observed after a loss of all power, and only for programs whose clients left before their
-//! gateway had logged `turn_opened`.
+//! owner opened the turn and reserved its maximum tokens. The gateway dropped its call to the owner
+//! together with the request, so nobody received the response of the owner and nobody reported the
+//! end of the turn. Every later attempt of the program was refused because its budget was spent.
+//! This was observed after a loss of all power, and only for programs whose clients left before
+//! their gateway had logged `turn_opened`.
 
 use crate::support::{Act, Gateway, Server, World, run};
 use fieldhook_ledger::message::OpenTurn;
@@ -97,15 +97,16 @@
             send_and_disconnect(&other, &fields).await;
             // The stop begins while the end of the last turn is being reported.
             let started = Instant::now();
-            while other.daemon.ledger.endings.get() == 0 && started.elapsed() < REPORT_STARTS_WITHIN
+            while other.daemon.ledger.pending_closes.get() == 0
+                && started.elapsed() < REPORT_STARTS_WITHIN
             {
                 tokio::task::yield_now().await;
             }
-            pending_reports = pending_reports.max(other.daemon.ledger.endings.get());
+            pending_reports = pending_reports.max(other.daemon.ledger.pending_closes.get());
         }
         assert!(pending_reports > 0, "no end was being reported");
         fieldhook_gateway::drain::run(other.daemon.clone()).await;
-        assert_eq!(other.daemon.ledger.endings.get(), 0);
+        assert_eq!(other.daemon.ledger.pending_closes.get(), 0);
         for number in 0..PROGRAMS {
             let fields = format!("Request: next{number}\r\nProgram: q{number}\r\n{BUDGET}");
             let reply = owner.ask("POST", "/chat/1", &fields, "x").await;
@@ -121,15 +122,15 @@
         turn: format!("lost-{program}"),
         attempt: 1,
         program: program.to_owned(),
-        line: Some("a".to_owned()),
+        session: Some("a".to_owned()),
         previous: None,
         wants_chain: true,
         keeps_context: true,
-        brings_chain: false,
+        supplies_chain: false,
         budget: Some(60),
-        most_tokens: 40,
+        max_tokens: 40,
         placement: None,
-        keeper: None,
+        home_partition: None,
     };
     let ledger = &gateway.daemon.ledger;
     let deadline = Instant::now() + REPORTED_WITHIN;
@@ -181,7 +182,7 @@
             let reply = b.ask("POST", "/chat/1", &next, "x").await;
             assert_eq!(reply.head.status, 200, "{program}");
             let ledger = &a.daemon.ledger;
-            let end = abandoned.withdrawn();
+            let end = abandoned.cancellation();
             let is_recorded = ledger.close(&end, Instant::now() + REPORTED_WITHIN).await;
             assert!(is_recorded, "the end of the turn was not recorded");
             // Ten tokens are used, so the budget covers one more turn.
--- a/crates/gateway/tests/gateway/limits.rs
+++ b/crates/gateway/tests/gateway/limits.rs
@@ -63,7 +63,7 @@
         assert_eq!(server.count(), BURST as usize);
         let mut usage_lines = Vec::new();
         for gateway in [&a, &b] {
-            gateway.daemon.owner.tell_limits();
+            gateway.daemon.owner.record_tenant_usage();
             let metrics = gateway.daemon.metrics.text();
             let lines = metrics
                 .lines()
--- a/crates/gateway/tests/gateway/unreadable_partitions.rs
+++ b/crates/gateway/tests/gateway/unreadable_partitions.rs
@@ -105,14 +105,14 @@
         let contact = other.daemon.contact.clone();
         ntex::rt::spawn(async move {
             loop {
-                contact.answered();
+                contact.record_answer();
                 sleep(Duration::from_millis(100)).await;
             }
         });
         isolated.store.set_fault(LogFault::Silent);
-        isolated.daemon.contact.failed();
+        isolated.daemon.contact.record_failure();
         sleep(Duration::from_millis(850)).await;
-        isolated.daemon.contact.failed();
+        isolated.daemon.contact.record_failure();
         let outcome = ask_until_served(&other, "p").await;
         assert!(outcome.is_ok(), "{outcome:?}");
     });
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -1,6 +1,6 @@
 //! Records of the compacted topic: the newest of each key is kept for good.
 
-use crate::scope::Name;
+use crate::name::QualifiedName;
 use nanoserde::{DeBin, SerBin};
 
 /// Kinds of keys. Those of tenants' names have the tenant's length and name before the name.
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct OpenReservation {
     /// Its name: the number of the try that it is for, in hexadecimal.
-    pub turn: String,
+    pub id: String,
     /// Tokens reserved for it.
     pub tokens: u64,
     /// Nobody may wait for it: see [`crate::open`]. A planned stop hands this on.
@@ -57,12 +57,12 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Record {
     /// Budget of a program.
-    Program(Name, Option<ProgramRecord>),
+    Program(QualifiedName, Option<ProgramRecord>),
     /// Content of a turn.
-    Turn(Name, Option<TurnRecord>),
+    Turn(QualifiedName, Option<TurnRecord>),
     /// Successors in a row that may have handed out their part of programs without a record:
-    /// see [`crate::doubt`].
-    Doubt(u32),
+    /// see [`crate::uncertainty`].
+    UnrecordedShares(u32),
 }
 
 /// A record that cannot be read.
@@ -75,7 +75,7 @@
         let (kind, tenant_kind, name) = match self {
             Self::Program(name, _) => (PROGRAM_KEY, TENANT_PROGRAM_KEY, name),
             Self::Turn(name, _) => (TURN_KEY, TENANT_TURN_KEY, name),
-            Self::Doubt(_) => return vec![DOUBT_KEY],
+            Self::UnrecordedShares(_) => return vec![DOUBT_KEY],
         };
         let mut key = Vec::with_capacity(name.text.len() + 1);
         match &name.tenant {
@@ -95,7 +95,7 @@
         match self {
             Self::Program(_, Some(record)) => record.serialize_bin(),
             Self::Turn(_, Some(record)) => record.serialize_bin(),
-            Self::Doubt(successors) => successors.serialize_bin(),
+            Self::UnrecordedShares(successors) => successors.serialize_bin(),
             _ => Vec::new(),
         }
     }
@@ -108,12 +108,12 @@
         let (kind, name) = key.split_first().ok_or(UnreadableRecord)?;
         if *kind == DOUBT_KEY && name.is_empty() {
             let successors = u32::deserialize_bin(value).map_err(|_| UnreadableRecord)?;
-            return Ok(Self::Doubt(successors));
+            return Ok(Self::UnrecordedShares(successors));
         }
         let (kind, name) = match *kind {
             TENANT_PROGRAM_KEY => (PROGRAM_KEY, tenants_name(name)?),
             TENANT_TURN_KEY => (TURN_KEY, tenants_name(name)?),
-            kind => (kind, Name::new(None, text(name)?)),
+            kind => (kind, QualifiedName::new(None, text(name)?)),
         };
         match (kind, value.is_empty()) {
             (PROGRAM_KEY, true) => Ok(Self::Program(name, None)),
@@ -134,10 +134,10 @@
 }
 
 /// The tenant's length, the tenant, and a name of its own.
-fn tenants_name(key: &[u8]) -> Result<Name, UnreadableRecord> {
+fn tenants_name(key: &[u8]) -> Result<QualifiedName, UnreadableRecord> {
     let (length, rest) = key.split_first().ok_or(UnreadableRecord)?;
     let (tenant, name) = rest
         .split_at_checked(usize::from(*length))
         .ok_or(UnreadableRecord)?;
-    Ok(Name::new(Some(text(tenant)?), text(name)?))
+    Ok(QualifiedName::new(Some(text(tenant)?), text(name)?))
 }
