--- a/crates/gateway/src/serve/quota.rs
+++ b/crates/gateway/src/serve/quota.rs
@@ -60,7 +60,8 @@
     }
 }
 
-/// Charges a request to the limit of its tenant; `starts_program` marks the first request of a program.
+/// Charges a request to the limit of its tenant; `starts_program` marks the first request of a
+/// program.
 ///
 /// # Errors
 /// The request may not be sent; contains the response for the client.
