--- a/crates/ledger/src/budget.rs
+++ b/crates/ledger/src/budget.rs
@@ -37,7 +37,7 @@
 
 /// Outcome of a reservation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reservation {
+pub enum ReserveOutcome {
     /// Granted, and the maximum of the turn is within the durable limit.
     Durable,
     /// Granted, but output beyond `allowed` tokens has to wait for the append.
@@ -77,6 +77,7 @@
 /// State that a successor recovers from one record, or without any record.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct RecoveryPoint {
+    /// Number of the record; 0 for the state that this owner itself started from.
     record: u64,
     /// Tokens that the record reserves for turns that it does not contain.
     reserved_ahead: u64,
@@ -198,29 +199,34 @@
 
     /// Whether a turn is the first of its program: nothing was settled yet, and no other turn is
     /// open.
-    pub fn is_first_turn(&self, turn: &str) -> bool {
+    pub fn is_first_turn(&self, reservation_id: &str) -> bool {
         self.settled_tokens == 0
             && self
                 .open_turns
                 .iter()
-                .all(|open| open.reservation_id == turn)
+                .all(|open| open.reservation_id == reservation_id)
     }
 
     /// Whether a turn is open.
-    pub fn has_open_turn(&self, turn: &str) -> bool {
-        self.open_turns.contains(turn)
+    pub fn has_open_turn(&self, reservation_id: &str) -> bool {
+        self.open_turns.contains(reservation_id)
     }
 
     /// Reserves the maximum of a turn. A repeated request for the same turn does not change the
     /// counters.
-    pub fn reserve(&mut self, request: &TurnRequest<'_>, budget: u64, now_ms: u64) -> Reservation {
+    pub fn reserve(
+        &mut self,
+        request: &TurnRequest<'_>,
+        budget: u64,
+        now_ms: u64,
+    ) -> ReserveOutcome {
         if self.ended_turns.contains(request.reservation_id) {
-            return Reservation::AlreadyEnded;
+            return ReserveOutcome::AlreadyEnded;
         }
         self.open_turns.observe_request(request);
         if !self.has_open_turn(request.reservation_id) {
             if !self.has_room_for(request.max_tokens, budget) {
-                return Reservation::Exhausted;
+                return ReserveOutcome::Exhausted;
             }
             self.open_turns.start(request, now_ms);
             self.changed_ms = now_ms;
@@ -244,30 +250,30 @@
     }
 
     /// Raises the tokens that a turn may deliver, as far as the durable limit permits.
-    fn extend_allowance(&mut self, turn: &str) -> Reservation {
+    fn extend_allowance(&mut self, reservation_id: &str) -> ReserveOutcome {
         let grantable = self.grantable_tokens();
-        let Some(open) = self.open_turns.get_mut(turn) else {
-            return Reservation::Durable;
+        let Some(open) = self.open_turns.get_mut(reservation_id) else {
+            return ReserveOutcome::Durable;
         };
         open.allowed += grantable.min(open.max_tokens - open.allowed);
         if open.allowed == open.max_tokens {
-            Reservation::Durable
+            ReserveOutcome::Durable
         } else {
-            Reservation::Pending {
+            ReserveOutcome::Pending {
                 allowed: open.allowed,
             }
         }
     }
 
     /// Settles a turn with the tokens that were delivered to the client.
-    pub fn settle(&mut self, turn: &str, tokens: u64, now_ms: u64) -> Settlement {
-        if self.ended_turns.contains(turn) {
+    pub fn settle(&mut self, reservation_id: &str, tokens: u64, now_ms: u64) -> Settlement {
+        if self.ended_turns.contains(reservation_id) {
             return Settlement::Duplicate;
         }
         // Also set if nothing is counted, because this may be the only trace of the program.
         self.changed_ms = now_ms;
-        self.ended_turns.insert(turn);
-        if let Some(ended) = self.open_turns.remove(turn) {
+        self.ended_turns.insert(reservation_id);
+        if let Some(ended) = self.open_turns.remove(reservation_id) {
             for point in &mut self.recovery_points {
                 if !ended.is_in_record(point.record) {
                     point.used_ahead += tokens;
@@ -291,10 +297,10 @@
         Some(self.next_record(budget))
     }
 
-    /// Record to append before a planned handover. Needed if there is none yet, if the newest one
-    /// reserves tokens ahead, or if its in-doubt flags are out of date. Otherwise the successor
-    /// would count the unused reserve, and more of it with each handover: without this record, one
-    /// handover left 725 tokens counted where 145 were used
+    /// Record to append before a planned handover; `None` if the newest record is sufficient. It is
+    /// not if it reserves tokens ahead, if its in-doubt flags are out of date, or if there is none.
+    /// Otherwise the successor would count the unused reserve, and more of it with each handover:
+    /// without this record, one handover left 725 tokens counted where 145 were used
     /// (`handovers_cost_no_budget`).
     pub fn handover_record(&mut self) -> Option<ProgramRecord> {
         let has_reserve = self
@@ -344,11 +350,11 @@
         record
     }
 
-    fn reserve_for(&self, left: u64) -> u64 {
-        let turn = self.max_turn_tokens.min(left);
+    fn reserve_for(&self, remaining: u64) -> u64 {
+        let turn = self.max_turn_tokens.min(remaining);
         match self.reserve_policy {
             ReservePolicy::OneTurn => turn,
-            ReservePolicy::Share => turn.max(left / RESERVE_DIVISOR),
+            ReservePolicy::Share => turn.max(remaining / RESERVE_DIVISOR),
         }
     }
 
--- a/crates/ledger/src/partition.rs
+++ b/crates/ledger/src/partition.rs
@@ -1,6 +1,6 @@
 //! State machine of one partition, run by its owner.
 
-use crate::budget::{Budget, Reservation, ReservePolicy, Settlement};
+use crate::budget::{Budget, ReserveOutcome, ReservePolicy, Settlement};
 use crate::message::{BudgetUsage, CloseTurn, OpenTurn};
 use crate::name::QualifiedName;
 use crate::record::{ProgramRecord, Record, TurnRecord};
@@ -156,7 +156,8 @@
         }
     }
 
-    /// Called when all records are loaded. A chain is stored as long as its newest turn.
+    /// Finishes loading after the last record. Marks open turns as in doubt if the previous owner
+    /// was lost, and extends the retention of each chain to that of its newest turn.
     pub fn finish_loading(&mut self) {
         if self.previous_owner_lost {
             self.programs
@@ -192,10 +193,10 @@
         program.observe_turn(request.max_tokens, Some(reserve_policy(request)));
         let turn = request.reservation_id();
         let allowed = match program.reserve(&request.budget_request(&turn), budget, now_ms) {
-            Reservation::Durable => request.max_tokens,
-            Reservation::Pending { allowed } => allowed,
-            Reservation::Exhausted => return OpenOutcome::BudgetSpent(program.usage(now_ms)),
-            Reservation::AlreadyEnded => return OpenOutcome::AlreadyEnded,
+            ReserveOutcome::Durable => request.max_tokens,
+            ReserveOutcome::Pending { allowed } => allowed,
+            ReserveOutcome::Exhausted => return OpenOutcome::BudgetSpent(program.usage(now_ms)),
+            ReserveOutcome::AlreadyEnded => return OpenOutcome::AlreadyEnded,
         };
         let is_first_turn = request.previous.is_none() && program.is_first_turn(&turn);
         let durable = allowed == request.max_tokens;
@@ -294,8 +295,8 @@
         records
     }
 
-    /// Records that end the uncertainty window, after a record of every program that was granted
-    /// tokens in it.
+    /// Records that end the uncertainty window, once it is over: a first record for each program
+    /// without one, followed by the end marker.
     fn end_uncertainty(&mut self, now_ms: u64) -> Vec<Record> {
         if !self.uncertainty.needs_closing_record(now_ms) {
             return Vec::new();
--- a/crates/ledger/tests/budget_room/simulation.rs
+++ b/crates/ledger/tests/budget_room/simulation.rs
@@ -279,7 +279,7 @@
 
     /// Ends the running turn with this many tokens, which it must be allowed to deliver.
     pub fn end_with_tokens(&mut self, tokens: u64) {
-        let turn = self.running(0).expect("a turn under way");
+        let turn = self.running(0).expect("a running turn");
         assert!(turn.allowed >= tokens, "{turn:?}");
         turn.tokens = tokens;
         self.close(0, 0);
