--- a/crates/gateway/src/ledger/hold.rs
+++ b/crates/gateway/src/ledger/hold.rs
@@ -40,7 +40,9 @@
     let claim = owner.claims.claim(partition);
     let state = match claim.map_or(PreviousOwner::Lost, |claim| claim.previous_owner) {
         PreviousOwner::None => Partition::default(),
-        PreviousOwner::Settled { doubt_ms } => Partition::after_handover(unix_ms(), doubt_ms),
+        PreviousOwner::HandedOver { uncertainty_ms } => {
+            Partition::after_handover(unix_ms(), uncertainty_ms)
+        }
         PreviousOwner::Lost => Partition::after_loss(unix_ms(), owner.doubt_after_loss_ms()),
     };
     let mut load = Load::new(owner.place(partition), epoch, state);
--- a/crates/gateway/src/ledger/limits.rs
+++ b/crates/gateway/src/ledger/limits.rs
@@ -100,7 +100,9 @@
 fn former(claim: &Claim) -> Former {
     match claim.previous_owner {
         ownership::PreviousOwner::None => Former::None,
-        ownership::PreviousOwner::Settled { .. } | ownership::PreviousOwner::Lost => Former::Lost,
+        ownership::PreviousOwner::HandedOver { .. } | ownership::PreviousOwner::Lost => {
+            Former::Lost
+        }
     }
 }
 
--- a/crates/gateway/src/ledger/replace.rs
+++ b/crates/gateway/src/ledger/replace.rs
@@ -57,7 +57,7 @@
             incarnation: known.incarnation,
             epoch: known.epoch,
             previous_owner: PreviousOwner::Lost,
-            settled_doubt_ms: None,
+            handover_uncertainty_ms: None,
         };
         self.owner.claims.learn(partition, claim)
     }
--- a/crates/log/src/claims.rs
+++ b/crates/log/src/claims.rs
@@ -140,21 +140,21 @@
         self.stopped.get()
     }
 
-    /// Releases a partition, so that others may claim it at once. `settled_doubt_ms` is set if
-    /// everything that was granted is durable: see [`PreviousOwner::Settled`]. Does nothing if
+    /// Releases a partition, so that others may claim it at once. `handover_uncertainty_ms` is set if
+    /// everything that was granted is durable: see [`PreviousOwner::HandedOver`]. Does nothing if
     /// another daemon holds the claim by now.
     ///
-    /// [`PreviousOwner::Settled`]: crate::ownership::PreviousOwner::Settled
+    /// [`PreviousOwner::HandedOver`]: crate::ownership::PreviousOwner::HandedOver
     ///
     /// # Errors
     /// The error of the append.
     pub async fn release(
         &self,
         partition: u32,
-        settled_doubt_ms: Option<u64>,
+        handover_uncertainty_ms: Option<u64>,
     ) -> Result<(), StoreError> {
         let incarnation = self.incarnation;
-        let record = Ownership::release_record(partition, incarnation, settled_doubt_ms);
+        let record = Ownership::release_record(partition, incarnation, handover_uncertainty_ms);
         let mut outcome = Ok(());
         for _ in 0..MAX_ATTEMPTS {
             let claim = self.claim(partition);
--- a/crates/log/src/ownership.rs
+++ b/crates/log/src/ownership.rs
@@ -14,8 +14,8 @@
 struct ClaimRecord {
     address: String,
     incarnation: u64,
-    /// Set in a release that leaves no outcome unrecorded: see [`PreviousOwner::Settled`].
-    settled_doubt_ms: Option<u64>,
+    /// Set in a handover, a release that leaves no grant unrecorded: see [`PreviousOwner::HandedOver`].
+    handover_uncertainty_ms: Option<u64>,
 }
 
 /// State in which the owner before a claim left the partition.
@@ -24,10 +24,10 @@
     /// There was none.
     None,
     /// It released the partition after everything that it had granted was durable.
-    Settled {
+    HandedOver {
         /// For this many milliseconds after the release, grants of still earlier owners that were
         /// never recorded may come up.
-        doubt_ms: u64,
+        uncertainty_ms: u64,
     },
     /// It was replaced, or released the partition while some of its grants were not yet recorded.
     Lost,
@@ -45,9 +45,9 @@
     /// The owner before this claim, as far as this daemon knows. It is exact for claims of this
     /// daemon, because they are appended only where the topic was read to its end.
     pub previous_owner: PreviousOwner,
-    /// Set in a settled release: how long the successor has to expect unrecorded grants of earlier
+    /// Set in a handover: how long the successor has to expect unrecorded grants of earlier
     /// owners, in milliseconds.
-    pub settled_doubt_ms: Option<u64>,
+    pub handover_uncertainty_ms: Option<u64>,
 }
 
 /// The newest claim of each partition.
@@ -66,23 +66,23 @@
             &ClaimRecord {
                 address: address.to_string(),
                 incarnation,
-                settled_doubt_ms: None,
+                handover_uncertainty_ms: None,
             },
         )
     }
 
-    /// Creates the record that releases a partition, settled or not.
+    /// Creates the record that releases a partition, as a handover if `handover_uncertainty_ms` is set.
     pub fn release_record(
         partition: u32,
         incarnation: u64,
-        settled_doubt_ms: Option<u64>,
+        handover_uncertainty_ms: Option<u64>,
     ) -> KeyedRecord {
         Self::record(
             partition,
             &ClaimRecord {
                 address: String::new(),
                 incarnation,
-                settled_doubt_ms,
+                handover_uncertainty_ms,
             },
         )
     }
@@ -106,12 +106,12 @@
             address: decoded.address.parse().ok(),
             incarnation: decoded.incarnation,
             epoch: offset + 1,
-            previous_owner: match former.map(|former| former.settled_doubt_ms) {
+            previous_owner: match former.map(|former| former.handover_uncertainty_ms) {
                 None => PreviousOwner::None,
-                Some(Some(doubt_ms)) => PreviousOwner::Settled { doubt_ms },
+                Some(Some(uncertainty_ms)) => PreviousOwner::HandedOver { uncertainty_ms },
                 Some(None) => PreviousOwner::Lost,
             },
-            settled_doubt_ms: decoded.settled_doubt_ms,
+            handover_uncertainty_ms: decoded.handover_uncertainty_ms,
         };
         if Some(claim.epoch) <= former.map(|former| former.epoch) {
             return None;
