--- a/crates/log/src/claims.rs
+++ b/crates/log/src/claims.rs
@@ -140,9 +140,9 @@
         self.stopped.get()
     }
 
-    /// Releases a partition, so that others may claim it at once. `handover_uncertainty_ms` is set if
-    /// everything that was granted is durable: see [`PreviousOwner::HandedOver`]. Does nothing if
-    /// another daemon holds the claim by now.
+    /// Releases a partition, so that others may claim it at once. `handover_uncertainty_ms` is set
+    /// if everything that was granted is durable: see [`PreviousOwner::HandedOver`]. Does nothing
+    /// if another daemon holds the claim by now.
     ///
     /// [`PreviousOwner::HandedOver`]: crate::ownership::PreviousOwner::HandedOver
     ///
--- a/crates/log/src/ownership.rs
+++ b/crates/log/src/ownership.rs
@@ -14,7 +14,8 @@
 struct ClaimRecord {
     address: String,
     incarnation: u64,
-    /// Set in a handover, a release that leaves no grant unrecorded: see [`PreviousOwner::HandedOver`].
+    /// Set in a handover, a release that leaves no grant unrecorded: see
+    /// [`PreviousOwner::HandedOver`].
     handover_uncertainty_ms: Option<u64>,
 }
 
@@ -71,7 +72,8 @@
         )
     }
 
-    /// Creates the record that releases a partition, as a handover if `handover_uncertainty_ms` is set.
+    /// Creates the record that releases a partition, as a handover if `handover_uncertainty_ms` is
+    /// set.
     pub fn release_record(
         partition: u32,
         incarnation: u64,
