--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -1,13 +1,13 @@
-//! What the platform publishes, followed on compacted topics.
+//! Followers of the compacted topics that the platform publishes.
 //!
-//! - [`config`]: the configuration in force.
-//! - [`known`]: the configuration as it was read, for other daemons.
-//! - [`servers`]: the servers that exist.
-//! - [`unreadable`]: records of other writers, said once and counted.
-//! - [`long_poll`]: how long reads wait.
+//! - [`config`]: the active configuration and zone evacuations.
+//! - [`config_cache`]: the newest configuration document, kept for other daemons.
+//! - [`servers`]: the server directory.
+//! - [`unreadable`]: logging and counting of records that cannot be parsed.
+//! - [`long_poll`]: wait times of long-poll reads.
 
 pub mod config;
-pub mod known;
+pub mod config_cache;
 pub mod long_poll;
 pub mod servers;
 pub mod unreadable;
--- a/crates/gateway/src/follow/config.rs
+++ b/crates/gateway/src/follow/config.rs
@@ -1,7 +1,7 @@
-//! The configuration in force: read from the log, or learned from other daemons while the
-//! log answers them and not this one.
+//! Follows the configuration topic. While the log answers other daemons but not this one, the
+//! configuration comes from those daemons instead.
 
-use super::unreadable::{Report, Source};
+use super::unreadable::{RecordSource, UnreadableReport};
 use crate::daemon::Daemon;
 use fieldhook_log::api::{KeyedRecord, Partition};
 use fieldhook_log::follow::{Follower, Update};
@@ -14,59 +14,60 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Pause between questions to other daemons: well within the time in which a configuration
-/// has to be in force (2 s on the smallest deployment).
-const PEER_PERIOD: Duration = Duration::from_millis(400);
+/// Pause between requests to other daemons. It is well below the time within which a new
+/// configuration has to be in effect (2 s in the smallest deployment).
+const PEER_POLL_PERIOD: Duration = Duration::from_millis(400);
 
-/// Problems of one configuration that are named, a line each: the volume of logs is bounded.
-const MOST_PROBLEMS: usize = 50;
+/// Number of problems of one configuration that are logged individually, one line each, so that
+/// the log volume stays bounded.
+const MAX_LOGGED_PROBLEMS: usize = 50;
 
-/// Configurations that can't be read.
-const FOREIGN_CONFIG: Source = Source {
+/// Configuration documents that cannot be parsed.
+const UNREADABLE_CONFIG: RecordSource = RecordSource {
     event: "config_unreadable",
     kind: "configuration",
-    remedy: "the former one stays in force; publish a corrected one with a higher version",
+    remedy: "the previous configuration stays in effect; publish a corrected one with a higher version",
 };
-/// Evacuations of what is no zone.
-const FOREIGN_ZONE: Source = Source {
+/// Evacuation records whose key does not name a zone.
+const UNREADABLE_EVACUATION: RecordSource = RecordSource {
     event: "zone_unreadable",
     kind: "evacuation",
-    remedy: "it evacuates nothing; evacuate zones by their names in the settings",
+    remedy: "the record evacuates no zone; use the zone names from the settings",
 };
 
-/// Follows the configuration for good.
+/// Follows the configuration topic until the daemon exits.
 pub async fn run(daemon: Rc<Daemon>) {
     let partition = Partition {
         topic: daemon.topics.config.clone(),
         number: 0,
     };
-    let known = daemon.owner.config.clone();
+    let cache = daemon.owner.config.clone();
     let mut follower = Follower::new(
         daemon.relay.clone(),
         daemon.contact.clone(),
         partition,
         super::long_poll::max_config_wait(&daemon.settings),
     )
-    .on_answer(Box::new(move |age_ms| known.confirm(age_ms)));
+    .on_answer(Box::new(move |age_ms| cache.confirm(age_ms)));
     loop {
         let (records, is_listing) = match follower.next_update().await {
             Update::Listing(records) => (records, true),
             Update::Records(records) => (records, false),
         };
-        let listed = take_all(&daemon, &records);
+        let listed = apply_all(&daemon, &records);
         if is_listing {
             daemon.places.retain_listed(&listed, follower.position());
         }
     }
 }
 
-/// Takes in the operator's records; the zones that they evacuate.
-fn take_all<'a>(daemon: &Daemon, records: &'a [(u64, KeyedRecord)]) -> Vec<&'a str> {
+/// Applies records of the operator's topic; returns the zones that they evacuate.
+fn apply_all<'a>(daemon: &Daemon, records: &'a [(u64, KeyedRecord)]) -> Vec<&'a str> {
     let mut evacuated = Vec::new();
-    let mut foreign = Report::new(FOREIGN_ZONE, &daemon.metrics);
+    let mut unreadable = UnreadableReport::new(UNREADABLE_EVACUATION, &daemon.metrics);
     for (offset, record) in records {
         if record.key == daemon.topics.config_key {
-            take(daemon, Some(*offset), &record.value);
+            apply(daemon, Some(*offset), &record.value);
             continue;
         }
         let state = match record.value.is_empty() {
@@ -77,9 +78,9 @@
             None => continue,
             Some(Ok(zone)) => zone,
             Some(Err(problem)) => {
-                let known = &daemon.owner.config;
-                if known.is_first_refusal(Some(*offset), &record.key) {
-                    foreign.add(&record.key, Some(*offset), problem);
+                let cache = &daemon.owner.config;
+                if cache.is_first_rejection(Some(*offset), &record.key) {
+                    unreadable.add(&record.key, Some(*offset), problem);
                 }
                 continue;
             }
@@ -92,10 +93,10 @@
     evacuated
 }
 
-/// Asks other daemons for the configuration while the log may answer them and not this one.
+/// Polls other daemons for the configuration while the log may answer them but not this one.
 pub async fn poll_peers(daemon: Rc<Daemon>) {
     loop {
-        sleep(PEER_PERIOD).await;
+        sleep(PEER_POLL_PERIOD).await;
         let is_outage = daemon.ledger.reach.get() == Reach::Outage;
         let is_doubtful = daemon.is_doubtful();
         let may_be_behind = daemon.contact.failing() && !is_outage;
@@ -103,13 +104,13 @@
             continue;
         }
         let version = daemon.owner.config.version();
-        let answers = daemon.ledger.ask_for_config(version).await;
-        if is_outage && !answers.is_empty() {
+        let replies = daemon.ledger.query_peer_configs(version).await;
+        if is_outage && !replies.is_empty() {
             daemon.places.settle();
         }
-        for news in answers {
+        for news in replies {
             if let Some(document) = news.document {
-                take(&daemon, None, &document);
+                apply(&daemon, None, &document);
             }
             for evacuation in &news.evacuations {
                 daemon.places.learn(evacuation);
@@ -121,31 +122,32 @@
     }
 }
 
-/// The zone that a record of the operator's topic is about, if it is about one.
+/// Returns the zone of an evacuation record, or `None` if the record is of another kind.
 fn evacuated_zone<'a>(
     daemon: &Daemon,
     record: &'a KeyedRecord,
 ) -> Option<Result<&'a str, &'static str>> {
     if record.key.is_empty() {
-        return Some(Err("it has no key"));
+        return Some(Err("the record has no key"));
     }
     let name = record
         .key
         .strip_prefix(daemon.topics.evacuations.as_slice())?;
     Some(match std::str::from_utf8(name) {
         Ok(zone) if !zone.is_empty() => Ok(zone),
-        _ => Err("its key names no zone"),
+        _ => Err("the key does not name a zone"),
     })
 }
 
-/// Takes in a document; one that was learned from another daemon has no offset in the log.
-fn take(daemon: &Daemon, offset: Option<u64>, document: &[u8]) {
+/// Applies a configuration document. One that came from another daemon has no log offset.
+fn apply(daemon: &Daemon, offset: Option<u64>, document: &[u8]) {
     let config = match daemon.dialect.traffic_config(document) {
         Ok(config) => config,
         Err(problem) => {
-            if daemon.owner.config.is_first_refusal(offset, document) {
+            if daemon.owner.config.is_first_rejection(offset, document) {
                 let key = &daemon.topics.config_key;
-                Report::new(FOREIGN_CONFIG, &daemon.metrics).add(key, offset, &problem);
+                UnreadableReport::new(UNREADABLE_CONFIG, &daemon.metrics)
+                    .add(key, offset, &problem);
             }
             return;
         }
@@ -168,12 +170,12 @@
         routes = config.routes.len(),
         tenants = config.tenants.as_ref().map(Vec::len),
     );
-    take_homes(daemon, &config);
+    apply_homes(daemon, &config);
     let is_route = |name: &str| config.routes.iter().any(|route| route.name == name);
     daemon.answer_times.retain(&is_route);
     daemon.pauses.retain(&is_route);
-    let turns = config.routes.iter().filter(|route| route.kind.is_stream());
-    if let Some(longest_ms) = turns.map(|route| route.timeout_ms).max() {
+    let streams = config.routes.iter().filter(|route| route.kind.is_stream());
+    if let Some(longest_ms) = streams.map(|route| route.timeout_ms).max() {
         daemon.owner.set_longest_turn(longest_ms);
     }
     daemon.cold.set_config(&config);
@@ -183,11 +185,12 @@
     daemon.routes_changed.notify_waiters();
 }
 
-/// Takes in the homes of a configuration, and says what is wrong with them.
-fn take_homes(daemon: &Daemon, config: &TrafficConfig) {
+/// Applies the home regions of a configuration and logs routes and tenants that no region can
+/// serve.
+fn apply_homes(daemon: &Daemon, config: &TrafficConfig) {
     daemon.places.set_home_regions(homes::regions(config));
     let problems = homes::problems(config, &daemon.places.map);
-    for problem in problems.iter().take(MOST_PROBLEMS) {
+    for problem in problems.iter().take(MAX_LOGGED_PROBLEMS) {
         tracing::error!(
             event = "homes_unservable",
             version = config.version,
@@ -196,12 +199,12 @@
             problem = %problem.fault
         );
     }
-    if let Some(more) = problems.len().checked_sub(MOST_PROBLEMS + 1) {
+    if let Some(more) = problems.len().checked_sub(MAX_LOGGED_PROBLEMS + 1) {
         tracing::error!(
             event = "homes_unservable",
             version = config.version,
             unnamed = more + 1,
-            problem = "more pairs of route and tenant are wrong; mend those named first"
+            problem = "more pairs of route and tenant have problems; fix the ones listed first"
         );
     }
 }
--- a/crates/gateway/src/follow/long_poll.rs
+++ b/crates/gateway/src/follow/long_poll.rs
@@ -1,47 +1,46 @@
-//! How long a read of a followed topic waits for a change: each read is a call of the log
-//! that is paid for, so as long as the bounds of the sheet allow.
+//! Wait times of long-poll reads of followed topics. Every read is a billed log call, so reads
+//! wait as long as the time bounds in the settings allow.
 //!
-//! An open connection may fall silent for good, which only the time-out of the read shows.
-//! That counts as a disturbance: the daemon owes nothing until it went undisturbed for
-//! `contact_ms`, and everything from then on. A read that was sent right before the silence
-//! ends with its time-out, and the next one, on a new connection, has to be answered by
-//! then. So, whatever the bounds of configuration, draining and evacuation are, a read may
-//! wait for `contact_ms` less these; none of them is lengthened by it, since a connection that is
-//! well tells of a change at once.
+//! An open connection may stop responding for good, which only the time-out of a read reveals.
+//! This counts as lost contact: the time bounds of the settings apply again once contact has been
+//! undisturbed for `contact_ms`. A read that was sent right before the connection stopped
+//! responding ends with its time-out, and the next read, on a new connection, has to be answered
+//! within `contact_ms` as well. A read may therefore wait for `contact_ms` less the slack of a
+//! read and the pauses between two of them. The bounds of configuration, draining and evacuation
+//! are not affected, since a healthy connection delivers a change at once.
 
 use crate::settings::GatewaySettings;
 use fieldhook_log::follow::{READ_SLACK, RESUME};
 use std::time::Duration;
 
-/// Reads wait for this at least: shorter ones would cost more calls than they are worth on
-/// any sheet.
-const SHORTEST: Duration = Duration::from_millis(500);
-/// The log holds a read for no longer.
-const LONGEST: Duration = Duration::from_millis(30_000);
-/// The configuration is confirmed with the end of each read that brings nothing. Keys that
-/// have to be confirmed within a time go on being served where the read ends this much
-/// before it: an answer on its way from a busy log.
+/// Shortest wait. Shorter reads cost more log calls than they are worth in any deployment.
+const MIN_WAIT: Duration = Duration::from_millis(500);
+/// Longest wait that the log accepts.
+const MAX_WAIT: Duration = Duration::from_millis(30_000);
+/// Time left for the reply of a busy log. Each read that ends without a change confirms the
+/// configuration. Where API keys have to be confirmed within a limit, the read ends this much
+/// before the limit, so that requests with these keys are served without interruption.
 const CONFIRM_SLACK: Duration = Duration::from_millis(300);
 
-/// Longest wait of reads that follow each other after a pause.
+/// Returns the longest wait of successive reads that are `pause` apart.
 pub fn max_wait(contact: Duration, pause: Duration) -> Duration {
     let wait = contact.saturating_sub(READ_SLACK + RESUME + pause);
-    wait.clamp(SHORTEST, LONGEST)
+    wait.clamp(MIN_WAIT, MAX_WAIT)
 }
 
-/// Longest wait of a read of the configuration and the operator's records.
+/// Returns the longest wait of a read of the operator's topic (configuration and evacuations).
 pub fn max_config_wait(settings: &GatewaySettings) -> Duration {
     let wait = max_wait(contact(settings), Duration::ZERO);
     match settings.revocation_ms {
         Some(limit_ms) => {
             let limit = Duration::from_millis(limit_ms);
-            wait.min(limit.saturating_sub(CONFIRM_SLACK)).max(SHORTEST)
+            wait.min(limit.saturating_sub(CONFIRM_SLACK)).max(MIN_WAIT)
         }
         None => wait,
     }
 }
 
-/// Longest wait of a read of the servers, which follows a pause.
+/// Returns the longest wait of a read of the servers topic, where reads are `pause` apart.
 pub fn max_server_wait(settings: &GatewaySettings, pause: Duration) -> Duration {
     max_wait(contact(settings), pause)
 }
--- a/crates/gateway/src/follow/servers.rs
+++ b/crates/gateway/src/follow/servers.rs
@@ -1,7 +1,7 @@
-//! The servers that exist, and which incarnation of each is in force
-//! (docs/design/incarnations.md).
+//! Follows the servers topic and keeps the server directory: the servers that exist and the
+//! current incarnation of each (docs/design/incarnations.md).
 
-use super::unreadable::{Report, Source};
+use super::unreadable::{RecordSource, UnreadableReport};
 use crate::daemon::Daemon;
 use fieldhook_log::api::{KeyedRecord, Partition};
 use fieldhook_log::follow::{Follower, Update};
@@ -12,18 +12,18 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Pause between reads: changes of several servers come in one answer. While the log answers,
-/// nothing is believed of a former incarnation for longer than this and one answer of the log.
+/// Pause between reads, so that changes of several servers arrive in one reply. While the log
+/// answers, an outdated incarnation is used for at most this pause plus one log call.
 const PAUSE: Duration = Duration::from_millis(150);
 
-/// Entries that other writers left.
-const FOREIGN: Source = Source {
+/// Server entries that cannot be parsed.
+const UNREADABLE_ENTRY: RecordSource = RecordSource {
     event: "server_unreadable",
     kind: "server",
-    remedy: "it names no server to use until its entry is written anew",
+    remedy: "the server is not used until a valid entry is written",
 };
 
-/// Follows the servers for good.
+/// Follows the servers topic until the daemon exits.
 pub async fn run(daemon: Rc<Daemon>) {
     let partition = Partition {
         topic: daemon.topics.servers.clone(),
@@ -37,8 +37,8 @@
     );
     loop {
         match follower.next_update().await {
-            Update::Listing(records) => take_listing(&daemon, &records, follower.position()),
-            Update::Records(records) => Changes::new(&daemon).take_all(&records),
+            Update::Listing(records) => apply_listing(&daemon, &records, follower.position()),
+            Update::Records(records) => DirectoryUpdate::new(&daemon).apply_all(&records),
         }
         let known = daemon.directory.borrow().len();
         daemon.relay.note_servers(known);
@@ -46,71 +46,71 @@
     }
 }
 
-/// Takes in all entries that there are, read where the topic ended at `end`.
-fn take_listing(daemon: &Daemon, records: &[(u64, KeyedRecord)], end: u64) {
+/// Applies a listing of all entries; `end` is the end offset of the topic when it was read.
+fn apply_listing(daemon: &Daemon, records: &[(u64, KeyedRecord)], end: u64) {
     let listed: HashSet<Cow<'_, str>> = records.iter().map(|(_, record)| name_of(record)).collect();
-    let mut changes = Changes::new(daemon);
+    let mut update = DirectoryUpdate::new(daemon);
     let gone = daemon
         .directory
         .borrow_mut()
         .retain(&|name| listed.contains(name), end);
     for id in gone {
         daemon.cold.forget(&id);
-        changes.gone(&id, "not listed", end);
+        update.log_gone(&id, "not listed", end);
     }
-    changes.take_all(records);
+    update.apply_all(records);
     daemon.cold.listed();
     daemon.servers_listed.set(true);
     tracing::info!(event = "servers_listed", listed = records.len(), end);
 }
 
-/// Changes that are named of one update, a line each; of the rest their numbers are said. A
-/// listing of a fleet brings thousands.
-const MOST_NAMED: u32 = 20;
+/// Number of changes of one update that are logged individually, one line each; the remaining ones
+/// are only counted. A listing of a large fleet has thousands.
+const MAX_LOGGED_CHANGES: u32 = 20;
 
-/// What one update changes, and says.
-struct Changes<'a> {
+/// Applies one update of the topic to the directory and logs the changes.
+struct DirectoryUpdate<'a> {
     daemon: &'a Daemon,
-    foreign: Report<'a>,
+    unreadable: UnreadableReport<'a>,
     known: u32,
     gone: u32,
 }
 
-impl<'a> Changes<'a> {
+impl<'a> DirectoryUpdate<'a> {
     fn new(daemon: &'a Daemon) -> Self {
         Self {
             daemon,
-            foreign: Report::new(FOREIGN, &daemon.metrics),
+            unreadable: UnreadableReport::new(UNREADABLE_ENTRY, &daemon.metrics),
             known: 0,
             gone: 0,
         }
     }
 
-    fn take_all(&mut self, records: &[(u64, KeyedRecord)]) {
+    fn apply_all(&mut self, records: &[(u64, KeyedRecord)]) {
         for (offset, record) in records {
-            self.take(*offset, record);
+            self.apply(*offset, record);
         }
     }
 
-    fn take(&mut self, offset: u64, record: &KeyedRecord) {
+    fn apply(&mut self, offset: u64, record: &KeyedRecord) {
         let name = name_of(record);
         if record.value.is_empty() {
             self.remove(&name, offset, "removed");
             return;
         }
-        let is_news = self.daemon.directory.borrow().is_news(&name, offset);
-        match read(self.daemon, record) {
-            Ok(entry) => self.take_entry(&name, entry, offset),
-            Err(problem) if is_news => {
-                self.foreign.add(&record.key, Some(offset), &problem);
+        let is_new = self.daemon.directory.borrow().is_news(&name, offset);
+        match parse_entry(self.daemon, record) {
+            Ok(entry) => self.insert(&name, entry, offset),
+            Err(problem) if is_new => {
+                self.unreadable.add(&record.key, Some(offset), &problem);
                 self.remove(&name, offset, "unreadable");
             }
-            // It was said when it was new.
+            // Already logged when the record was new.
             Err(_) => {}
         }
     }
 
-    fn take_entry(&mut self, name: &str, entry: ServerEntry, offset: u64) {
+    fn insert(&mut self, name: &str, entry: ServerEntry, offset: u64) {
         let daemon = self.daemon;
         let former = daemon
             .directory
@@ -118,26 +118,26 @@
             .identity_of(name)
             .map(str::to_owned);
         let id = entry.id.clone();
-        let told = entry.clone();
+        let server = entry.clone();
         let change = daemon.directory.borrow_mut().insert(entry, offset);
-        let is_in_force = daemon.directory.borrow().identity_of(name) == Some(&id);
-        if !is_in_force {
+        let is_current = daemon.directory.borrow().identity_of(name) == Some(&id);
+        if !is_current {
             return;
         }
-        daemon.cold.told(&told);
+        daemon.cold.told(&server);
         if let Some(former) = former.filter(|_| change == DirectoryChange::Restarted) {
             daemon.cold.forget(&former);
             tracing::info!(event = "server_restarted", server = id, former, offset);
         }
         if change != DirectoryChange::Unchanged {
-            self.known(&told, offset);
+            self.log_known(&server, offset);
         }
     }
 
-    /// Says a server that is new, or has begun to leave.
-    fn known(&mut self, server: &ServerEntry, offset: u64) {
+    /// Logs a server that is new, has restarted or has started draining.
+    fn log_known(&mut self, server: &ServerEntry, offset: u64) {
         self.known += 1;
-        if self.known > MOST_NAMED {
+        if self.known > MAX_LOGGED_CHANGES {
             return;
         }
         tracing::info!(
@@ -152,28 +152,28 @@
         );
     }
 
-    /// A name has no server any more.
+    /// Removes the server with this name from the directory.
     fn remove(&mut self, name: &str, offset: u64, cause: &'static str) {
         let removed = self.daemon.directory.borrow_mut().remove(name, offset);
         if let Some(id) = removed {
             self.daemon.cold.forget(&id);
-            self.gone(&id, cause, offset);
+            self.log_gone(&id, cause, offset);
         }
     }
 
-    /// Says a server that is gone.
-    fn gone(&mut self, id: &str, cause: &'static str, offset: u64) {
+    /// Logs a server that was removed.
+    fn log_gone(&mut self, id: &str, cause: &'static str, offset: u64) {
         self.gone += 1;
-        if self.gone <= MOST_NAMED {
+        if self.gone <= MAX_LOGGED_CHANGES {
             tracing::info!(event = "server_gone", server = id, cause, offset);
         }
     }
 }
 
-impl Drop for Changes<'_> {
+impl Drop for DirectoryUpdate<'_> {
     fn drop(&mut self) {
-        let known = self.known.saturating_sub(MOST_NAMED);
-        let gone = self.gone.saturating_sub(MOST_NAMED);
+        let known = self.known.saturating_sub(MAX_LOGGED_CHANGES);
+        let gone = self.gone.saturating_sub(MAX_LOGGED_CHANGES);
         if known + gone > 0 {
             tracing::info!(
                 event = "servers_changed",
@@ -184,13 +184,15 @@
     }
 }
 
-/// The name that a record is known by: a foreign one may be no text.
+/// Returns the server name of a record. Keys written by other programs may not be valid UTF-8.
 fn name_of(record: &KeyedRecord) -> Cow<'_, str> {
     String::from_utf8_lossy(&record.key)
 }
 
-/// Reads an entry; its name is text, since a server is told whom a request is meant for.
-fn read(daemon: &Daemon, record: &KeyedRecord) -> Result<ServerEntry, String> {
-    let name = std::str::from_utf8(&record.key).map_err(|_| "its name is no text".to_owned())?;
+/// Parses an entry. Its name has to be valid UTF-8, because requests to a server state which
+/// server they are for.
+fn parse_entry(daemon: &Daemon, record: &KeyedRecord) -> Result<ServerEntry, String> {
+    let name = std::str::from_utf8(&record.key)
+        .map_err(|_| "the server name is not valid UTF-8".to_owned())?;
     daemon.dialect.server_entry(name, &record.value)
 }
--- a/crates/gateway/src/follow/unreadable.rs
+++ b/crates/gateway/src/follow/unreadable.rs
@@ -1,35 +1,38 @@
-//! Records that other writers left and that can't be read: each is said once and counted, and
-//! however many and however large they are, the volume of the log lines is bounded.
+//! Logging and counting of records that cannot be parsed. The log volume is bounded, however many
+//! and however large the records are.
 
 use crate::metrics::Metrics;
 
-/// Records that are named of one update, a line each; of the rest their number is said. A
-/// service discovery holds a few hundred entries, and who mends twenty finds the cause of all.
-const MOST_NAMED: u32 = 20;
-/// Characters of a key or a problem that are written: foreign ones may be of any length.
-const MOST_CHARS: usize = 200;
+/// Number of records of one update that are logged individually, one line each; the remaining ones
+/// are only counted. A service discovery holds a few hundred entries, and twenty examples are
+/// enough to find the common cause.
+const MAX_LOGGED_RECORDS: u32 = 20;
+/// Number of characters of a key or a problem that are logged. Other writers may leave keys of
+/// any length.
+const MAX_LOGGED_CHARS: usize = 200;
 
-/// Where records that can't be read stand, and what to do about them.
+/// A kind of record and how unreadable ones are reported.
 #[derive(Clone, Copy, Debug)]
-pub struct Source {
-    /// Name of the event.
+pub struct RecordSource {
+    /// Value of the log field `event`.
     pub event: &'static str,
-    /// What the records are called in the metrics.
+    /// Label value of the counter metric.
     pub kind: &'static str,
-    /// What holds meanwhile, and what to do.
+    /// What applies until the record is fixed, and how to fix it.
     pub remedy: &'static str,
 }
 
-/// Records of one update that could not be read.
-pub struct Report<'a> {
-    source: Source,
+/// Reports the unreadable records of one update; dropping it logs how many were not logged
+/// individually.
+pub struct UnreadableReport<'a> {
+    source: RecordSource,
     metrics: &'a Metrics,
     found: u32,
 }
 
-impl<'a> Report<'a> {
-    /// None was found yet.
-    pub fn new(source: Source, metrics: &'a Metrics) -> Self {
+impl<'a> UnreadableReport<'a> {
+    /// Creates a report without records.
+    pub fn new(source: RecordSource, metrics: &'a Metrics) -> Self {
         Self {
             source,
             metrics,
@@ -37,27 +40,28 @@
         }
     }
 
-    /// The record at this place, or one that another daemon handed on, can't be read.
+    /// Counts and logs a record that cannot be parsed; `offset` is `None` if it came from another
+    /// daemon.
     pub fn add(&mut self, key: &[u8], offset: Option<u64>, problem: &str) {
         let counter = &self.metrics.unreadable;
         counter.with_label_values(&[self.source.kind]).inc();
         self.found += 1;
-        if self.found > MOST_NAMED {
+        if self.found > MAX_LOGGED_RECORDS {
             return;
         }
         tracing::error!(
             event = self.source.event,
-            key = clip(&String::from_utf8_lossy(key)),
+            key = truncate(&String::from_utf8_lossy(key)),
             offset,
-            problem = clip(problem),
+            problem = truncate(problem),
             remedy = self.source.remedy,
         );
     }
 }
 
-impl Drop for Report<'_> {
+impl Drop for UnreadableReport<'_> {
     fn drop(&mut self) {
-        let unnamed = self.found.saturating_sub(MOST_NAMED);
+        let unnamed = self.found.saturating_sub(MAX_LOGGED_RECORDS);
         if unnamed > 0 {
             tracing::error!(
                 event = self.source.event,
@@ -68,6 +72,6 @@
     }
 }
 
-fn clip(text: &str) -> String {
-    text.chars().take(MOST_CHARS).collect()
+fn truncate(text: &str) -> String {
+    text.chars().take(MAX_LOGGED_CHARS).collect()
 }
--- a/crates/gateway/src/ledger/owner.rs
+++ b/crates/gateway/src/ledger/owner.rs
@@ -5,7 +5,7 @@
 use super::hold::{Hold, hold};
 use super::homes::eligibility;
 use super::limits::{self, Limits};
-use crate::follow::known::Known;
+use crate::follow::config_cache::ConfigCache;
 use crate::metrics::Metrics;
 use crate::places::Places;
 use crate::relay::Relay;
@@ -57,7 +57,7 @@
     /// What cold servers were allowed to get.
     pub(super) counts: Counts,
     /// What this daemon knows of the configuration.
-    pub config: Rc<Known>,
+    pub config: Rc<ConfigCache>,
     /// What it knows of places.
     pub places: Rc<Places>,
     /// Held while a partition is read.
@@ -154,7 +154,7 @@
             }
             LedgerRequest::Config(version) => {
                 let _ = sender.send(LedgerReply::Config(
-                    self.config.news_after(version, &self.places),
+                    self.config.changes_since(version, &self.places),
                 ));
             }
             LedgerRequest::Claim(claim) => {
--- a/crates/gateway/src/ledger/replace.rs
+++ b/crates/gateway/src/ledger/replace.rs
@@ -143,7 +143,7 @@
     }
 
     /// Asks some daemons for a configuration newer than this version.
-    pub async fn ask_for_config(&self, version: u64) -> Vec<ConfigNews> {
+    pub async fn query_peer_configs(&self, version: u64) -> Vec<ConfigNews> {
         let question = LedgerRequest::Config(version);
         let answers = self.ask_peers(None, &question, PEER_ANSWER_LIMIT).await;
         let news = answers.into_iter().flatten();
