--- a/crates/gateway/src/ledger/peer.rs
+++ b/crates/gateway/src/ledger/peer.rs
@@ -1,5 +1,5 @@
-//! Connections between daemons: frames of a length and a binary message, many
-//! calls side by side on one connection.
+//! Connections between daemons. A frame is a length followed by a binary message; many calls are
+//! multiplexed on one connection.
 
 use super::owner::Owner;
 use crate::upstream::connection::prepare;
@@ -18,14 +18,14 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::time::{sleep, timeout};
 
-/// Largest frame, in bytes.
-const FRAME_LIMIT: usize = 16 << 20;
+/// Largest accepted message, in bytes.
+const MAX_MESSAGE_BYTES: usize = 16 << 20;
 const LENGTH_BYTES: usize = 4;
 const READ_SIZE: usize = 16 << 10;
-/// A daemon that does not accept in this time counts as lost.
-const CONNECT_LIMIT: Duration = Duration::from_millis(200);
-/// How often it is looked whether anybody waits on a connection that was given up.
-const UNUSED_PERIOD: Duration = Duration::from_millis(200);
+/// A daemon that does not accept a connection in this time counts as lost.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
+/// How often a discarded connection is checked for calls that still wait.
+const IDLE_CHECK_PERIOD: Duration = Duration::from_millis(200);
 
 fn encode<T: SerBin>(envelope: &Envelope<T>) -> Vec<u8> {
     let body = envelope.serialize_bin();
@@ -40,7 +40,7 @@
         return Ok(None);
     };
     let length = u32::from_be_bytes(*length) as usize;
-    if length > FRAME_LIMIT {
+    if length > MAX_MESSAGE_BYTES {
         return Err(io::ErrorKind::InvalidData.into());
     }
     if buffer.len() < LENGTH_BYTES + length {
@@ -79,10 +79,10 @@
     }
 }
 
-/// Listens for other daemons.
+/// Accepts connections of other daemons and handles their requests.
 ///
 /// # Errors
-/// The address cannot be bound.
+/// If the address cannot be bound.
 pub async fn listen(owner: Rc<Owner>, address: SocketAddr) -> io::Result<()> {
     let listener = TcpListener::bind(address).await?;
     ntex::rt::spawn(async move {
@@ -98,8 +98,8 @@
 
 async fn serve(owner: Rc<Owner>, stream: TcpStream) {
     let (mut reader, writer) = stream.into_split();
-    let (frames, waiting) = mpsc::unbounded_channel();
-    ntex::rt::spawn(write_frames(writer, waiting));
+    let (frames, queue) = mpsc::unbounded_channel();
+    ntex::rt::spawn(write_frames(writer, queue));
     let mut buffer = BytesMut::new();
     while let Ok(envelope) = next_frame::<LedgerRequest>(&mut reader, &mut buffer).await {
         let (sender, mut replies) = mpsc::unbounded_channel();
@@ -116,18 +116,18 @@
 
 type Replies = mpsc::UnboundedSender<LedgerReply>;
 
-/// A connection to another daemon.
+/// An outgoing connection to another daemon.
 pub struct PeerConnection {
     frames: mpsc::UnboundedSender<Vec<u8>>,
     calls: RefCell<HashMap<u64, Replies>>,
     next_call: Cell<u64>,
     closed: Cell<bool>,
-    forgotten: Cell<bool>,
-    was_forgotten: Notify,
+    discarded: Cell<bool>,
+    on_discard: Notify,
 }
 
 async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
-    timeout(CONNECT_LIMIT, TcpStream::connect(address))
+    timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
         .await
         .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?
 }
@@ -136,15 +136,15 @@
     fn start(stream: TcpStream) -> Rc<Self> {
         prepare(&stream);
         let (reader, writer) = stream.into_split();
-        let (frames, waiting) = mpsc::unbounded_channel();
-        ntex::rt::spawn(write_frames(writer, waiting));
+        let (frames, queue) = mpsc::unbounded_channel();
+        ntex::rt::spawn(write_frames(writer, queue));
         let connection = Rc::new(Self {
             frames,
             calls: RefCell::default(),
             next_call: Cell::new(0),
             closed: Cell::new(false),
-            forgotten: Cell::new(false),
-            was_forgotten: Notify::new(),
+            discarded: Cell::new(false),
+            on_discard: Notify::new(),
         });
         ntex::rt::spawn(connection.clone().read_replies(reader));
         connection
@@ -153,11 +153,11 @@
     async fn read_replies(self: Rc<Self>, mut reader: OwnedReadHalf) {
         let mut buffer = BytesMut::new();
         loop {
-            // What was read of a frame is in the buffer, whichever comes first.
+            // Dropping the read loses nothing: a partial frame stays in the buffer.
             let frame = tokio::select! {
                 biased;
                 frame = next_frame::<LedgerReply>(&mut reader, &mut buffer) => frame,
-                () = self.wait_unused() => break,
+                () = self.wait_idle_after_discard() => break,
             };
             let Ok(envelope) = frame else {
                 break;
@@ -172,34 +172,35 @@
             }
         }
         self.closed.set(true);
-        // Dropping the senders tells every waiting call that no answer will come.
+        // Dropping the senders ends every waiting call without a reply.
         self.calls.borrow_mut().clear();
     }
 
-    /// Ends once the connection was given up and nobody waits for an answer on it any more:
-    /// the other daemon would keep its end open for good.
-    async fn wait_unused(&self) {
-        while !self.forgotten.get() {
-            self.was_forgotten.notified().await;
+    /// Completes once the connection was discarded and no call waits for a reply on it. It has to be
+    /// closed then, since the other daemon would keep its end open forever.
+    async fn wait_idle_after_discard(&self) {
+        while !self.discarded.get() {
+            self.on_discard.notified().await;
         }
-        while self.is_awaited() {
-            sleep(UNUSED_PERIOD).await;
+        while self.has_waiting_calls() {
+            sleep(IDLE_CHECK_PERIOD).await;
         }
     }
 
-    /// Whether anybody waits for an answer; whoever left does not.
-    fn is_awaited(&self) -> bool {
+    /// Whether any call waits for a reply. Calls whose receiver was dropped are removed.
+    fn has_waiting_calls(&self) -> bool {
         let mut calls = self.calls.borrow_mut();
         calls.retain(|_, sender| !sender.is_closed());
         !calls.is_empty()
     }
 
-    fn forget(&self) {
-        self.forgotten.set(true);
-        self.was_forgotten.notify_one();
+    fn discard(&self) {
+        self.discarded.set(true);
+        self.on_discard.notify_one();
     }
 
-    /// Sends a request; the channel ends without an answer if the connection does.
+    /// Sends a request and returns the channel of its replies, which closes without a reply if the
+    /// connection does.
     pub fn call(&self, body: LedgerRequest) -> mpsc::UnboundedReceiver<LedgerReply> {
         let (sender, replies) = mpsc::unbounded_channel();
         let call = self.next_call.get();
@@ -212,24 +213,25 @@
     }
 }
 
-/// Connections to other daemons by address.
+/// Outgoing connections to other daemons, by address.
 #[derive(Default)]
 pub struct Peers {
     connections: RefCell<HashMap<SocketAddr, Rc<PeerConnection>>>,
 }
 
 impl Peers {
-    /// A connection to a daemon.
+    /// Returns the connection to a daemon, which is opened if there is none.
     ///
     /// # Errors
-    /// It does not accept.
+    /// If the daemon does not accept the connection in time.
     pub async fn connection(&self, address: SocketAddr) -> io::Result<Rc<PeerConnection>> {
-        if let Some(connection) = self.known(address) {
+        if let Some(connection) = self.open_connection(address) {
             return Ok(connection);
         }
         let stream = connect(address).await?;
-        // Many ask a new owner at the same moment: the first connection is for all of them.
-        if let Some(connection) = self.known(address) {
+        // Many requests may go to a new owner at the same moment: all use the connection that was
+        // opened first.
+        if let Some(connection) = self.open_connection(address) {
             return Ok(connection);
         }
         let connection = PeerConnection::start(stream);
@@ -239,7 +241,7 @@
         Ok(connection)
     }
 
-    /// Asks a daemon and waits for its first answer; `None` where none comes in time.
+    /// Sends a request to a daemon and waits for its first reply; `None` if none arrives in time.
     pub async fn request(
         &self,
         address: SocketAddr,
@@ -253,21 +255,22 @@
         timeout(limit, exchange).await.ok().flatten()
     }
 
-    fn known(&self, address: SocketAddr) -> Option<Rc<PeerConnection>> {
-        let known = self.connections.borrow().get(&address).cloned();
-        known.filter(|connection| !connection.closed.get())
+    fn open_connection(&self, address: SocketAddr) -> Option<Rc<PeerConnection>> {
+        let connection = self.connections.borrow().get(&address).cloned();
+        connection.filter(|connection| !connection.closed.get())
     }
 
-    /// Whether a connection to a daemon was open already.
+    /// Whether a connection to a daemon is open.
     pub fn is_connected(&self, address: SocketAddr) -> bool {
-        self.known(address).is_some()
+        self.open_connection(address).is_some()
     }
 
-    /// Forgets a connection that does not answer. It ends once nobody waits on it.
+    /// Discards the connection to a daemon that does not answer. It is closed once no call waits on
+    /// it.
     pub fn discard(&self, address: SocketAddr) {
-        let forgotten = self.connections.borrow_mut().remove(&address);
-        if let Some(connection) = forgotten {
-            connection.forget();
+        let removed = self.connections.borrow_mut().remove(&address);
+        if let Some(connection) = removed {
+            connection.discard();
         }
     }
 }
