--- a/crates/gateway/src/ledger/quota.rs
+++ b/crates/gateway/src/ledger/quota.rs
@@ -1,4 +1,5 @@
-//! Asking for a tenant's requests, and what goes on while no owner answers.
+//! Requests admission under a tenant's limit from its owner, and admits requests from the local
+//! share while no owner answers.
 
 use super::client::LedgerClient;
 use super::exchange::Exchange;
@@ -11,45 +12,47 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long an owner is asked, and a new one found, before a request goes on without.
-const ASK_LIMIT: Duration = Duration::from_millis(300);
-/// The same within a minority of the zones, where nobody takes the place of an owner that is
-/// out of reach: several times what one of the same zone takes.
-const MINORITY_ASK_LIMIT: Duration = Duration::from_millis(60);
-/// For so long after that, requests that can go on without an owner do not ask first.
-const UNASKED_FOR: Duration = Duration::from_millis(400);
+/// Time limit to get a reply of the owner, which includes finding a new one. After that a request
+/// is decided without the owner.
+const OWNER_LIMIT: Duration = Duration::from_millis(300);
+/// The same while this daemon is cut off with a minority of the zones, where owners that cannot be
+/// reached are not replaced. This is several times what an owner in the same zone takes to reply.
+const MINORITY_OWNER_LIMIT: Duration = Duration::from_millis(60);
+/// For this long after an owner did not answer, requests that the local share covers are admitted
+/// without a request to the owner.
+const SKIP_OWNER_FOR: Duration = Duration::from_millis(400);
 
-/// What became of the question whether a request may be sent.
+/// Decision on one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The owner granted it.
+    /// The owner admitted it.
     Granted,
-    /// No owner answers; it is within the part that may be sent all the same.
+    /// No owner answers, and it is within the local share of the limit.
     AdmittedLocally,
-    /// The limit does not hold it.
+    /// It exceeds the limit.
     Refused {
-        /// When it could, in milliseconds from now.
+        /// Milliseconds until it can be admitted.
         retry_after_ms: u64,
     },
-    /// Nobody can tell.
+    /// No owner answers, and the local share does not cover it.
     Unknown,
 }
 
-/// What this daemon was granted of tenants' limits.
+/// This daemon's shares of the tenants' limits, as granted by the owners.
 pub struct TenantShares {
     by_tenant: RefCell<HashMap<Rc<str>, Share>>,
-    /// Until when owners of partitions are not asked first.
-    silent_until: RefCell<HashMap<u32, Instant>>,
+    /// Until when the owner of a partition is not asked before the local share is used.
+    skip_owner_until: RefCell<HashMap<u32, Instant>>,
     window_ms: u64,
     started: Instant,
 }
 
 impl TenantShares {
-    /// Nothing was granted. Limits are judged over windows of this length.
+    /// Creates empty shares. Limits apply to windows of this length.
     pub fn new(window_ms: u64) -> Self {
         Self {
             by_tenant: RefCell::default(),
-            silent_until: RefCell::default(),
+            skip_owner_until: RefCell::default(),
             window_ms,
             started: Instant::now(),
         }
@@ -67,37 +70,38 @@
         outcome
     }
 
-    fn is_silent(&self, partition: u32) -> bool {
-        let until = self.silent_until.borrow().get(&partition).copied();
+    /// Whether the owner of a partition did not answer recently.
+    fn skips_owner(&self, partition: u32) -> bool {
+        let until = self.skip_owner_until.borrow().get(&partition).copied();
         until.is_some_and(|until| Instant::now() < until)
     }
 
-    fn take_unasked(&self, tenant: &str) -> bool {
+    fn take_from_share(&self, tenant: &str) -> bool {
         self.with(tenant, |share, now_ms| {
             share.take_unasked(self.window_ms, now_ms)
         })
     }
 
-    /// Takes one request of a tenant by asking `ledger`.
+    /// Decides on one request of a tenant, by the owner of its limit if that answers.
     pub async fn acquire(&self, ledger: &LedgerClient, question: &QuotaQuestion) -> Outcome {
         let tenant = &question.tenant;
         let partition = ledger.partition_of(tenant);
-        if self.is_silent(partition) && self.take_unasked(tenant) {
+        if self.skips_owner(partition) && self.take_from_share(tenant) {
             return Outcome::AdmittedLocally;
         }
         let request = LedgerRequest::Quota(question.clone());
         let limit = match ledger.reach.get() {
-            Reach::Minority => MINORITY_ASK_LIMIT,
-            _ => ASK_LIMIT,
+            Reach::Minority => MINORITY_OWNER_LIMIT,
+            _ => OWNER_LIMIT,
         };
         let deadline = Instant::now() + limit;
         match ledger.ask(&request, deadline).await {
             Some((LedgerReply::Quota(QuotaAnswer::Granted { used }), _)) => {
-                self.silent_until.borrow_mut().remove(&partition);
+                self.skip_owner_until.borrow_mut().remove(&partition);
                 let window_s = self.window_ms as f64 / 1_000.0;
-                let held = question.rate_per_s * window_s + question.burst;
+                let limit = question.rate_per_s * window_s + question.burst;
                 self.with(tenant, |share, now_ms| {
-                    share.learn_limit(held);
+                    share.learn_limit(limit);
                     share.granted(used, self.window_ms, now_ms);
                 });
                 Outcome::Granted
@@ -106,9 +110,9 @@
                 Outcome::Refused { retry_after_ms }
             }
             _ => {
-                let until = Instant::now() + UNASKED_FOR;
-                self.silent_until.borrow_mut().insert(partition, until);
-                match self.take_unasked(tenant) {
+                let until = Instant::now() + SKIP_OWNER_FOR;
+                self.skip_owner_until.borrow_mut().insert(partition, until);
+                match self.take_from_share(tenant) {
                     true => Outcome::AdmittedLocally,
                     false => Outcome::Unknown,
                 }
@@ -118,16 +122,16 @@
 }
 
 impl LedgerClient {
-    /// Tells the owner of a limit that a client left, beside its request and once: clients leave
-    /// by hundreds where owners are silent, and an owner that does not hear of it counts the
-    /// program as a short one, nothing worse.
+    /// Reports to the owner of a limit, in the background, that a client disconnected. The report
+    /// is sent only once: hundreds of clients disconnect when owners stop answering, and an owner
+    /// that misses a report merely counts the program as a short one.
     pub(crate) fn report_client_left(self: &Rc<Self>, question: QuotaQuestion) {
         let ledger = self.clone();
         ntex::rt::spawn(async move {
             let partition = ledger.partition_of(&question.tenant);
             let (program, tenant) = (question.program.clone(), question.tenant.clone());
             let request = LedgerRequest::Quota(question);
-            let answer = ledger.exchange(partition, &request, ASK_LIMIT).await;
+            let answer = ledger.exchange(partition, &request, OWNER_LIMIT).await;
             if !matches!(answer, Exchange::Answered(..)) {
                 tracing::info!(event = "left_untold", program, tenant, partition);
             }
