--- a/crates/gateway/src/ledger.rs
+++ b/crates/gateway/src/ledger.rs
@@ -1,30 +1,37 @@
-//! Who owns which partition of the ledger, and how a gateway asks the owner.
+//! Ownership of the ledger partitions, and the client that sends requests to their owners.
 //!
-//! - [`load`]: reading a claimed partition.
-//! - [`assigner`]: engines for the programs of partitions owned here.
-//! - [`owner`]: the partitions owned here; `hold`: what is done with one of them, `owned`:
-//!   serving it, `release`: giving it up.
-//! - [`homes`]: home partitions, owned within their regions alone; `region`: their owners,
-//!   seen from other regions.
-//! - `limits`: what tenants may send, counted where their partitions are owned; [`quota`]:
-//!   asking for it.
-//! - `cold`: what cold servers may get, counted by an owner while it is the only one for
-//!   certain, and asking for it.
+//! Owner side:
+//!
+//! - [`owner`]: the partitions that this daemon owns. `held` takes one of them from its claim to
+//!   its loss, `served` answers requests for it, `release` gives it up in a planned stop.
+//! - [`load`]: reads a claimed partition from the log.
+//! - [`assigner`]: assigns engines to the programs of owned partitions.
+//! - `limits`: counts requests against the limits of tenants and cold servers.
+//!
+//! Client side:
+//!
+//! - [`client`]: opens and closes turns while owners may change. `exchange` sends one request to
+//!   an owner, `replace` finds or becomes the next owner, `closing` closes turns in the
+//!   background.
+//! - [`quota`]: requests admission under the limit of a tenant.
 //! - [`peer`]: connections between daemons.
-//! - [`reach`]: whether the log is down or this daemon cut off.
-//! - [`client`]: opening and closing turns through owners that may change; `exchange`:
-//!   one question to an owner; `replace`: finding or becoming the next one.
+//!
+//! Both sides:
+//!
+//! - `cold`: admission of requests to cold servers, counted by an owner that holds a lease.
+//! - [`homes`]: home partitions, which only daemons of their region may own. `region` deals with
+//!   their owners as seen from other regions.
+//! - [`reach`]: detects whether the log is down or this daemon is cut off.
 
 pub mod assigner;
 pub mod client;
+mod closing;
 mod cold;
-mod ending;
 mod exchange;
-mod hold;
+mod held;
 pub mod homes;
 mod limits;
 pub mod load;
-mod owned;
 pub mod owner;
 pub mod peer;
 pub mod quota;
@@ -32,3 +39,4 @@
 mod region;
 mod release;
 mod replace;
+mod served;
--- a/crates/gateway/src/ledger/assigner.rs
+++ b/crates/gateway/src/ledger/assigner.rs
@@ -1,4 +1,4 @@
-//! Engines for the turns of programs whose partitions are owned here.
+//! Assigns engines to the turns of programs whose partitions this daemon owns.
 
 use crate::cold::ColdServers;
 use crate::places::Places;
@@ -18,32 +18,33 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// Engines drawn from a group that are enough to choose from: fewer are left where zones are
-/// evacuated or regions not allowed, and the turn goes to any group then.
-const FEWEST_DRAWN: usize = 8;
+/// Smallest number of engines drawn from a group to choose from. If evacuated zones or disallowed
+/// regions leave fewer, the engines are drawn from all groups.
+const MIN_DRAWN: usize = 8;
 
-/// Groups of a service's engines, as of a version of these.
-struct Division {
+/// The engine groups of a service, computed for a version of its engine list.
+struct CachedGroups {
     version: u64,
     groups: Rc<Groups>,
 }
 
-/// Assigns engines, from the servers and their health as this daemon knows them.
+/// Assigns engines according to the server directory and the engines' health as seen by this
+/// daemon.
 pub struct Assigner {
     directory: Rc<RefCell<Directory>>,
     pools: Rc<Pools>,
     pub(super) places: Rc<Places>,
     cold: Rc<ColdServers>,
     table: RefCell<Table>,
-    divisions: RefCell<HashMap<String, Division>>,
+    groups_by_service: RefCell<HashMap<String, CachedGroups>>,
     partitions: u32,
-    /// Partitions owned here.
+    /// Partitions that this daemon owns.
     owned: RefCell<Vec<u32>>,
     started: Instant,
 }
 
 impl Assigner {
-    /// An assigner of no programs. These are divided among so many partitions.
+    /// Creates an assigner; programs are distributed over this number of partitions.
     pub fn new(
         directory: Rc<RefCell<Directory>>,
         pools: Rc<Pools>,
@@ -57,19 +58,19 @@
             places,
             cold,
             table: RefCell::new(Table::new(Settings::default())),
-            divisions: RefCell::default(),
+            groups_by_service: RefCell::default(),
             partitions: partitions.max(1),
             owned: RefCell::default(),
             started: Instant::now(),
         }
     }
 
-    /// These partitions are owned here.
+    /// Sets the partitions that this daemon owns.
     pub fn set_owned(&self, partitions: Vec<u32>) {
         self.owned.replace(partitions);
     }
 
-    /// The engine that a turn should run at, if it needs one and one is known.
+    /// Returns the engine that a turn should run on, if it needs one and one is available.
     pub fn assign(&self, open: &OpenTurn) -> Option<String> {
         let placement = open.placement.as_ref()?;
         let now_ms = self.started.elapsed().as_millis() as u64;
@@ -77,12 +78,12 @@
         let serving = directory.serving(&placement.service)?;
         let partition = partition_of(&open.program, self.partitions);
         let (mut engines, share) = match serving.all.len() <= WEIGHED_WHOLE {
-            true => self.engines_of_few(&placement.service, serving, partition),
-            false => self.engines_of_many(&directory, serving, open, placement, partition),
+            true => self.small_service_engines(&placement.service, serving, partition),
+            false => self.large_service_engines(&directory, serving, open, placement, partition),
         };
         engines.retain(|engine| !self.pools.view(engine.id, engine.zone, now_ms).avoided);
-        self.keep_allowed(&mut engines, placement);
-        self.limit_cold(&mut engines, &directory);
+        self.retain_allowed(&mut engines, placement);
+        self.limit_cold_slots(&mut engines, &directory);
         let turn = Turn {
             id: &open.turn,
             program: &open.program,
@@ -95,9 +96,9 @@
         Some(engine.to_string())
     }
 
-    /// All engines of a small service, and the part of its group's programs that this daemon
-    /// sees.
-    fn engines_of_few<'a>(
+    /// Returns all engines of a small service, and the fraction of the home group's programs that
+    /// this daemon sees.
+    fn small_service_engines<'a>(
         &self,
         service: &str,
         serving: &'a Serving,
@@ -105,18 +106,19 @@
     ) -> (Vec<Engine<'a>>, f64) {
         let groups = self.groups(service, serving);
         let home = groups.of_partition(partition);
-        let mut engines = engines(serving);
+        let mut engines = sorted_engines(serving);
         for engine in &mut engines {
             engine.is_home = groups.of_engine(engine.id) == Some(home);
         }
         (engines, self.share(groups.count(), home))
     }
 
-    /// Engines of a large service to weigh for a turn: some of the group, drawn by the beginning
-    /// of the prompt so that all who share it draw the same, and the one that the program is
-    /// at. A group is a part of the order of engines: nothing is divided anew where one comes
-    /// or goes.
-    fn engines_of_many<'a>(
+    /// Returns the engines of a large service to choose from for a turn, and the fraction of the
+    /// home group's programs that this daemon sees. The engines are a sample of the group and the
+    /// engine that the program last ran on. The sample is selected by the prompt prefix, so that
+    /// turns that share a prefix get the same sample. A group is an arc of the hash ring of
+    /// engines, so it need not be recomputed when an engine is added or removed.
+    fn large_service_engines<'a>(
         &self,
         directory: &'a Directory,
         serving: &'a Serving,
@@ -127,8 +129,8 @@
         let count = group_count(serving.all.len(), self.partitions);
         let home = partition % count;
         let arc = Arc::of(home, count);
-        let homes = homes(placement);
-        let servers = self.places.with_rule(&homes, &placement.zone, |rule| {
+        let regions = allowed_regions(placement);
+        let servers = self.places.with_rule(&regions, &placement.zone, |rule| {
             let is_usable = |server: &ServerEntry| rule.serve(&server.zone).is_ok();
             let from = |arc| Draw {
                 zone: &placement.zone,
@@ -136,19 +138,21 @@
                 number: placement.prefix,
             };
             let drawn = draw(serving, &from(arc), &is_usable).servers;
-            match drawn.len() >= FEWEST_DRAWN {
+            match drawn.len() >= MIN_DRAWN {
                 true => drawn,
                 false => draw(serving, &from(Arc::WHOLE), &is_usable).servers,
             }
         });
         let mut servers: Vec<&ServerEntry> = servers.into_iter().map(|server| &**server).collect();
         let table = self.table.borrow();
-        let former = table.engine_of(&open.program);
-        let former = former.and_then(|id| directory.entry(id)).filter(|server| {
-            let is_drawn = servers.iter().any(|drawn| drawn.id == server.id);
-            !is_drawn && !server.draining && server.service == placement.service
-        });
-        servers.extend(former);
+        let previous = table.engine_of(&open.program);
+        let previous = previous
+            .and_then(|id| directory.entry(id))
+            .filter(|server| {
+                let is_drawn = servers.iter().any(|drawn| drawn.id == server.id);
+                !is_drawn && !server.draining && server.service == placement.service
+            });
+        servers.extend(previous);
         let engines = servers.into_iter().map(|server| Engine {
             is_home: arc.contains(place(&server.id)),
             ..engine(server)
@@ -156,10 +160,10 @@
         (engines.collect(), self.share(count, home))
     }
 
-    /// Keeps engines whose places may serve the turn, and tells how far they are from it.
-    fn keep_allowed(&self, engines: &mut Vec<Engine<'_>>, placement: &Placement) {
-        let homes = homes(placement);
-        self.places.with_rule(&homes, &placement.zone, |rule| {
+    /// Removes engines whose zones may not serve the turn, and sets the distance of the others.
+    fn retain_allowed(&self, engines: &mut Vec<Engine<'_>>, placement: &Placement) {
+        let regions = allowed_regions(placement);
+        self.places.with_rule(&regions, &placement.zone, |rule| {
             engines.retain_mut(|engine| match rule.serve(engine.zone) {
                 Ok(distance) => {
                     engine.distance = distance;
@@ -170,8 +174,8 @@
         });
     }
 
-    /// Cold engines have as many places as what they bear fills.
-    fn limit_cold(&self, engines: &mut [Engine<'_>], directory: &Directory) {
+    /// Limits the slots of cold engines to what their permitted request rate can fill.
+    fn limit_cold_slots(&self, engines: &mut [Engine<'_>], directory: &Directory) {
         for engine in engines {
             let entry = directory.entry(engine.id);
             let cold = entry.and_then(|entry| self.cold.cold(entry));
@@ -182,8 +186,8 @@
         }
     }
 
-    /// A turn has ended.
-    pub fn end(&self, close: &CloseTurn) {
+    /// Records that a turn has ended.
+    pub fn end_turn(&self, close: &CloseTurn) {
         let mut table = self.table.borrow_mut();
         table.end(&close.turn);
         if let Some(engine) = &close.engine {
@@ -191,25 +195,26 @@
         }
     }
 
-    /// The groups of a service's engines, divided anew where these have changed.
+    /// Returns the engine groups of a service, which are recomputed if its engines have changed.
     fn groups(&self, service: &str, serving: &Serving) -> Rc<Groups> {
         let version = serving.version;
-        let mut divisions = self.divisions.borrow_mut();
-        if let Some(known) = divisions.get(service)
-            && known.version == version
+        let mut groups_by_service = self.groups_by_service.borrow_mut();
+        if let Some(cached) = groups_by_service.get(service)
+            && cached.version == version
         {
-            return known.groups.clone();
+            return cached.groups.clone();
         }
-        let groups = Rc::new(Groups::divide(&engines(serving), self.partitions));
-        let current = Division {
+        let groups = Rc::new(Groups::divide(&sorted_engines(serving), self.partitions));
+        let current = CachedGroups {
             version,
             groups: groups.clone(),
         };
-        divisions.insert(service.to_owned(), current);
+        groups_by_service.insert(service.to_owned(), current);
         groups
     }
 
-    /// The part of the programs of one of so many groups that this daemon sees as an owner.
+    /// Returns the fraction of a group's programs that this daemon sees as an owner; `groups` is the
+    /// number of groups.
     fn share(&self, groups: u32, group: u32) -> f64 {
         let owned = self.owned.borrow();
         let of_group = owned
@@ -220,15 +225,16 @@
     }
 }
 
-fn homes(placement: &Placement) -> Set {
+/// Returns the regions that may serve a turn.
+fn allowed_regions(placement: &Placement) -> Set {
     match &placement.regions {
         Some(regions) => Set::Only(regions.iter().map(|region| Rc::from(&**region)).collect()),
         None => Set::All,
     }
 }
 
-/// Engines of a service that take new work, in an order of their own.
-fn engines(serving: &Serving) -> Vec<Engine<'_>> {
+/// Returns the engines of a service that accept new work, sorted by identity.
+fn sorted_engines(serving: &Serving) -> Vec<Engine<'_>> {
     let all = serving.all.from(Arc::WHOLE, 0);
     let mut engines: Vec<Engine<'_>> = all.map(|server| engine(server)).collect();
     engines.sort_by(|left, right| left.id.cmp(right.id));
--- a/crates/gateway/src/ledger/client.rs
+++ b/crates/gateway/src/ledger/client.rs
@@ -1,9 +1,9 @@
-//! Opening and closing turns through owners that may change meanwhile.
+//! Opens and closes turns at the owners of their partitions, which may change in the meantime.
 
-use super::exchange::{Doubt, Exchange};
+use super::exchange::{Exchange, Suspicion};
 use super::owner::Owner;
 use super::peer::Peers;
-use super::region::{SILENCE_LIMIT, Signs};
+use super::region::{RegionActivity, SILENCE_LIMIT};
 use fieldhook_ledger::message::{
     CloseTurn, FindChain, LedgerReply, LedgerRequest, OpenTurn, Shortage,
 };
@@ -19,35 +19,36 @@
 use tokio::sync::{Mutex, mpsc};
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-/// An owner that does not answer a question in this time is suspected.
-const ANSWER_LIMIT: Duration = Duration::from_millis(250);
-/// An owner that noted an end and has not appended it in this time is asked again: it
-/// may be frozen or cut off.
-const APPEND_LIMIT: Duration = Duration::from_millis(900);
-/// Pause before an end is told again while the others are out of reach.
-const MINORITY_PAUSE: Duration = Duration::from_millis(200);
-/// How often it is looked whether they are.
-const MINORITY_PERIOD: Duration = Duration::from_millis(50);
-/// Longest wait for news of the owners before looking again.
-pub(super) const CHANGE_WAIT: Duration = Duration::from_millis(40);
-/// Least time that another question needs.
-pub(super) const PAUSE: Duration = Duration::from_millis(10);
+/// An owner that does not answer a request in this time is suspected.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(250);
+/// Time that an owner has to append the end of a turn after it has noted it. After that the request
+/// is repeated, because the owner may be paused or cut off.
+const APPEND_TIMEOUT: Duration = Duration::from_millis(900);
+/// Pause before a turn's end is sent again while this daemon is cut off with a minority of the
+/// zones.
+const MINORITY_RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// How often [`LedgerClient::wait_until_cut_off`] checks the condition.
+const MINORITY_CHECK_PERIOD: Duration = Duration::from_millis(50);
+/// Longest wait for an ownership change before a request is retried.
+pub(super) const OWNER_CHANGE_WAIT: Duration = Duration::from_millis(40);
+/// Pause before a retry. No retry starts when less time than this is left.
+pub(super) const RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// Why a turn does not begin.
+/// Why a turn could not be opened.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OpenFailure {
-    /// The budget does not hold it.
+    /// The program's budget does not cover the turn.
     BudgetSpent(Shortage),
-    /// No such turn is kept.
+    /// The previous turn is not stored.
     UnknownTurn,
     /// No owner answered in time.
     Unavailable,
-    /// No owner in its homes answered in time.
+    /// No owner in the home regions answered in time.
     HomeUnavailable,
 }
 
 impl OpenFailure {
-    /// The name of the cause in log lines.
+    /// Returns the value of the log field `cause`.
     pub fn cause(&self) -> &'static str {
         match self {
             Self::BudgetSpent(_) => "BudgetSpent",
@@ -57,7 +58,7 @@
         }
     }
 
-    /// What the budget counts that does not hold the turn.
+    /// Returns the usage of a budget that does not cover the turn.
     pub fn shortage(&self) -> Option<&Shortage> {
         match self {
             Self::BudgetSpent(shortage) => Some(shortage),
@@ -66,13 +67,13 @@
     }
 }
 
-/// A turn that may begin.
+/// A turn that was opened.
 pub struct OpenedTurn {
-    /// Contents of its chain.
+    /// Contents of the chain of turns that it continues.
     pub chain: Vec<u8>,
-    /// Engine that its program is assigned to.
+    /// Engine that the program is assigned to.
     pub engine: Option<String>,
-    /// It is the first turn of its program.
+    /// Whether it is the first turn of its program.
     pub begins: bool,
     durable: bool,
     allowed: u64,
@@ -80,47 +81,50 @@
 }
 
 impl OpenedTurn {
-    /// Whether output may reach the client at once.
+    /// Whether the reservation is durable, so that any output may be sent to the client.
     pub fn is_durable(&self) -> bool {
         self.durable
     }
 
-    /// Tokens that may reach the client before the reservation is durable.
+    /// Number of tokens that may be sent to the client before the reservation is durable.
     pub fn allowed(&self) -> u64 {
         self.allowed
     }
 
-    /// Whether so many tokens may reach the client at once.
+    /// Whether this number of tokens may be sent to the client now.
     pub fn allows(&self, tokens: u64) -> bool {
         self.durable || tokens <= self.allowed
     }
 }
 
-/// Asks owners.
+/// Sends requests to the owners of ledger partitions, and replaces owners that are lost.
 pub struct LedgerClient {
-    /// The partitions owned here.
+    /// The partitions that this daemon owns itself.
     pub owner: Rc<Owner>,
-    /// Contact with the log.
+    /// When the log last answered this daemon.
     pub contact: Rc<Contact>,
-    /// What this daemon reaches, kept by [`super::reach`].
+    /// What this daemon can reach, updated by [`super::reach`].
     pub reach: Rc<Cell<Reach>>,
     pub(super) peers: Peers,
+    /// Partitions that are being claimed or wait for that.
     pub(super) claiming: RefCell<HashSet<u32>>,
-    /// Held while one of them is claimed.
-    pub(super) claim_turn: Mutex<()>,
-    /// Partitions whose owners are looked for beside the requests that need them.
-    pub(super) searching: RefCell<HashSet<u32>>,
-    /// An owner was silent since [`super::reach`] looked last.
-    pub(super) silent_owner: Cell<bool>,
-    /// Ends of turns that are being told. A planned stop waits for them: nobody else can.
+    /// Held while a partition is claimed, so that one at a time is.
+    pub(super) claim_lock: Mutex<()>,
+    /// Partitions with a background search for an owner that confirms cold permits.
+    pub(super) owner_searches: RefCell<HashSet<u32>>,
+    /// Whether an owner did not answer since [`super::reach`] last checked.
+    pub(super) owner_timed_out: Cell<bool>,
+    /// Number of turns that are being closed in the background. A planned stop waits for them,
+    /// because no other daemon knows of them.
     pub pending_closes: Cell<usize>,
-    /// Doubts that were said, by partition: each is said once.
-    pub(super) doubts: RefCell<HashMap<u32, Doubt>>,
-    pub(super) signs: RefCell<Signs>,
+    /// Current suspicion about the owner of each partition; each is logged once.
+    pub(super) suspicions: RefCell<HashMap<u32, Suspicion>>,
+    /// When the regions of home partitions last answered.
+    pub(super) region_activity: RefCell<RegionActivity>,
 }
 
 impl LedgerClient {
-    /// A client beside this daemon's own partitions.
+    /// Creates a client; requests for partitions of `owner` do not leave the process.
     pub fn new(owner: Rc<Owner>, contact: Rc<Contact>) -> Self {
         Self {
             reach: owner.reach.clone(),
@@ -128,22 +132,22 @@
             contact,
             peers: Peers::default(),
             claiming: RefCell::default(),
-            claim_turn: Mutex::default(),
-            searching: RefCell::default(),
-            silent_owner: Cell::default(),
+            claim_lock: Mutex::default(),
+            owner_searches: RefCell::default(),
+            owner_timed_out: Cell::default(),
             pending_closes: Cell::default(),
-            doubts: RefCell::default(),
-            signs: RefCell::default(),
+            suspicions: RefCell::default(),
+            region_activity: RefCell::default(),
         }
     }
 
-    /// Opens a turn. A previous turn that the program's own partition does not know
-    /// may belong to another program: the other partitions are asked then, and
-    /// `request` says from there on that its chain is brought along. `in_doubt` says, also if
-    /// this is given up midway, whether an owner may have opened it without having answered.
+    /// Opens a turn. If the program's own partition does not know the previous turn, the other
+    /// partitions are queried, since the turn may belong to another program; `request` then states
+    /// that the chain is brought along. `in_doubt` tells whether an owner may have opened the turn
+    /// without having replied, even if this future is dropped.
     ///
     /// # Errors
-    /// The turn may not begin, or nobody could tell by the deadline.
+    /// The turn may not be opened, or no owner replied by the deadline.
     pub async fn open(
         &self,
         request: &mut OpenTurn,
@@ -151,46 +155,50 @@
         deadline: Instant,
     ) -> Result<OpenedTurn, OpenFailure> {
         if request.keeper.is_none() {
-            return self.open_whole(request, in_doubt, deadline).await;
+            return self.open_with_chain(request, in_doubt, deadline).await;
         }
-        // Asked also where a program begins: without an owner that keeps what it says, it
-        // must not run.
+        // Requested for the first turn of a program as well: without an owner that stores its
+        // contents, the turn must not run.
         let mut contents = request.contents();
-        // The partition that keeps what is said reserves nothing.
-        let nothing = Cell::default();
-        let kept = match self.open_whole(&mut contents, &nothing, deadline).await {
+        // The home partition that stores the contents reserves no tokens.
+        let nothing_in_doubt = Cell::default();
+        let stored = match self
+            .open_with_chain(&mut contents, &nothing_in_doubt, deadline)
+            .await
+        {
             Err(OpenFailure::Unavailable) => return Err(OpenFailure::HomeUnavailable),
-            kept => kept?,
+            stored => stored?,
         };
         request.brings_chain = contents.brings_chain;
         let order = request.order();
-        let opened = self.open_at_home(&order, in_doubt, deadline).await?;
+        let opened = self.open_at_partition(&order, in_doubt, deadline).await?;
         Ok(OpenedTurn {
-            chain: kept.chain,
+            chain: stored.chain,
             ..opened
         })
     }
 
-    /// Opens a turn where one partition orders it and keeps its chain.
-    async fn open_whole(
+    /// Opens a turn at a partition and finds its chain, in other partitions if necessary.
+    async fn open_with_chain(
         &self,
         request: &mut OpenTurn,
         in_doubt: &Cell<bool>,
         deadline: Instant,
     ) -> Result<OpenedTurn, OpenFailure> {
-        match self.open_at_home(request, in_doubt, deadline).await {
+        match self.open_at_partition(request, in_doubt, deadline).await {
             Err(OpenFailure::UnknownTurn) => {}
             outcome => return outcome,
         }
-        let chain = self.find_elsewhere(request, deadline).await?;
+        let chain = self.find_chain(request, deadline).await?;
         request.brings_chain = true;
-        let opened = self.open_at_home(request, in_doubt, deadline).await?;
+        let opened = self.open_at_partition(request, in_doubt, deadline).await?;
         Ok(OpenedTurn { chain, ..opened })
     }
 
-    /// Asks the partitions of other programs for a chain, all at once. It may also be kept in
-    /// a place that homes allowed when it was: read here, it lives on where they do now.
-    async fn find_elsewhere(
+    /// Queries all other partitions for a chain at once. These include the home partitions of all
+    /// regions: the chain may have been stored in a region that the home regions no longer
+    /// include, and is then continued in one that they do.
+    async fn find_chain(
         &self,
         request: &OpenTurn,
         deadline: Instant,
@@ -222,14 +230,15 @@
             match answer {
                 Some((LedgerReply::Chain(chain), _)) => return Ok(chain),
                 Some((LedgerReply::UnknownTurn, _)) => {}
-                // Without its answer nobody can say that the turn is not kept.
+                // Without a reply of every partition, the turn may still be stored somewhere.
                 _ => failure = OpenFailure::Unavailable,
             }
         }
         Err(failure)
     }
 
-    async fn open_at_home(
+    /// Opens a turn at the partition that the request is for.
+    async fn open_at_partition(
         &self,
         request: &OpenTurn,
         in_doubt: &Cell<bool>,
@@ -239,8 +248,8 @@
         let partition = request.partition(self.owner.places.layout.free());
         let answer = tokio::select! {
             biased;
-            answer = self.ask_for(&request, in_doubt, deadline) => answer,
-            () = self.region_is_silent(partition) => None,
+            answer = self.ask_tracked(&request, in_doubt, deadline) => answer,
+            () = self.wait_for_region_silence(partition) => None,
         };
         match answer {
             Some((opened, replies)) => match opened {
@@ -266,8 +275,8 @@
         }
     }
 
-    /// Waits until so many tokens of an opened turn may reach the client; opens it again
-    /// where the owner was lost meanwhile.
+    /// Waits until this number of tokens of an opened turn may be sent to the client. Opens the
+    /// turn again if its owner is lost in the meantime.
     pub async fn wait_allowed(
         &self,
         opened: &mut OpenedTurn,
@@ -280,10 +289,10 @@
                 Err(_) => return false,
                 Ok(Some(LedgerReply::Durable)) => opened.durable = true,
                 Ok(_) => {
-                    // Its end is told in any case.
+                    // The turn is closed in any case, so doubt need not be tracked.
                     let in_doubt = Cell::default();
                     let order = request.order();
-                    match self.open_at_home(&order, &in_doubt, deadline).await {
+                    match self.open_at_partition(&order, &in_doubt, deadline).await {
                         Ok(again) => *opened = again,
                         Err(_) => return false,
                     }
@@ -293,25 +302,26 @@
         true
     }
 
-    /// The partition that orders a program.
+    /// Returns the partition that orders the turns of a program.
     pub fn partition_of(&self, program: &str) -> u32 {
         self.owner.places.layout.order(program)
     }
 
-    /// The home partition that keeps the contents of a program, where homes bind these.
+    /// Returns the home partition that stores the contents of a program, if the program is
+    /// restricted to home regions.
     pub fn home_partition(&self, program: &str, homes: &Set) -> Option<u32> {
         self.owner.places.layout.keeper(program, homes)
     }
 
-    /// Ends once this daemon is cut off from the log with the minority: nothing can be recorded
-    /// from here then.
+    /// Completes once this daemon is cut off from the log together with a minority of the zones,
+    /// so that it cannot have anything recorded.
     pub async fn wait_until_cut_off(&self) {
         while self.reach.get() != Reach::Minority || !self.contact.failing() {
-            sleep(MINORITY_PERIOD).await;
+            sleep(MINORITY_CHECK_PERIOD).await;
         }
     }
 
-    /// Records the end of a turn. True once it is durable.
+    /// Records the end of a turn. Returns whether it is durable.
     pub async fn close(&self, request: &CloseTurn, deadline: Instant) -> bool {
         let request = LedgerRequest::Close(request.clone());
         let partition = request.partition(self.owner.places.layout.free());
@@ -321,10 +331,10 @@
                 if self.reach.get() != Reach::Minority {
                     return false;
                 }
-                sleep(MINORITY_PAUSE).await;
+                sleep(MINORITY_RETRY_PAUSE).await;
                 continue;
             };
-            let until = deadline.min(Instant::now() + APPEND_LIMIT);
+            let until = deadline.min(Instant::now() + APPEND_TIMEOUT);
             match timeout_at(until, replies.recv()).await {
                 Ok(Some(LedgerReply::Closed)) => return true,
                 Ok(_) => {}
@@ -334,18 +344,18 @@
         false
     }
 
-    /// Asks whoever owns the partition until it answers.
+    /// Sends a request to the owner of its partition until an owner answers.
     pub(super) async fn ask(
         &self,
         request: &LedgerRequest,
         deadline: Instant,
     ) -> Option<(LedgerReply, mpsc::UnboundedReceiver<LedgerReply>)> {
-        self.ask_for(request, &Cell::default(), deadline).await
+        self.ask_tracked(request, &Cell::default(), deadline).await
     }
 
-    /// The same; `in_doubt` says, also if this is given up midway, whether an owner was asked
-    /// that may have done something and did not answer.
-    async fn ask_for(
+    /// Like [`Self::ask`]; `in_doubt` tells whether an owner may have acted on the request without
+    /// having replied, even if this future is dropped.
+    async fn ask_tracked(
         &self,
         request: &LedgerRequest,
         in_doubt: &Cell<bool>,
@@ -353,37 +363,40 @@
     ) -> Option<(LedgerReply, mpsc::UnboundedReceiver<LedgerReply>)> {
         let partition = request.partition(self.owner.places.layout.free());
         loop {
-            let exchange = self.exchange_for(partition, request, in_doubt, ANSWER_LIMIT);
+            let exchange = self.exchange_tracked(partition, request, in_doubt, REPLY_TIMEOUT);
             let exchange = timeout_at(deadline, exchange).await;
-            self.note(partition, exchange.as_ref().ok());
+            self.note_outcome(partition, exchange.as_ref().ok());
             match exchange {
                 Err(_) => return None,
                 Ok(Exchange::Answered(reply, replies)) => return Some((reply, replies)),
-                // Nobody takes its place from here, and what is left of the request's time is
-                // better spent elsewhere.
-                Ok(Exchange::Suspect(_) | Exchange::Silent(_))
+                // A daemon in the minority replaces no owners, and the request has better chances
+                // at another daemon in the time that is left.
+                Ok(Exchange::OwnerGone(_) | Exchange::OwnerSilent(_))
                     if self.reach.get() == Reach::Minority =>
                 {
                     return None;
                 }
-                Ok(Exchange::Moved) => {}
-                Ok(Exchange::Again | Exchange::Loading(_)) => {
-                    let _ = timeout(CHANGE_WAIT, self.owner.claims.changed.notified()).await;
+                Ok(Exchange::RetryNow) => {}
+                Ok(Exchange::RetryAfterChange | Exchange::OwnerLoading(_)) => {
+                    let _ = timeout(OWNER_CHANGE_WAIT, self.owner.claims.changed.notified()).await;
                 }
-                Ok(doubtful) => self.act_on_doubt(partition, &doubtful).await,
+                Ok(suspect) => self.handle_suspicion(partition, &suspect).await,
             }
-            if Instant::now() + PAUSE >= deadline {
+            if Instant::now() + RETRY_PAUSE >= deadline {
                 return None;
             }
         }
     }
 
-    /// Replaces an owner that is gone or silent.
-    pub(super) async fn act_on_doubt(&self, partition: u32, exchange: &Exchange) {
+    /// Replaces an owner that is gone or does not answer.
+    pub(super) async fn handle_suspicion(&self, partition: u32, exchange: &Exchange) {
         match exchange {
-            Exchange::Suspect(epoch) => self.replace(partition, *epoch).await,
-            Exchange::Silent(epoch) => self.replace_silent(partition, *epoch).await,
-            Exchange::Answered(..) | Exchange::Loading(_) | Exchange::Moved | Exchange::Again => {}
+            Exchange::OwnerGone(epoch) => self.replace(partition, *epoch).await,
+            Exchange::OwnerSilent(epoch) => self.replace_silent(partition, *epoch).await,
+            Exchange::Answered(..)
+            | Exchange::OwnerLoading(_)
+            | Exchange::RetryNow
+            | Exchange::RetryAfterChange => {}
         }
     }
 }
--- a/crates/gateway/src/ledger/closing.rs
+++ b/crates/gateway/src/ledger/closing.rs
@@ -1,4 +1,4 @@
-//! Ends of turns that are told beside the requests that they were part of.
+//! Closing turns in the background, independently of the requests that they were part of.
 
 use super::client::LedgerClient;
 use fieldhook_ledger::message::CloseTurn;
@@ -6,53 +6,56 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
 
-/// How long the end of a turn is told that did not end whole. It outlasts an outage of the log,
-/// and ends before the owner forgets the program, 180 s after its last change.
-const PATIENCE: Duration = Duration::from_secs(120);
-/// One round of telling it: an owner that is silent is noticed, and asked once more.
-const ROUND: Duration = Duration::from_millis(1_200);
-/// Pauses between rounds, without news of owners. Clients leave by hundreds where an owner is silent, and each end that
-/// is told asks and looks for owners beside the requests that wait for the same ones.
+/// How long closing an incomplete turn is retried. This outlasts an outage of the log, and ends
+/// before the owner deletes the program, 180 s after its last change.
+const RETRY_FOR: Duration = Duration::from_secs(120);
+/// Time limit of one attempt. It suffices to notice that an owner does not answer and to send the
+/// request once more.
+const ATTEMPT_LIMIT: Duration = Duration::from_millis(1_200);
+/// First and longest pause between attempts while no ownership change is reported. Hundreds of
+/// clients disconnect when an owner stops answering, and every close sends requests and searches
+/// for owners in addition to the requests that wait for the same partition.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
 const LONGEST_PAUSE: Duration = Duration::from_secs(2);
 
-/// An end that is being told.
-struct Telling(Rc<LedgerClient>);
+/// Counts a turn that is being closed until it is dropped.
+struct PendingClose(Rc<LedgerClient>);
 
-impl Drop for Telling {
+impl Drop for PendingClose {
     fn drop(&mut self) {
         self.0.pending_closes.set(self.0.pending_closes.get() - 1);
     }
 }
 
 impl LedgerClient {
-    /// Tells the end of a turn that did not end whole, whatever becomes of its request: until
-    /// then its most stays reserved.
+    /// Closes an incomplete turn in the background, so that this happens even if its request is
+    /// dropped. Until the owner has noted the close, the turn's token maximum stays reserved.
     pub fn close_in_background(self: &Rc<Self>, close: CloseTurn) {
         self.pending_closes.set(self.pending_closes.get() + 1);
-        let telling = Telling(self.clone());
+        let pending = PendingClose(self.clone());
         ntex::rt::spawn(async move {
-            if !telling.0.tell(&close).await {
+            if !pending.0.close_with_retries(&close).await {
                 tracing::warn!(
                     event = "turn_end_untold",
                     request = close.turn,
                     program = close.program,
                     reservation = close.reservation(),
-                    "its most stays reserved where no owner has noted it"
+                    "the token maximum of the turn stays reserved unless an owner noted its end"
                 );
             }
         });
     }
 
-    /// Tells an end in rounds. False if none was answered.
-    async fn tell(&self, close: &CloseTurn) -> bool {
-        let until = Instant::now() + PATIENCE;
+    /// Retries to close a turn. Returns whether it was recorded.
+    async fn close_with_retries(&self, close: &CloseTurn) -> bool {
+        let until = Instant::now() + RETRY_FOR;
         let mut pause = FIRST_PAUSE;
         while Instant::now() < until {
-            if self.close(close, Instant::now() + ROUND).await {
+            if self.close(close, Instant::now() + ATTEMPT_LIMIT).await {
                 return true;
             }
-            // A new owner answers the client's next try at once: it has to know before.
+            // Retry at once when the owner changes: a new owner may answer the client's next
+            // request immediately and has to know of the close before.
             let _ = timeout(pause, self.owner.claims.changed.notified()).await;
             pause = (pause * 2).min(LONGEST_PAUSE);
         }
--- a/crates/gateway/src/ledger/cold.rs
+++ b/crates/gateway/src/ledger/cold.rs
@@ -1,9 +1,9 @@
-//! What cold servers may get: the owner of the partition that a server's identity hashes to
-//! counts for it, while the log confirms that it is the only one.
+//! Admission of requests to cold servers. The owner of the partition that a server's identity
+//! hashes to counts them, while a lease confirmed by the log guarantees that it is the only owner.
 
 use super::client::LedgerClient;
 use super::exchange::Exchange;
-use super::limits::{self, Limits};
+use super::limits::{self, LimitCounters};
 use super::owner::Owner;
 use fieldhook_ledger::message::{ColdQuestion, LedgerReply, LedgerRequest, QuotaAnswer};
 use fieldhook_log::api::StoreError;
@@ -18,34 +18,35 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-/// A permit that comes later than this is void.
-const PERMIT: Duration = Duration::from_millis(PERMIT_MS);
-/// Pause before another owner, of whom this daemon just learned, is asked.
-const AGAIN: Duration = Duration::from_millis(1);
-/// After the log did not confirm an owner it is left alone for so long, in milliseconds.
-const PAUSE_MS: u64 = 100;
-/// How long an owner that does not answer is looked for, beside the request: an owner is
-/// suspected after 250 ms, and a claim takes two calls of the log.
-const SEARCH: Duration = Duration::from_millis(700);
+/// A permit that arrives later than this is not used.
+const PERMIT_TIMEOUT: Duration = Duration::from_millis(PERMIT_MS);
+/// Pause before the request is sent to an owner that this daemon just learned of.
+const RETRY_PAUSE: Duration = Duration::from_millis(1);
+/// Pause after the log did not confirm an owner, in milliseconds.
+const CONFIRM_RETRY_MS: u64 = 100;
+/// Time limit of the background search for an owner after one did not answer: an owner is
+/// suspected after 250 ms, and a claim takes two log calls.
+const OWNER_SEARCH_LIMIT: Duration = Duration::from_millis(700);
 
-/// Counts of the partitions owned here, and until when they may be acted on.
-pub(super) struct Counts {
-    limits: Limits,
+/// Counters of requests to cold servers, by partition, and the leases under which they may be
+/// used.
+pub(super) struct ColdCounters {
+    limits: LimitCounters,
     leases: RefCell<HashMap<u32, Lease>>,
-    /// Partitions of which the log is asked.
-    asked: RefCell<HashSet<u32>>,
-    /// When the log last did not confirm a partition that it has not confirmed since.
+    /// Partitions with a confirmation under way.
+    confirming: RefCell<HashSet<u32>>,
+    /// When the last confirmation of a partition failed; removed once one succeeds.
     failed_ms: RefCell<HashMap<u32, u64>>,
     confirmed: Notify,
     started: Instant,
 }
 
-impl Default for Counts {
+impl Default for ColdCounters {
     fn default() -> Self {
         Self {
-            limits: Limits::new(BOUNDS),
+            limits: LimitCounters::new(BOUNDS),
             leases: RefCell::default(),
-            asked: RefCell::default(),
+            confirming: RefCell::default(),
             failed_ms: RefCell::default(),
             confirmed: Notify::new(),
             started: Instant::now(),
@@ -53,7 +54,7 @@
     }
 }
 
-impl Counts {
+impl ColdCounters {
     fn now_ms(&self) -> u64 {
         self.started.elapsed().as_millis() as u64
     }
@@ -66,10 +67,10 @@
         lease.map_or(State::Lapsed, |lease| lease.state(self.now_ms()))
     }
 
-    /// Whether the log is better left alone for a moment.
-    fn has_just_failed(&self, partition: u32) -> bool {
+    /// Whether a confirmation failed too recently to try again.
+    fn failed_recently(&self, partition: u32) -> bool {
         let failed_ms = self.failed_ms.borrow().get(&partition).copied();
-        failed_ms.is_some_and(|failed_ms| self.now_ms() < failed_ms + PAUSE_MS)
+        failed_ms.is_some_and(|failed_ms| self.now_ms() < failed_ms + CONFIRM_RETRY_MS)
     }
 
     fn confirm(&self, partition: u32, claim: &Claim, asked_ms: u64) {
@@ -88,38 +89,38 @@
     }
 }
 
-/// Answers a question about a cold server.
+/// Handles a request for a permit to use a cold server.
 pub(super) async fn answer(
     owner: Rc<Owner>,
     partition: u32,
     question: ColdQuestion,
     sender: mpsc::UnboundedSender<LedgerReply>,
 ) {
-    let asked = Instant::now();
+    let started = Instant::now();
     let reply = loop {
         let Some(claim) = owner.own_claim(partition) else {
             break LedgerReply::NotOwner(owner.known_owner(partition));
         };
-        match owner.counts.state(partition, &claim) {
+        match owner.cold_counters.state(partition, &claim) {
             State::Holds { is_ageing } => {
                 if is_ageing {
                     ntex::rt::spawn(confirm(owner.clone(), partition, claim));
                 }
-                let question = limits::of_cold(&question);
-                let limits = &owner.counts.limits;
-                break LedgerReply::Quota(limits.ask(partition, &claim, &question));
+                let question = limits::cold_question(&question);
+                let limits = &owner.cold_counters.limits;
+                break LedgerReply::Quota(limits.admit(partition, &claim, &question));
             }
             State::Waits(retry_after_ms) => {
                 break LedgerReply::Quota(QuotaAnswer::Refused { retry_after_ms });
             }
-            // Whoever asks would not take a later answer.
-            State::Lapsed if asked.elapsed() >= PERMIT => break LedgerReply::Unavailable,
-            State::Lapsed if owner.counts.has_just_failed(partition) => {
+            // The sender would not use a later reply.
+            State::Lapsed if started.elapsed() >= PERMIT_TIMEOUT => break LedgerReply::Unavailable,
+            State::Lapsed if owner.cold_counters.failed_recently(partition) => {
                 break LedgerReply::Unavailable;
             }
             State::Lapsed => {
-                let until = asked + PERMIT;
-                let confirmed = owner.counts.confirmed.notified();
+                let until = started + PERMIT_TIMEOUT;
+                let confirmed = owner.cold_counters.confirmed.notified();
                 ntex::rt::spawn(confirm(owner.clone(), partition, claim));
                 let _ = timeout_at(until, confirmed).await;
             }
@@ -128,30 +129,31 @@
     let _ = sender.send(reply);
 }
 
-/// Has the log confirm a claim, by an append of its epoch without a record. One call at a
-/// time is under way for a partition.
+/// Confirms a claim by an append without records under the claim's epoch. Per partition, one such
+/// call is under way at a time.
 async fn confirm(owner: Rc<Owner>, partition: u32, claim: Claim) {
-    let counts = &owner.counts;
-    if !counts.asked.borrow_mut().insert(partition) {
+    let counters = &owner.cold_counters;
+    if !counters.confirming.borrow_mut().insert(partition) {
         return;
     }
-    let asked_ms = counts.now_ms();
+    let asked_ms = counters.now_ms();
     let limit = Duration::from_millis(TERM_MS);
-    let told = fence(
+    let fenced = fence(
         owner.store.as_ref(),
-        owner.place(partition),
+        owner.log_partition(partition),
         claim.epoch,
         limit,
     )
     .await;
-    counts.asked.borrow_mut().remove(&partition);
-    match told {
-        // An owner that has appended records is told their number: its epoch is in force.
-        Ok(()) | Err(StoreError::Sequence(_)) => counts.confirm(partition, &claim, asked_ms),
+    counters.confirming.borrow_mut().remove(&partition);
+    match fenced {
+        // The log reports a sequence error if this owner has appended records before, which also
+        // shows that its epoch is current.
+        Ok(()) | Err(StoreError::Sequence(_)) => counters.confirm(partition, &claim, asked_ms),
         Err(error) => {
-            let now_ms = counts.now_ms();
-            let former = counts.failed_ms.borrow_mut().insert(partition, now_ms);
-            if former.is_none() {
+            let now_ms = counters.now_ms();
+            let previous = counters.failed_ms.borrow_mut().insert(partition, now_ms);
+            if previous.is_none() {
                 tracing::info!(
                     event = "cold_count_unconfirmed",
                     partition,
@@ -161,42 +163,44 @@
             }
         }
     }
-    counts.confirmed.notify_waiters();
+    counters.confirmed.notify_waiters();
 }
 
 impl LedgerClient {
-    /// Asks once whether a request may be sent to a cold server; `None` where no owner
-    /// answers in time. That one is looked for then, for the requests that follow.
+    /// Requests a permit to send a request to a cold server; `None` if no owner answers in time.
+    /// An owner is then searched for in the background, for the requests that follow.
     pub(crate) async fn request_cold_permit(
         self: &Rc<Self>,
         question: &ColdQuestion,
     ) -> Option<QuotaAnswer> {
         let request = LedgerRequest::Cold(question.clone());
-        let answer = timeout(PERMIT, self.ask_cold_owner(&request)).await;
+        let answer = timeout(PERMIT_TIMEOUT, self.request_permit_from_owner(&request)).await;
         if let Ok(Some(answer)) = answer {
             return Some(answer);
         }
         let partition = request.partition(self.owner.places.layout.free());
-        if self.searching.borrow_mut().insert(partition) {
+        if self.owner_searches.borrow_mut().insert(partition) {
             let ledger = self.clone();
             ntex::rt::spawn(async move {
-                let answer = ledger.ask(&request, Instant::now() + SEARCH).await;
+                let answer = ledger
+                    .ask(&request, Instant::now() + OWNER_SEARCH_LIMIT)
+                    .await;
                 if answer.is_none() {
-                    // It answers, and the log does not confirm it.
+                    // The owner may answer but not be confirmed by the log.
                     ledger.replace_stuck(partition).await;
                 }
-                ledger.searching.borrow_mut().remove(&partition);
+                ledger.owner_searches.borrow_mut().remove(&partition);
             });
         }
         None
     }
 
-    async fn ask_cold_owner(&self, request: &LedgerRequest) -> Option<QuotaAnswer> {
+    async fn request_permit_from_owner(&self, request: &LedgerRequest) -> Option<QuotaAnswer> {
         let partition = request.partition(self.owner.places.layout.free());
         loop {
-            match self.exchange(partition, request, PERMIT).await {
+            match self.exchange(partition, request, PERMIT_TIMEOUT).await {
                 Exchange::Answered(LedgerReply::Quota(answer), _) => return Some(answer),
-                Exchange::Again | Exchange::Moved => sleep(AGAIN).await,
+                Exchange::RetryAfterChange | Exchange::RetryNow => sleep(RETRY_PAUSE).await,
                 _ => return None,
             }
         }
--- a/crates/gateway/src/ledger/exchange.rs
+++ b/crates/gateway/src/ledger/exchange.rs
@@ -1,4 +1,4 @@
-//! One question to the owner of a partition, and what its silence may mean.
+//! One request to the owner of a partition, and what a missing reply says about the owner.
 
 use super::client::LedgerClient;
 use crate::upstream::probe;
@@ -9,99 +9,101 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, timeout};
 
-/// A time-out that fires this much late shows that the process did not run.
-const WOKEN_AFTER: Duration = Duration::from_millis(150);
+/// A time-out that fires this much late shows that this process was paused.
+const PROCESS_PAUSE: Duration = Duration::from_millis(150);
 
-/// One exchange with whoever owns the partition.
+/// Outcome of one request to the owner of a partition.
 pub(super) enum Exchange {
+    /// The owner replied; more replies may follow.
     Answered(LedgerReply, mpsc::UnboundedReceiver<LedgerReply>),
-    /// The owner is gone, or does not hold the partition; its claim had this epoch.
-    Suspect(Option<u64>),
-    /// The owner does not answer; its claim had this epoch.
-    Silent(u64),
-    /// The owner has claimed the partition and reads it; its claim has this epoch.
-    Loading(u64),
-    /// Ask again after news.
-    Again,
-    /// Another claimed the partition meanwhile, or the connection has to be made anew: ask
-    /// again at once.
-    Moved,
+    /// There is no owner, it is gone, or it does not hold the partition; the epoch is that of its
+    /// claim.
+    OwnerGone(Option<u64>),
+    /// The owner does not answer; the epoch is that of its claim.
+    OwnerSilent(u64),
+    /// The owner has claimed the partition and is loading it; the epoch is that of its claim.
+    OwnerLoading(u64),
+    /// Retry once an ownership change is reported, or after a short wait.
+    RetryAfterChange,
+    /// Another daemon has claimed the partition, or a new connection is needed: retry at once.
+    RetryNow,
 }
 
 impl Exchange {
-    /// What the exchange showed about the owner, if that is doubtful.
-    fn doubt(&self) -> Option<Doubt> {
+    /// Returns what is wrong with the owner, if anything.
+    fn suspicion(&self) -> Option<Suspicion> {
         match self {
-            Self::Suspect(epoch) => Some((*epoch, "gone")),
-            Self::Silent(epoch) => Some((Some(*epoch), "silent")),
-            Self::Loading(epoch) => Some((Some(*epoch), "reading")),
-            Self::Answered(..) | Self::Again | Self::Moved => None,
+            Self::OwnerGone(epoch) => Some((*epoch, "gone")),
+            Self::OwnerSilent(epoch) => Some((Some(*epoch), "silent")),
+            Self::OwnerLoading(epoch) => Some((Some(*epoch), "reading")),
+            Self::Answered(..) | Self::RetryAfterChange | Self::RetryNow => None,
         }
     }
 }
 
-/// What ended the wait for an owner.
-enum Heard {
-    /// Its answer; `None` if its connection ended.
+/// What ended the wait for a reply.
+enum WaitEnd {
+    /// A reply; `None` if the connection closed.
     Reply(Option<LedgerReply>),
-    /// The partition has a newer claim than the one asked by.
+    /// The partition has a newer claim than the one that the request was sent by.
     NewClaim,
 }
 
-/// Epoch of an owner and what is wrong with it.
-pub(super) type Doubt = (Option<u64>, &'static str);
+/// Epoch of a suspected owner, and what is wrong with it.
+pub(super) type Suspicion = (Option<u64>, &'static str);
 
 impl LedgerClient {
-    /// Says a new doubt about the owner of a partition.
-    pub(super) fn note(&self, partition: u32, exchange: Option<&Exchange>) {
+    /// Logs a suspicion about the owner of a partition if it is new, and records that the region
+    /// of a home partition answered.
+    pub(super) fn note_outcome(&self, partition: u32, exchange: Option<&Exchange>) {
         let Some(exchange) = exchange else {
             return;
         };
-        self.note_region(partition, exchange);
-        let mut doubts = self.doubts.borrow_mut();
-        let Some(doubt) = exchange.doubt() else {
-            doubts.remove(&partition);
+        self.note_region_outcome(partition, exchange);
+        let mut suspicions = self.suspicions.borrow_mut();
+        let Some(suspicion) = exchange.suspicion() else {
+            suspicions.remove(&partition);
             return;
         };
-        if doubts.insert(partition, doubt) != Some(doubt) {
-            let (epoch, state) = doubt;
+        if suspicions.insert(partition, suspicion) != Some(suspicion) {
+            let (epoch, state) = suspicion;
             let log_age_ms = self.contact.age_ms();
             tracing::info!(event = "owner_doubted", partition, epoch, state, log_age_ms);
         }
     }
 
-    /// Asks whoever owns the partition, as far as known, once.
+    /// Sends a request once to the owner of the partition as far as this daemon knows it.
     pub(super) async fn exchange(
         &self,
         partition: u32,
         request: &LedgerRequest,
-        answer_limit: Duration,
+        reply_timeout: Duration,
     ) -> Exchange {
         let in_doubt = Cell::default();
-        self.exchange_for(partition, request, &in_doubt, answer_limit)
+        self.exchange_tracked(partition, request, &in_doubt, reply_timeout)
             .await
     }
 
-    /// The same; `in_doubt` is set once the owner is asked, and stays so where nothing is heard
-    /// of what it did.
-    pub(super) async fn exchange_for(
+    /// Like [`Self::exchange`]; `in_doubt` is set when the request is sent, and stays set if no
+    /// reply tells what the owner did.
+    pub(super) async fn exchange_tracked(
         &self,
         partition: u32,
         request: &LedgerRequest,
         in_doubt: &Cell<bool>,
-        answer_limit: Duration,
+        reply_timeout: Duration,
     ) -> Exchange {
         let claim = self.owner.claims.claim(partition);
         let Some(claim) = claim else {
-            return Exchange::Suspect(None);
+            return Exchange::OwnerGone(None);
         };
         let Some(address) = claim.address else {
-            return Exchange::Suspect(Some(claim.epoch));
+            return Exchange::OwnerGone(Some(claim.epoch));
         };
         let mine = self.owner.claims.is_mine(&claim);
         if mine && self.reach.get() == Reach::CutOff {
-            // Nothing can be appended from here, but others can.
-            return Exchange::Suspect(Some(claim.epoch));
+            // This daemon cannot append, but other daemons can.
+            return Exchange::OwnerGone(Some(claim.epoch));
         }
         let was_connected = !mine && self.peers.is_connected(address);
         let was_in_doubt;
@@ -111,71 +113,77 @@
             self.owner.handle(request.clone(), sender);
             replies
         } else if address == self.owner.claims.address {
-            return Exchange::Suspect(Some(claim.epoch));
+            return Exchange::OwnerGone(Some(claim.epoch));
         } else {
             match self.peers.connection(address).await {
                 Ok(connection) => {
                     was_in_doubt = in_doubt.replace(true);
                     connection.call(request.clone())
                 }
-                // Nothing came back: the owner's machine is gone, or either side is cut off.
+                // No response at all: the owner's machine is down, or either side is cut off.
                 Err(error) if probe::is_unanswered(error.kind()) => {
-                    self.silent_owner.set(true);
-                    return Exchange::Silent(claim.epoch);
+                    self.owner_timed_out.set(true);
+                    return Exchange::OwnerSilent(claim.epoch);
                 }
-                Err(_) => return Exchange::Suspect(Some(claim.epoch)),
+                Err(_) => return Exchange::OwnerGone(Some(claim.epoch)),
             }
         };
-        let asked = Instant::now();
-        let heard = self.hear(partition, claim.epoch, &mut replies);
-        let reply = match timeout(answer_limit, heard).await {
-            Ok(Heard::Reply(Some(reply))) => reply,
-            Ok(Heard::NewClaim) => return Exchange::Moved,
-            // A connection that was kept may have ended in a cut that is over: a new one tells
-            // whether the owner is gone.
-            Ok(Heard::Reply(None)) if was_connected => {
+        let sent = Instant::now();
+        let wait = self.wait_for_reply(partition, claim.epoch, &mut replies);
+        let reply = match timeout(reply_timeout, wait).await {
+            Ok(WaitEnd::Reply(Some(reply))) => reply,
+            Ok(WaitEnd::NewClaim) => return Exchange::RetryNow,
+            // An older connection may have been closed by a network partition that is over: a
+            // new connection shows whether the owner is gone.
+            Ok(WaitEnd::Reply(None)) if was_connected => {
                 self.peers.discard(address);
-                return Exchange::Moved;
+                return Exchange::RetryNow;
             }
-            Ok(Heard::Reply(None)) => {
+            Ok(WaitEnd::Reply(None)) => {
                 self.peers.discard(address);
-                return Exchange::Suspect(Some(claim.epoch));
+                return Exchange::OwnerGone(Some(claim.epoch));
+            }
+            // The delay is this process's own, which was paused.
+            Err(_) if sent.elapsed() > reply_timeout + PROCESS_PAUSE => {
+                return Exchange::RetryAfterChange;
             }
-            // Woken from a freeze, this process is what was late.
-            Err(_) if asked.elapsed() > answer_limit + WOKEN_AFTER => return Exchange::Again,
             Err(_) => {
-                self.silent_owner.set(true);
-                return Exchange::Silent(claim.epoch);
+                self.owner_timed_out.set(true);
+                return Exchange::OwnerSilent(claim.epoch);
             }
         };
         in_doubt.set(was_in_doubt);
         match reply {
-            LedgerReply::Unavailable => Exchange::Loading(claim.epoch),
-            LedgerReply::Unreadable => Exchange::Silent(claim.epoch),
-            LedgerReply::NotOwner(Some(known)) if self.learn(partition, &known) => Exchange::Again,
-            LedgerReply::NotOwner(_) if self.owner.claims.is_mine(&claim) => Exchange::Again,
-            LedgerReply::NotOwner(_) => Exchange::Suspect(Some(claim.epoch)),
+            LedgerReply::Unavailable => Exchange::OwnerLoading(claim.epoch),
+            LedgerReply::Unreadable => Exchange::OwnerSilent(claim.epoch),
+            LedgerReply::NotOwner(Some(known)) if self.learn_owner(partition, &known) => {
+                Exchange::RetryAfterChange
+            }
+            LedgerReply::NotOwner(_) if self.owner.claims.is_mine(&claim) => {
+                Exchange::RetryAfterChange
+            }
+            LedgerReply::NotOwner(_) => Exchange::OwnerGone(Some(claim.epoch)),
             reply => Exchange::Answered(reply, replies),
         }
     }
 
-    /// Waits for an answer, or for the claim of another: whoever found the owner lost first
-    /// spares the others their own wait.
-    async fn hear(
+    /// Waits for a reply or for a newer claim: once any daemon has replaced a lost owner, the
+    /// others need not wait for their own time-outs.
+    async fn wait_for_reply(
         &self,
         partition: u32,
         epoch: u64,
         replies: &mut mpsc::UnboundedReceiver<LedgerReply>,
-    ) -> Heard {
+    ) -> WaitEnd {
         let claims = &self.owner.claims;
         loop {
             let changed = claims.changed.notified();
             if claims.claim(partition).map(|claim| claim.epoch) != Some(epoch) {
-                return Heard::NewClaim;
+                return WaitEnd::NewClaim;
             }
             tokio::select! {
                 biased;
-                reply = replies.recv() => return Heard::Reply(reply),
+                reply = replies.recv() => return WaitEnd::Reply(reply),
                 () = changed => {}
             }
         }
--- a/crates/gateway/src/ledger/held.rs
+++ b/crates/gateway/src/ledger/held.rs
@@ -1,8 +1,8 @@
-//! A partition from its claim to its loss: read, served, given up.
+//! Life cycle of a partition that this daemon holds: loaded after its claim, served, released.
 
-use super::load::{Load, Loaded};
-use super::owned::Owned;
+use super::load::{LoadedPartition, PartitionLoader};
 use super::owner::Owner;
+use super::served::ServedPartition;
 use crate::daemon::unix_ms;
 use fieldhook_ledger::partition::Partition;
 use fieldhook_log::api::StoreError;
@@ -13,60 +13,63 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-const LOAD_PAUSE: Duration = Duration::from_millis(30);
+/// Pause before a failed load is continued.
+const LOAD_RETRY_PAUSE: Duration = Duration::from_millis(30);
 
-/// What this daemon does with a partition.
-pub(super) enum Hold {
-    /// Claimed with this epoch, and not read yet.
+/// A partition that this daemon holds, by stage.
+pub(super) enum HeldPartition {
+    /// Claimed with this epoch, and not loaded yet.
     Loading(u64),
-    /// Read, and served from memory.
-    Serving(Owned),
-    /// About to be given up: asked now, others would have to ask again.
-    Releasing(Owned),
+    /// Loaded, and served from memory.
+    Serving(ServedPartition),
+    /// Waiting for its last appends before it is released. Requests are answered with
+    /// `Unavailable`, and the sender has to repeat them.
+    Releasing(ServedPartition),
 }
 
-impl Hold {
-    /// Epoch of its claim.
+impl HeldPartition {
+    /// Returns the epoch of the claim by which the partition is held.
     pub(super) fn epoch(&self) -> u64 {
         match self {
             Self::Loading(epoch) => *epoch,
-            Self::Serving(owned) | Self::Releasing(owned) => owned.epoch,
+            Self::Serving(served) | Self::Releasing(served) => served.epoch,
         }
     }
 }
 
-/// Reads a claimed partition; `None` once it is another's.
-async fn read(owner: &Owner, partition: u32, epoch: u64) -> Option<Loaded> {
+/// Loads a claimed partition; returns `None` once another daemon owns it.
+async fn load(owner: &Owner, partition: u32, epoch: u64) -> Option<LoadedPartition> {
     let claim = owner.claims.claim(partition);
     let state = match claim.map_or(Former::Lost, |claim| claim.former) {
         Former::None => Partition::default(),
         Former::Settled { doubt_ms } => Partition::handed_over(unix_ms(), doubt_ms),
         Former::Lost => Partition::taken_over(unix_ms(), owner.doubt_after_loss_ms()),
     };
-    let mut load = Load::new(owner.place(partition), epoch, state);
+    let mut loader = PartitionLoader::new(owner.log_partition(partition), epoch, state);
     loop {
-        match read_on(owner, partition, epoch, &mut load).await {
+        match load_until_error(owner, partition, epoch, &mut loader).await {
             Ok(loaded) => return loaded,
             Err(error) => {
                 tracing::info!(event = "load_delayed", partition, epoch, %error);
-                sleep(LOAD_PAUSE).await;
+                sleep(LOAD_RETRY_PAUSE).await;
             }
         }
     }
 }
 
-/// Reads on until a step fails; `None` once the partition is another's. Partitions that are read
-/// at once would share this machine's link, so one at a time is read. One that fails lets the
-/// next go first: the log may serve that, and would keep its programs waiting for nothing.
-async fn read_on(
+/// Continues a load until a step fails; returns `None` once another daemon owns the partition.
+/// One partition is loaded at a time, because parallel loads would share the bandwidth of this
+/// machine. A load that fails lets the next partition go first: the log may be able to serve
+/// that one, whose programs would otherwise wait needlessly.
+async fn load_until_error(
     owner: &Owner,
     partition: u32,
     epoch: u64,
-    load: &mut Load,
-) -> Result<Option<Loaded>, StoreError> {
-    let _turn = owner.reading.lock().await;
+    loader: &mut PartitionLoader,
+) -> Result<Option<LoadedPartition>, StoreError> {
+    let _guard = owner.load_lock.lock().await;
     while owner.is_loading(partition) {
-        match load.step(owner.store.as_ref()).await {
+        match loader.step(owner.store.as_ref()).await {
             Ok(Some(loaded)) => return Ok(Some(loaded)),
             Ok(None) => {}
             Err(StoreError::Fenced) => {
@@ -79,22 +82,21 @@
     Ok(None)
 }
 
-/// Reads a claimed partition and serves it until it is lost.
-pub(super) async fn hold(owner: Rc<Owner>, partition: u32, epoch: u64) {
+/// Loads a claimed partition and serves it until it is lost or released.
+pub(super) async fn load_and_serve(owner: Rc<Owner>, partition: u32, epoch: u64) {
     let started = Instant::now();
-    let Some(loaded) = read(&owner, partition, epoch).await else {
+    let Some(loaded) = load(&owner, partition, epoch).await else {
         return;
     };
     let state = Rc::new(RefCell::new(loaded.state));
     let appender = Rc::new(Appender::new(
-        owner.place(partition),
+        owner.log_partition(partition),
         epoch,
         owner.store.clone(),
         owner.contact.clone(),
     ));
-    let current =
-        matches!(owner.held.borrow().get(&partition), Some(Hold::Loading(now)) if *now == epoch);
-    if !current {
+    let is_current = matches!(owner.held.borrow().get(&partition), Some(HeldPartition::Loading(now)) if *now == epoch);
+    if !is_current {
         return;
     }
     tracing::info!(
@@ -106,18 +108,18 @@
         doubt_ms = state.borrow().doubt_ms(unix_ms()),
         took_ms = started.elapsed().as_millis() as u64,
     );
-    let owned = Owned {
+    let served = ServedPartition {
         epoch,
         state: state.clone(),
         appender: appender.clone(),
         assigner: owner.assigner.clone(),
     };
-    owned.claim_part();
+    served.claim_part();
     owner
         .held
         .borrow_mut()
-        .insert(partition, Hold::Serving(owned));
-    owner.note_held(&owner.held.borrow());
+        .insert(partition, HeldPartition::Serving(served));
+    owner.publish_held(&owner.held.borrow());
     owner.claims.changed.notify_waiters();
     appender.trimmer.inherited(loaded.end);
     let end = tokio::select! {
@@ -127,7 +129,7 @@
     tracing::info!(event = "partition_given_up", partition, epoch, cause = ?end);
     owner.drop_partition(partition, Some(epoch));
     if end == AppendEnd::Fenced {
-        // There is a newer owner: until it is known, its turns could not be served here.
+        // Another daemon owns the partition: requests can be forwarded only once it is known.
         let _ = owner.claims.refresh().await;
     }
 }
--- a/crates/gateway/src/ledger/homes.rs
+++ b/crates/gateway/src/ledger/homes.rs
@@ -1,5 +1,5 @@
-//! Home partitions: which this daemon may own, and whether the owners of those of its region
-//! are there. docs/design/homes.md tells what was weighed.
+//! Home partitions: which of them this daemon may own, and the check that the owners in its region
+//! are up. docs/design/homes.md explains the design.
 
 use super::client::LedgerClient;
 use super::exchange::Exchange;
@@ -12,45 +12,46 @@
 use tokio::time::sleep;
 
 /// An owner that does not answer in this time is suspected.
-const ANSWER_LIMIT: Duration = Duration::from_millis(250);
-/// Least pause between two looks at the owners of a region. Gateways of the region find an
-/// owner gone by their clients' requests; this is for those of other regions, which must not
-/// take over.
-const LOOK_PERIOD: Duration = Duration::from_millis(500);
-/// A random time on top, so that not all daemons find an owner gone in the same moment.
-const LOOK_JITTER_MS: u64 = 500;
+const REPLY_TIMEOUT: Duration = Duration::from_millis(250);
+/// Shortest pause between two checks of the owners of a region. Daemons of the region notice a lost
+/// owner by their clients' requests. The check serves clients in other regions, whose daemons may
+/// not take over.
+const CHECK_PERIOD: Duration = Duration::from_millis(500);
+/// Largest random addition to the pause, so that not all daemons notice a lost owner at the same
+/// moment.
+const CHECK_JITTER_MS: u64 = 500;
 
-/// Free partitions are for all daemons. A home partition is for those of its region, once a
-/// configuration has named the region as a home, and for good where it was claimed before: it
-/// may hold what is still promised to be kept.
+/// Returns the rule for the partitions that this daemon may own. Any daemon may own a free
+/// partition. A home partition may be owned by the daemons of its region, if the configuration
+/// names the region as a home or the partition was claimed before: it may still store contents
+/// that have to be kept.
 pub(super) fn eligibility(places: Rc<Places>) -> Predicate {
     Rc::new(move |partition, claim: Option<&Claim>| {
         let Some(region) = places.layout.region(partition) else {
             return true;
         };
-        let is_here = places.region() == Some(region);
-        is_here && (claim.is_some() || places.is_home(region))
+        let is_own_region = places.region() == Some(region);
+        is_own_region && (claim.is_some() || places.is_home(region))
     })
 }
 
-/// Looks for good whether the owners of this region's home partitions are there. Nobody is
-/// asked while none was claimed.
+/// Checks the owners of this region's home partitions until the daemon stops. Partitions that were
+/// never claimed are skipped.
 pub async fn watch_owners(ledger: Rc<LedgerClient>) {
     loop {
-        let jitter = Duration::from_millis(fastrand::u64(0..LOOK_JITTER_MS));
-        sleep(LOOK_PERIOD + jitter).await;
+        let jitter = Duration::from_millis(fastrand::u64(0..CHECK_JITTER_MS));
+        sleep(CHECK_PERIOD + jitter).await;
         if ledger.owner.claims.is_released() {
             return;
         }
         for partition in ledger.owner.places.layout.homes() {
-            look(&ledger, partition).await;
+            check_owner(&ledger, partition).await;
         }
     }
 }
 
-/// Asks the owner of a partition for a sign of life; one that gives none, or that the log has
-/// left, is replaced.
-async fn look(ledger: &LedgerClient, partition: u32) {
+/// Queries the owner of a partition, and replaces it if it does not answer or has lost the log.
+async fn check_owner(ledger: &LedgerClient, partition: u32) {
     let claims = &ledger.owner.claims;
     let Some(claim) = claims.claim(partition) else {
         return;
@@ -59,13 +60,13 @@
         return;
     }
     let exchange = ledger
-        .exchange(partition, &LedgerRequest::KeepsLog, ANSWER_LIMIT)
+        .exchange(partition, &LedgerRequest::KeepsLog, REPLY_TIMEOUT)
         .await;
-    ledger.note(partition, Some(&exchange));
+    ledger.note_outcome(partition, Some(&exchange));
     match exchange {
         Exchange::Answered(LedgerReply::HasLog(false), _) => {
             ledger.replace_silent(partition, claim.epoch).await;
         }
-        doubtful => ledger.act_on_doubt(partition, &doubtful).await,
+        other => ledger.handle_suspicion(partition, &other).await,
     }
 }
--- a/crates/gateway/src/ledger/limits.rs
+++ b/crates/gateway/src/ledger/limits.rs
@@ -1,5 +1,5 @@
-//! What tenants may send, and what cold servers may get, counted where their partitions are
-//! owned.
+//! Counters of requests against the limits of tenants and cold servers, kept by the owners of
+//! their partitions.
 
 use fieldhook_ledger::message::{ColdQuestion, QuotaAnswer, QuotaQuestion};
 use fieldhook_log::ownership::{self, Claim};
@@ -12,55 +12,57 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// The book of one claim.
-struct Kept {
+/// The counters of a partition under one claim.
+struct ClaimCounters {
     epoch: u64,
-    book: Book,
+    counters: Book,
 }
 
-/// Books of the partitions owned here.
-pub(super) struct Limits {
+/// Counters by partition.
+pub(super) struct LimitCounters {
     bounds: Bounds,
-    books: RefCell<HashMap<u32, Kept>>,
+    by_partition: RefCell<HashMap<u32, ClaimCounters>>,
     started: Instant,
 }
 
-impl Limits {
+impl LimitCounters {
     pub(super) fn new(bounds: Bounds) -> Self {
         Self {
             bounds,
-            books: RefCell::default(),
+            by_partition: RefCell::default(),
             started: Instant::now(),
         }
     }
 
-    /// How much of its limit each tenant counted here uses, 0 to 1, most first. Partitions
-    /// that `is_held` does not name are another daemon's by now.
-    pub(super) fn used(&self, is_held: impl Fn(u32) -> bool) -> Vec<(Rc<str>, f64)> {
+    /// Returns the fraction of its limit that each tenant uses, 0 to 1, largest first. Partitions
+    /// for which `is_held` is false belong to other daemons by now and are skipped.
+    pub(super) fn usage(&self, is_held: impl Fn(u32) -> bool) -> Vec<(Rc<str>, f64)> {
         let now_ms = self.started.elapsed().as_millis() as u64;
-        let mut books = self.books.borrow_mut();
-        let held = books
+        let mut by_partition = self.by_partition.borrow_mut();
+        let held = by_partition
             .iter_mut()
             .filter(|(partition, _)| is_held(**partition));
-        let mut used: Vec<(Rc<str>, f64)> =
-            held.flat_map(|(_, kept)| kept.book.used(now_ms)).collect();
-        used.sort_by(|left, right| right.1.total_cmp(&left.1));
-        used
+        let mut usage: Vec<(Rc<str>, f64)> = held
+            .flat_map(|(_, claim)| claim.counters.used(now_ms))
+            .collect();
+        usage.sort_by(|left, right| right.1.total_cmp(&left.1));
+        usage
     }
 
-    /// Answers a question about what is counted in a partition that this daemon has claimed.
-    pub(super) fn ask(
+    /// Counts a request in a partition that this daemon has claimed, and decides whether it is
+    /// within its limit.
+    pub(super) fn admit(
         &self,
         partition: u32,
         claim: &Claim,
         question: &Question<'_>,
     ) -> QuotaAnswer {
-        self.with_book(partition, claim, |book, now_ms| {
-            answer(book.ask(question, now_ms))
+        self.with_counters(partition, claim, |counters, now_ms| {
+            quota_answer(counters.ask(question, now_ms))
         })
     }
 
-    /// Takes in that the client of a program's last request left.
+    /// Records that the client of a program's last request disconnected.
     pub(super) fn client_left(
         &self,
         partition: u32,
@@ -68,40 +70,42 @@
         question: &QuotaQuestion,
     ) -> QuotaAnswer {
         let (tenant, program) = (&question.tenant, question.program.as_deref());
-        self.with_book(partition, claim, |book, now_ms| {
-            book.left(tenant, program, now_ms);
+        self.with_counters(partition, claim, |counters, now_ms| {
+            counters.left(tenant, program, now_ms);
             QuotaAnswer::Granted {
-                used: book.used_by(tenant, now_ms),
+                used: counters.used_by(tenant, now_ms),
             }
         })
     }
 
-    fn with_book(
+    /// Calls `act` with the counters of a claim, which start anew with each claim.
+    fn with_counters(
         &self,
         partition: u32,
         claim: &Claim,
         act: impl FnOnce(&mut Book, u64) -> QuotaAnswer,
     ) -> QuotaAnswer {
         let now_ms = self.started.elapsed().as_millis() as u64;
-        let mut books = self.books.borrow_mut();
-        let is_current = books
+        let mut by_partition = self.by_partition.borrow_mut();
+        let is_current = by_partition
             .get(&partition)
-            .is_some_and(|kept| kept.epoch == claim.epoch);
+            .is_some_and(|current| current.epoch == claim.epoch);
         if !is_current {
-            let kept = Kept {
+            let new = ClaimCounters {
                 epoch: claim.epoch,
-                book: Book::new(self.bounds, former(claim), now_ms),
+                counters: Book::new(self.bounds, former(claim), now_ms),
             };
-            books.insert(partition, kept);
+            by_partition.insert(partition, new);
         }
-        let Some(kept) = books.get_mut(&partition) else {
+        let Some(current) = by_partition.get_mut(&partition) else {
             return QuotaAnswer::Refused { retry_after_ms: 0 };
         };
-        act(&mut kept.book, now_ms)
+        act(&mut current.counters, now_ms)
     }
 }
 
-/// A former owner's grants are not told, whether or not it gave the partition up in order.
+/// Grants of a former owner are not known, whether or not it released the partition in a planned
+/// stop.
 fn former(claim: &Claim) -> Former {
     match claim.former {
         ownership::Former::None => Former::None,
@@ -109,8 +113,8 @@
     }
 }
 
-/// A question about a cold server.
-pub(super) fn of_cold(question: &ColdQuestion) -> Question<'_> {
+/// Converts a request about a cold server.
+pub(super) fn cold_question(question: &ColdQuestion) -> Question<'_> {
     cold::question(
         &question.server,
         question.rate_per_s,
@@ -119,8 +123,8 @@
     )
 }
 
-/// A question about a tenant.
-pub(super) fn of_tenant(question: &QuotaQuestion) -> Question<'_> {
+/// Converts a request about a tenant.
+pub(super) fn tenant_question(question: &QuotaQuestion) -> Question<'_> {
     Question {
         tenant: &question.tenant,
         limit: Limit {
@@ -136,7 +140,7 @@
     }
 }
 
-fn answer(answer: Answer) -> QuotaAnswer {
+fn quota_answer(answer: Answer) -> QuotaAnswer {
     match answer {
         Answer::Granted { used } => QuotaAnswer::Granted { used },
         Answer::Refused { retry_after_ms } => QuotaAnswer::Refused { retry_after_ms },
--- a/crates/gateway/src/ledger/load.rs
+++ b/crates/gateway/src/ledger/load.rs
@@ -1,23 +1,23 @@
-//! Reading a claimed partition from the log.
+//! Loads a claimed partition from the log.
 //!
-//! What was read stays read: a page that fails is asked for again with more time, and
-//! nothing begins anew. A machine with a narrow link could otherwise read the same first
-//! page for ever (docs/incidents/stuck-load.md).
+//! A page that fails is requested again with a longer timeout, and pages that were read are kept.
+//! If every failure restarted the load, a machine with little bandwidth could read the same first
+//! page forever (docs/incidents/stuck-load.md).
 
 use fieldhook_ledger::partition::Partition;
 use fieldhook_ledger::record::Record;
-use fieldhook_log::api::{LogStore, Partition as Place, StoreError};
+use fieldhook_log::api::{LogStore, Partition as LogPartition, StoreError};
 use fieldhook_log::appender::fence;
 use std::time::Duration;
 
-/// Time for the fence, and for a page at first.
-const FIRST_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time for a page at most.
-const LONGEST_TIMEOUT: Duration = Duration::from_secs(8);
+/// Timeout of the fencing append and first timeout of a page.
+const INITIAL_TIMEOUT: Duration = Duration::from_millis(500);
+/// Longest timeout of a page.
+const MAX_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// A partition that is being read.
-pub struct Load {
-    place: Place,
+/// Loads one partition step by step.
+pub struct PartitionLoader {
+    log_partition: LogPartition,
     epoch: u64,
     fenced: bool,
     timeout: Duration,
@@ -26,61 +26,70 @@
     end: u64,
 }
 
-/// A partition that was read whole.
-pub struct Loaded {
-    /// What it holds.
+/// A partition that was loaded completely.
+pub struct LoadedPartition {
+    /// Its turns and programs.
     pub state: Partition,
-    /// Where it ends, by its offsets.
+    /// End offset of the log partition.
     pub end: u64,
 }
 
-impl Load {
-    /// Nothing was read yet; records go into `state`.
-    pub fn new(place: Place, epoch: u64, state: Partition) -> Self {
+impl PartitionLoader {
+    /// Creates a loader that has read nothing yet; records are added to `state`.
+    pub fn new(log_partition: LogPartition, epoch: u64, state: Partition) -> Self {
         Self {
-            place,
+            log_partition,
             epoch,
             fenced: false,
-            timeout: FIRST_TIMEOUT,
+            timeout: INITIAL_TIMEOUT,
             state,
             after: None,
             end: 0,
         }
     }
 
-    /// Does the next thing; gives the partition once it is read whole. Earlier owners are
-    /// fenced before anything is read: in this order nothing that one of them had
-    /// acknowledged can be missed.
+    /// Performs the next step; returns the partition once it is loaded completely. Earlier owners
+    /// are fenced before anything is read, so that no record that one of them had acknowledged
+    /// can be missed.
     ///
     /// # Errors
-    /// [`StoreError::Fenced`] where a later owner is in force; after any other error the
-    /// step may be repeated.
-    pub async fn step(&mut self, store: &dyn LogStore) -> Result<Option<Loaded>, StoreError> {
+    /// [`StoreError::Fenced`] if a later owner has fenced this one. After any other error the step
+    /// may be repeated.
+    pub async fn step(
+        &mut self,
+        store: &dyn LogStore,
+    ) -> Result<Option<LoadedPartition>, StoreError> {
         let result = match self.fenced {
             false => self.fence(store).await,
-            true => self.page(store).await,
+            true => self.load_page(store).await,
         };
         if result.is_err() {
-            self.timeout = (self.timeout * 2).min(LONGEST_TIMEOUT);
+            self.timeout = (self.timeout * 2).min(MAX_TIMEOUT);
         }
         result
     }
 
-    async fn fence(&mut self, store: &dyn LogStore) -> Result<Option<Loaded>, StoreError> {
-        fence(store, self.place.clone(), self.epoch, self.timeout).await?;
+    async fn fence(&mut self, store: &dyn LogStore) -> Result<Option<LoadedPartition>, StoreError> {
+        fence(store, self.log_partition.clone(), self.epoch, self.timeout).await?;
         self.fenced = true;
         Ok(None)
     }
 
-    async fn page(&mut self, store: &dyn LogStore) -> Result<Option<Loaded>, StoreError> {
+    async fn load_page(
+        &mut self,
+        store: &dyn LogStore,
+    ) -> Result<Option<LoadedPartition>, StoreError> {
         let page = store
-            .newest(self.place.clone(), self.after.clone(), self.timeout)
+            .newest(self.log_partition.clone(), self.after.clone(), self.timeout)
             .await?;
         for (_, record) in &page.records {
             match Record::read(&record.key, &record.value) {
                 Ok(record) => self.state.load(record),
                 Err(_) => {
-                    tracing::error!(event = "record_unreadable", partition = self.place.number);
+                    tracing::error!(
+                        event = "record_unreadable",
+                        partition = self.log_partition.number
+                    );
                 }
             }
         }
@@ -90,7 +99,7 @@
             return Ok(None);
         }
         self.state.loaded();
-        Ok(Some(Loaded {
+        Ok(Some(LoadedPartition {
             state: std::mem::take(&mut self.state),
             end: self.end,
         }))
--- a/crates/gateway/src/ledger/owner.rs
+++ b/crates/gateway/src/ledger/owner.rs
@@ -1,10 +1,10 @@
-//! The partitions owned by this daemon.
+//! The partitions that this daemon owns, and the requests that it answers for other daemons.
 
 use super::assigner::Assigner;
-use super::cold::{self, Counts};
-use super::hold::{Hold, hold};
+use super::cold::{self, ColdCounters};
+use super::held::{HeldPartition, load_and_serve};
 use super::homes::eligibility;
-use super::limits::{self, Limits};
+use super::limits::{self, LimitCounters};
 use crate::follow::config_cache::ConfigCache;
 use crate::metrics::Metrics;
 use crate::places::Places;
@@ -29,45 +29,46 @@
 use tokio::sync::{Mutex, mpsc};
 use tokio::time::sleep;
 
-/// Topic of programs and turns.
+/// Topic of program and turn records.
 pub const LEDGER_TOPIC: &str = "keyed.fieldhook-ledger";
-/// Beginning of the topics of home partitions; the number of the region follows.
+/// Prefix of the topics of home partitions; the region follows.
 pub const HOME_TOPIC: &str = "keyed.fieldhook-ledger-home-";
-/// Topic of the claims of its partitions.
+/// Topic of the claims of ledger partitions.
 pub const OWNERS_TOPIC: &str = "keyed.fieldhook-owners";
-/// An answer of the log counts as fresh for this long: less than a daemon takes to hold
-/// the log for lost, so that nobody vouches for it by an answer from before the outage.
-const FRESH: Duration = Duration::from_millis(800);
+/// A reply of the log counts as recent for this long. This is less than a daemon takes to
+/// consider the log lost, so that no daemon confirms the log's availability by a reply from
+/// before an outage.
+const RECENT_LOG_REPLY: Duration = Duration::from_millis(800);
 const EXPIRY_PERIOD: Duration = Duration::from_secs(5);
 
-/// Partitions owned here.
+/// The partitions that this daemon owns, with the state that is needed to serve them.
 pub struct Owner {
-    /// Who owns what.
+    /// Claims of all partitions.
     pub claims: Rc<Claims>,
     relay: Rc<Relay>,
     pub(super) store: Rc<dyn LogStore>,
     pub(super) contact: Rc<Contact>,
     pub(super) metrics: Rc<Metrics>,
-    pub(super) held: RefCell<HashMap<u32, Hold>>,
+    pub(super) held: RefCell<HashMap<u32, HeldPartition>>,
     capacity: Capacity,
-    /// Longest time of a turn by the routes in force, in milliseconds.
+    /// Longest timeout of a streaming route in the active configuration, in milliseconds.
     longest_turn_ms: Cell<u64>,
     pub(super) assigner: Rc<Assigner>,
-    limits: Limits,
-    /// What cold servers were allowed to get.
-    pub(super) counts: Counts,
-    /// What this daemon knows of the configuration.
+    limits: LimitCounters,
+    /// Counters of requests to cold servers.
+    pub(super) cold_counters: ColdCounters,
+    /// The newest configuration document.
     pub config: Rc<ConfigCache>,
-    /// What it knows of places.
+    /// Zones, regions and evacuations.
     pub places: Rc<Places>,
-    /// Held while a partition is read.
-    pub(super) reading: Mutex<()>,
-    /// What this daemon reaches, kept by [`super::reach`].
+    /// Held while a partition is loaded, so that one at a time is.
+    pub(super) load_lock: Mutex<()>,
+    /// What this daemon can reach, updated by [`super::reach`].
     pub reach: Rc<Cell<Reach>>,
 }
 
 impl Owner {
-    /// An owner of nothing.
+    /// Creates an owner that holds no partition.
     pub fn new(
         relay: Rc<Relay>,
         contact: Rc<Contact>,
@@ -96,48 +97,51 @@
             held: RefCell::default(),
             capacity: settings.capacity,
             longest_turn_ms: Cell::new(u64::MAX),
-            limits: Limits::new(bounds(settings.quota)),
-            counts: Counts::default(),
+            limits: LimitCounters::new(bounds(settings.quota)),
+            cold_counters: ColdCounters::default(),
             config: Rc::default(),
             places,
             assigner,
-            reading: Mutex::default(),
+            load_lock: Mutex::default(),
             reach: Rc::default(),
         });
         let weak = Rc::downgrade(&owner);
         owner.claims.set_on_change(Rc::new(move |partition| {
             if let Some(owner) = weak.upgrade() {
-                owner.act_on_claim(partition);
+                owner.handle_claim_change(partition);
             }
         }));
         owner
     }
 
-    /// Time to let others go first before a claim.
+    /// Returns the delay before a claim, which lets less busy daemons claim first.
     pub fn claim_delay(&self) -> Duration {
         let held = self.held.borrow();
-        let reading = held
+        let loading = held
             .values()
-            .filter(|hold| matches!(hold, Hold::Loading(_)));
-        before_claim(self.capacity, reading.count() as u32)
+            .filter(|partition| matches!(partition, HeldPartition::Loading(_)));
+        before_claim(self.capacity, loading.count() as u32)
     }
 
-    /// Takes in how long turns may take.
+    /// Sets the longest time that a turn may take.
     pub fn set_longest_turn(&self, longest_ms: u64) {
         self.longest_turn_ms.set(longest_ms);
     }
 
-    /// How long programs without a record are in doubt once an owner was lost.
+    /// Returns how long programs without a record are in doubt after their owner was lost.
     pub(super) fn doubt_after_loss_ms(&self) -> u64 {
         doubt_after_loss(self.longest_turn_ms.get())
     }
 
-    /// Whether a partition is held but not read yet.
+    /// Whether a partition is claimed but not loaded yet.
     pub fn is_loading(&self, partition: u32) -> bool {
-        matches!(self.held.borrow().get(&partition), Some(Hold::Loading(_)))
+        matches!(
+            self.held.borrow().get(&partition),
+            Some(HeldPartition::Loading(_))
+        )
     }
 
-    /// Answers a request; answers go to `sender`, [`LedgerReply::Durable`] last.
+    /// Handles a request and sends its replies to `sender`, [`LedgerReply::Durable`] last.
     pub fn handle(
         self: &Rc<Self>,
         request: LedgerRequest,
@@ -146,7 +150,7 @@
         let partition = request.partition(self.places.layout.free());
         match request {
             LedgerRequest::HasLog => {
-                let has_log = self.contact.within(FRESH) && !self.contact.failing();
+                let has_log = self.contact.within(RECENT_LOG_REPLY) && !self.contact.failing();
                 let _ = sender.send(LedgerReply::HasLog(has_log));
             }
             LedgerRequest::KeepsLog => {
@@ -158,7 +162,7 @@
                 ));
             }
             LedgerRequest::Claim(claim) => {
-                ntex::rt::spawn(claim_for_another(self.clone(), claim, sender));
+                ntex::rt::spawn(claim_on_request(self.clone(), claim, sender));
             }
             LedgerRequest::Follow(question) => {
                 let relay = self.relay.clone();
@@ -183,7 +187,7 @@
         }
     }
 
-    /// Answers a request that only the partition's owner can answer.
+    /// Handles a request that only the partition's owner can answer.
     fn handle_held(
         &self,
         partition: u32,
@@ -191,13 +195,13 @@
         sender: mpsc::UnboundedSender<LedgerReply>,
     ) {
         match self.held.borrow().get(&partition) {
-            Some(Hold::Serving(owned)) => owned.handle(request, sender),
-            // Awaited as an owner that reads, it would keep programs waiting for as long as the
-            // log serves others and not this daemon.
-            Some(Hold::Loading(_)) if self.contact.lost() => {
+            Some(HeldPartition::Serving(served)) => served.handle(request, sender),
+            // `Unavailable` would make clients wait for the load, which does not finish while the
+            // log serves other daemons but not this one.
+            Some(HeldPartition::Loading(_)) if self.contact.lost() => {
                 let _ = sender.send(LedgerReply::Unreadable);
             }
-            Some(Hold::Loading(_) | Hold::Releasing(_)) => {
+            Some(HeldPartition::Loading(_) | HeldPartition::Releasing(_)) => {
                 let _ = sender.send(LedgerReply::Unavailable);
             }
             None => {
@@ -206,10 +210,10 @@
         }
     }
 
-    /// Answers a question about a tenant's limit. What the partition holds need not be read
-    /// for that. While others reach the log and this daemon does not, it counts nothing: another
-    /// may have claimed the partition without its hearing of it, and count beside it, for 8 s in
-    /// a play in which a third of the machines were without the log.
+    /// Handles a request about a tenant's limit, which does not need the partition to be loaded.
+    /// A daemon that is cut off from the log counts nothing: another one may have claimed the
+    /// partition without this daemon's knowledge, and both would grant requests. In a simulated
+    /// outage that cut a third of the machines off from the log, two owners counted for 8 s.
     fn handle_quota(
         &self,
         partition: u32,
@@ -221,8 +225,8 @@
         let reply = match claim {
             Some(claim) => LedgerReply::Quota(match question.matter {
                 QuotaMatter::Request => {
-                    let question = limits::of_tenant(question);
-                    self.limits.ask(partition, &claim, &question)
+                    let question = limits::tenant_question(question);
+                    self.limits.admit(partition, &claim, &question)
                 }
                 QuotaMatter::ClientLeft => self.limits.client_left(partition, &claim, question),
             }),
@@ -232,14 +236,14 @@
         let _ = sender.send(reply);
     }
 
-    /// The claim by which this daemon holds a partition, read or not.
+    /// Returns the claim by which this daemon holds a partition, whether loaded or not.
     pub(super) fn own_claim(&self, partition: u32) -> Option<Claim> {
         let is_held = self.held.borrow().contains_key(&partition);
         let claim = self.claims.claim(partition);
         claim.filter(|claim| is_held && self.claims.is_mine(claim))
     }
 
-    /// Who owns a partition, for a daemon that may not know.
+    /// Returns the owner of a partition as far as this daemon knows, to be sent to another daemon.
     pub(super) fn known_owner(&self, partition: u32) -> Option<KnownOwner> {
         let claim = self.claims.claim(partition)?;
         Some(KnownOwner {
@@ -249,18 +253,19 @@
         })
     }
 
-    /// Acts on the newest claim of a partition: takes it up or gives it up.
-    fn act_on_claim(self: &Rc<Self>, partition: u32) {
+    /// Acts on a new claim of a partition: starts to load it if the claim is this daemon's, drops
+    /// it if the claim is another's.
+    fn handle_claim_change(self: &Rc<Self>, partition: u32) {
         let Some(claim) = self.claims.claim(partition) else {
             return;
         };
-        let held_epoch = self.held.borrow().get(&partition).map(Hold::epoch);
+        let held_epoch = self.held.borrow().get(&partition).map(HeldPartition::epoch);
         let mine = self.claims.is_mine(&claim);
         if mine && held_epoch != Some(claim.epoch) && !self.claims.is_released() {
             self.held
                 .borrow_mut()
-                .insert(partition, Hold::Loading(claim.epoch));
-            ntex::rt::spawn(hold(self.clone(), partition, claim.epoch));
+                .insert(partition, HeldPartition::Loading(claim.epoch));
+            ntex::rt::spawn(load_and_serve(self.clone(), partition, claim.epoch));
         } else if !mine && held_epoch.is_some() {
             tracing::info!(event = "partition_lost", partition, epoch = claim.epoch,
                 owner = ?claim.address);
@@ -269,52 +274,61 @@
         self.claims.changed.notify_waiters();
     }
 
+    /// Stops holding a partition; with an epoch, only if it is held by the claim of that epoch.
     pub(super) fn drop_partition(&self, partition: u32, epoch: Option<u64>) {
         let mut held = self.held.borrow_mut();
-        let current = held.get(&partition).map(Hold::epoch);
+        let current = held.get(&partition).map(HeldPartition::epoch);
         if current.is_some() && (epoch.is_none() || epoch == current) {
-            if let Some(Hold::Serving(owned) | Hold::Releasing(owned)) = held.remove(&partition) {
-                owned.appender.stop();
+            if let Some(HeldPartition::Serving(served) | HeldPartition::Releasing(served)) =
+                held.remove(&partition)
+            {
+                served.appender.stop();
             }
-            self.note_held(&held);
+            self.publish_held(&held);
         }
         drop(held);
         self.claims.changed.notify_waiters();
     }
 
-    /// Asks the log whether it takes appends to a partition, by one that is behind every
-    /// epoch and changes nothing.
+    /// Checks whether the log accepts appends to a partition. The check is an append with epoch 0,
+    /// which changes nothing because every claim has a higher epoch.
     ///
     /// # Errors
-    /// [`StoreError::Fenced`] where it does, and anything else where it does not.
+    /// [`StoreError::Fenced`] if the log accepts appends, any other error if it does not.
     pub async fn probe(&self, partition: u32, timeout: Duration) -> Result<(), StoreError> {
-        fence(self.store.as_ref(), self.place(partition), 0, timeout).await
+        fence(
+            self.store.as_ref(),
+            self.log_partition(partition),
+            0,
+            timeout,
+        )
+        .await
     }
 
-    /// Tells those who depend on it which partitions are held now.
-    pub(super) fn note_held(&self, held: &HashMap<u32, Hold>) {
+    /// Updates the metrics and the engine assigner after the set of held partitions changed.
+    pub(super) fn publish_held(&self, held: &HashMap<u32, HeldPartition>) {
         self.metrics.partitions_owned.set(held.len() as i64);
-        // Engines are assigned where programs are ordered.
+        // Engines are assigned by the owners of free partitions, which order the programs.
         let free = self.places.layout.free();
         let ordering = held.keys().copied().filter(|partition| *partition < free);
         self.assigner.set_owned(ordering.collect());
     }
 
-    /// Tells how near to their limits the tenants are that are counted here.
+    /// Exports how much of their limits the tenants counted by this daemon use.
     pub fn record_tenant_usage(&self) {
-        let used = self
+        let usage = self
             .limits
-            .used(|partition| self.held.borrow().contains_key(&partition));
-        self.metrics.tell_tenants(&used);
+            .usage(|partition| self.held.borrow().contains_key(&partition));
+        self.metrics.tell_tenants(&usage);
     }
 
-    /// Partitions held here.
+    /// Returns the number of partitions that this daemon holds.
     pub fn held_count(&self) -> usize {
         self.held.borrow().len()
     }
 
-    /// Where the records of a partition are.
-    pub(super) fn place(&self, partition: u32) -> LogPartition {
+    /// Returns the partition of the log that stores the records of a ledger partition.
+    pub(super) fn log_partition(&self, partition: u32) -> LogPartition {
         let place = self.places.layout.place(partition);
         LogPartition {
             topic: match place.region {
@@ -334,8 +348,9 @@
     }
 }
 
-/// Claims a partition for a daemon that is cut off the log, and tells it the owner.
-async fn claim_for_another(
+/// Claims a partition on request of a daemon that cannot reach the log, and replies with the
+/// resulting owner.
+async fn claim_on_request(
     owner: Rc<Owner>,
     claim: ClaimPartition,
     sender: mpsc::UnboundedSender<LedgerReply>,
@@ -354,13 +369,13 @@
     let _ = sender.send(LedgerReply::NotOwner(owner.known_owner(partition)));
 }
 
-/// Deletes what need not be kept, now and then.
+/// Periodically deletes expired turns and programs.
 pub async fn run_expiry(owner: Rc<Owner>) {
     loop {
         sleep(EXPIRY_PERIOD).await;
-        for hold in owner.held.borrow().values() {
-            if let Hold::Serving(owned) = hold {
-                owned.expire();
+        for partition in owner.held.borrow().values() {
+            if let HeldPartition::Serving(served) = partition {
+                served.expire();
             }
         }
     }
--- a/crates/gateway/src/ledger/reach.rs
+++ b/crates/gateway/src/ledger/reach.rs
@@ -1,5 +1,5 @@
-//! Keeps the belief of what this daemon reaches, by asking others while its own calls to
-//! the log fail, and by looking at the zones while an owner is silent.
+//! Determines what this daemon can reach. It polls other daemons while its own log calls fail, and
+//! probes the zones while an owner does not answer.
 
 use crate::daemon::Daemon;
 use crate::upstream::probe::{self, Probed};
@@ -11,16 +11,19 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
+/// Pause between two assessments.
 const PERIOD: Duration = Duration::from_millis(200);
-/// So long after it was last ready a daemon has missed two of the platform's questions, which
-/// come every second, and gets no new connections.
+/// After this time without being ready, a daemon has failed two of the platform's readiness checks,
+/// which are sent every second, and gets no new connections.
 const AWAY_AFTER: Duration = Duration::from_millis(2_100);
-/// Partition of the log that is tried: a cut lies between machines.
-const ANY_PARTITION: u32 = 0;
-/// Servers of each other zone that are tried: one may be down by itself.
-const TRIED_IN_ZONE: usize = 2;
+/// Partition of the log that is probed. Any will do, since a network partition cuts off machines
+/// and not single partitions.
+const PROBED_PARTITION: u32 = 0;
+/// Number of servers that are probed in each other zone: a single one may be down on its own.
+const PROBED_PER_ZONE: usize = 2;
 
-/// Judges for good. Nobody is asked while the log and the owners answer.
+/// Assesses reachability until the daemon exits. Nothing is probed while the log and the owners
+/// answer.
 pub async fn run(daemon: Rc<Daemon>) {
     let ledger = daemon.ledger.clone();
     let mut judge = Judge::default();
@@ -32,12 +35,12 @@
             .away
             .send_if_modified(|now| std::mem::replace(now, away) != away);
         let round = match ledger.contact.lost() {
-            true => ledger.ask_who_reaches_log().await,
+            true => ledger.poll_peers_for_log().await,
             false => Round::Heard,
         };
-        let in_doubt = ledger.silent_owner.take() || judge.reach() == Reach::Minority;
-        let look = match in_doubt {
-            true => Some(look_around(&daemon).await),
+        let must_look = ledger.owner_timed_out.take() || judge.reach() == Reach::Minority;
+        let look = match must_look {
+            true => Some(probe_surroundings(&daemon).await),
             false => None,
         };
         let Some(reach) = judge.step_with(round, look) else {
@@ -58,11 +61,11 @@
     }
 }
 
-/// What this daemon reaches of zones, owners and the log.
-async fn look_around(daemon: &Daemon) -> Look {
+/// Probes the zones, the owners and the log.
+async fn probe_surroundings(daemon: &Daemon) -> Look {
     let (zones, (asked, answered), log) = tokio::join!(
-        look_at_zones(daemon),
-        daemon.ledger.ask_who_answers(),
+        probe_zones(daemon),
+        daemon.ledger.poll_reachable_peers(),
         reaches_log(daemon)
     );
     Look {
@@ -73,24 +76,26 @@
     }
 }
 
-async fn look_at_zones(daemon: &Daemon) -> Look {
+/// Probes some servers of every other zone.
+async fn probe_zones(daemon: &Daemon) -> Look {
     let own = daemon.places.zone.to_string();
     let mut by_zone: BTreeMap<String, Vec<ServerEntry>> = {
         let directory = daemon.directory.borrow();
-        let some = directory.some_of_each_zone(TRIED_IN_ZONE, fastrand::u64(..));
-        let owned = |servers: Vec<&ServerEntry>| servers.into_iter().cloned().collect();
-        some.into_iter()
-            .map(|(zone, servers)| (zone.to_owned(), owned(servers)))
+        let sample = directory.some_of_each_zone(PROBED_PER_ZONE, fastrand::u64(..));
+        let to_owned = |servers: Vec<&ServerEntry>| servers.into_iter().cloned().collect();
+        sample
+            .into_iter()
+            .map(|(zone, servers)| (zone.to_owned(), to_owned(servers)))
             .collect()
     };
     by_zone.entry(own.clone()).or_default();
     let first = by_zone.keys().next().cloned();
     let zones = by_zone.len();
     by_zone.remove(&own);
-    let looks = by_zone
+    let probes = by_zone
         .into_iter()
-        .map(|(zone, servers)| async move { reaches(daemon, servers).await.then_some(zone) });
-    let mut reached: Vec<String> = join_all(looks).await.into_iter().flatten().collect();
+        .map(|(zone, servers)| async move { reaches_any(daemon, servers).await.then_some(zone) });
+    let mut reached: Vec<String> = join_all(probes).await.into_iter().flatten().collect();
     reached.push(own);
     Look {
         zones,
@@ -100,16 +105,16 @@
     }
 }
 
-/// Whether the log answered a moment ago, or does now.
+/// Whether the log answered recently or answers now.
 async fn reaches_log(daemon: &Daemon) -> bool {
     let ledger = &daemon.ledger;
-    ledger.contact.within(PERIOD) || ledger.reaches(ANY_PARTITION).await
+    ledger.contact.within(PERIOD) || ledger.log_accepts_appends(PROBED_PARTITION).await
 }
 
-/// Whether one of some servers lets itself be reached.
-async fn reaches(daemon: &Daemon, mut servers: Vec<ServerEntry>) -> bool {
+/// Whether at least one of a sample of the servers can be reached.
+async fn reaches_any(daemon: &Daemon, mut servers: Vec<ServerEntry>) -> bool {
     fastrand::shuffle(&mut servers);
-    servers.truncate(TRIED_IN_ZONE);
+    servers.truncate(PROBED_PER_ZONE);
     let probes = servers.iter().map(|server| probe::probe(daemon, server));
     join_all(probes)
         .await
--- a/crates/gateway/src/ledger/region.rs
+++ b/crates/gateway/src/ledger/region.rs
@@ -1,7 +1,7 @@
-//! Owners of home partitions, seen from other regions: having one claimed that nobody owns,
-//! and how long an owner is awaited. docs/design/homes.md tells what was weighed.
+//! Owners of home partitions as seen from other regions: requesting that an unowned partition be
+//! claimed, and limiting the wait for an owner. docs/design/homes.md explains the design.
 
-use super::client::{CHANGE_WAIT, LedgerClient};
+use super::client::{LedgerClient, OWNER_CHANGE_WAIT};
 use super::exchange::Exchange;
 use fieldhook_ledger::message::{ClaimPartition, LedgerReply, LedgerRequest};
 use futures_util::StreamExt;
@@ -12,67 +12,73 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// How long the region of a home partition may give no sign of a daemon that owns it or can:
-/// two questions and the news of a claim between them. A region that is lost has no owner to
-/// wait for, and the client may be told so while its time lasts.
+/// How long no daemon of a home partition's region may answer before the region counts as lost.
+/// This leaves time for two requests and for a claim between them. If the region is lost, there
+/// is no owner to wait for, and the client is told so before its deadline.
 pub(super) const SILENCE_LIMIT: Duration = Duration::from_millis(600);
-/// Least pause before daemons are asked again to claim a partition that nobody owns: the
-/// questions of all requests that wait for it cost no more than one's.
-const ASK_PERIOD: Duration = Duration::from_millis(300);
-/// Time that they have to claim it.
-const ASK_LIMIT: Duration = Duration::from_millis(400);
-/// Daemons of the region that are asked at once, where owners of its partitions are known.
-const OWNERS_ASKED: usize = 3;
-/// Daemons that are asked at once where none is known to be of the region: so many that one in
-/// three regions is hardly ever missed twice.
-const ANYBODY_ASKED: usize = 8;
+/// Shortest pause between two rounds of claim requests for an unowned partition, so that many
+/// waiting requests cause no more of them than a single one.
+const CLAIM_REQUEST_PERIOD: Duration = Duration::from_millis(300);
+/// Time that a daemon has to claim the partition.
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(400);
+/// Number of daemons that are requested to claim if owners of other partitions of the region are
+/// known.
+const KNOWN_OWNERS_ASKED: usize = 3;
+/// Number of daemons that are requested to claim if no daemon is known to be in the region. With
+/// three regions, two such rounds in a row hardly ever miss the right one.
+const UNKNOWN_DAEMONS_ASKED: usize = 8;
 
-/// What was heard of the regions of home partitions, by partition.
+/// Activity in the regions of home partitions, by partition.
 #[derive(Default)]
-pub(super) struct Signs {
-    /// When a daemon that owns it, or can, answered last.
-    heard: HashMap<u32, Instant>,
-    /// When daemons were asked last to claim it.
-    asked: HashMap<u32, Instant>,
+pub(super) struct RegionActivity {
+    /// When a daemon that owns the partition, or may own it, last answered.
+    answered: HashMap<u32, Instant>,
+    /// When daemons were last requested to claim the partition.
+    claim_requested: HashMap<u32, Instant>,
 }
 
 impl LedgerClient {
-    /// Takes in what an exchange with the owner of a home partition says of its region: an
-    /// owner that still reads it will answer.
-    pub(super) fn note_region(&self, partition: u32, exchange: &Exchange) {
-        if matches!(exchange, Exchange::Answered(..) | Exchange::Loading(_)) {
-            self.heard(partition);
+    /// Records that the region of a home partition answered, if the exchange shows that. An owner
+    /// that is still loading the partition counts, since it will answer.
+    pub(super) fn note_region_outcome(&self, partition: u32, exchange: &Exchange) {
+        if matches!(exchange, Exchange::Answered(..) | Exchange::OwnerLoading(_)) {
+            self.note_region_answered(partition);
         }
     }
 
-    fn heard(&self, partition: u32) {
+    fn note_region_answered(&self, partition: u32) {
         if self.owner.places.layout.region(partition).is_some() {
-            let mut signs = self.signs.borrow_mut();
-            signs.heard.insert(partition, Instant::now());
+            let mut activity = self.region_activity.borrow_mut();
+            activity.answered.insert(partition, Instant::now());
         }
     }
 
-    /// Ends once no daemon of a home partition's region gave a sign for so long that there may
-    /// be none; never for a free partition.
-    pub(super) async fn region_is_silent(&self, partition: u32) {
+    /// Completes once no daemon of a home partition's region has answered for [`SILENCE_LIMIT`].
+    /// Never completes for a free partition.
+    pub(super) async fn wait_for_region_silence(&self, partition: u32) {
         if self.owner.places.layout.region(partition).is_none() {
             return pending().await;
         }
         let begun = Instant::now();
         loop {
-            let heard = self.signs.borrow().heard.get(&partition).copied();
-            let until = heard.map_or(begun, |heard| heard.max(begun)) + SILENCE_LIMIT;
+            let answered = self
+                .region_activity
+                .borrow()
+                .answered
+                .get(&partition)
+                .copied();
+            let until = answered.map_or(begun, |answered| answered.max(begun)) + SILENCE_LIMIT;
             if Instant::now() >= until {
                 return;
             }
-            sleep(CHANGE_WAIT).await;
+            sleep(OWNER_CHANGE_WAIT).await;
         }
     }
 
-    /// Has a home partition that nobody owns claimed by a daemon of its region, which would
-    /// claim it by itself only in its turn, seconds later where it has others to claim. True
-    /// if there is an owner now.
-    pub(super) async fn have_unowned_claimed(&self, partition: u32) -> bool {
+    /// Requests daemons of the region to claim a home partition that has no owner. On their own
+    /// they claim one partition after another, which may take seconds. Returns whether there is a
+    /// new claim.
+    pub(super) async fn request_claim_of_unowned(&self, partition: u32) -> bool {
         let claims = &self.owner.claims;
         let claim = claims.claim(partition);
         if claim.is_some_and(|claim| claim.address.is_some()) {
@@ -81,16 +87,16 @@
         let epoch = claim.map(|claim| claim.epoch);
         let owners = self.owners_in_region_of(partition);
         let known = !owners.is_empty();
-        let (mut asked, most) = match known {
-            true => (owners, OWNERS_ASKED),
-            false => (claims.addresses(), ANYBODY_ASKED),
+        let (mut asked, max_asked) = match known {
+            true => (owners, KNOWN_OWNERS_ASKED),
+            false => (claims.addresses(), UNKNOWN_DAEMONS_ASKED),
         };
         asked.retain(|other| *other != claims.address);
-        if asked.is_empty() || !self.may_ask(partition) {
+        if asked.is_empty() || !self.may_request_claim(partition) {
             return false;
         }
         fastrand::shuffle(&mut asked);
-        asked.truncate(most);
+        asked.truncate(max_asked);
         tracing::info!(
             event = "region_asked_to_claim",
             partition,
@@ -101,12 +107,12 @@
         let question = LedgerRequest::Claim(ClaimPartition::after(partition, epoch));
         let calls = asked
             .into_iter()
-            .map(|other| self.ask_peer(other, &question, ASK_LIMIT));
+            .map(|other| self.query_peer(other, &question, CLAIM_TIMEOUT));
         let mut answers: FuturesUnordered<_> = calls.collect();
         loop {
             let changed = claims.changed.notified();
             if claims.claim(partition).map(|claim| claim.epoch) != epoch {
-                self.heard(partition);
+                self.note_region_answered(partition);
                 return true;
             }
             let answer = tokio::select! {
@@ -116,16 +122,18 @@
             match answer {
                 None => return false,
                 Some(Some(LedgerReply::NotOwner(Some(owner)))) => {
-                    self.learn(partition, &owner);
+                    self.learn_owner(partition, &owner);
                 }
-                // It lives and may claim it once its configuration or the log lets it.
-                Some(Some(_)) if known => self.heard(partition),
+                // The daemon is up, and may claim the partition once its configuration names the
+                // home region or the log answers it.
+                Some(Some(_)) if known => self.note_region_answered(partition),
                 Some(_) => {}
             }
         }
     }
 
-    /// Where owners of home partitions of the same region listen, each once.
+    /// Returns the addresses of the owners of home partitions in the same region, without
+    /// duplicates.
     pub(super) fn owners_in_region_of(&self, partition: u32) -> Vec<SocketAddr> {
         let claims = &self.owner.claims;
         let layout = &self.owner.places.layout;
@@ -140,13 +148,15 @@
         owners
     }
 
-    fn may_ask(&self, partition: u32) -> bool {
+    /// Whether [`CLAIM_REQUEST_PERIOD`] has passed since the last claim request; if so, a new one
+    /// is recorded.
+    fn may_request_claim(&self, partition: u32) -> bool {
         let now = Instant::now();
-        let asked = &mut self.signs.borrow_mut().asked;
-        let last = asked.get(&partition);
-        let may = last.is_none_or(|last| now >= *last + ASK_PERIOD);
+        let requested = &mut self.region_activity.borrow_mut().claim_requested;
+        let last = requested.get(&partition);
+        let may = last.is_none_or(|last| now >= *last + CLAIM_REQUEST_PERIOD);
         if may {
-            asked.insert(partition, now);
+            requested.insert(partition, now);
         }
         may
     }
--- a/crates/gateway/src/ledger/replace.rs
+++ b/crates/gateway/src/ledger/replace.rs
@@ -1,6 +1,6 @@
-//! Finding or becoming the next owner of a partition whose owner does not answer.
+//! Replacing an owner that does not answer: finding the next owner of its partition or becoming it.
 
-use super::client::{CHANGE_WAIT, LedgerClient, PAUSE};
+use super::client::{LedgerClient, OWNER_CHANGE_WAIT, RETRY_PAUSE};
 use fieldhook_ledger::message::{
     ClaimPartition, ConfigNews, KnownOwner, LedgerReply, LedgerRequest,
 };
@@ -14,27 +14,28 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// Daemons that are asked who owns a partition.
-const PEERS_ASKED: usize = 3;
-/// Owners that are tried where this daemon may be cut off with few others: so many that those
-/// few are seldom half of them.
-const OWNERS_LOOKED_AT: usize = 16;
-/// Time that they have to answer.
-const PEER_ANSWER_LIMIT: Duration = Duration::from_millis(120);
-/// Time that they have to claim a partition.
-const CLAIM_ANSWER_LIMIT: Duration = Duration::from_millis(400);
+/// Number of daemons that a query is sent to.
+const QUERIED_PEERS: usize = 3;
+/// Number of daemons that are polled to find out whether this daemon is cut off together with a few
+/// others. With a sample of this size, those few are seldom half of it.
+const REACHABILITY_SAMPLE: usize = 16;
+/// Time that a daemon has to answer a query.
+const PEER_TIMEOUT: Duration = Duration::from_millis(120);
+/// Time that a daemon has to claim a partition.
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(400);
 /// Time that the log has to answer a probe of a partition.
-const PROBE_LIMIT: Duration = Duration::from_millis(300);
-/// Time without a failed call of the log after which a silent owner is suspected.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time without a failed log call after which an owner that does not answer may be replaced.
 const STEADY: Duration = Duration::from_millis(800);
 
-/// Time without a failed call of the log after which this daemon was not cut off lately: a
-/// call that is cut off fails after 1.5 s at most. Until then the silence of an owner may be
-/// from the time of a cut that is over, and the owner is asked once more.
-const SETTLED: Duration = Duration::from_millis(3_000);
+/// Time without a failed log call after which this daemon was certainly not cut off recently: a
+/// call that is cut off fails after at most 1.5 s. Before that, the owner's missing reply may be
+/// due to a network partition that is over, and the owner is queried once more.
+const NOT_RECENTLY_CUT_OFF: Duration = Duration::from_millis(3_000);
 /// Time that an owner has to answer on a new connection.
-const CONNECTED_ANSWER_LIMIT: Duration = Duration::from_millis(250);
+const RECONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
+/// Marks a partition as being claimed until it is dropped.
 struct ClaimGuard<'a> {
     claiming: &'a RefCell<HashSet<u32>>,
     partition: u32,
@@ -47,8 +48,8 @@
 }
 
 impl LedgerClient {
-    /// Takes in what another daemon knows of an owner. True if it was news.
-    pub(super) fn learn(&self, partition: u32, known: &KnownOwner) -> bool {
+    /// Records what another daemon knows of an owner. Returns whether it was new.
+    pub(super) fn learn_owner(&self, partition: u32, known: &KnownOwner) -> bool {
         let Ok(address) = known.address.parse() else {
             return false;
         };
@@ -62,41 +63,41 @@
         self.owner.claims.learn(partition, claim)
     }
 
-    /// Asks some other owners who owns a partition: a daemon that is cut off the log
-    /// does not hear of claims. True if one knew a newer owner.
-    async fn learn_from_peers(&self, partition: u32, epoch: Option<u64>) -> bool {
+    /// Queries some other daemons for the owner of a partition, since a daemon that is cut off
+    /// from the log does not see new claims. Returns whether one of them knew a newer owner.
+    async fn learn_owner_from_peers(&self, partition: u32, epoch: Option<u64>) -> bool {
         let suspected = self
             .owner
             .claims
             .claim(partition)
             .and_then(|claim| claim.address);
         let question = LedgerRequest::WhoOwns(partition);
-        let answers = self
-            .ask_peers(suspected, &question, PEER_ANSWER_LIMIT)
-            .await;
-        let mut news = false;
+        let answers = self.query_peers(suspected, &question, PEER_TIMEOUT).await;
+        let mut found_newer = false;
         for answer in answers.into_iter().flatten() {
             if let LedgerReply::NotOwner(Some(known)) = answer {
-                news |= Some(known.epoch) > epoch && self.learn(partition, &known);
+                found_newer |= Some(known.epoch) > epoch && self.learn_owner(partition, &known);
             }
         }
-        news
+        found_newer
     }
 
-    /// Asks some daemons, chosen at random, the same question at once; `None` stands for
-    /// one that did not answer.
-    async fn ask_peers(
+    /// Sends a query to some daemons, chosen at random, at once; `None` stands for one that did
+    /// not answer.
+    async fn query_peers(
         &self,
         except: Option<SocketAddr>,
         question: &LedgerRequest,
         limit: Duration,
     ) -> Vec<Option<LedgerReply>> {
-        self.ask_so_many(PEERS_ASKED, except, question, limit).await
+        self.query_sample(QUERIED_PEERS, except, question, limit)
+            .await
     }
 
-    async fn ask_so_many(
+    /// Sends a query to at most `count` daemons other than this one and `except`.
+    async fn query_sample(
         &self,
-        most: usize,
+        count: usize,
         except: Option<SocketAddr>,
         question: &LedgerRequest,
         limit: Duration,
@@ -106,12 +107,13 @@
         fastrand::shuffle(&mut others);
         let asked = others
             .into_iter()
-            .take(most)
-            .map(|other| self.ask_peer(other, question, limit));
+            .take(count)
+            .map(|other| self.query_peer(other, question, limit));
         join_all(asked).await
     }
 
-    pub(super) async fn ask_peer(
+    /// Sends a query to one daemon; `None` if it does not answer in time.
+    pub(super) async fn query_peer(
         &self,
         address: SocketAddr,
         question: &LedgerRequest,
@@ -120,10 +122,10 @@
         self.peers.request(address, question, limit).await
     }
 
-    /// Asks some daemons whether the log answers them.
-    pub async fn ask_who_reaches_log(&self) -> Round {
+    /// Queries some daemons whether the log answers them.
+    pub async fn poll_peers_for_log(&self) -> Round {
         let answers = self
-            .ask_peers(None, &LedgerRequest::HasLog, PEER_ANSWER_LIMIT)
+            .query_peers(None, &LedgerRequest::HasLog, PEER_TIMEOUT)
             .await;
         let reach_log = |answer: &&LedgerReply| matches!(answer, LedgerReply::HasLog(true));
         Round::Asked {
@@ -133,19 +135,19 @@
         }
     }
 
-    /// Asks more daemons whether they answer at all: how many were asked, and how many did.
-    pub async fn ask_who_answers(&self) -> (usize, usize) {
+    /// Queries a larger sample of daemons; returns how many were queried and how many answered.
+    pub async fn poll_reachable_peers(&self) -> (usize, usize) {
         let question = LedgerRequest::HasLog;
         let answers = self
-            .ask_so_many(OWNERS_LOOKED_AT, None, &question, PEER_ANSWER_LIMIT)
+            .query_sample(REACHABILITY_SAMPLE, None, &question, PEER_TIMEOUT)
             .await;
         (answers.len(), answers.iter().flatten().count())
     }
 
-    /// Asks some daemons for a configuration newer than this version.
+    /// Queries some daemons for a configuration newer than this version.
     pub async fn query_peer_configs(&self, version: u64) -> Vec<ConfigNews> {
         let question = LedgerRequest::Config(version);
-        let answers = self.ask_peers(None, &question, PEER_ANSWER_LIMIT).await;
+        let answers = self.query_peers(None, &question, PEER_TIMEOUT).await;
         let news = answers.into_iter().flatten();
         news.filter_map(|answer| match answer {
             LedgerReply::Config(news) => Some(news),
@@ -154,35 +156,35 @@
         .collect()
     }
 
-    /// Asks daemons that reach the log to claim a partition. True if there is a newer
+    /// Requests daemons that reach the log to claim a partition. Returns whether there is a newer
     /// owner.
-    async fn have_it_claimed(&self, partition: u32, epoch: u64) -> bool {
+    async fn request_claim(&self, partition: u32, epoch: u64) -> bool {
         if self.owner.places.layout.region(partition).is_some() {
-            return self.have_region_claim(partition, epoch).await;
+            return self.request_claim_in_region(partition, epoch).await;
         }
         let question = LedgerRequest::Claim(ClaimPartition::after(partition, Some(epoch)));
-        let answers = self.ask_peers(None, &question, CLAIM_ANSWER_LIMIT).await;
-        let mut news = false;
+        let answers = self.query_peers(None, &question, CLAIM_TIMEOUT).await;
+        let mut found_newer = false;
         for answer in answers.into_iter().flatten() {
             if let LedgerReply::NotOwner(Some(known)) = answer {
-                news |= self.learn(partition, &known);
+                found_newer |= self.learn_owner(partition, &known);
             }
         }
-        news
+        found_newer
     }
 
-    /// Asks other owners of the region that a partition belongs to, to claim it. True if there
-    /// is a newer owner.
-    async fn have_region_claim(&self, partition: u32, epoch: u64) -> bool {
+    /// Requests other owners in the partition's region, one after another, to claim it. Returns
+    /// whether there is a newer owner.
+    async fn request_claim_in_region(&self, partition: u32, epoch: u64) -> bool {
         let claim = self.owner.claims.claim(partition);
         let suspected = claim.and_then(|claim| claim.address);
         let mut others = self.owners_in_region_of(partition);
         others.retain(|other| Some(*other) != suspected);
         let question = LedgerRequest::Claim(ClaimPartition::after(partition, Some(epoch)));
         for other in others {
-            let answer = self.ask_peer(other, &question, CLAIM_ANSWER_LIMIT).await;
+            let answer = self.query_peer(other, &question, CLAIM_TIMEOUT).await;
             if let Some(LedgerReply::NotOwner(Some(known))) = answer
-                && self.learn(partition, &known)
+                && self.learn_owner(partition, &known)
             {
                 return true;
             }
@@ -190,25 +192,25 @@
         false
     }
 
-    /// Waits for news of a partition that only daemons of another region may own; false
-    /// where this one may. They look after their owners themselves: a daemon that is cut off
-    /// their region would otherwise replace owners that serve it well. What nobody owns they
-    /// are asked to claim.
-    async fn left_to_region(&self, partition: u32, epoch: Option<u64>) -> bool {
+    /// Waits for an ownership change of a partition that only daemons of another region may own;
+    /// returns false at once if this daemon may own it. The daemons of that region watch their
+    /// owners themselves: a daemon that is cut off from the region would otherwise replace owners
+    /// that work well there. If the partition has no owner, they are requested to claim it.
+    async fn defer_to_region(&self, partition: u32, epoch: Option<u64>) -> bool {
         if self.owner.claims.is_eligible(partition) {
             return false;
         }
-        if self.have_unowned_claimed(partition).await {
+        if self.request_claim_of_unowned(partition).await {
             return true;
         }
-        if !self.contact.failing() || !self.learn_from_peers(partition, epoch).await {
-            let _ = timeout(CHANGE_WAIT, self.owner.claims.changed.notified()).await;
+        if !self.contact.failing() || !self.learn_owner_from_peers(partition, epoch).await {
+            let _ = timeout(OWNER_CHANGE_WAIT, self.owner.claims.changed.notified()).await;
         }
         true
     }
 
-    /// Takes a partition from an owner that noted an end and does not append it, if that
-    /// owner says itself that the log does not answer it.
+    /// Takes over a partition from an owner that noted the end of a turn but does not append it,
+    /// if the owner itself replies that the log does not answer it, or does not reply.
     pub(super) async fn replace_stuck(&self, partition: u32) {
         let claims = &self.owner.claims;
         let Some(claim) = claims.claim(partition) else {
@@ -218,91 +220,94 @@
             return;
         };
         let question = LedgerRequest::HasLog;
-        let answer = self.ask_peer(address, &question, PEER_ANSWER_LIMIT).await;
+        let answer = self.query_peer(address, &question, PEER_TIMEOUT).await;
         match answer {
             Some(LedgerReply::HasLog(true)) => {}
-            // By the owner's own word: a daemon of its region may claim without a look.
+            // The owner itself reports that it is stuck, so a daemon of its region may claim the
+            // partition without checking.
             Some(LedgerReply::HasLog(false)) if !claims.is_eligible(partition) => {
-                if !self.have_region_claim(partition, claim.epoch).await {
-                    let _ = timeout(CHANGE_WAIT, claims.changed.notified()).await;
+                if !self.request_claim_in_region(partition, claim.epoch).await {
+                    let _ = timeout(OWNER_CHANGE_WAIT, claims.changed.notified()).await;
                 }
             }
             _ => self.replace_silent(partition, claim.epoch).await,
         }
     }
 
-    /// Whether the log answers this daemon for a partition: some may be down while others
-    /// are not, and a new owner of one that is down could do no more than the present one.
-    pub(super) async fn reaches(&self, partition: u32) -> bool {
+    /// Whether the log accepts appends of this daemon to a partition. Single partitions of the log
+    /// may be down, and a new owner of such a partition could do no more than the present one.
+    pub(super) async fn log_accepts_appends(&self, partition: u32) -> bool {
         matches!(
-            self.owner.probe(partition, PROBE_LIMIT).await,
+            self.owner.probe(partition, PROBE_TIMEOUT).await,
             Ok(()) | Err(StoreError::Fenced)
         )
     }
 
-    /// Whether the owner of a partition answers now.
+    /// Whether the owner of a partition answers on a new connection.
     async fn owner_answers(&self, partition: u32) -> bool {
         let claim = self.owner.claims.claim(partition);
         let Some(address) = claim.and_then(|claim| claim.address) else {
             return false;
         };
         self.peers.discard(address);
-        let answer = self.ask_peer(address, &LedgerRequest::HasLog, CONNECTED_ANSWER_LIMIT);
+        let answer = self.query_peer(address, &LedgerRequest::HasLog, RECONNECT_TIMEOUT);
         answer.await.is_some()
     }
 
-    /// Takes a partition from an owner that does not answer, unless the log itself was
-    /// in trouble a moment ago: the owner may be about to append what waits.
+    /// Takes over a partition from an owner that does not answer, unless log calls failed
+    /// recently: the owner may then be about to append what is queued.
     pub(super) async fn replace_silent(&self, partition: u32, epoch: u64) {
-        if self.left_to_region(partition, Some(epoch)).await {
+        if self.defer_to_region(partition, Some(epoch)).await {
             return;
         }
         let may_claim = self.contact.steady_for(STEADY)
-            && self.reaches(partition).await
-            && (self.contact.steady_for(SETTLED) || !self.owner_answers(partition).await);
+            && self.log_accepts_appends(partition).await
+            && (self.contact.steady_for(NOT_RECENTLY_CUT_OFF)
+                || !self.owner_answers(partition).await);
         if may_claim {
             self.replace(partition, Some(epoch)).await;
-        } else if !self.learn_from_peers(partition, Some(epoch)).await {
-            let _ = timeout(CHANGE_WAIT, self.owner.claims.changed.notified()).await;
+        } else if !self.learn_owner_from_peers(partition, Some(epoch)).await {
+            let _ = timeout(OWNER_CHANGE_WAIT, self.owner.claims.changed.notified()).await;
         }
     }
 
-    /// Takes a partition from an owner that is gone or silent. Without contact to
-    /// the log service nobody can; the owner's own appends wait as well then. One
-    /// request claims for all that wait for the partition.
+    /// Takes over a partition from an owner that is gone or does not answer. This needs contact
+    /// with the log; without it, the owner's appends wait as well. Of the requests that wait for
+    /// the partition, one claims it for all.
     pub(super) async fn replace(&self, partition: u32, epoch: Option<u64>) {
-        if self.left_to_region(partition, epoch).await {
+        if self.defer_to_region(partition, epoch).await {
             return;
         }
         if self.reach.get() == Reach::Minority {
-            // The other zones go on: taken from here, a partition would be taken back.
-            let _ = timeout(CHANGE_WAIT, self.owner.claims.changed.notified()).await;
+            // The majority of the zones continues without this daemon, and would take the
+            // partition back.
+            let _ = timeout(OWNER_CHANGE_WAIT, self.owner.claims.changed.notified()).await;
             return;
         }
-        if self.contact.failing() && self.learn_from_peers(partition, epoch).await {
+        if self.contact.failing() && self.learn_owner_from_peers(partition, epoch).await {
             return;
         }
         if self.reach.get() == Reach::CutOff
             && let Some(epoch) = epoch
-            && self.have_it_claimed(partition, epoch).await
+            && self.request_claim(partition, epoch).await
         {
             return;
         }
         if self.contact.failing() || !self.claiming.borrow_mut().insert(partition) {
-            let _ = timeout(CHANGE_WAIT, self.owner.claims.changed.notified()).await;
+            let _ = timeout(OWNER_CHANGE_WAIT, self.owner.claims.changed.notified()).await;
             return;
         }
-        // The guard ends the claim also where its request is given up.
+        // Removes the mark also if this future is dropped.
         let _guard = ClaimGuard {
             claiming: &self.claiming,
             partition,
         };
-        // One after another: requests find several owners gone in the same moment, and what
-        // was claimed first is to be read first.
-        let _turn = self.claim_turn.lock().await;
+        // Claims are made one after another: several owners may be found gone at the same time,
+        // and the partition that was claimed first is to be loaded first.
+        let _claim_order = self.claim_lock.lock().await;
         sleep(self.owner.claim_delay()).await;
         if self.owner.claims.take_over(partition, epoch).await.is_err() {
-            sleep(PAUSE).await;
+            sleep(RETRY_PAUSE).await;
         }
     }
 }
--- a/crates/gateway/src/ledger/served.rs
+++ b/crates/gateway/src/ledger/served.rs
@@ -1,5 +1,5 @@
-//! A partition that this daemon owns and has read: answers from memory, appends in
-//! groups.
+//! A loaded partition that this daemon owns: requests are answered from memory, and records are
+//! appended in batches.
 
 use super::assigner::Assigner;
 use crate::daemon::unix_ms;
@@ -13,22 +13,22 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
 
-/// An answer that is due once what is queued before it is durable.
-struct Waiter {
+/// A reply that is sent once everything queued before it is durable.
+struct PendingReply {
     sender: mpsc::UnboundedSender<LedgerReply>,
     reply: LedgerReply,
 }
 
-/// A partition that this daemon owns and has read.
-pub(super) struct Owned {
+/// A loaded partition that this daemon owns.
+pub(super) struct ServedPartition {
     pub(super) epoch: u64,
     pub(super) state: Rc<RefCell<Partition>>,
     pub(super) appender: Rc<Appender>,
     pub(super) assigner: Rc<Assigner>,
 }
 
-impl Owned {
-    /// Answers a request of a gateway.
+impl ServedPartition {
+    /// Handles a request about a turn of this partition.
     pub(super) fn handle(
         &self,
         request: LedgerRequest,
@@ -68,20 +68,21 @@
                     engine,
                     begins,
                 });
-                let waiter = (!durable).then_some(Waiter {
+                let pending = (!durable).then_some(PendingReply {
                     sender,
                     reply: LedgerReply::Durable,
                 });
                 let urgency = if durable { Urgency::Soon } else { Urgency::Now };
-                if waiter.is_some() || !records.is_empty() {
-                    self.push(records, waiter, urgency);
+                if pending.is_some() || !records.is_empty() {
+                    self.push(records, pending, urgency);
                 }
             }
-            // A refusal has to be true: it goes out once the fence is seen to hold.
+            // A refusal has to be correct: it is sent once an append shows that no other owner
+            // has fenced this one.
             OpenOutcome::BudgetSpent(shortage) => {
-                self.answer_fenced(sender, LedgerReply::BudgetSpent(shortage));
+                self.reply_after_fence_check(sender, LedgerReply::BudgetSpent(shortage));
             }
-            // Whoever asked has left: the answer is for nobody.
+            // The turn was closed before this request arrived: no one waits for the reply.
             OpenOutcome::Ended => {
                 tracing::info!(
                     event = "turn_asked_late",
@@ -92,12 +93,14 @@
                 );
                 let _ = sender.send(LedgerReply::Unavailable);
             }
-            OpenOutcome::UnknownTurn => self.answer_fenced(sender, LedgerReply::UnknownTurn),
+            OpenOutcome::UnknownTurn => {
+                self.reply_after_fence_check(sender, LedgerReply::UnknownTurn)
+            }
         }
     }
 
     fn close(&self, close: &CloseTurn, sender: mpsc::UnboundedSender<LedgerReply>) {
-        self.assigner.end(close);
+        self.assigner.end_turn(close);
         let records = self.state.borrow_mut().close(close, unix_ms());
         let _ = sender.send(LedgerReply::Noted);
         let reply = LedgerReply::Closed;
@@ -105,14 +108,14 @@
             true => Urgency::Now,
             false => Urgency::Soon,
         };
-        self.push(records, Some(Waiter { sender, reply }), urgency);
+        self.push(records, Some(PendingReply { sender, reply }), urgency);
     }
 
-    /// Appends what the next owner could not know otherwise. Tells, once that and all
-    /// before is durable, how long the next owner has to doubt programs without a record,
-    /// in milliseconds; `None` if another owner is in force.
-    pub(super) fn settle(&self) -> oneshot::Receiver<Option<u64>> {
-        let (sender, settled) = oneshot::channel();
+    /// Appends the program records that the next owner needs. Once these and everything before
+    /// them are durable, the receiver gets how long programs without a record stay in doubt for
+    /// the next owner, in milliseconds; `None` if this owner was fenced.
+    pub(super) fn append_handover(&self) -> oneshot::Receiver<Option<u64>> {
+        let (sender, receiver) = oneshot::channel();
         let records = self.state.borrow_mut().hand_over();
         let keyed = records.iter().map(keyed_record).collect();
         let doubt_ms = self.state.borrow().doubt_ms(unix_ms());
@@ -120,10 +123,11 @@
             let _ = sender.send((outcome == Outcome::Durable).then_some(doubt_ms));
         };
         self.appender.push(keyed, Urgency::Now, Box::new(done));
-        settled
+        receiver
     }
 
-    /// Appends what lets programs begin without the log while unknown ones are in doubt.
+    /// Appends the record that lets programs begin while the log is down, during the time in which
+    /// programs without a record are in doubt.
     pub(super) fn claim_part(&self) {
         let records = self.state.borrow().claim_part(unix_ms());
         if !records.is_empty() {
@@ -131,7 +135,7 @@
         }
     }
 
-    /// Deletes what need not be kept any longer.
+    /// Deletes expired turns and programs.
     pub(super) fn expire(&self) {
         let records = self.state.borrow_mut().expire(unix_ms());
         if !records.is_empty() {
@@ -144,16 +148,25 @@
             Some(chain) => {
                 let _ = sender.send(LedgerReply::Chain(chain));
             }
-            None => self.answer_fenced(sender, LedgerReply::UnknownTurn),
+            None => self.reply_after_fence_check(sender, LedgerReply::UnknownTurn),
         }
     }
 
-    fn answer_fenced(&self, sender: mpsc::UnboundedSender<LedgerReply>, reply: LedgerReply) {
-        self.push(Vec::new(), Some(Waiter { sender, reply }), Urgency::Now);
+    /// Sends a reply once an append shows that this owner is not fenced.
+    fn reply_after_fence_check(
+        &self,
+        sender: mpsc::UnboundedSender<LedgerReply>,
+        reply: LedgerReply,
+    ) {
+        self.push(
+            Vec::new(),
+            Some(PendingReply { sender, reply }),
+            Urgency::Now,
+        );
     }
 
-    /// Queues records; the waiter is answered once they are durable.
-    fn push(&self, records: Vec<Record>, waiter: Option<Waiter>, urgency: Urgency) {
+    /// Queues records to be appended; `pending` is sent once they are durable.
+    fn push(&self, records: Vec<Record>, pending: Option<PendingReply>, urgency: Urgency) {
         let keyed = records.iter().map(keyed_record).collect();
         let state = self.state.clone();
         let done = move |outcome| {
@@ -161,12 +174,12 @@
                 let mut state = state.borrow_mut();
                 records.iter().for_each(|record| state.appended(record));
             }
-            if let Some(waiter) = waiter {
+            if let Some(pending) = pending {
                 let reply = match outcome {
-                    Outcome::Durable => waiter.reply,
+                    Outcome::Durable => pending.reply,
                     Outcome::Lost => LedgerReply::NotOwner(None),
                 };
-                let _ = waiter.sender.send(reply);
+                let _ = pending.sender.send(reply);
             }
         };
         self.appender.push(keyed, urgency, Box::new(done));
