--- a/crates/gateway/tests/gateway/outage.rs
+++ b/crates/gateway/tests/gateway/outage.rs
@@ -1,4 +1,4 @@
-//! What has to be in force again once an outage of the log is over.
+//! Changes that have to take effect once an outage of the log is over.
 
 use crate::support::{Act, Gateway, SERVERS, Server, World, config_of, run, tenant};
 use fieldhook_emulator::log::memory::LogFault;
@@ -6,7 +6,8 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Shortest time of the deployments after which daemons owe everything again.
+/// Shortest `contact_ms` of the deployments: the time after an outage until all time bounds apply
+/// again.
 const CONTACT: Duration = Duration::from_millis(3_000);
 const OUTAGE: Duration = Duration::from_millis(3_500);
 
@@ -27,12 +28,13 @@
     reply.head.status
 }
 
-/// Configuration, keys, limits, leaving servers and ownership: all of it, at every gateway.
+/// Covers the configuration, API keys, limits, draining servers and partition ownership at every
+/// gateway.
 #[test]
-fn after_an_outage_everything_is_in_force_within_its_time() {
+fn changes_take_effect_in_time_after_an_outage() {
     run(async {
-        let leaving = Server::start("s1", Act::Events(vec!["one".to_owned()], None)).await;
-        let staying = Server::start("s2", Act::Events(vec!["one".to_owned()], None)).await;
+        let draining = Server::start("s1", Act::Events(vec!["one".to_owned()], None)).await;
+        let remaining = Server::start("s2", Act::Events(vec!["one".to_owned()], None)).await;
         let world = World::new().await;
         world.configs.borrow_mut()[0] =
             config_of(1, vec![limited("k1", 100.0), tenant("blue", "k3")]);
@@ -40,7 +42,7 @@
             .configs
             .borrow_mut()
             .push(config_of(2, vec![limited("k2", 3.0), tenant("blue", "k3")]));
-        let a = world.ready(&[&leaving, &staying]).await;
+        let a = world.ready(&[&draining, &remaining]).await;
         let b = world.gateway("g2").await;
         b.wait_ready(2).await;
         sleep(Duration::from_millis(900)).await;
@@ -50,7 +52,7 @@
             gateway.store.set_fault(LogFault::Silent);
         }
         world.publish(1).await;
-        let value = format!("service {} draining", leaving.address);
+        let value = format!("service {} draining", draining.address);
         world.put(SERVERS, "s1", &value).await;
         sleep(OUTAGE).await;
         for gateway in [&a, &b] {
@@ -58,7 +60,7 @@
         }
         sleep(CONTACT).await;
 
-        let at_the_leaving = leaving.count();
+        let draining_count = draining.count();
         for (gateway, name) in [(&a, "a"), (&b, "b")] {
             assert_eq!(ask(gateway, &format!("old-{name}"), "k1").await, 401);
             let fields = format!("Request: t-{name}\r\nProgram: p-{name}\r\nKey: k3\r\n");
@@ -71,6 +73,6 @@
             served += u32::from(ask(gateway, &format!("new-{number}"), "k2").await == 200);
         }
         assert_eq!(served, 3);
-        assert_eq!(leaving.count(), at_the_leaving);
+        assert_eq!(draining.count(), draining_count);
     });
 }
--- a/crates/gateway/tests/gateway/ownership.rs
+++ b/crates/gateway/tests/gateway/ownership.rs
@@ -1,4 +1,4 @@
-//! Several gateways on one log: owners that are lost, cut off or late.
+//! Partition ownership with several gateways on one log: owners that are lost, cut off or slow.
 
 use crate::support::{Act, Gateway, Server, World, run};
 use fieldhook_emulator::log::memory::LogFault;
@@ -10,7 +10,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep};
 
-fn events() -> Act {
+fn single_event() -> Act {
     Act::Events(vec!["one".to_owned()], None)
 }
 
@@ -23,7 +23,7 @@
     (reply.head.status, reply.whole)
 }
 
-/// The gateway that owns the partition of program `p`, and the other one.
+/// Orders two gateways: first the owner of the partition of program `p`, then the other one.
 fn owner_first(a: Gateway, b: Gateway) -> (Gateway, Gateway) {
     let partition = fieldhook_ledger::partition_of("p", 2);
     let claim = a.daemon.owner.claims.claim(partition).expect("an owner");
@@ -44,9 +44,9 @@
 }
 
 #[test]
-fn any_gateway_knows_the_turns_of_all() {
+fn turns_continue_at_any_gateway() {
     run(async {
-        let server = Server::start("s1", events()).await;
+        let server = Server::start("s1", single_event()).await;
         let world = World::new().await;
         let (owner, other) = two_gateways(&world, &server).await;
         assert_eq!(turn(&other, "t2", Some("t1")).await, (200, true));
@@ -58,13 +58,13 @@
 }
 
 #[test]
-fn an_owner_without_the_log_is_replaced_and_its_late_word_is_not_taken() {
+fn owner_without_the_log_is_replaced_and_then_fenced() {
     run(async {
-        let server = Server::start("s1", events()).await;
+        let server = Server::start("s1", single_event()).await;
         let world = World::new().await;
         let (owner, other) = two_gateways(&world, &server).await;
         owner.store.set_fault(LogFault::Silent);
-        // The other one has the log: it waits for the owner, then takes over.
+        // The other gateway reaches the log: it waits for the owner, then takes over.
         let begun = Instant::now();
         assert_eq!(turn(&other, "t2", Some("t1")).await, (200, true));
         assert!(begun.elapsed() < Duration::from_secs(2));
@@ -76,9 +76,9 @@
 }
 
 #[test]
-fn an_owner_that_stops_hands_over() {
+fn owner_hands_over_on_a_planned_stop() {
     run(async {
-        let server = Server::start("s1", events()).await;
+        let server = Server::start("s1", single_event()).await;
         let world = World::new().await;
         let (owner, other) = two_gateways(&world, &server).await;
         fieldhook_gateway::drain::run(owner.daemon.clone()).await;
@@ -89,17 +89,18 @@
 }
 
 #[test]
-fn a_former_owner_that_wakes_refuses_nothing_by_old_beliefs() {
+fn former_owner_refuses_no_turn_from_outdated_state() {
     run(async {
-        let server = Server::start("s1", events()).await;
+        let server = Server::start("s1", single_event()).await;
         let world = World::new().await;
         let (owner, other) = two_gateways(&world, &server).await;
-        // Cut off the log, the owner does not hear that it was replaced.
+        // Cut off from the log, the owner does not learn that it was replaced.
         owner.store.set_fault(LogFault::Silent);
         assert_eq!(turn(&other, "t2", Some("t1")).await, (200, true));
-        // A turn that only the new owner has heard of.
+        // Only the new owner knows this turn.
         assert_eq!(turn(&other, "t3", Some("t2")).await, (200, true));
-        // The former one still believes in its partition: it must not say 404.
+        // The former owner still holds the partition, but must not answer 404 from its outdated
+        // state.
         let fields = "Request: t4\r\nProgram: p\r\nPrevious: t3\r\nDeadline: 600\r\n";
         let reply = owner.ask("POST", "/chat/1", fields, "x").await;
         assert_ne!(reply.head.status, 404);
@@ -108,9 +109,9 @@
 }
 
 #[test]
-fn a_gateway_without_the_log_learns_of_new_owners_from_others() {
+fn gateway_without_the_log_learns_new_owners_from_peers() {
     run(async {
-        let server = Server::start("s1", events()).await;
+        let server = Server::start("s1", single_event()).await;
         let world = World::new().await;
         let (owner, other) = two_gateways(&world, &server).await;
         let cut = world.gateway("g3").await;
@@ -118,7 +119,7 @@
         sleep(Duration::from_millis(100)).await;
         cut.store.set_fault(LogFault::Silent);
         cut.daemon.contact.failed();
-        // The partition moves twice, once with its old owner still there to say so.
+        // The owner releases the partition in a planned stop, and the other gateway claims it.
         fieldhook_gateway::drain::run(owner.daemon.clone()).await;
         assert_eq!(turn(&other, "t2", Some("t1")).await, (200, true));
         let begun = Instant::now();
@@ -139,8 +140,8 @@
     }
 }
 
-/// A gateway whose calls to the log are not answered, and that has noticed.
-async fn cut_off(gateway: &Gateway) {
+/// Cuts a gateway off from the log and lets it notice.
+async fn cut_off_from_log(gateway: &Gateway) {
     gateway.store.set_fault(LogFault::Silent);
     gateway.daemon.contact.failed();
     sleep(Duration::from_millis(850)).await;
@@ -148,12 +149,12 @@
 }
 
 #[test]
-fn an_owner_that_is_cut_off_has_its_partition_claimed_by_one_that_is_not() {
+fn cut_off_owner_has_its_partition_claimed_by_a_peer() {
     run(async {
-        let server = Server::start("s1", events()).await;
+        let server = Server::start("s1", single_event()).await;
         let world = World::new().await;
         let (owner, other) = two_gateways(&world, &server).await;
-        // The log in memory leaves no trace in a gateway's contact.
+        // The in-memory log does not update a gateway's record of contact with the log.
         let contact = other.daemon.contact.clone();
         ntex::rt::spawn(async move {
             loop {
@@ -161,17 +162,18 @@
                 sleep(Duration::from_millis(100)).await;
             }
         });
-        cut_off(&owner).await;
+        cut_off_from_log(&owner).await;
         wait_for_reach(&owner, Reach::CutOff).await;
-        assert!(!owner.daemon.is_ready(), "clients should go elsewhere");
-        // Nobody asks the other gateway: the one that is cut off does.
+        assert!(!owner.daemon.is_ready(), "a cut-off gateway is ready");
+        // No client uses the other gateway: the cut-off one requests the claim.
         let begun = Instant::now();
         assert_eq!(turn(&owner, "t2", Some("t1")).await, (200, true));
         assert!(begun.elapsed() < Duration::from_millis(600));
     });
 }
 
-/// What an owner says to a request of tenant `p`, whose limit is counted where program `p` is.
+/// Returns an owner's reply to a quota request of tenant `p`, which is counted in the same partition
+/// as program `p`.
 async fn quota_reply(owner: &Gateway) -> LedgerReply {
     let question = QuotaQuestion {
         matter: QuotaMatter::Request,
@@ -190,14 +192,14 @@
     replies.recv().await.expect("an answer")
 }
 
-/// Story: a third of the machines lose the log while the others have it. The owner of a tenant's
-/// limit is one of them; another claims its partition, and it does not hear of that. Those that
-/// still believe in it are let through by its count, beside the successor's, and a window holds
-/// more than the limit.
+/// Guards against a tenant exceeding its limit while a third of the machines are cut off from the
+/// log. If the owner of the limit is among them, another gateway claims the partition without the
+/// owner's knowledge. Gateways that still send requests to the former owner must get no grants from
+/// it in addition to those of the new owner.
 #[test]
-fn an_owner_that_is_cut_off_counts_for_no_tenant() {
+fn cut_off_owner_grants_no_tenant_requests() {
     run(async {
-        let server = Server::start("s1", events()).await;
+        let server = Server::start("s1", single_event()).await;
         let world = World::new().await;
         let (owner, other) = two_gateways(&world, &server).await;
         assert!(matches!(quota_reply(&owner).await, LedgerReply::Quota(_)));
@@ -208,24 +210,24 @@
                 sleep(Duration::from_millis(100)).await;
             }
         });
-        cut_off(&owner).await;
+        cut_off_from_log(&owner).await;
         wait_for_reach(&owner, Reach::CutOff).await;
         assert_eq!(quota_reply(&owner).await, LedgerReply::NotOwner(None));
     });
 }
 
 #[test]
-fn a_gateway_that_reaches_nobody_says_so_at_once() {
+fn isolated_gateway_refuses_turns_at_once() {
     run(async {
-        let server = Server::start("s1", events()).await;
+        let server = Server::start("s1", single_event()).await;
         let world = World::new().await;
         let (owner, other) = two_gateways(&world, &server).await;
         let partition = fieldhook_ledger::partition_of("p", 2);
         let claim = other.daemon.owner.claims.claim(partition);
         assert!(claim.is_some_and(|claim| owner.daemon.owner.claims.is_mine(&claim)));
-        cut_off(&other).await;
+        cut_off_from_log(&other).await;
         wait_for_reach(&other, Reach::Outage).await;
-        // The peers of the test answer, but this one is told otherwise.
+        // The peers in this test do answer, so the state is set directly.
         other.daemon.ledger.reach.set(Reach::Isolated);
         let begun = Instant::now();
         let fields = "Request: t2\r\nProgram: p\r\n";
@@ -237,11 +239,12 @@
     });
 }
 
-/// A narrow link takes its time for a page: the partition is read all the same, and once.
+/// On a link with little bandwidth a page takes longer than the first timeout. The partition has to
+/// be loaded nevertheless.
 #[test]
-fn a_partition_whose_pages_take_long_is_read_all_the_same() {
+fn partition_with_slow_pages_is_loaded() {
     run(async {
-        let server = Server::start("s1", events()).await;
+        let server = Server::start("s1", single_event()).await;
         let world = World::new().await;
         let (owner, other) = two_gateways(&world, &server).await;
         let ledger = Partition {
@@ -263,12 +266,12 @@
     });
 }
 
-/// A part of the log may be down for all: another owner could do no more there, and what
-/// the present one has not appended yet would be lost with it.
+/// A partition of the log may be down for all gateways. Another owner could not append either, and
+/// what the present owner has not appended yet would be lost.
 #[test]
-fn an_owner_whose_partition_is_down_for_all_stays_the_owner() {
+fn owner_keeps_a_partition_that_is_down_for_all_gateways() {
     run(async {
-        let server = Server::start("s1", events()).await;
+        let server = Server::start("s1", single_event()).await;
         let world = World::new().await;
         let (owner, other) = two_gateways(&world, &server).await;
         let number = fieldhook_ledger::partition_of("p", 2);
@@ -287,11 +290,12 @@
     });
 }
 
-/// A planned stop leaves nothing in doubt: its successor's programs begin without the log.
+/// A planned stop leaves no program in doubt, so new programs can start at the next owner while the
+/// log is down.
 #[test]
-fn programs_begin_without_the_log_after_an_owner_stopped_in_order() {
+fn programs_start_without_the_log_after_a_planned_stop_of_the_owner() {
     run(async {
-        let server = Server::start("s1", events()).await;
+        let server = Server::start("s1", single_event()).await;
         let world = World::new().await;
         let (owner, other) = two_gateways(&world, &server).await;
         fieldhook_gateway::drain::run(owner.daemon.clone()).await;
@@ -312,8 +316,8 @@
     });
 }
 
-/// A name whose partition is that of program `p`.
-fn beside_p(number: u32) -> String {
+/// Returns a program name in the same partition as program `p`.
+fn program_in_partition_of_p(number: u32) -> String {
     let names = (0..).map(|salt| format!("new{number}-{salt}"));
     let partition_of = |name: &str| fieldhook_ledger::partition_of(name, 2);
     names
@@ -322,12 +326,12 @@
         .expect("one of many names")
 }
 
-/// Whoever took over does not know what its predecessor began, but what that may have handed
-/// out is bounded: new programs need not wait for the log.
+/// A new owner does not know which programs its lost predecessor started, but what those may have
+/// used is bounded. New programs therefore need not wait for the log.
 #[test]
-fn programs_begin_while_the_log_is_away_soon_after_their_owner_was_lost() {
+fn programs_start_during_a_log_outage_soon_after_owner_loss() {
     run(async {
-        let server = Server::start("s1", events()).await;
+        let server = Server::start("s1", single_event()).await;
         let world = World::new().await;
         let (owner, other) = two_gateways(&world, &server).await;
         owner.store.set_fault(LogFault::Silent);
@@ -336,7 +340,7 @@
         other.store.set_fault(LogFault::Silent);
         for number in 0..3 {
             let begun = Instant::now();
-            let program = beside_p(number);
+            let program = program_in_partition_of_p(number);
             let fields =
                 format!("Request: {program}t\r\nProgram: {program}\r\nBudget: 180\r\nMost: 40\r\n");
             let reply = other.ask("POST", "/resume/1", &fields, "A").await;
@@ -346,13 +350,14 @@
     });
 }
 
-/// The mark holds a part of a turn's most: what it holds goes out, the rest waits for the log.
+/// The budget reserved ahead covers a part of the turn's token maximum. Output within that part is
+/// sent while the log is down; only the rest would wait for it.
 #[test]
-fn a_turn_hands_out_what_its_budget_is_sure_of_while_the_log_is_away() {
+fn turn_sends_output_within_its_reserved_budget_during_a_log_outage() {
     run(async {
-        let short = Server::start("s1", events()).await;
+        let server = Server::start("s1", single_event()).await;
         let world = World::new().await;
-        let gateway = world.ready(&[&short]).await;
+        let gateway = world.ready(&[&server]).await;
         let first = "Request: f\r\nProgram: f\r\nBudget: 180\r\nMost: 40\r\n";
         assert!(gateway.ask("POST", "/resume/1", first, "A").await.whole);
         sleep(Duration::from_millis(600)).await;
--- a/crates/gateway/tests/gateway/turns.rs
+++ b/crates/gateway/tests/gateway/turns.rs
@@ -1,4 +1,4 @@
-//! Turns of programs: chains, budgets, streams that break off or are resumed.
+//! Turns of programs: chains, budgets, interrupted and resumed streams.
 
 use crate::support::{Act, Seen, Server, World, run};
 use fieldhook_emulator::log::memory::LogFault;
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_turn_goes_on_from_the_whole_chain_before_it() {
+fn turn_gets_the_complete_chain_of_previous_turns() {
     run(async {
         let server = Server::start("s1", events(&["one", "two"])).await;
         let world = World::new().await;
@@ -25,7 +25,7 @@
         assert!(gateway.ask("POST", "/chat/1", fields, "B;").await.whole);
         let fields = "Request: t3\r\nProgram: p\r\nPrevious: t2\r\n";
         assert!(gateway.ask("POST", "/chat/1", fields, "C;").await.whole);
-        // A branch, and another program that goes on from there.
+        // A branch from an earlier turn, and another program that continues the chain.
         let fields = "Request: t4\r\nProgram: p\r\nPrevious: t1\r\n";
         assert!(gateway.ask("POST", "/chat/1", fields, "D;").await.whole);
         let fields = "Request: t5\r\nProgram: other\r\nPrevious: t2\r\n";
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_turn_that_broke_off_is_no_turn() {
+fn interrupted_turn_cannot_be_continued() {
     run(async {
         let broken = Act::Events(vec!["one".to_owned(), "two".to_owned()], Some(1));
         let server = Server::start("s1", broken).await;
@@ -60,9 +60,9 @@
         let reply = gateway
             .ask("POST", "/chat/1", "Request: t1\r\nProgram: p\r\n", "A;")
             .await;
-        assert!(!reply.whole, "a broken stream looks whole");
+        assert!(!reply.whole, "an interrupted stream looks complete");
         assert_eq!(reply.text(), "id: 0\ndata: one\n\n");
-        assert_eq!(server.count(), 1, "run twice");
+        assert_eq!(server.count(), 1, "the turn ran twice");
         let fields = "Request: t2\r\nProgram: p\r\nPrevious: t1\r\n";
         let reply = gateway.ask("POST", "/chat/1", fields, "B;").await;
         assert_eq!(reply.head.status, 404);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_resumable_stream_goes_on_at_another_server_without_a_seam() {
+fn resumable_stream_continues_at_another_server_without_gaps() {
     run(async {
         let texts: Vec<String> = (0..5).map(|number| format!("e{number}")).collect();
         let a = Server::start("a", Act::Events(texts.clone(), Some(2))).await;
@@ -78,15 +78,15 @@
         let world = World::new().await;
         let gateway = world.ready(&[&a, &b]).await;
         let both = [&a, &b];
-        let asking = gateway.ask("POST", "/resume/1", "Request: t1\r\nProgram: p\r\n", "A;");
-        let mending = async {
+        let request = gateway.ask("POST", "/resume/1", "Request: t1\r\nProgram: p\r\n", "A;");
+        let recovery = async {
             while a.count() + b.count() == 0 {
                 sleep(Duration::from_millis(1)).await;
             }
             let other = both.iter().find(|server| server.count() == 0).expect("one");
             other.set(Act::Events(texts.clone(), None));
         };
-        let (reply, ()) = futures_util::future::join(asking, mending).await;
+        let (reply, ()) = futures_util::future::join(request, recovery).await;
         assert!(reply.whole);
         let wanted: String = texts
             .iter()
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_spent_budget_is_a_promise_that_the_turn_does_not_run() {
+fn turn_over_budget_is_refused_and_not_run() {
     run(async {
         let server = Server::start("s1", events(&["one", "two", "three"])).await;
         let world = World::new().await;
@@ -116,19 +116,20 @@
                 status => assert_eq!(status, 402),
             }
         }
-        // Three events of ten tokens a turn: a third turn would need 60 + 40.
+        // A turn uses three events of ten tokens and reserves 40. Three turns fit, since the third
+        // needs 60 + 40; a fourth one does not.
         assert_eq!(served, 3);
         assert_eq!(server.count(), 3);
     });
 }
 
 #[test]
-fn a_turn_ends_only_once_it_is_recorded() {
+fn stream_ends_only_after_the_turn_is_recorded() {
     run(async {
         let server = Server::start("s1", events(&["one"])).await;
         let world = World::new().await;
         let gateway = world.ready(&[&server]).await;
-        // The partition has an owner, then the log falls silent.
+        // The partition has an owner before the log stops answering.
         assert!(
             gateway
                 .ask("POST", "/chat/1", "Request: t0\r\nProgram: p\r\n", "A;")
@@ -150,9 +151,9 @@
         assert!(reply.whole);
         assert!(
             begun.elapsed() > Duration::from_millis(450),
-            "ended before its record"
+            "the stream ended before the turn was recorded"
         );
-        // Down for longer than the turn has: no end at all.
+        // The log stays down past the turn's deadline: the stream must not end regularly.
         gateway.store.set_fault(LogFault::Down);
         let fields = "Request: t2\r\nProgram: p\r\nDeadline: 400\r\n";
         assert!(!gateway.ask("POST", "/chat/1", fields, "C;").await.whole);
@@ -160,10 +161,10 @@
 }
 
 #[test]
-fn a_stream_that_ends_within_an_event_is_not_whole() {
+fn stream_truncated_within_an_event_is_incomplete() {
     run(async {
-        let torn = Act::Stream("id: 0\ndata: one\n\nid: 1\nda".to_owned());
-        let server = Server::start("s1", torn).await;
+        let truncated = Act::Stream("id: 0\ndata: one\n\nid: 1\nda".to_owned());
+        let server = Server::start("s1", truncated).await;
         let world = World::new().await;
         let gateway = world.ready(&[&server]).await;
         let reply = gateway
@@ -175,7 +176,7 @@
 }
 
 #[test]
-fn a_stream_with_a_missing_event_is_not_whole() {
+fn stream_with_a_missing_event_is_incomplete() {
     run(async {
         let gap = Act::Stream("id: 0\ndata: one\n\nid: 2\ndata: three\n\n".to_owned());
         let server = Server::start("s1", gap).await;
@@ -184,13 +185,13 @@
         let reply = gateway
             .ask("POST", "/chat/1", "Request: t1\r\nProgram: p\r\n", "A;")
             .await;
-        // Nothing had gone out yet: the client gets a status instead of a part.
+        // Nothing was sent yet, so the client gets an error status instead of a partial stream.
         assert_eq!(reply.head.status, 502);
     });
 }
 
 #[test]
-fn turns_of_a_program_run_at_one_engine_whichever_gateway_they_come_through() {
+fn turns_of_a_program_run_on_one_engine_through_any_gateway() {
     run(async {
         let world = World::new().await;
         let mut servers = Vec::new();
@@ -212,19 +213,23 @@
                 let gateway = &gateways[turn % 2];
                 assert!(gateway.ask("POST", "/chat/1", &fields, "A").await.whole);
             }
-            let begins = format!("p{program}t");
+            let prefix = format!("p{program}t");
             let used = servers.iter().filter(|server| {
                 let seen = server.seen.borrow();
                 let id = |seen: &Seen| seen.head.headers.text("request").map(str::to_owned);
-                seen.iter().filter_map(id).any(|id| id.starts_with(&begins))
+                seen.iter().filter_map(id).any(|id| id.starts_with(&prefix))
             });
-            assert_eq!(used.count(), 1, "engines of program {program}");
+            assert_eq!(
+                used.count(),
+                1,
+                "number of engines used by program {program}"
+            );
         }
     });
 }
 
 #[test]
-fn programs_go_on_and_begin_while_the_log_is_away() {
+fn programs_continue_and_start_during_a_log_outage() {
     run(async {
         let server = Server::start("s1", events(&["one"])).await;
         let world = World::new().await;
