--- a/crates/gateway/tests/gateway/incarnations.rs
+++ b/crates/gateway/tests/gateway/incarnations.rs
@@ -1,4 +1,5 @@
-//! Entries of servers that start again under their name, and entries of other writers.
+//! Server directory entries: restarts of a server under the same name, and entries that cannot be
+//! parsed.
 
 use crate::support::{Act, CONFIG, Gateway, Lines, SERVERS, Server, World, run};
 use fieldhook_emulator::log::memory::LogFault;
@@ -9,10 +10,11 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// An entry is read at once; servers are looked at every 150 ms. The rest is for a busy machine.
-const IN_FORCE: Duration = Duration::from_millis(600);
-/// How long requests go on after what a test is about.
-const AFTER: Duration = Duration::from_millis(1_200);
+/// Bound until a new entry takes effect. The servers topic is read every 150 ms; the rest is slack
+/// for a busy machine.
+const EFFECT_BOUND: Duration = Duration::from_millis(600);
+/// How long requests continue after the event under test.
+const CONTINUE_FOR: Duration = Duration::from_millis(1_200);
 
 async fn ask(gateway: &Gateway, times: usize) {
     for number in 0..times {
@@ -22,106 +24,106 @@
     }
 }
 
-/// Asks until a server was asked.
-async fn ask_until(gateway: &Gateway, server: &Server) {
+/// Sends requests until the server gets one.
+async fn ask_until_used(gateway: &Gateway, server: &Server) {
     let before = server.count();
     let until = Instant::now() + Duration::from_secs(3);
     while server.count() == before {
-        assert!(Instant::now() < until, "{} gets nothing", server.id);
+        assert!(Instant::now() < until, "{} gets no request", server.id);
         ask(gateway, 4).await;
     }
 }
 
-fn plain() -> Act {
+fn plain_answer() -> Act {
     Act::Answer(200, "ok".to_owned())
 }
 
 #[test]
-fn an_entry_that_cannot_be_read_names_no_server_and_the_others_hold() {
+fn unreadable_entry_removes_its_server_and_leaves_the_others() {
     run(async {
-        let s1 = Server::start("s1", plain()).await;
-        let s2 = Server::start("s2", plain()).await;
+        let s1 = Server::start("s1", plain_answer()).await;
+        let s2 = Server::start("s2", plain_answer()).await;
         let world = World::new().await;
         let gateway = world.ready(&[&s1]).await;
-        ask_until(&gateway, &s1).await;
+        ask_until_used(&gateway, &s1).await;
         world.list(&s2).await;
         world.put(SERVERS, "s1", "service nowhere").await;
         world.put(SERVERS, "other", "\u{0}").await;
-        sleep(IN_FORCE).await;
+        sleep(EFFECT_BOUND).await;
         let before = s1.count();
         ask(&gateway, 12).await;
         assert_eq!(
             s1.count(),
             before,
-            "a server without a readable entry is used"
+            "a server with an unreadable entry is used"
         );
         world.list(&s1).await;
         let leaving = format!("service {} draining", s2.address);
         world.put(SERVERS, "s2", &leaving).await;
-        ask_until(&gateway, &s1).await;
+        ask_until_used(&gateway, &s1).await;
     });
 }
 
 #[test]
-fn a_server_that_starts_again_under_its_name_takes_work_again() {
+fn restarted_draining_server_gets_requests_again() {
     run(async {
-        let s1 = Server::start("s1", plain()).await;
+        let s1 = Server::start("s1", plain_answer()).await;
         let world = World::new().await;
         let gateway = world.ready(&[&s1]).await;
-        let entry = |more: &str| format!("service {} {more}", s1.address);
+        let entry = |fields: &str| format!("service {} {fields}", s1.address);
         world.put(SERVERS, "s1", &entry("born=1 draining")).await;
-        sleep(IN_FORCE).await;
+        sleep(EFFECT_BOUND).await;
         let reply = gateway.ask("GET", "/safe/1", "Request: r\r\nDeadline: 300\r\n", "");
-        assert_ne!(reply.await.head.status, 200, "a leaving server is used");
+        assert_ne!(reply.await.head.status, 200, "a draining server is used");
         world.put(SERVERS, "s1", &entry("born=2")).await;
-        ask_until(&gateway, &s1).await;
-        // Its clock was set back meanwhile: another start all the same.
+        ask_until_used(&gateway, &s1).await;
+        // An earlier start time, because the server's clock was set back, is a restart as well.
         world.put(SERVERS, "s1", &entry("born=2 draining")).await;
         world.put(SERVERS, "s1", &entry("born=1")).await;
-        ask_until(&gateway, &s1).await;
+        ask_until_used(&gateway, &s1).await;
     });
 }
 
-/// What is kept of the process before, here its connections, is not used for the next one.
+/// State of the previous process, here its connections, must not be used for the next one.
 #[test]
-fn a_server_that_started_again_gets_connections_of_its_own() {
+fn restarted_server_gets_new_connections() {
     run(async {
-        let s1 = Server::start("s1", plain()).await;
+        let s1 = Server::start("s1", plain_answer()).await;
         let world = World::new().await;
         let gateway = world.ready(&[&s1]).await;
         let entry = |born: u64| format!("service {} born={born}", s1.address);
         world.put(SERVERS, "s1", &entry(1)).await;
-        sleep(IN_FORCE).await;
+        sleep(EFFECT_BOUND).await;
         ask(&gateway, 3).await;
         let connections = gateway.daemon.metrics.connections.get();
         ask(&gateway, 3).await;
         assert_eq!(gateway.daemon.metrics.connections.get(), connections);
         world.put(SERVERS, "s1", &entry(2)).await;
-        sleep(IN_FORCE).await;
+        sleep(EFFECT_BOUND).await;
         ask(&gateway, 3).await;
         assert_eq!(gateway.daemon.metrics.connections.get(), connections + 1);
         assert_eq!(gateway.daemon.directory.borrow().len(), 1);
     });
 }
 
-/// Lists the incarnation of a server that began at a time; when that was done.
-async fn start_again(world: &World, server: &Server, born: u64, more: &str) -> Instant {
-    let entry = format!("service {} born={born} {more}", server.address);
+/// Publishes an incarnation of a server with the given start time; returns when this was done.
+async fn publish_incarnation(world: &World, server: &Server, born: u64, fields: &str) -> Instant {
+    let entry = format!("service {} born={born} {fields}", server.address);
     world.put(SERVERS, &server.id, &entry).await;
     Instant::now()
 }
 
-/// A gateway that knows one incarnation of a server, and has connections to it.
-async fn gateway_of(world: &World, server: &Server, born: u64) -> Gateway {
-    start_again(world, server, born, "").await;
+/// Starts a gateway that knows one incarnation of a server and has connections to it.
+async fn gateway_with_incarnation(world: &World, server: &Server, born: u64) -> Gateway {
+    publish_incarnation(world, server, born, "").await;
     let gateway = world.gateway("g1").await;
     gateway.wait_ready(1).await;
     ask(&gateway, 3).await;
     gateway
 }
 
-/// Asks all the time for so long; everything has to be served.
-async fn ask_for(gateway: &Gateway, name: &str, time: Duration) {
+/// Sends requests continuously for a time; all have to be served.
+async fn ask_continuously(gateway: &Gateway, name: &str, time: Duration) {
     let until = Instant::now() + time;
     let mut number = 0;
     while Instant::now() < until {
@@ -133,8 +135,8 @@
     }
 }
 
-/// Turns of a program one after another for so long; everything has to be served whole.
-async fn converse(gateway: &Gateway, program: &str, time: Duration) {
+/// Runs turns of a program one after another for a time; all have to complete.
+async fn run_turns(gateway: &Gateway, program: &str, time: Duration) {
     let until = Instant::now() + time;
     let mut previous = String::new();
     let mut number = 0;
@@ -148,10 +150,10 @@
     }
 }
 
-/// For how long after a moment a server got requests over connections from before it: these
-/// were sent in belief of the incarnation of before. The stand-in leaves its connections open,
-/// so that nothing but the belief ends their use.
-fn believed_after(server: &Server, since: Instant) -> Duration {
+/// Returns how long after `since` a server got requests over connections that were opened before
+/// it, and thus for the previous incarnation. The test server leaves its connections open, so their
+/// use ends only when the gateway learns of the new incarnation.
+fn stale_use_after(server: &Server, since: Instant) -> Duration {
     let seen = server.seen.borrow();
     let late = seen
         .iter()
@@ -160,23 +162,23 @@
     last.unwrap_or_default()
 }
 
-/// Requests that a server got later than this.
-fn seen_after(server: &Server, since: Instant) -> usize {
+/// Returns the number of requests that a server got after `since`.
+fn requests_after(server: &Server, since: Instant) -> usize {
     let seen = server.seen.borrow();
     seen.iter().filter(|seen| seen.at > since).count()
 }
 
-fn assert_believed_no_longer(server: &Server, since: Instant, bound: Duration) {
-    let believed = believed_after(server, since);
-    println!("a former incarnation was believed for {believed:?} of {bound:?}");
-    assert!(believed <= bound, "believed for {believed:?}");
+fn assert_stale_use_within(server: &Server, since: Instant, bound: Duration) {
+    let stale = stale_use_after(server, since);
+    println!("the previous incarnation was used for {stale:?}, bound {bound:?}");
+    assert!(stale <= bound, "used for {stale:?}");
     assert!(
-        seen_after(server, since + bound) > 0,
-        "nothing came after the bound: nothing is shown"
+        requests_after(server, since + bound) > 0,
+        "no request after the bound: the check proves nothing"
     );
 }
 
-fn paced() -> Act {
+fn paced_stream() -> Act {
     Act::Paced(
         vec!["one".to_owned(), "two".to_owned()],
         Duration::from_millis(15),
@@ -184,63 +186,64 @@
 }
 
 #[test]
-fn a_restart_while_turns_run_is_believed_within_the_bound() {
+fn restart_during_turns_takes_effect_within_the_bound() {
     run(async {
-        let s1 = Server::start("s1", paced()).await;
+        let s1 = Server::start("s1", paced_stream()).await;
         let world = World::new().await;
-        start_again(&world, &s1, 1, "").await;
+        publish_incarnation(&world, &s1, 1, "").await;
         let gateway = world.gateway("g1").await;
         gateway.wait_ready(1).await;
         let programs = ["p1", "p2", "p3", "p4"];
-        let turns = programs.map(|program| converse(&gateway, program, AFTER + IN_FORCE));
+        let turns =
+            programs.map(|program| run_turns(&gateway, program, CONTINUE_FOR + EFFECT_BOUND));
         let restart = async {
-            sleep(IN_FORCE).await;
-            start_again(&world, &s1, 2, "").await
+            sleep(EFFECT_BOUND).await;
+            publish_incarnation(&world, &s1, 2, "").await
         };
         let (since, _) = join(restart, join_all(turns)).await;
-        assert_believed_no_longer(&s1, since, IN_FORCE);
+        assert_stale_use_within(&s1, since, EFFECT_BOUND);
     });
 }
 
-/// What was missed is told by the next read; a read that hangs ends with its time-out, and
-/// both within the time in which contact counts as disturbed.
+/// A restart during a log outage is missed until the next read succeeds, and a hanging read first has
+/// to end with its time-out. Both have to happen within `contact_ms` after the outage.
 #[test]
-fn a_restart_beside_a_silent_log_is_believed_soon_after_it_answers() {
+fn restart_during_a_log_outage_takes_effect_soon_after_it() {
     const CONTACT: Duration = Duration::from_millis(2_000);
     run(async {
-        let s1 = Server::start("s1", plain()).await;
+        let s1 = Server::start("s1", plain_answer()).await;
         let world = World::new().await;
         world.bounds.set(Bounds {
             contact_ms: CONTACT.as_millis() as u64,
             ..Bounds::default()
         });
-        let gateway = gateway_of(&world, &s1, 1).await;
+        let gateway = gateway_with_incarnation(&world, &s1, 1).await;
         gateway.store.set_fault(LogFault::Silent);
-        let since = start_again(&world, &s1, 2, "").await;
-        // Nobody can know: the next process is met at the address of the one before.
-        ask_for(&gateway, "dark", AFTER).await;
-        assert!(believed_after(&s1, since) > Duration::ZERO);
+        let since = publish_incarnation(&world, &s1, 2, "").await;
+        // The gateway cannot know of the restart: it reaches the next process at the old address.
+        ask_continuously(&gateway, "outage", CONTINUE_FOR).await;
+        assert!(stale_use_after(&s1, since) > Duration::ZERO);
         gateway.store.set_fault(LogFault::None);
-        let answers = Instant::now();
-        ask_for(&gateway, "light", CONTACT + AFTER).await;
-        assert_believed_no_longer(&s1, answers, CONTACT);
+        let recovered = Instant::now();
+        ask_continuously(&gateway, "after", CONTACT + CONTINUE_FOR).await;
+        assert_stale_use_within(&s1, recovered, CONTACT);
     });
 }
 
 #[test]
-fn a_restart_beside_a_loss_of_owners_is_believed_within_the_bound() {
+fn restart_during_a_loss_of_owners_takes_effect_within_the_bound() {
     run(async {
-        let s1 = Server::start("s1", paced()).await;
+        let s1 = Server::start("s1", paced_stream()).await;
         let world = World::new().await;
-        start_again(&world, &s1, 1, "").await;
+        publish_incarnation(&world, &s1, 1, "").await;
         let a = world.gateway("g1").await;
         let b = world.gateway("g2").await;
         a.wait_ready(1).await;
         b.wait_ready(1).await;
         sleep(Duration::from_millis(900)).await;
         join(
-            converse(&a, "p", Duration::from_millis(150)),
-            converse(&b, "q", Duration::from_millis(150)),
+            run_turns(&a, "p", Duration::from_millis(150)),
+            run_turns(&b, "q", Duration::from_millis(150)),
         )
         .await;
         let partition = fieldhook_ledger::partition_of("p", 2);
@@ -249,34 +252,36 @@
             true => (a, b),
             false => (b, a),
         };
-        // The owner hears of neither; what it assigned was assigned at the former incarnation.
+        // The owner learns neither of its replacement nor of the restart; its assignments refer to
+        // the previous incarnation.
         owner.store.set_fault(LogFault::Silent);
-        let since = start_again(&world, &s1, 2, "").await;
-        let turns = ["p", "r"].map(|program| converse(&other, program, IN_FORCE + AFTER));
+        let since = publish_incarnation(&world, &s1, 2, "").await;
+        let turns =
+            ["p", "r"].map(|program| run_turns(&other, program, EFFECT_BOUND + CONTINUE_FOR));
         join_all(turns).await;
-        assert_believed_no_longer(&s1, since, IN_FORCE);
+        assert_stale_use_within(&s1, since, EFFECT_BOUND);
     });
 }
 
 #[test]
-fn two_restarts_within_a_second_are_believed_one_after_the_other() {
+fn restarts_in_quick_succession_take_effect_in_order() {
     run(async {
-        let s1 = Server::start("s1", plain()).await;
+        let s1 = Server::start("s1", plain_answer()).await;
         let world = World::new().await;
-        let gateway = gateway_of(&world, &s1, 1).await;
+        let gateway = gateway_with_incarnation(&world, &s1, 1).await;
         let restarts = async {
-            let first = start_again(&world, &s1, 2, "").await;
-            sleep(IN_FORCE).await;
-            let second = start_again(&world, &s1, 3, "").await;
-            sleep(IN_FORCE).await;
-            // Both come in one read.
-            start_again(&world, &s1, 4, "").await;
-            (first, second, start_again(&world, &s1, 5, "").await)
+            let first = publish_incarnation(&world, &s1, 2, "").await;
+            sleep(EFFECT_BOUND).await;
+            let second = publish_incarnation(&world, &s1, 3, "").await;
+            sleep(EFFECT_BOUND).await;
+            // The next two restarts arrive in one read.
+            publish_incarnation(&world, &s1, 4, "").await;
+            (first, second, publish_incarnation(&world, &s1, 5, "").await)
         };
-        let asking = ask_for(&gateway, "r", IN_FORCE * 2 + AFTER);
+        let asking = ask_continuously(&gateway, "r", EFFECT_BOUND * 2 + CONTINUE_FOR);
         let ((first, second, third), ()) = join(restarts, asking).await;
         for since in [first, second, third] {
-            assert_believed_no_longer(&s1, since, IN_FORCE);
+            assert_stale_use_within(&s1, since, EFFECT_BOUND);
         }
         let directory = gateway.daemon.directory.borrow();
         assert_eq!(directory.identity_of("s1"), Some("s1~5"));
@@ -284,57 +289,61 @@
     });
 }
 
-/// The entry that was written last is in force, whatever the clock of its server said.
+/// The entry that was written last applies, whatever start time the server's clock gave.
 #[test]
-fn a_restart_with_a_clock_that_stepped_back_is_believed_within_the_bound() {
+fn restart_with_a_clock_set_back_takes_effect_within_the_bound() {
     run(async {
-        let s1 = Server::start("s1", plain()).await;
+        let s1 = Server::start("s1", plain_answer()).await;
         let world = World::new().await;
-        let gateway = gateway_of(&world, &s1, 9).await;
-        let since = start_again(&world, &s1, 3, "").await;
-        ask_for(&gateway, "r", AFTER).await;
-        assert_believed_no_longer(&s1, since, IN_FORCE);
+        let gateway = gateway_with_incarnation(&world, &s1, 9).await;
+        let since = publish_incarnation(&world, &s1, 3, "").await;
+        ask_continuously(&gateway, "r", CONTINUE_FOR).await;
+        assert_stale_use_within(&s1, since, EFFECT_BOUND);
     });
 }
 
 #[test]
-fn a_restart_during_its_drain_cuts_nothing_and_takes_work_within_the_bound() {
+fn restart_during_drain_interrupts_no_stream_and_takes_effect_within_the_bound() {
     run(async {
         let texts: Vec<String> = (0..40).map(|number| format!("e{number}")).collect();
         let s1 = Server::start("s1", Act::Paced(texts, Duration::from_millis(40))).await;
         let world = World::new().await;
-        start_again(&world, &s1, 1, "").await;
+        publish_incarnation(&world, &s1, 1, "").await;
         let gateway = world.gateway("g1").await;
         gateway.wait_ready(1).await;
         let long = gateway.ask("POST", "/resume/1", "Request: l\r\n", "x");
         let drain = async {
             sleep(Duration::from_millis(100)).await;
-            s1.set(plain());
-            start_again(&world, &s1, 1, "draining").await;
-            sleep(IN_FORCE).await;
-            let leaving = s1.count();
+            s1.set(plain_answer());
+            publish_incarnation(&world, &s1, 1, "draining").await;
+            sleep(EFFECT_BOUND).await;
+            let draining_count = s1.count();
             let refused = gateway.ask("GET", "/safe/1", "Request: n\r\nDeadline: 100\r\n", "");
-            assert_ne!(refused.await.head.status, 200, "a leaving server is used");
-            assert_eq!(s1.count(), leaving);
-            let since = start_again(&world, &s1, 2, "").await;
-            sleep(IN_FORCE).await;
+            assert_ne!(refused.await.head.status, 200, "a draining server is used");
+            assert_eq!(s1.count(), draining_count);
+            let since = publish_incarnation(&world, &s1, 2, "").await;
+            sleep(EFFECT_BOUND).await;
             ask(&gateway, 4).await;
             since
         };
         let (reply, since) = join(long, drain).await;
-        assert!(reply.whole, "what ran at the former incarnation was cut");
+        assert!(
+            reply.whole,
+            "the stream of the previous incarnation was interrupted"
+        );
         assert_eq!(reply.text().matches("data: ").count(), 40);
-        assert_believed_no_longer(&s1, since, IN_FORCE);
+        assert_stale_use_within(&s1, since, EFFECT_BOUND);
     });
 }
 
-/// A pause after failures and the silence of its machine are not passed on to the next one.
+/// A pause after failures and the state of an unresponsive machine must not carry over to the next
+/// process of the server.
 #[test]
-fn failures_and_silence_of_the_process_before_are_not_held_against_the_next() {
+fn failures_of_the_previous_process_do_not_affect_the_next() {
     run(async {
         let mut s1 = Server::start_frail("s1", Act::Reset).await;
         let world = World::new().await;
-        start_again(&world, &s1, 1, "").await;
+        publish_incarnation(&world, &s1, 1, "").await;
         let gateway = world.gateway("g1").await;
         gateway.wait_ready(1).await;
         for number in 0..4 {
@@ -347,12 +356,12 @@
             gateway.ask("POST", "/unsafe/1", &fields, "").await;
         }
         let pools = &gateway.daemon.pools;
-        let former = pools.view("s1~1", "z1", gateway.daemon.now_ms());
-        assert!(former.unsound && former.avoided);
+        let previous = pools.view("s1~1", "z1", gateway.daemon.now_ms());
+        assert!(previous.unsound && previous.avoided);
         s1.regain_power();
-        s1.set(plain());
-        start_again(&world, &s1, 2, "").await;
-        sleep(IN_FORCE).await;
+        s1.set(plain_answer());
+        publish_incarnation(&world, &s1, 2, "").await;
+        sleep(EFFECT_BOUND).await;
         let now_ms = gateway.daemon.now_ms();
         let next = pools.view("s1~2", "z1", now_ms);
         assert!(!next.unsound && !next.avoided && next.in_flight == 0);
@@ -361,18 +370,18 @@
     });
 }
 
-/// The process before was warm; the next one is cold from when it is learned, though its entry
-/// does not say so.
+/// A restarted server is cold from the moment the restart is known, even if its entry does not say so
+/// and the previous process was warm.
 #[test]
-fn the_next_process_is_cold_though_the_one_before_was_warm() {
+fn restarted_server_is_cold_although_the_previous_process_was_warm() {
     run(async {
-        let s1 = Server::start("s1", plain()).await;
+        let s1 = Server::start("s1", plain_answer()).await;
         let world = World::new().await;
         world.configs.borrow_mut()[0].services[0].cold = Some(Cold {
             rate_per_s: 100.0,
             lasts_ms: 2_000,
         });
-        let gateway = gateway_of(&world, &s1, 1).await;
+        let gateway = gateway_with_incarnation(&world, &s1, 1).await;
         let is_cold = || {
             let directory = gateway.daemon.directory.borrow();
             let id = directory.identity_of("s1").expect("a server");
@@ -380,21 +389,22 @@
             gateway.daemon.cold.cold(entry).is_some()
         };
         assert!(!is_cold());
-        start_again(&world, &s1, 2, "").await;
-        sleep(IN_FORCE).await;
+        publish_incarnation(&world, &s1, 2, "").await;
+        sleep(EFFECT_BOUND).await;
         assert!(is_cold());
     });
 }
 
-fn unreadable(gateway: &Gateway, kind: &str) -> u64 {
+fn unreadable_count(gateway: &Gateway, kind: &str) -> u64 {
     let counter = &gateway.daemon.metrics.unreadable;
     counter.with_label_values(&[kind]).get()
 }
 
-/// The log drops records that nobody has read yet, so that all that is there is listed anew.
-async fn list_anew(world: &World) {
+/// Makes the log drop records that were not read yet, which forces followers to list their topics
+/// again.
+async fn force_relisting(world: &World) {
     for topic in [SERVERS, CONFIG] {
-        let unread = Append {
+        let unread_append = Append {
             partition: Partition {
                 topic: topic.to_owned(),
                 number: 0,
@@ -405,21 +415,21 @@
             }],
             producer: None,
             expected_end: None,
-            timeout: IN_FORCE,
+            timeout: EFFECT_BOUND,
         };
-        let appended = world.log.core.borrow_mut().append(&unread);
+        let appended = world.log.core.borrow_mut().append(&unread_append);
         assert!(appended.is_ok());
     }
     world.log.core.borrow_mut().forget_history();
     world.put(SERVERS, "later", "").await;
     world.put(CONFIG, "later", "").await;
-    sleep(IN_FORCE).await;
+    sleep(EFFECT_BOUND).await;
 }
 
 #[test]
-fn a_record_that_cannot_be_read_is_said_and_counted_once_however_often_it_comes() {
+fn unreadable_record_is_logged_and_counted_once_however_often_it_is_delivered() {
     run(async {
-        let s1 = Server::start("s1", plain()).await;
+        let s1 = Server::start("s1", plain_answer()).await;
         let world = World::new().await;
         let gateway = world.ready(&[&s1]).await;
         let lines = Lines::start();
@@ -428,21 +438,21 @@
         world.put_bytes(SERVERS, b"\xff\xfe", b"service").await;
         world.put(CONFIG, "config", "nonsense").await;
         world.put_bytes(CONFIG, b"closed/\xff", b"{}").await;
-        sleep(IN_FORCE).await;
-        list_anew(&world).await;
-        list_anew(&world).await;
-        let said = [
+        sleep(EFFECT_BOUND).await;
+        force_relisting(&world).await;
+        force_relisting(&world).await;
+        let expected = [
             ("server_unreadable", "server", 2),
             ("config_unreadable", "configuration", 1),
             ("zone_unreadable", "evacuation", 1),
         ];
-        for (event, kind, count) in said {
+        for (event, kind, count) in expected {
             let lines = lines.of(event);
             assert_eq!(lines.len(), count, "{event}: {lines:?}");
-            assert_eq!(unreadable(&gateway, kind), count as u64, "{kind}");
+            assert_eq!(unreadable_count(&gateway, kind), count as u64, "{kind}");
             assert!(lines.iter().all(|line| line.len() < 1_000), "{event}");
         }
-        // The others hold: the server, the configuration, and that no zone is evacuated.
+        // Valid state is unaffected: the server, the configuration, and that no zone is evacuated.
         ask(&gateway, 4).await;
         let routes = gateway.daemon.routes.borrow();
         assert_eq!(routes.as_ref().map(|table| table.config.version), Some(1));
@@ -451,9 +461,9 @@
 }
 
 #[test]
-fn many_records_that_cannot_be_read_fill_no_log() {
+fn many_unreadable_records_produce_bounded_log_output() {
     run(async {
-        let s1 = Server::start("s1", plain()).await;
+        let s1 = Server::start("s1", plain_answer()).await;
         let world = World::new().await;
         let gateway = world.ready(&[&s1]).await;
         let lines = Lines::start();
@@ -461,22 +471,22 @@
             world.put(SERVERS, &format!("f{number}"), "\u{0}").await;
         }
         world.list(&s1).await;
-        sleep(IN_FORCE).await;
-        assert_eq!(unreadable(&gateway, "server"), 300);
-        let said = lines.of("server_unreadable");
-        assert!(said.len() <= 100, "{} lines", said.len());
-        assert!(said.iter().any(|line| line.contains("unnamed")));
+        sleep(EFFECT_BOUND).await;
+        assert_eq!(unreadable_count(&gateway, "server"), 300);
+        let logged = lines.of("server_unreadable");
+        assert!(logged.len() <= 100, "{} lines", logged.len());
+        assert!(logged.iter().any(|line| line.contains("unnamed")));
         ask(&gateway, 4).await;
     });
 }
 
-/// Keys and values of evacuations as any writer may leave them: those of no zone evacuate
-/// nothing, and the operator's word on the others goes on.
+/// Other programs may write evacuation records with any key and value. Records whose key names no
+/// zone must evacuate nothing, and must not disturb the operator's evacuations.
 #[test]
-fn evacuations_of_other_writers_leave_the_others_in_force() {
+fn unreadable_evacuation_records_do_not_affect_other_evacuations() {
     run(async {
-        let s1 = Server::start("s1", plain()).await;
-        let s2 = Server::start("s2", plain()).await;
+        let s1 = Server::start("s1", plain_answer()).await;
+        let s2 = Server::start("s2", plain_answer()).await;
         let world = World::new().await;
         world.list_in(&s1, "z1").await;
         world.list_in(&s2, "z2").await;
@@ -491,14 +501,14 @@
             world.put_bytes(CONFIG, &key, &value).await;
         }
         world.put(CONFIG, "closed/", "{}").await;
-        sleep(IN_FORCE).await;
+        sleep(EFFECT_BOUND).await;
         let places = &gateway.daemon.places;
         assert!(places.is_evacuated("z1") && !places.is_evacuated("z2"));
-        assert!(unreadable(&gateway, "evacuation") > 250);
+        assert!(unreadable_count(&gateway, "evacuation") > 250);
         let before = s1.count();
         ask(&gateway, 8).await;
         assert_eq!(s1.count(), before, "an evacuated zone is used");
         world.put(CONFIG, "closed/z1", "").await;
-        ask_until(&gateway, &s1).await;
+        ask_until_used(&gateway, &s1).await;
     });
 }
