--- a/crates/gateway/tests/gateway/homes.rs
+++ b/crates/gateway/tests/gateway/homes.rs
@@ -1,4 +1,5 @@
-//! Homes of data: gateways of several regions, and who gets what a program says.
+//! Home regions of data, with gateways in several regions: which of them store the contents of a
+//! program.
 
 use crate::support::{Act, Gateway, Lines, Server, World, config, config_of, run, tenant};
 use fieldhook_emulator::log::memory::LogFault;
@@ -12,18 +13,18 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Bytes that no record may reach: the input of one turn and its names fit in.
-const LARGEST_RECORD: usize = 210 << 10;
-/// Free partitions of the worlds.
+/// Record size in bytes that no record may reach. The input of one turn and its names are smaller.
+const RECORD_SIZE_LIMIT: usize = 210 << 10;
+/// Number of free partitions in most tests.
 const FREE: u32 = 2;
-/// Time for the partitions of two daemons of a region to find their owners.
-const SETTLED: Duration = Duration::from_millis(2_500);
+/// Time until all partitions have owners, with two daemons per region.
+const OWNERS_SETTLED: Duration = Duration::from_millis(2_500);
 
-fn events() -> Act {
+fn single_event() -> Act {
     Act::Events(vec!["one".to_owned()], None)
 }
 
-fn map() -> Map {
+fn zone_map() -> Map {
     Map::new([
         ("a1", "a"),
         ("a2", "a"),
@@ -33,7 +34,7 @@
     ])
 }
 
-/// The configuration of most tests, where conversations may stay in these regions.
+/// Returns the configuration of most tests, with these home regions for route `chat`.
 fn chat_in(version: u64, regions: &[&str]) -> TrafficConfig {
     let mut config = config(version);
     let chat = config.routes.iter_mut().find(|route| route.name == "chat");
@@ -43,29 +44,30 @@
 
 struct Fleet {
     world: World,
-    /// A server in each of the regions.
-    at_a: Server,
-    at_b: Server,
+    /// Server in region a.
+    server_a: Server,
+    /// Server in region b.
+    server_b: Server,
     gateways: Vec<(&'static str, Gateway)>,
 }
 
 impl Fleet {
-    async fn start(first: TrafficConfig, zones: &[&'static str]) -> Self {
-        let fleet = Self::start_now(first, zones, FREE).await;
-        sleep(SETTLED).await;
+    async fn start(initial: TrafficConfig, zones: &[&'static str]) -> Self {
+        let fleet = Self::start_unsettled(initial, zones, FREE).await;
+        sleep(OWNERS_SETTLED).await;
         fleet
     }
 
-    /// The same with so many free partitions, before these and others have owners.
-    async fn start_now(first: TrafficConfig, zones: &[&'static str], free: u32) -> Self {
+    /// The same with a given number of free partitions, and before all partitions have owners.
+    async fn start_unsettled(initial: TrafficConfig, zones: &[&'static str], free: u32) -> Self {
         let world = World::new().await;
         world.partitions.set(free);
-        *world.zones.borrow_mut() = map();
-        world.configs.borrow_mut()[0] = first;
-        let at_a = Server::start("sa", events()).await;
-        let at_b = Server::start("sb", events()).await;
-        world.list_in(&at_a, "a1").await;
-        world.list_in(&at_b, "b1").await;
+        *world.zones.borrow_mut() = zone_map();
+        world.configs.borrow_mut()[0] = initial;
+        let server_a = Server::start("sa", single_event()).await;
+        let server_b = Server::start("sb", single_event()).await;
+        world.list_in(&server_a, "a1").await;
+        world.list_in(&server_b, "b1").await;
         let mut gateways = Vec::new();
         for zone in zones {
             gateways.push((*zone, world.gateway_in(zone, zone).await));
@@ -75,8 +77,8 @@
         }
         Self {
             world,
-            at_a,
-            at_b,
+            server_a,
+            server_b,
             gateways,
         }
     }
@@ -86,16 +88,16 @@
         &found.expect("a gateway").1
     }
 
-    /// Zones whose gateways wrote or read records with this text.
-    fn keepers(&self, text: &str) -> Vec<&'static str> {
-        let keepers = self
+    /// Returns the zones whose gateways wrote or read records with this text.
+    fn zones_storing(&self, text: &str) -> Vec<&'static str> {
+        let storing = self
             .gateways
             .iter()
             .filter(|(_, gateway)| gateway.spy.has_seen(text));
-        keepers.map(|(zone, _)| *zone).collect()
+        storing.map(|(zone, _)| *zone).collect()
     }
 
-    /// Puts a configuration into force everywhere.
+    /// Publishes a configuration and waits until every gateway applies it.
     async fn publish(&self, config: TrafficConfig) {
         let version = config.version;
         self.world.configs.borrow_mut().push(config);
@@ -104,20 +106,24 @@
         let begun = Instant::now();
         for (_, gateway) in &self.gateways {
             while gateway.daemon.owner.config.version() != version {
-                assert!(begun.elapsed() < Duration::from_secs(4), "never in force");
+                assert!(
+                    begun.elapsed() < Duration::from_secs(4),
+                    "configuration not applied"
+                );
                 sleep(Duration::from_millis(10)).await;
             }
         }
     }
 
-    /// The gateway that owns the home partition of program `p` in region a.
-    fn keeper(&self) -> &'static str {
+    /// Returns the zone whose gateway owns the home partition of program `p` in region a.
+    fn home_owner(&self) -> &'static str {
         let homes = Set::of(["a"]);
         let ledger = &self.at("b1").daemon.ledger;
         let partition = ledger
             .home_partition("p", &homes)
             .expect("a home partition");
-        // By the claim that b1 knows: a former owner without the log still believes in its own.
+        // The claim that b1 knows decides: a former owner without the log does not know that it
+        // was replaced.
         let claim = ledger.owner.claims.claim(partition).expect("a claim");
         let owner = self
             .gateways
@@ -127,7 +133,7 @@
     }
 }
 
-/// Runs a turn of program `p`; its input is its name.
+/// Runs a turn of program `p`, whose input is the turn's name with `-said;` appended.
 async fn turn(gateway: &Gateway, turn: &str, previous: Option<&str>) -> (u16, bool) {
     let previous = previous.map_or(String::new(), |turn| format!("Previous: {turn}\r\n"));
     let fields = format!("Request: {turn}\r\nProgram: p\r\nBudget: 9000\r\nMost: 40\r\n{previous}");
@@ -143,8 +149,8 @@
     String::from_utf8_lossy(&last.body).into_owned()
 }
 
-/// The same, tried again as clients do while an owner is replaced.
-async fn turn_in_the_end(gateway: &Gateway, name: &str, previous: &str) {
+/// Like [`turn`], but repeated until it is served, as clients do while an owner is replaced.
+async fn turn_until_served(gateway: &Gateway, name: &str, previous: &str) {
     let begun = Instant::now();
     while turn(gateway, name, Some(previous)).await != (200, true) {
         assert!(begun.elapsed() < Duration::from_secs(10), "never served");
@@ -152,7 +158,7 @@
 }
 
 #[test]
-fn without_homes_nobody_claims_for_them() {
+fn home_partitions_are_unclaimed_without_home_regions() {
     run(async {
         let fleet = Fleet::start(config(1), &["a1", "b1"]).await;
         assert_eq!(turn(fleet.at("a1"), "t1", None).await, (200, true));
@@ -165,45 +171,43 @@
 }
 
 #[test]
-fn kept_chains_stay_in_their_homes_when_owners_are_lost() {
+fn stored_chains_stay_in_home_regions_when_owners_are_lost() {
     run(async {
         let fleet = Fleet::start(chat_in(1, &["a"]), &["a1", "a2", "b1", "b2"]).await;
-        // The client is in the other region all the time.
+        // The client always uses the other region.
         let b = fleet.at("b1");
         assert_eq!(turn(b, "t1", None).await, (200, true));
         assert_eq!(turn(fleet.at("b2"), "t2", Some("t1")).await, (200, true));
-        let first = fleet.keeper();
-        // Its owner loses the log: only a daemon of the region may take over.
+        let first = fleet.home_owner();
+        // The owner loses the log: only a daemon of its region may take over.
         fleet.at(first).store.set_fault(LogFault::Silent);
-        turn_in_the_end(b, "t3", "t2").await;
-        let second = fleet.keeper();
+        turn_until_served(b, "t3", "t2").await;
+        let second = fleet.home_owner();
         assert!(
             second != first && second.starts_with('a'),
             "{first} {second}"
         );
         assert_eq!(turn(b, "t4", Some("t3")).await, (200, true));
         assert_eq!(
-            last_body(&fleet.at_a),
+            last_body(&fleet.server_a),
             "t1-said;one\nt2-said;one\nt3-said;one\nt4-said;"
         );
         for text in ["t1-said", "t2-said", "t3-said", "t4-said"] {
-            let keepers = fleet.keepers(text);
-            assert!(!keepers.is_empty());
-            assert!(
-                keepers.iter().all(|zone| zone.starts_with('a')),
-                "{keepers:?}"
-            );
+            let zones = fleet.zones_storing(text);
+            assert!(!zones.is_empty());
+            assert!(zones.iter().all(|zone| zone.starts_with('a')), "{zones:?}");
         }
-        assert_eq!(fleet.at_b.count(), 0, "served outside its homes");
+        assert_eq!(fleet.server_b.count(), 0, "served outside the home regions");
     });
 }
 
-/// Has the log say that the home partition of program `p` belongs to a daemon that is gone.
-async fn lose_keeper(fleet: &Fleet) -> SocketAddr {
+/// Appends a claim by which the home partition of program `p` belongs to a daemon that does not
+/// exist.
+async fn claim_for_lost_daemon(fleet: &Fleet) -> SocketAddr {
     let gone = SocketAddr::from(([127, 0, 0, 1], 9));
     let gateway = fleet.at("b1");
-    let keeper = gateway.daemon.ledger.home_partition("p", &Set::of(["a"]));
-    let record = Ownership::claim_record(keeper.expect("a home partition"), gone, 77);
+    let partition = gateway.daemon.ledger.home_partition("p", &Set::of(["a"]));
+    let record = Ownership::claim_record(partition.expect("a home partition"), gone, 77);
     let append = Append {
         partition: Partition {
             topic: OWNERS_TOPIC.to_owned(),
@@ -219,69 +223,69 @@
 }
 
 #[test]
-fn an_only_owner_without_the_log_is_replaced_by_its_region() {
+fn sole_owner_without_the_log_is_replaced_within_its_region() {
     run(async {
         let mut fleet = Fleet::start(chat_in(1, &["a"]), &["a1", "b1"]).await;
         assert_eq!(turn(fleet.at("b1"), "t1", None).await, (200, true));
-        // It owns all home partitions: who else is there is not known from claims.
+        // Gateway a1 owns all home partitions, so the claims name no other daemon of the region.
         let late = fleet.world.gateway_in("a2", "a2").await;
         late.wait_ready(2).await;
         fleet.gateways.push(("a2", late));
         fleet.at("a1").store.set_fault(LogFault::Silent);
-        turn_in_the_end(fleet.at("b1"), "t2", "t1").await;
-        assert_eq!(fleet.keeper(), "a2");
-        assert!(!fleet.keepers("t2-said").contains(&"b1"));
+        turn_until_served(fleet.at("b1"), "t2", "t1").await;
+        assert_eq!(fleet.home_owner(), "a2");
+        assert!(!fleet.zones_storing("t2-said").contains(&"b1"));
     });
 }
 
 #[test]
-fn daemons_of_a_region_find_its_lost_owner_by_themselves() {
+fn lost_owner_is_replaced_without_client_requests_in_its_region() {
     run(async {
         let fleet = Fleet::start(chat_in(1, &["a"]), &["a1", "a2", "b1"]).await;
         let b = fleet.at("b1");
         assert_eq!(turn(b, "t1", None).await, (200, true));
-        lose_keeper(&fleet).await;
-        // No client asks at a gateway of the region.
-        sleep(SETTLED).await;
+        claim_for_lost_daemon(&fleet).await;
+        // No client sends requests to a gateway of the region.
+        sleep(OWNERS_SETTLED).await;
         assert_eq!(turn(b, "t2", Some("t1")).await, (200, true));
-        assert!(fleet.keeper().starts_with('a'));
-        assert_eq!(last_body(&fleet.at_a), "t1-said;one\nt2-said;");
-        assert!(!fleet.keepers("t1-said").contains(&"b1"));
+        assert!(fleet.home_owner().starts_with('a'));
+        assert_eq!(last_body(&fleet.server_a), "t1-said;one\nt2-said;");
+        assert!(!fleet.zones_storing("t1-said").contains(&"b1"));
     });
 }
 
 #[test]
-fn a_lost_owner_is_not_replaced_from_another_region() {
+fn lost_owner_is_not_replaced_from_another_region() {
     run(async {
         let fleet = Fleet::start(chat_in(1, &["a"]), &["b1", "b2"]).await;
-        let gone = lose_keeper(&fleet).await;
+        let gone = claim_for_lost_daemon(&fleet).await;
         sleep(Duration::from_millis(100)).await;
         for name in ["t1", "t2"] {
             assert_eq!(turn(fleet.at("b1"), name, None).await, (503, true));
         }
         let ledger = &fleet.at("b2").daemon.ledger;
-        let keeper = ledger
+        let partition = ledger
             .home_partition("p", &Set::of(["a"]))
             .expect("a partition");
-        let claim = ledger.owner.claims.claim(keeper).expect("a claim");
+        let claim = ledger.owner.claims.claim(partition).expect("a claim");
         assert_eq!(claim.address, Some(gone));
-        assert!(fleet.keepers("t1-said").is_empty());
-        assert_eq!([fleet.at_a.count(), fleet.at_b.count()], [0, 0]);
+        assert!(fleet.zones_storing("t1-said").is_empty());
+        assert_eq!([fleet.server_a.count(), fleet.server_b.count()], [0, 0]);
     });
 }
 
 #[test]
-fn an_attempt_is_judged_by_the_homes_of_its_moment() {
+fn attempts_follow_home_regions_changed_during_the_request() {
     run(async {
         let fleet = Fleet::start(config(1), &["a1", "b1"]).await;
-        fleet.at_a.set(Act::NotRun);
-        fleet.at_b.set(Act::NotRun);
-        let asking = async {
+        fleet.server_a.set(Act::NotRun);
+        fleet.server_b.set(Act::NotRun);
+        let request = async {
             let fields = "Request: t1\r\nProgram: p\r\n";
             fleet.at("b1").ask("POST", "/safe/1", fields, "x").await
         };
         let narrowing = async {
-            while fleet.at_b.count() == 0 {
+            while fleet.server_b.count() == 0 {
                 sleep(Duration::from_millis(1)).await;
             }
             let mut narrowed = config(2);
@@ -289,17 +293,24 @@
                 route.homes = Set::of(["a"]);
             }
             fleet.publish(narrowed).await;
-            (fleet.at_a.count(), fleet.at_b.count())
+            (fleet.server_a.count(), fleet.server_b.count())
         };
-        let (reply, (at_a, at_b)) = futures_util::future::join(asking, narrowing).await;
+        let (reply, (count_a, count_b)) = futures_util::future::join(request, narrowing).await;
         assert_eq!(reply.head.status, 503);
-        assert!(fleet.at_a.count() > at_a, "not tried again");
-        assert_eq!(fleet.at_b.count(), at_b, "sent out of its homes");
+        assert!(
+            fleet.server_a.count() > count_a,
+            "no further attempt in region a"
+        );
+        assert_eq!(
+            fleet.server_b.count(),
+            count_b,
+            "sent outside the home regions"
+        );
     });
 }
 
 #[test]
-fn what_a_turn_said_is_kept_in_the_homes_of_its_end() {
+fn contents_are_stored_in_the_home_regions_at_the_end_of_the_turn() {
     run(async {
         let fleet = Fleet::start(config(1), &["a1", "a2", "b1"]).await;
         let b = fleet.at("b1");
@@ -307,148 +318,151 @@
             Duration::from_millis(700),
             "id: 0\ndata: one\n\n".to_owned(),
         );
-        fleet.at_a.set(answer.clone());
-        fleet.at_b.set(answer);
+        fleet.server_a.set(answer.clone());
+        fleet.server_b.set(answer);
         let narrowing = async {
-            while fleet.at_a.count() + fleet.at_b.count() == 0 {
+            while fleet.server_a.count() + fleet.server_b.count() == 0 {
                 sleep(Duration::from_millis(1)).await;
             }
             fleet.publish(chat_in(2, &["a"])).await;
         };
         let (outcome, ()) = futures_util::future::join(turn(b, "t1", None), narrowing).await;
         assert_eq!(outcome, (200, true));
-        let keepers = fleet.keepers("t1-said");
-        assert!(!keepers.is_empty());
-        assert!(
-            keepers.iter().all(|zone| zone.starts_with('a')),
-            "{keepers:?}"
-        );
-        fleet.at_a.set(events());
+        let zones = fleet.zones_storing("t1-said");
+        assert!(!zones.is_empty());
+        assert!(zones.iter().all(|zone| zone.starts_with('a')), "{zones:?}");
+        fleet.server_a.set(single_event());
         assert_eq!(turn(b, "t2", Some("t1")).await, (200, true));
-        assert_eq!(last_body(&fleet.at_a), "t1-said;one\nt2-said;");
+        assert_eq!(last_body(&fleet.server_a), "t1-said;one\nt2-said;");
     });
 }
 
 #[test]
-fn a_chain_longer_than_a_record_is_moved_in_pieces() {
+fn chain_larger_than_a_record_is_moved_in_parts() {
     run(async {
         let fleet = Fleet::start(config(1), &["a1", "a2", "b1"]).await;
         let b = fleet.at("b1");
         let long = Act::Events(vec!["x".repeat(150_000)], None);
-        fleet.at_a.set(long.clone());
-        fleet.at_b.set(long);
+        fleet.server_a.set(long.clone());
+        fleet.server_b.set(long);
         assert_eq!(turn(b, "t1", None).await, (200, true));
         assert_eq!(turn(b, "t2", Some("t1")).await, (200, true));
         assert_eq!(turn(b, "t3", Some("t2")).await, (200, true));
         fleet.publish(chat_in(2, &["a"])).await;
-        sleep(SETTLED).await;
-        fleet.at_a.set(events());
+        sleep(OWNERS_SETTLED).await;
+        fleet.server_a.set(single_event());
         assert_eq!(turn(b, "t4", Some("t3")).await, (200, true));
         assert_eq!(turn(fleet.at("a2"), "t5", Some("t4")).await, (200, true));
         let said = "x".repeat(150_000);
-        let wanted =
+        let expected =
             format!("t1-said;{said}\nt2-said;{said}\nt3-said;{said}\nt4-said;one\nt5-said;");
-        assert!(last_body(&fleet.at_a) == wanted);
+        assert!(last_body(&fleet.server_a) == expected);
         let largest = fleet
             .gateways
             .iter()
             .map(|(_, gateway)| gateway.spy.largest());
-        assert!(largest.max() < Some(LARGEST_RECORD));
+        assert!(largest.max() < Some(RECORD_SIZE_LIMIT));
     });
 }
 
 #[test]
-fn the_line_of_a_refusal_names_the_rule_of_place() {
+fn log_line_of_a_refusal_names_the_placement_rule() {
     run(async {
         let lines = Lines::start();
-        let mut first = config(1);
-        for route in &mut first.routes {
+        let mut initial = config(1);
+        for route in &mut initial.routes {
             route.homes = Set::of(["c"]);
         }
-        let fleet = Fleet::start(first, &["a1", "b1"]).await;
+        let fleet = Fleet::start(initial, &["a1", "b1"]).await;
         let fields = "Request: r1\r\n";
         let reply = fleet.at("b1").ask("POST", "/safe/1", fields, "x").await;
         assert_eq!(reply.head.status, 503);
         assert!(reply.head.headers.has("come-back-ms"));
-        let told = lines.of("no_server_in_place");
-        assert_eq!(told.len(), 1);
-        assert!(told[0].contains("\"not_home\":2") && told[0].contains("region is not allowed"));
-        assert_eq!([fleet.at_a.count(), fleet.at_b.count()], [0, 0]);
+        let logged = lines.of("no_server_in_place");
+        assert_eq!(logged.len(), 1);
+        assert!(
+            logged[0].contains("\"not_home\":2") && logged[0].contains("region is not allowed")
+        );
+        assert_eq!([fleet.server_a.count(), fleet.server_b.count()], [0, 0]);
         assert!(lines.of("homes_unservable").is_empty());
     });
 }
 
 #[test]
-fn an_owner_that_leaves_hands_over_within_its_region() {
+fn stopping_owner_hands_over_within_its_region() {
     run(async {
         let fleet = Fleet::start(chat_in(1, &["a"]), &["a1", "a2", "b1"]).await;
         let b = fleet.at("b1");
         assert_eq!(turn(b, "t1", None).await, (200, true));
-        let leaving = fleet.at(fleet.keeper()).daemon.clone();
+        let leaving = fleet.at(fleet.home_owner()).daemon.clone();
         fieldhook_gateway::drain::run(leaving).await;
-        sleep(SETTLED).await;
+        sleep(OWNERS_SETTLED).await;
         assert_eq!(turn(b, "t2", Some("t1")).await, (200, true));
         assert!(
             fleet
-                .keepers("t2-said")
+                .zones_storing("t2-said")
                 .iter()
                 .all(|zone| zone.starts_with('a'))
         );
-        assert!(!fleet.keepers("t2-said").is_empty());
+        assert!(!fleet.zones_storing("t2-said").is_empty());
     });
 }
 
 #[test]
-fn narrowed_homes_move_a_living_chain_and_wider_ones_lose_none() {
+fn narrowed_home_regions_move_a_chain_and_widened_ones_lose_none() {
     run(async {
         let fleet = Fleet::start(config(1), &["a1", "a2", "b1"]).await;
         let b = fleet.at("b1");
         assert_eq!(turn(b, "t1", None).await, (200, true));
         fleet.publish(chat_in(2, &["a"])).await;
-        sleep(SETTLED).await;
-        let before = fleet.at_b.count();
+        sleep(OWNERS_SETTLED).await;
+        let before = fleet.server_b.count();
         assert_eq!(turn(b, "t2", Some("t1")).await, (200, true));
-        assert_eq!(last_body(&fleet.at_a), "t1-said;one\nt2-said;");
+        assert_eq!(last_body(&fleet.server_a), "t1-said;one\nt2-said;");
         assert_eq!(turn(fleet.at("a1"), "t3", Some("t2")).await, (200, true));
-        assert_eq!(last_body(&fleet.at_a), "t1-said;one\nt2-said;one\nt3-said;");
-        assert_eq!(fleet.at_b.count(), before, "served outside its homes");
+        assert_eq!(
+            last_body(&fleet.server_a),
+            "t1-said;one\nt2-said;one\nt3-said;"
+        );
+        assert_eq!(
+            fleet.server_b.count(),
+            before,
+            "served outside the home regions"
+        );
         for text in ["t2-said", "t3-said"] {
-            let keepers = fleet.keepers(text);
-            assert!(!keepers.is_empty());
-            assert!(
-                keepers.iter().all(|zone| zone.starts_with('a')),
-                "{keepers:?}"
-            );
+            let zones = fleet.zones_storing(text);
+            assert!(!zones.is_empty());
+            assert!(zones.iter().all(|zone| zone.starts_with('a')), "{zones:?}");
         }
-        // A turn may be tried again from where the chain was before.
+        // A turn may also continue from a turn stored before the move.
         assert_eq!(turn(b, "t4", Some("t1")).await, (200, true));
-        // Homes that are taken away lose nothing.
+        // Removing the home regions loses nothing.
         fleet.publish(config(3)).await;
         assert_eq!(turn(b, "t5", Some("t3")).await, (200, true));
-        let bodies = [last_body(&fleet.at_a), last_body(&fleet.at_b)];
+        let bodies = [last_body(&fleet.server_a), last_body(&fleet.server_b)];
         let whole = "t1-said;one\nt2-said;one\nt3-said;one\nt5-said;";
         assert!(bodies.iter().any(|body| body == whole), "{bodies:?}");
     });
 }
 
 #[test]
-fn a_budget_stays_where_it_is_when_homes_change() {
+fn budget_is_preserved_when_home_regions_change() {
     run(async {
         let fleet = Fleet::start(config(1), &["a1", "b1"]).await;
         let b = fleet.at("b1");
         let spend = async |name: &str| {
             let fields = format!("Request: {name}\r\nProgram: p\r\nBudget: 60\r\nMost: 20\r\n");
             let reply = b.ask("POST", "/chat/1", &fields, "x").await;
-            // The end of a turn is told beside its answer.
+            // The turn is closed in the background, after its answer.
             sleep(Duration::from_millis(100)).await;
             reply.head.status
         };
-        // Each reserves twenty tokens and uses ten: the sixth finds fifty used.
+        // Each turn reserves 20 tokens and uses 10: the sixth finds 50 of 60 used.
         for name in ["t1", "t2", "t3"] {
             assert_eq!(spend(name).await, 200);
         }
         fleet.publish(chat_in(2, &["a"])).await;
-        sleep(SETTLED).await;
+        sleep(OWNERS_SETTLED).await;
         for name in ["t4", "t5"] {
             assert_eq!(spend(name).await, 200);
         }
@@ -457,11 +471,11 @@
 }
 
 #[test]
-fn without_a_daemon_in_its_homes_a_request_is_refused_at_once_and_never_run() {
+fn request_without_a_daemon_in_its_home_regions_is_refused_at_once_and_not_run() {
     run(async {
         let fleet = Fleet::start(chat_in(1, &["c"]), &["a1", "b1"]).await;
-        let at_c = Server::start("sc", events()).await;
-        fleet.world.list_in(&at_c, "c1").await;
+        let server_c = Server::start("sc", single_event()).await;
+        fleet.world.list_in(&server_c, "c1").await;
         fleet.at("b1").wait_ready(3).await;
         let begun = Instant::now();
         let fields = "Request: t1\r\nProgram: p\r\n";
@@ -476,14 +490,14 @@
             "{:?}",
             begun.elapsed()
         );
-        assert!(fleet.keepers("t1-said").is_empty());
-        let sent = [&fleet.at_a, &fleet.at_b, &at_c].map(Server::count);
+        assert!(fleet.zones_storing("t1-said").is_empty());
+        let sent = [&fleet.server_a, &fleet.server_b, &server_c].map(Server::count);
         assert_eq!(sent, [0, 0, 0]);
     });
 }
 
 #[test]
-fn homes_lost_with_their_daemons_give_503_and_no_leak() {
+fn turns_get_503_and_contents_stay_in_home_regions_when_their_daemons_are_lost() {
     run(async {
         let fleet = Fleet::start(chat_in(1, &["a"]), &["a1", "b1", "b2"]).await;
         let b = fleet.at("b1");
@@ -492,83 +506,88 @@
         for name in ["t2", "t3"] {
             assert_eq!(turn(b, name, Some("t1")).await, (503, true));
         }
-        assert_eq!(fleet.keepers("t1-said"), ["a1"]);
-        assert_eq!(fleet.at_a.count(), 1);
-        assert_eq!(fleet.at_b.count(), 0);
+        assert_eq!(fleet.zones_storing("t1-said"), ["a1"]);
+        assert_eq!(fleet.server_a.count(), 1);
+        assert_eq!(fleet.server_b.count(), 0);
     });
 }
 
 #[test]
-fn turns_right_after_a_start_are_served_in_their_homes() {
+fn turns_right_after_startup_are_served_in_their_home_regions() {
     run(async {
-        // Its only daemon claims all by itself, one after the other within several seconds.
-        let fleet = Fleet::start_now(chat_in(1, &["a"]), &["a1", "b1"], 4).await;
+        // The only daemon of region a claims all home partitions, one after another, which takes
+        // several seconds.
+        let fleet = Fleet::start_unsettled(chat_in(1, &["a"]), &["a1", "b1"], 4).await;
         let b = fleet.at("b1");
         let ledger = &b.daemon.ledger;
         let homes = Set::of(["a"]);
         let names: Vec<String> = (0..12).map(|number| format!("p{number}")).collect();
-        let mut keepers: Vec<_> = names
+        let mut partitions: Vec<_> = names
             .iter()
             .map(|p| ledger.home_partition(p, &homes))
             .collect();
-        keepers.sort();
-        keepers.dedup();
-        assert_eq!(keepers.len(), 4, "{keepers:?}");
-        let asked = names.iter().map(async |program| {
+        partitions.sort();
+        partitions.dedup();
+        assert_eq!(partitions.len(), 4, "{partitions:?}");
+        let requests = names.iter().map(async |program| {
             let fields = format!("Request: t-{program}\r\nProgram: {program}\r\n");
             b.ask("POST", "/chat/1", &fields, "said;").await.head.status
         });
-        let answers = futures_util::future::join_all(asked).await;
+        let answers = futures_util::future::join_all(requests).await;
         assert!(answers.iter().all(|status| *status == 200), "{answers:?}");
-        assert_eq!([fleet.at_a.count(), fleet.at_b.count()], [12, 0]);
-        assert!(!fleet.keepers("said;").contains(&"b1"));
+        assert_eq!([fleet.server_a.count(), fleet.server_b.count()], [12, 0]);
+        assert!(!fleet.zones_storing("said;").contains(&"b1"));
     });
 }
 
 #[test]
-fn an_owner_that_reads_its_home_partition_slowly_is_awaited() {
+fn owner_that_loads_its_home_partition_slowly_is_waited_for() {
     run(async {
         let fleet = Fleet::start(config(1), &["a1", "b1"]).await;
-        // Nobody has claimed for region a: its daemon begins to once it is named as a home.
+        // No home partition of region a is claimed: its daemon starts to claim them once the
+        // configuration names the region as a home.
         let slow = LogFault::Slow(Duration::from_millis(250));
         fleet.at("a1").store.set_fault(slow);
         fleet.publish(chat_in(2, &["a"])).await;
         let begun = Instant::now();
         assert_eq!(turn(fleet.at("b1"), "t1", None).await, (200, true));
         let took = begun.elapsed();
-        assert!(took > Duration::from_millis(600), "not slow: {took:?}");
-        assert!(!fleet.keepers("t1-said").contains(&"b1"));
+        assert!(
+            took > Duration::from_millis(600),
+            "loading was not slow: {took:?}"
+        );
+        assert!(!fleet.zones_storing("t1-said").contains(&"b1"));
     });
 }
 
 #[test]
-fn homes_with_nothing_in_common_refuse_truthfully() {
+fn disjoint_home_regions_are_refused_and_logged() {
     run(async {
         let lines = Lines::start();
         let mut red = tenant("red", "k1");
         red.homes = Set::of(["b"]);
         let mut blue = tenant("blue", "k2");
         blue.homes = Set::of(["a", "b"]);
-        let mut first = config_of(1, vec![red, blue]);
-        for route in &mut first.routes {
+        let mut initial = config_of(1, vec![red, blue]);
+        for route in &mut initial.routes {
             route.homes = Set::of(["a"]);
         }
-        let fleet = Fleet::start(first, &["a1", "b1"]).await;
+        let fleet = Fleet::start(initial, &["a1", "b1"]).await;
         for path in ["/safe/1", "/unsafe/1", "/chat/1"] {
             let fields = "Request: r1\r\nProgram: p\r\nKey: k1\r\n";
             let reply = fleet.at("b1").ask("POST", path, fields, "x").await;
             assert_eq!(reply.head.status, 503, "{path}");
             assert!(reply.head.headers.has("come-back-ms"));
         }
-        assert_eq!(fleet.at_a.count() + fleet.at_b.count(), 0);
-        let told = lines.of("homes_unservable");
+        assert_eq!(fleet.server_a.count() + fleet.server_b.count(), 0);
+        let logged = lines.of("homes_unservable");
         let names_both = |line: &String| line.contains("\"chat\"") && line.contains("\"red\"");
-        assert!(told.iter().any(names_both), "{told:?}");
+        assert!(logged.iter().any(names_both), "{logged:?}");
         let refused = lines.of("refused_for_home");
         assert_eq!(refused.len(), 3, "{refused:?}");
         let fields = "Request: r2\r\nProgram: p\r\nKey: k2\r\n";
         let reply = fleet.at("b1").ask("POST", "/chat/1", fields, "x").await;
         assert_eq!(reply.head.status, 200);
-        assert_eq!([fleet.at_a.count(), fleet.at_b.count()], [1, 0]);
+        assert_eq!([fleet.server_a.count(), fleet.server_b.count()], [1, 0]);
     });
 }
