--- a/crates/gateway/tests/gateway/reserved_at_home.rs
+++ b/crates/gateway/tests/gateway/budget_after_owner_loss.rs
@@ -1,12 +1,12 @@
-//! What a successor counts of a turn whose client has its whole answer.
+//! Budget that the next owner counts for a completed turn after all daemons are lost.
 //!
-//! Story: a program's turns are kept in its homes, apart from the partition that orders and counts
-//! them. Its first turn is recorded there as under way, with its most. It ends whole: the client
-//! has the end of its answer, what it said is durable, and the gateway tells the other partition
-//! its end beside that. All daemons are lost a moment later. Whoever comes next reads a turn under
-//! way that nobody will end, and the program, which has used a sixth of its budget, is told at each
-//! turn that goes on from the kept one that its budget is spent. Where homes bind nothing the end
-//! of the answer waits for a record that tells both.
+//! If a program's contents are stored in a home partition, another partition orders its turns and
+//! counts its budget. That partition recorded the turn as open, with its token maximum reserved.
+//! When the turn completes, its contents become durable in the home partition before the client gets
+//! the end of the answer, while the budget partition is informed separately. If all daemons are lost
+//! right then, the next owner must not find a turn that stays open forever: the program, having used
+//! a sixth of its budget, would be refused every further turn. Without home regions one record
+//! covers both, and the end of the answer waits for it.
 
 use crate::support::{Act, Server, World, config, run};
 use fieldhook_gateway::ledger::owner::LEDGER_TOPIC;
@@ -14,19 +14,20 @@
 use fieldhook_ledger::partition::{OpenOutcome, Partition};
 use fieldhook_ledger::partition_of;
 use fieldhook_ledger::record::Record;
-use fieldhook_log::api::Partition as Place;
+use fieldhook_log::api::Partition as LogPartition;
 use fieldhook_topology::region::Set;
 use fieldhook_topology::zone::Map;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::sleep;
 
+/// Number of free partitions.
 const FREE: u32 = 2;
-/// Holds one turn and no second one beside it.
+/// Covers one reserved turn, but not two.
 const BUDGET: u64 = 60;
-const MOST: u64 = 40;
-/// Time for the partitions to find their owners.
-const SETTLED: Duration = Duration::from_millis(2_500);
-/// Longer than any doubt.
+const MAX_TOKENS: u64 = 40;
+/// Time until all partitions have owners.
+const OWNERS_SETTLED: Duration = Duration::from_millis(2_500);
+/// Longer than programs are in doubt after an owner was lost.
 const DOUBT_MS: u64 = 60_000;
 
 fn now_ms() -> u64 {
@@ -34,13 +35,13 @@
     since.expect("after 1970").as_millis() as u64
 }
 
-/// The owner that begins from what the log holds now of the partition that orders a program.
-fn successor(world: &World, program: &str) -> Partition {
-    let place = Place {
+/// Builds the state that a new owner loads from the log for the partition that orders a program.
+fn new_owner_state(world: &World, program: &str) -> Partition {
+    let log_partition = LogPartition {
         topic: LEDGER_TOPIC.to_owned(),
         number: partition_of(program, FREE),
     };
-    let page = world.log.core.borrow_mut().newest(&place, None);
+    let page = world.log.core.borrow_mut().newest(&log_partition, None);
     let mut owner = Partition::taken_over(now_ms(), DOUBT_MS);
     for (_, record) in &page.records {
         owner.load(Record::read(&record.key, &record.value).expect("a record"));
@@ -61,22 +62,23 @@
         keeps_context: false,
         brings_chain: false,
         budget: Some(BUDGET),
-        most_tokens: MOST,
+        most_tokens: MAX_TOKENS,
         placement: None,
         keeper: None,
     }
 }
 
-/// Runs a turn of ten tokens and loses all daemons at the end of its answer.
-async fn next_turn_after_a_loss(homes: Set) -> OpenOutcome {
+/// Runs a turn of ten tokens, and opens the next turn at a new owner that knows only what the log
+/// holds when the client has the complete answer.
+async fn open_next_turn_after_loss(homes: Set) -> OpenOutcome {
     let world = World::new().await;
     world.partitions.set(FREE);
     *world.zones.borrow_mut() = Map::new([("a1", "a"), ("b1", "b")]);
-    let mut first = config(1);
-    for route in &mut first.routes {
+    let mut initial = config(1);
+    for route in &mut initial.routes {
         route.homes = homes.clone();
     }
-    world.configs.borrow_mut()[0] = first;
+    world.configs.borrow_mut()[0] = initial;
     let server = Server::start("sa", Act::Events(vec!["one".to_owned()], None)).await;
     world.list_in(&server, "a1").await;
     let a = world.gateway_in("a1", "a1").await;
@@ -84,11 +86,11 @@
     for gateway in [&a, &b] {
         gateway.wait_ready(1).await;
     }
-    sleep(SETTLED).await;
-    let fields = format!("Request: t1\r\nProgram: p\r\nBudget: {BUDGET}\r\nMost: {MOST}\r\n");
+    sleep(OWNERS_SETTLED).await;
+    let fields = format!("Request: t1\r\nProgram: p\r\nBudget: {BUDGET}\r\nMost: {MAX_TOKENS}\r\n");
     let reply = b.ask("POST", "/chat/1", &fields, "said;").await;
     assert!(reply.whole && reply.head.status == 200);
-    successor(&world, "p").open(&next_turn("p"), now_ms())
+    new_owner_state(&world, "p").open(&next_turn("p"), now_ms())
 }
 
 fn is_opened(outcome: &OpenOutcome) -> bool {
@@ -96,17 +98,17 @@
 }
 
 #[test]
-fn a_whole_turn_is_counted_by_its_tokens_after_a_loss() {
+fn completed_turn_counts_its_used_tokens_after_owner_loss() {
     run(async {
-        let next = next_turn_after_a_loss(Set::All).await;
+        let next = open_next_turn_after_loss(Set::All).await;
         assert!(is_opened(&next), "{next:?}");
     });
 }
 
 #[test]
-fn a_whole_turn_that_is_kept_in_its_homes_is_counted_by_its_tokens_after_a_loss() {
+fn completed_turn_stored_in_home_regions_counts_its_used_tokens_after_owner_loss() {
     run(async {
-        let next = next_turn_after_a_loss(Set::of(["a"])).await;
+        let next = open_next_turn_after_loss(Set::of(["a"])).await;
         assert!(is_opened(&next), "{next:?}");
     });
 }
--- a/crates/gateway/tests/gateway/main.rs
+++ b/crates/gateway/tests/gateway/main.rs
@@ -2,6 +2,7 @@
 //! servers on loopback.
 
 mod abandoned;
+mod budget_after_owner_loss;
 mod cancellation;
 mod cold;
 mod evacuation;
@@ -17,7 +18,6 @@
 mod readers;
 mod reading;
 mod relay;
-mod reserved_at_home;
 mod room;
 mod slow_peers;
 mod store;
