--- a/crates/gateway/src/ledger/client.rs
+++ b/crates/gateway/src/ledger/client.rs
@@ -110,7 +110,7 @@
     pub(super) claiming: RefCell<HashSet<u32>>,
     /// Held while a partition is claimed, so that one at a time is.
     pub(super) claim_lock: Mutex<()>,
-    /// Partitions with a background search for an owner that confirms cold permits.
+    /// Partitions whose owner is searched for in the background, for requests to cold servers.
     pub(super) owner_searches: RefCell<HashSet<u32>>,
     /// Whether an owner did not answer since [`super::reach`] last checked.
     pub(super) owner_timed_out: Cell<bool>,
--- a/crates/gateway/src/ledger/exchange.rs
+++ b/crates/gateway/src/ledger/exchange.rs
@@ -16,8 +16,8 @@
 pub(super) enum Exchange {
     /// The owner replied; more replies may follow.
     Answered(LedgerReply, mpsc::UnboundedReceiver<LedgerReply>),
-    /// There is no owner, it is gone, or it does not hold the partition; the epoch is that of its
-    /// claim.
+    /// There is no owner, it is gone, or it does not hold the partition; or it is this daemon,
+    /// which is cut off from the log. The epoch is that of the owner's claim.
     OwnerGone(Option<u64>),
     /// The owner does not answer; the epoch is that of its claim.
     OwnerSilent(u64),
--- a/crates/gateway/src/ledger/owner.rs
+++ b/crates/gateway/src/ledger/owner.rs
@@ -114,7 +114,8 @@
         owner
     }
 
-    /// Returns the delay before a claim, which lets less busy daemons claim first.
+    /// Returns the delay before a claim. It lets daemons claim first that have more capacity or are
+    /// loading fewer partitions.
     pub fn claim_delay(&self) -> Duration {
         let held = self.held.borrow();
         let loading = held
--- a/crates/gateway/src/ledger/quota.rs
+++ b/crates/gateway/src/ledger/quota.rs
@@ -58,7 +58,8 @@
         }
     }
 
-    fn with<T>(&self, tenant: &str, act: impl FnOnce(&mut Share, u64) -> T) -> T {
+    /// Calls `act` with the share of a tenant and the current time.
+    fn with_share<T>(&self, tenant: &str, act: impl FnOnce(&mut Share, u64) -> T) -> T {
         let now_ms = self.started.elapsed().as_millis() as u64;
         let mut shares = self.by_tenant.borrow_mut();
         if let Some(share) = shares.get_mut(tenant) {
@@ -77,7 +78,7 @@
     }
 
     fn take_from_share(&self, tenant: &str) -> bool {
-        self.with(tenant, |share, now_ms| {
+        self.with_share(tenant, |share, now_ms| {
             share.take_unasked(self.window_ms, now_ms)
         })
     }
@@ -100,7 +101,7 @@
                 self.skip_owner_until.borrow_mut().remove(&partition);
                 let window_s = self.window_ms as f64 / 1_000.0;
                 let limit = question.rate_per_s * window_s + question.burst;
-                self.with(tenant, |share, now_ms| {
+                self.with_share(tenant, |share, now_ms| {
                     share.learn_limit(limit);
                     share.granted(used, self.window_ms, now_ms);
                 });
--- a/crates/gateway/src/ledger/region.rs
+++ b/crates/gateway/src/ledger/region.rs
@@ -21,11 +21,10 @@
 const CLAIM_REQUEST_PERIOD: Duration = Duration::from_millis(300);
 /// Time that a daemon has to claim the partition.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(400);
-/// Number of daemons that are requested to claim if owners of other partitions of the region are
-/// known.
+/// Number of daemons that are asked to claim if owners of other partitions of the region are known.
 const KNOWN_OWNERS_ASKED: usize = 3;
-/// Number of daemons that are requested to claim if no daemon is known to be in the region. With
-/// three regions, two such rounds in a row hardly ever miss the right one.
+/// Number of daemons that are asked to claim if no daemon is known to be in the region. With three
+/// regions, two such rounds in a row hardly ever miss the right one.
 const UNKNOWN_DAEMONS_ASKED: usize = 8;
 
 /// Activity in the regions of home partitions, by partition.
@@ -33,7 +32,7 @@
 pub(super) struct RegionActivity {
     /// When a daemon that owns the partition, or may own it, last answered.
     answered: HashMap<u32, Instant>,
-    /// When daemons were last requested to claim the partition.
+    /// When daemons were last asked to claim the partition.
     claim_requested: HashMap<u32, Instant>,
 }
 
@@ -59,7 +58,7 @@
         if self.owner.places.layout.region(partition).is_none() {
             return pending().await;
         }
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
             let answered = self
                 .region_activity
@@ -67,7 +66,7 @@
                 .answered
                 .get(&partition)
                 .copied();
-            let until = answered.map_or(begun, |answered| answered.max(begun)) + SILENCE_LIMIT;
+            let until = answered.map_or(started, |answered| answered.max(started)) + SILENCE_LIMIT;
             if Instant::now() >= until {
                 return;
             }
@@ -75,9 +74,9 @@
         }
     }
 
-    /// Requests daemons of the region to claim a home partition that has no owner. On their own
-    /// they claim one partition after another, which may take seconds. Returns whether there is a
-    /// new claim.
+    /// Asks daemons of the region to claim a home partition that has no owner. On their own they
+    /// claim one partition after another, which may take seconds. Returns whether there is a new
+    /// claim.
     pub(super) async fn request_claim_of_unowned(&self, partition: u32) -> bool {
         let claims = &self.owner.claims;
         let claim = claims.claim(partition);
--- a/crates/gateway/src/ledger/replace.rs
+++ b/crates/gateway/src/ledger/replace.rs
@@ -156,8 +156,7 @@
         .collect()
     }
 
-    /// Requests daemons that reach the log to claim a partition. Returns whether there is a newer
-    /// owner.
+    /// Asks daemons that reach the log to claim a partition. Returns whether there is a newer owner.
     async fn request_claim(&self, partition: u32, epoch: u64) -> bool {
         if self.owner.places.layout.region(partition).is_some() {
             return self.request_claim_in_region(partition, epoch).await;
@@ -173,8 +172,8 @@
         found_newer
     }
 
-    /// Requests other owners in the partition's region, one after another, to claim it. Returns
-    /// whether there is a newer owner.
+    /// Asks other owners in the partition's region, one after another, to claim it. Returns whether
+    /// there is a newer owner.
     async fn request_claim_in_region(&self, partition: u32, epoch: u64) -> bool {
         let claim = self.owner.claims.claim(partition);
         let suspected = claim.and_then(|claim| claim.address);
@@ -195,7 +194,7 @@
     /// Waits for an ownership change of a partition that only daemons of another region may own;
     /// returns false at once if this daemon may own it. The daemons of that region watch their
     /// owners themselves: a daemon that is cut off from the region would otherwise replace owners
-    /// that work well there. If the partition has no owner, they are requested to claim it.
+    /// that work well there. If the partition has no owner, they are asked to claim it.
     async fn defer_to_region(&self, partition: u32, epoch: Option<u64>) -> bool {
         if self.owner.claims.is_eligible(partition) {
             return false;
--- a/crates/gateway/tests/gateway/homes.rs
+++ b/crates/gateway/tests/gateway/homes.rs
@@ -103,11 +103,11 @@
         self.world.configs.borrow_mut().push(config);
         let index = self.world.configs.borrow().len() - 1;
         self.world.publish(index).await;
-        let begun = Instant::now();
+        let started = Instant::now();
         for (_, gateway) in &self.gateways {
             while gateway.daemon.owner.config.version() != version {
                 assert!(
-                    begun.elapsed() < Duration::from_secs(4),
+                    started.elapsed() < Duration::from_secs(4),
                     "configuration not applied"
                 );
                 sleep(Duration::from_millis(10)).await;
@@ -151,9 +151,9 @@
 
 /// Like [`turn`], but repeated until it is served, as clients do while an owner is replaced.
 async fn turn_until_served(gateway: &Gateway, name: &str, previous: &str) {
-    let begun = Instant::now();
+    let started = Instant::now();
     while turn(gateway, name, Some(previous)).await != (200, true) {
-        assert!(begun.elapsed() < Duration::from_secs(10), "never served");
+        assert!(started.elapsed() < Duration::from_secs(10), "never served");
     }
 }
 
@@ -477,7 +477,7 @@
         let server_c = Server::start("sc", single_event()).await;
         fleet.world.list_in(&server_c, "c1").await;
         fleet.at("b1").wait_ready(3).await;
-        let begun = Instant::now();
+        let started = Instant::now();
         let fields = "Request: t1\r\nProgram: p\r\n";
         let reply = fleet
             .at("b1")
@@ -486,9 +486,9 @@
         assert_eq!(reply.head.status, 503);
         assert!(reply.head.headers.has("come-back-ms"));
         assert!(
-            begun.elapsed() < Duration::from_secs(1),
+            started.elapsed() < Duration::from_secs(1),
             "{:?}",
-            begun.elapsed()
+            started.elapsed()
         );
         assert!(fleet.zones_storing("t1-said").is_empty());
         let sent = [&fleet.server_a, &fleet.server_b, &server_c].map(Server::count);
@@ -549,9 +549,9 @@
         let slow = LogFault::Slow(Duration::from_millis(250));
         fleet.at("a1").store.set_fault(slow);
         fleet.publish(chat_in(2, &["a"])).await;
-        let begun = Instant::now();
+        let started = Instant::now();
         assert_eq!(turn(fleet.at("b1"), "t1", None).await, (200, true));
-        let took = begun.elapsed();
+        let took = started.elapsed();
         assert!(
             took > Duration::from_millis(600),
             "loading was not slow: {took:?}"
--- a/crates/gateway/tests/gateway/incarnations.rs
+++ b/crates/gateway/tests/gateway/incarnations.rs
@@ -278,8 +278,8 @@
             publish_incarnation(&world, &s1, 4, "").await;
             (first, second, publish_incarnation(&world, &s1, 5, "").await)
         };
-        let asking = ask_continuously(&gateway, "r", EFFECT_BOUND * 2 + CONTINUE_FOR);
-        let ((first, second, third), ()) = join(restarts, asking).await;
+        let requests = ask_continuously(&gateway, "r", EFFECT_BOUND * 2 + CONTINUE_FOR);
+        let ((first, second, third), ()) = join(restarts, requests).await;
         for since in [first, second, third] {
             assert_stale_use_within(&s1, since, EFFECT_BOUND);
         }
--- a/crates/gateway/tests/gateway/ownership.rs
+++ b/crates/gateway/tests/gateway/ownership.rs
@@ -65,9 +65,9 @@
         let (owner, other) = two_gateways(&world, &server).await;
         owner.store.set_fault(LogFault::Silent);
         // The other gateway reaches the log: it waits for the owner, then takes over.
-        let begun = Instant::now();
+        let started = Instant::now();
         assert_eq!(turn(&other, "t2", Some("t1")).await, (200, true));
-        assert!(begun.elapsed() < Duration::from_secs(2));
+        assert!(started.elapsed() < Duration::from_secs(2));
         owner.store.set_fault(LogFault::None);
         sleep(Duration::from_millis(300)).await;
         assert_eq!(turn(&owner, "t3", Some("t2")).await, (200, true));
@@ -82,9 +82,9 @@
         let world = World::new().await;
         let (owner, other) = two_gateways(&world, &server).await;
         fieldhook_gateway::drain::run(owner.daemon.clone()).await;
-        let begun = Instant::now();
+        let started = Instant::now();
         assert_eq!(turn(&other, "t2", Some("t1")).await, (200, true));
-        assert!(begun.elapsed() < Duration::from_millis(500));
+        assert!(started.elapsed() < Duration::from_millis(500));
     });
 }
 
@@ -119,23 +119,27 @@
         sleep(Duration::from_millis(100)).await;
         cut.store.set_fault(LogFault::Silent);
         cut.daemon.contact.failed();
-        // The owner releases the partition in a planned stop, and the other gateway claims it.
+        // The claim changes twice: the owner releases the partition in a planned stop, and the
+        // other gateway claims it.
         fieldhook_gateway::drain::run(owner.daemon.clone()).await;
         assert_eq!(turn(&other, "t2", Some("t1")).await, (200, true));
-        let begun = Instant::now();
+        let started = Instant::now();
         assert_eq!(turn(&cut, "t3", Some("t2")).await, (200, true));
         assert!(
-            begun.elapsed() < Duration::from_millis(800),
+            started.elapsed() < Duration::from_millis(800),
             "{:?}",
-            begun.elapsed()
+            started.elapsed()
         );
     });
 }
 
 async fn wait_for_reach(gateway: &Gateway, reach: Reach) {
-    let begun = Instant::now();
+    let started = Instant::now();
     while gateway.daemon.ledger.reach.get() != reach {
-        assert!(begun.elapsed() < Duration::from_secs(4), "never {reach:?}");
+        assert!(
+            started.elapsed() < Duration::from_secs(4),
+            "never {reach:?}"
+        );
         sleep(Duration::from_millis(10)).await;
     }
 }
@@ -166,9 +170,9 @@
         wait_for_reach(&owner, Reach::CutOff).await;
         assert!(!owner.daemon.is_ready(), "a cut-off gateway is ready");
         // No client uses the other gateway: the cut-off one requests the claim.
-        let begun = Instant::now();
+        let started = Instant::now();
         assert_eq!(turn(&owner, "t2", Some("t1")).await, (200, true));
-        assert!(begun.elapsed() < Duration::from_millis(600));
+        assert!(started.elapsed() < Duration::from_millis(600));
     });
 }
 
@@ -229,12 +233,12 @@
         wait_for_reach(&other, Reach::Outage).await;
         // The peers in this test do answer, so the state is set directly.
         other.daemon.ledger.reach.set(Reach::Isolated);
-        let begun = Instant::now();
+        let started = Instant::now();
         let fields = "Request: t2\r\nProgram: p\r\n";
         let reply = other.ask("POST", "/chat/1", fields, "x").await;
         assert_eq!(reply.head.status, 503);
         assert!(reply.head.headers.has("come-back-ms"));
-        assert!(begun.elapsed() < Duration::from_millis(100));
+        assert!(started.elapsed() < Duration::from_millis(100));
         assert!(!other.daemon.is_ready());
     });
 }
@@ -306,12 +310,12 @@
         let names = (0..20).map(|name| format!("new{name}"));
         let programs = names.filter(|name| fieldhook_ledger::partition_of(name, 2) == number);
         for program in programs.take(2) {
-            let begun = Instant::now();
+            let started = Instant::now();
             let fields =
                 format!("Request: {program}t\r\nProgram: {program}\r\nBudget: 90\r\nMost: 40\r\n");
             let reply = other.ask("POST", "/resume/1", &fields, "A").await;
             assert!(reply.whole, "{program}");
-            assert!(begun.elapsed() < Duration::from_millis(300));
+            assert!(started.elapsed() < Duration::from_millis(300));
         }
     });
 }
@@ -339,13 +343,13 @@
         sleep(Duration::from_millis(100)).await;
         other.store.set_fault(LogFault::Silent);
         for number in 0..3 {
-            let begun = Instant::now();
+            let started = Instant::now();
             let program = program_in_partition_of_p(number);
             let fields =
                 format!("Request: {program}t\r\nProgram: {program}\r\nBudget: 180\r\nMost: 40\r\n");
             let reply = other.ask("POST", "/resume/1", &fields, "A").await;
             assert!(reply.whole && reply.head.status == 200, "{program}");
-            assert!(begun.elapsed() < Duration::from_millis(300), "{program}");
+            assert!(started.elapsed() < Duration::from_millis(300), "{program}");
         }
     });
 }
@@ -363,8 +367,8 @@
         sleep(Duration::from_millis(600)).await;
         gateway.store.set_fault(LogFault::Silent);
         let fields = "Request: g\r\nProgram: g\r\nBudget: 180\r\nMost: 170\r\n";
-        let begun = Instant::now();
+        let started = Instant::now();
         assert!(gateway.ask("POST", "/resume/1", fields, "A").await.whole);
-        assert!(begun.elapsed() < Duration::from_millis(300));
+        assert!(started.elapsed() < Duration::from_millis(300));
     });
 }
--- a/crates/gateway/tests/gateway/turns.rs
+++ b/crates/gateway/tests/gateway/turns.rs
@@ -138,7 +138,7 @@
         );
         gateway.store.set_fault(LogFault::Silent);
         let mut client = gateway.client().await;
-        let begun = Instant::now();
+        let started = Instant::now();
         client
             .send("POST", "/chat/1", "Request: t1\r\nProgram: p\r\n", "B;")
             .await;
@@ -150,7 +150,7 @@
         let reply = client.reply().await;
         assert!(reply.whole);
         assert!(
-            begun.elapsed() > Duration::from_millis(450),
+            started.elapsed() > Duration::from_millis(450),
             "the stream ended before the turn was recorded"
         );
         // The log stays down past the turn's deadline: the stream must not end regularly.
@@ -246,11 +246,11 @@
         gateway.store.set_fault(LogFault::Silent);
         for number in 1..4 {
             for program in ["before", "inside"] {
-                let begun = Instant::now();
+                let started = Instant::now();
                 let fields = turn(program, number);
                 let reply = gateway.ask("POST", "/resume/1", &fields, "A").await;
                 assert!(reply.whole, "turn {number} of {program}");
-                assert!(begun.elapsed() < Duration::from_millis(300));
+                assert!(started.elapsed() < Duration::from_millis(300));
             }
         }
     });
