--- a/crates/gateway/src/follow/config.rs
+++ b/crates/gateway/src/follow/config.rs
@@ -48,7 +48,7 @@
         partition,
         super::long_poll::max_config_wait(&daemon.settings),
     )
-    .on_answer(Box::new(move |age_ms| cache.confirm(age_ms)));
+    .on_caught_up(Box::new(move |age_ms| cache.confirm(age_ms)));
     loop {
         let (records, is_listing) = match follower.next_update().await {
             Update::Listing(records) => (records, true),
@@ -99,7 +99,7 @@
         sleep(PEER_POLL_PERIOD).await;
         let is_outage = daemon.ledger.reach.get() == Reach::Outage;
         let is_doubtful = daemon.is_doubtful();
-        let may_be_behind = daemon.contact.failing() && !is_outage;
+        let may_be_behind = daemon.contact.is_failing() && !is_outage;
         if !may_be_behind && !is_doubtful {
             continue;
         }
--- a/crates/gateway/src/follow/config_cache.rs
+++ b/crates/gateway/src/follow/config_cache.rs
@@ -5,7 +5,7 @@
 //! API keys and reject new ones (docs/design/tenants.md).
 
 use crate::places::Places;
-use fieldhook_ledger::message::ConfigNews;
+use fieldhook_ledger::message::ConfigUpdate;
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -80,12 +80,12 @@
     }
 
     /// Returns what a daemon that knows `version` has missed.
-    pub fn changes_since(&self, version: u64, places: &Places) -> ConfigNews {
+    pub fn changes_since(&self, version: u64, places: &Places) -> ConfigUpdate {
         let newest = self.newest.borrow();
         let newer = newest
             .as_ref()
             .filter(|document| document.version > version);
-        ConfigNews {
+        ConfigUpdate {
             document: newer.map(|document| document.bytes.to_vec()),
             age_ms: self.age_ms(),
             evacuations: places.news(),
--- a/crates/gateway/src/follow/long_poll.rs
+++ b/crates/gateway/src/follow/long_poll.rs
@@ -10,7 +10,7 @@
 //! are not affected, since a healthy connection delivers a change at once.
 
 use crate::settings::GatewaySettings;
-use fieldhook_log::follow::{READ_SLACK, RESUME};
+use fieldhook_log::follow::{READ_MARGIN, RESUME_DELAY};
 use std::time::Duration;
 
 /// Shortest wait. Shorter reads cost more log calls than they are worth in any deployment.
@@ -24,7 +24,7 @@
 
 /// Returns the longest wait of successive reads that are `pause` apart.
 pub fn max_wait(contact: Duration, pause: Duration) -> Duration {
-    let wait = contact.saturating_sub(READ_SLACK + RESUME + pause);
+    let wait = contact.saturating_sub(READ_MARGIN + RESUME_DELAY + pause);
     wait.clamp(MIN_WAIT, MAX_WAIT)
 }
 
--- a/crates/gateway/src/ledger/assigner.rs
+++ b/crates/gateway/src/ledger/assigner.rs
@@ -3,7 +3,7 @@
 use crate::cold::ColdServers;
 use crate::places::Places;
 use crate::upstream::pool::Pools;
-use fieldhook_ledger::message::{CloseTurn, OpenTurn, Placement};
+use fieldhook_ledger::message::{CloseTurn, OpenTurn, PlacementRequest};
 use fieldhook_ledger::partition_of;
 use fieldhook_topology::region::Set;
 use fieldhook_topology::zone::Distance;
@@ -81,13 +81,13 @@
             true => self.small_service_engines(&placement.service, serving, partition),
             false => self.large_service_engines(&directory, serving, open, placement, partition),
         };
-        engines.retain(|engine| !self.pools.view(engine.id, engine.zone, now_ms).avoided);
+        engines.retain(|engine| !self.pools.status(engine.id, engine.zone, now_ms).avoided);
         self.retain_allowed(&mut engines, placement);
         self.limit_cold_slots(&mut engines, &directory);
         let turn = Turn {
             id: &open.turn,
             program: &open.program,
-            prefix: placement.prefix,
+            prefix: placement.prefix_hash,
         };
         let engine = self
             .table
@@ -123,7 +123,7 @@
         directory: &'a Directory,
         serving: &'a Serving,
         open: &OpenTurn,
-        placement: &Placement,
+        placement: &PlacementRequest,
         partition: u32,
     ) -> (Vec<Engine<'a>>, f64) {
         let count = group_count(serving.all.len(), self.partitions);
@@ -135,7 +135,7 @@
             let from = |arc| Draw {
                 zone: &placement.zone,
                 arc,
-                number: placement.prefix,
+                number: placement.prefix_hash,
             };
             let drawn = draw(serving, &from(arc), &is_usable).servers;
             match drawn.len() >= MIN_DRAWN {
@@ -161,7 +161,7 @@
     }
 
     /// Removes engines whose zones may not serve the turn, and sets the distance of the others.
-    fn retain_allowed(&self, engines: &mut Vec<Engine<'_>>, placement: &Placement) {
+    fn retain_allowed(&self, engines: &mut Vec<Engine<'_>>, placement: &PlacementRequest) {
         let regions = allowed_regions(placement);
         self.places.with_rule(&regions, &placement.zone, |rule| {
             engines.retain_mut(|engine| match rule.serve(engine.zone) {
@@ -226,7 +226,7 @@
 }
 
 /// Returns the regions that may serve a turn.
-fn allowed_regions(placement: &Placement) -> Set {
+fn allowed_regions(placement: &PlacementRequest) -> Set {
     match &placement.regions {
         Some(regions) => Set::Only(regions.iter().map(|region| Rc::from(&**region)).collect()),
         None => Set::All,
--- a/crates/gateway/src/ledger/client.rs
+++ b/crates/gateway/src/ledger/client.rs
@@ -5,9 +5,9 @@
 use super::peer::Peers;
 use super::region::{RegionActivity, SILENCE_LIMIT};
 use fieldhook_ledger::message::{
-    CloseTurn, FindChain, LedgerReply, LedgerRequest, OpenTurn, Shortage,
+    BudgetUsage, CloseTurn, FindChain, LedgerReply, LedgerRequest, OpenTurn,
 };
-use fieldhook_log::contact::Contact;
+use fieldhook_log::log_health::LogHealth;
 use fieldhook_log::reach::Reach;
 use fieldhook_topology::region::Set;
 use futures_util::StreamExt;
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OpenFailure {
     /// The program's budget does not cover the turn.
-    BudgetSpent(Shortage),
+    BudgetSpent(BudgetUsage),
     /// The previous turn is not stored.
     UnknownTurn,
     /// No owner answered in time.
@@ -59,7 +59,7 @@
     }
 
     /// Returns the usage of a budget that does not cover the turn.
-    pub fn shortage(&self) -> Option<&Shortage> {
+    pub fn shortage(&self) -> Option<&BudgetUsage> {
         match self {
             Self::BudgetSpent(shortage) => Some(shortage),
             _ => None,
@@ -102,7 +102,7 @@
     /// The partitions that this daemon owns itself.
     pub owner: Rc<Owner>,
     /// When the log last answered this daemon.
-    pub contact: Rc<Contact>,
+    pub contact: Rc<LogHealth>,
     /// What this daemon can reach, updated by [`super::reach`].
     pub reach: Rc<Cell<Reach>>,
     pub(super) peers: Peers,
@@ -125,7 +125,7 @@
 
 impl LedgerClient {
     /// Creates a client; requests for partitions of `owner` do not leave the process.
-    pub fn new(owner: Rc<Owner>, contact: Rc<Contact>) -> Self {
+    pub fn new(owner: Rc<Owner>, contact: Rc<LogHealth>) -> Self {
         Self {
             reach: owner.reach.clone(),
             owner,
@@ -154,12 +154,12 @@
         in_doubt: &Cell<bool>,
         deadline: Instant,
     ) -> Result<OpenedTurn, OpenFailure> {
-        if request.keeper.is_none() {
+        if request.home_partition.is_none() {
             return self.open_with_chain(request, in_doubt, deadline).await;
         }
         // Requested for the first turn of a program as well: without an owner that stores its
         // contents, the turn must not run.
-        let mut contents = request.contents();
+        let mut contents = request.home_partition_request();
         // The home partition that stores the contents reserves no tokens.
         let nothing_in_doubt = Cell::default();
         let stored = match self
@@ -169,8 +169,8 @@
             Err(OpenFailure::Unavailable) => return Err(OpenFailure::HomeUnavailable),
             stored => stored?,
         };
-        request.brings_chain = contents.brings_chain;
-        let order = request.order();
+        request.supplies_chain = contents.supplies_chain;
+        let order = request.program_partition_request();
         let opened = self.open_at_partition(&order, in_doubt, deadline).await?;
         Ok(OpenedTurn {
             chain: stored.chain,
@@ -190,7 +190,7 @@
             outcome => return outcome,
         }
         let chain = self.find_chain(request, deadline).await?;
-        request.brings_chain = true;
+        request.supplies_chain = true;
         let opened = self.open_at_partition(request, in_doubt, deadline).await?;
         Ok(OpenedTurn { chain, ..opened })
     }
@@ -205,12 +205,12 @@
     ) -> Result<Vec<u8>, OpenFailure> {
         let layout = &self.owner.places.layout;
         let home = request
-            .keeper
-            .unwrap_or_else(|| layout.order(&request.program));
+            .home_partition
+            .unwrap_or_else(|| layout.program_partition(&request.program));
         let was_claimed = |partition: &u32| self.owner.claims.claim(*partition).is_some();
-        let turn = request.name(request.previous.as_deref().unwrap_or_default());
-        let questions: Vec<LedgerRequest> = (0..layout.free())
-            .chain(layout.homes().filter(was_claimed))
+        let turn = request.qualified_name(request.previous.as_deref().unwrap_or_default());
+        let questions: Vec<LedgerRequest> = (0..layout.global_count())
+            .chain(layout.home_partitions().filter(was_claimed))
             .filter(|partition| *partition != home)
             .map(|partition| {
                 LedgerRequest::Find(FindChain {
@@ -221,7 +221,7 @@
             .collect();
         let until = deadline.min(Instant::now() + SILENCE_LIMIT);
         let asked = questions.iter().map(|question| {
-            let is_home = question.partition(layout.free()) >= layout.free();
+            let is_home = question.partition(layout.global_count()) >= layout.global_count();
             self.ask(question, if is_home { until } else { deadline })
         });
         let mut answers: FuturesUnordered<_> = asked.collect();
@@ -245,7 +245,7 @@
         deadline: Instant,
     ) -> Result<OpenedTurn, OpenFailure> {
         let request = LedgerRequest::Open(request.clone());
-        let partition = request.partition(self.owner.places.layout.free());
+        let partition = request.partition(self.owner.places.layout.global_count());
         let answer = tokio::select! {
             biased;
             answer = self.ask_tracked(&request, in_doubt, deadline) => answer,
@@ -258,7 +258,7 @@
                     durable,
                     allowed,
                     engine,
-                    begins,
+                    is_first_turn: begins,
                 } => Ok(OpenedTurn {
                     chain,
                     engine,
@@ -291,7 +291,7 @@
                 Ok(_) => {
                     // The turn is closed in any case, so doubt need not be tracked.
                     let in_doubt = Cell::default();
-                    let order = request.order();
+                    let order = request.program_partition_request();
                     match self.open_at_partition(&order, &in_doubt, deadline).await {
                         Ok(again) => *opened = again,
                         Err(_) => return false,
@@ -304,19 +304,19 @@
 
     /// Returns the partition that orders the turns of a program.
     pub fn partition_of(&self, program: &str) -> u32 {
-        self.owner.places.layout.order(program)
+        self.owner.places.layout.program_partition(program)
     }
 
     /// Returns the home partition that stores the contents of a program, if the program is
     /// restricted to home regions.
     pub fn home_partition(&self, program: &str, homes: &Set) -> Option<u32> {
-        self.owner.places.layout.keeper(program, homes)
+        self.owner.places.layout.home_partition(program, homes)
     }
 
     /// Completes once this daemon is cut off from the log together with a minority of the zones,
     /// so that it cannot have anything recorded.
     pub async fn wait_until_cut_off(&self) {
-        while self.reach.get() != Reach::Minority || !self.contact.failing() {
+        while self.reach.get() != Reach::Minority || !self.contact.is_failing() {
             sleep(MINORITY_CHECK_PERIOD).await;
         }
     }
@@ -324,10 +324,10 @@
     /// Records the end of a turn. Returns whether it is durable.
     pub async fn close(&self, request: &CloseTurn, deadline: Instant) -> bool {
         let request = LedgerRequest::Close(request.clone());
-        let partition = request.partition(self.owner.places.layout.free());
+        let partition = request.partition(self.owner.places.layout.global_count());
         while Instant::now() < deadline {
             let answer = self.ask(&request, deadline).await;
-            let Some((LedgerReply::Noted, mut replies)) = answer else {
+            let Some((LedgerReply::Accepted, mut replies)) = answer else {
                 if self.reach.get() != Reach::Minority {
                     return false;
                 }
@@ -361,7 +361,7 @@
         in_doubt: &Cell<bool>,
         deadline: Instant,
     ) -> Option<(LedgerReply, mpsc::UnboundedReceiver<LedgerReply>)> {
-        let partition = request.partition(self.owner.places.layout.free());
+        let partition = request.partition(self.owner.places.layout.global_count());
         loop {
             let exchange = self.exchange_tracked(partition, request, in_doubt, REPLY_TIMEOUT);
             let exchange = timeout_at(deadline, exchange).await;
--- a/crates/gateway/src/ledger/closing.rs
+++ b/crates/gateway/src/ledger/closing.rs
@@ -39,7 +39,7 @@
                     event = "turn_end_untold",
                     request = close.turn,
                     program = close.program,
-                    reservation = close.reservation(),
+                    reservation = close.reservation_id(),
                     "the token maximum of the turn stays reserved unless an owner noted its end"
                 );
             }
--- a/crates/gateway/src/ledger/cold.rs
+++ b/crates/gateway/src/ledger/cold.rs
@@ -5,11 +5,11 @@
 use super::exchange::Exchange;
 use super::limits::{self, LimitCounters};
 use super::owner::Owner;
-use fieldhook_ledger::message::{ColdQuestion, LedgerReply, LedgerRequest, QuotaAnswer};
+use fieldhook_ledger::message::{ColdServerRequest, LedgerReply, LedgerRequest, QuotaReply};
 use fieldhook_log::api::StoreError;
 use fieldhook_log::appender::fence;
 use fieldhook_log::lease::{Lease, State, TERM_MS};
-use fieldhook_log::ownership::{Claim, Former};
+use fieldhook_log::ownership::{Claim, PreviousOwner};
 use fieldhook_traffic::cold::{BOUNDS, PERMIT_MS};
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -64,7 +64,7 @@
         let lease = leases
             .get(&partition)
             .filter(|lease| lease.epoch == claim.epoch);
-        lease.map_or(State::Lapsed, |lease| lease.state(self.now_ms()))
+        lease.map_or(State::Expired, |lease| lease.state(self.now_ms()))
     }
 
     /// Whether a confirmation failed too recently to try again.
@@ -80,7 +80,7 @@
             .get(&partition)
             .is_some_and(|lease| lease.epoch == claim.epoch);
         if !is_known {
-            let lease = Lease::new(claim.epoch, claim.former != Former::None);
+            let lease = Lease::new(claim.epoch, claim.previous_owner != PreviousOwner::None);
             leases.insert(partition, lease);
         }
         if let Some(lease) = leases.get_mut(&partition) {
@@ -93,7 +93,7 @@
 pub(super) async fn answer(
     owner: Rc<Owner>,
     partition: u32,
-    question: ColdQuestion,
+    question: ColdServerRequest,
     sender: mpsc::UnboundedSender<LedgerReply>,
 ) {
     let started = Instant::now();
@@ -102,23 +102,25 @@
             break LedgerReply::NotOwner(owner.known_owner(partition));
         };
         match owner.cold_counters.state(partition, &claim) {
-            State::Holds { is_ageing } => {
-                if is_ageing {
+            State::Held { needs_renewal } => {
+                if needs_renewal {
                     ntex::rt::spawn(confirm(owner.clone(), partition, claim));
                 }
                 let question = limits::cold_question(&question);
                 let limits = &owner.cold_counters.limits;
                 break LedgerReply::Quota(limits.admit(partition, &claim, &question));
             }
-            State::Waits(retry_after_ms) => {
-                break LedgerReply::Quota(QuotaAnswer::Refused { retry_after_ms });
+            State::Waiting(retry_after_ms) => {
+                break LedgerReply::Quota(QuotaReply::Refused { retry_after_ms });
             }
             // The sender would not use a later reply.
-            State::Lapsed if started.elapsed() >= PERMIT_TIMEOUT => break LedgerReply::Unavailable,
-            State::Lapsed if owner.cold_counters.failed_recently(partition) => {
+            State::Expired if started.elapsed() >= PERMIT_TIMEOUT => {
                 break LedgerReply::Unavailable;
             }
-            State::Lapsed => {
+            State::Expired if owner.cold_counters.failed_recently(partition) => {
+                break LedgerReply::Unavailable;
+            }
+            State::Expired => {
                 let until = started + PERMIT_TIMEOUT;
                 let confirmed = owner.cold_counters.confirmed.notified();
                 ntex::rt::spawn(confirm(owner.clone(), partition, claim));
@@ -171,14 +173,14 @@
     /// An owner is then searched for in the background, for the requests that follow.
     pub(crate) async fn request_cold_permit(
         self: &Rc<Self>,
-        question: &ColdQuestion,
-    ) -> Option<QuotaAnswer> {
+        question: &ColdServerRequest,
+    ) -> Option<QuotaReply> {
         let request = LedgerRequest::Cold(question.clone());
         let answer = timeout(PERMIT_TIMEOUT, self.request_permit_from_owner(&request)).await;
         if let Ok(Some(answer)) = answer {
             return Some(answer);
         }
-        let partition = request.partition(self.owner.places.layout.free());
+        let partition = request.partition(self.owner.places.layout.global_count());
         if self.owner_searches.borrow_mut().insert(partition) {
             let ledger = self.clone();
             ntex::rt::spawn(async move {
@@ -195,8 +197,8 @@
         None
     }
 
-    async fn request_permit_from_owner(&self, request: &LedgerRequest) -> Option<QuotaAnswer> {
-        let partition = request.partition(self.owner.places.layout.free());
+    async fn request_permit_from_owner(&self, request: &LedgerRequest) -> Option<QuotaReply> {
+        let partition = request.partition(self.owner.places.layout.global_count());
         loop {
             match self.exchange(partition, request, PERMIT_TIMEOUT).await {
                 Exchange::Answered(LedgerReply::Quota(answer), _) => return Some(answer),
--- a/crates/gateway/src/ledger/exchange.rs
+++ b/crates/gateway/src/ledger/exchange.rs
@@ -67,7 +67,7 @@
         };
         if suspicions.insert(partition, suspicion) != Some(suspicion) {
             let (epoch, state) = suspicion;
-            let log_age_ms = self.contact.age_ms();
+            let log_age_ms = self.contact.ms_since_answer();
             tracing::info!(event = "owner_doubted", partition, epoch, state, log_age_ms);
         }
     }
@@ -121,7 +121,7 @@
                     connection.call(request.clone())
                 }
                 // No response at all: the owner's machine is down, or either side is cut off.
-                Err(error) if probe::is_unanswered(error.kind()) => {
+                Err(error) if probe::is_unreachable(error.kind()) => {
                     self.owner_timed_out.set(true);
                     return Exchange::OwnerSilent(claim.epoch);
                 }
@@ -155,7 +155,7 @@
         in_doubt.set(was_in_doubt);
         match reply {
             LedgerReply::Unavailable => Exchange::OwnerLoading(claim.epoch),
-            LedgerReply::Unreadable => Exchange::OwnerSilent(claim.epoch),
+            LedgerReply::NotLoaded => Exchange::OwnerSilent(claim.epoch),
             LedgerReply::NotOwner(Some(known)) if self.learn_owner(partition, &known) => {
                 Exchange::RetryAfterChange
             }
--- a/crates/gateway/src/ledger/held.rs
+++ b/crates/gateway/src/ledger/held.rs
@@ -7,7 +7,7 @@
 use fieldhook_ledger::partition::Partition;
 use fieldhook_log::api::StoreError;
 use fieldhook_log::appender::{AppendEnd, Appender};
-use fieldhook_log::ownership::Former;
+use fieldhook_log::ownership::PreviousOwner;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -40,10 +40,10 @@
 /// Loads a claimed partition; returns `None` once another daemon owns it.
 async fn load(owner: &Owner, partition: u32, epoch: u64) -> Option<LoadedPartition> {
     let claim = owner.claims.claim(partition);
-    let state = match claim.map_or(Former::Lost, |claim| claim.former) {
-        Former::None => Partition::default(),
-        Former::Settled { doubt_ms } => Partition::handed_over(unix_ms(), doubt_ms),
-        Former::Lost => Partition::taken_over(unix_ms(), owner.doubt_after_loss_ms()),
+    let state = match claim.map_or(PreviousOwner::Lost, |claim| claim.previous_owner) {
+        PreviousOwner::None => Partition::default(),
+        PreviousOwner::Settled { doubt_ms } => Partition::after_handover(unix_ms(), doubt_ms),
+        PreviousOwner::Lost => Partition::after_loss(unix_ms(), owner.doubt_after_loss_ms()),
     };
     let mut loader = PartitionLoader::new(owner.log_partition(partition), epoch, state);
     loop {
@@ -103,9 +103,9 @@
         event = "partition_owned",
         partition,
         epoch,
-        turns = state.borrow().turns(),
-        programs = state.borrow().programs(),
-        doubt_ms = state.borrow().doubt_ms(unix_ms()),
+        turns = state.borrow().turn_count(),
+        programs = state.borrow().program_count(),
+        doubt_ms = state.borrow().uncertainty_ms(unix_ms()),
         took_ms = started.elapsed().as_millis() as u64,
     );
     let served = ServedPartition {
@@ -121,7 +121,7 @@
         .insert(partition, HeldPartition::Serving(served));
     owner.publish_held(&owner.held.borrow());
     owner.claims.changed.notify_waiters();
-    appender.trimmer.inherited(loaded.end);
+    appender.trimmer.inherit_history(loaded.end);
     let end = tokio::select! {
         end = appender.run(|took| owner.metrics.append_seconds.observe(took.as_secs_f64())) => end,
         never = appender.trimmer.run() => match never {},
--- a/crates/gateway/src/ledger/homes.rs
+++ b/crates/gateway/src/ledger/homes.rs
@@ -41,10 +41,10 @@
     loop {
         let jitter = Duration::from_millis(fastrand::u64(0..CHECK_JITTER_MS));
         sleep(CHECK_PERIOD + jitter).await;
-        if ledger.owner.claims.is_released() {
+        if ledger.owner.claims.has_stopped_claiming() {
             return;
         }
-        for partition in ledger.owner.places.layout.homes() {
+        for partition in ledger.owner.places.layout.home_partitions() {
             check_owner(&ledger, partition).await;
         }
     }
@@ -60,11 +60,11 @@
         return;
     }
     let exchange = ledger
-        .exchange(partition, &LedgerRequest::KeepsLog, REPLY_TIMEOUT)
+        .exchange(partition, &LedgerRequest::HasLogContact, REPLY_TIMEOUT)
         .await;
     ledger.note_outcome(partition, Some(&exchange));
     match exchange {
-        Exchange::Answered(LedgerReply::HasLog(false), _) => {
+        Exchange::Answered(LedgerReply::LogContact(false), _) => {
             ledger.replace_silent(partition, claim.epoch).await;
         }
         other => ledger.handle_suspicion(partition, &other).await,
--- a/crates/gateway/src/ledger/limits.rs
+++ b/crates/gateway/src/ledger/limits.rs
@@ -1,7 +1,7 @@
 //! Counters of requests against the limits of tenants and cold servers, kept by the owners of
 //! their partitions.
 
-use fieldhook_ledger::message::{ColdQuestion, QuotaAnswer, QuotaQuestion};
+use fieldhook_ledger::message::{ColdServerRequest, QuotaReply, QuotaRequest};
 use fieldhook_log::ownership::{self, Claim};
 use fieldhook_traffic::cold;
 use fieldhook_traffic::quota::{Answer, Book, Former, Question};
@@ -56,7 +56,7 @@
         partition: u32,
         claim: &Claim,
         question: &Question<'_>,
-    ) -> QuotaAnswer {
+    ) -> QuotaReply {
         self.with_counters(partition, claim, |counters, now_ms| {
             quota_answer(counters.ask(question, now_ms))
         })
@@ -67,12 +67,12 @@
         &self,
         partition: u32,
         claim: &Claim,
-        question: &QuotaQuestion,
-    ) -> QuotaAnswer {
+        question: &QuotaRequest,
+    ) -> QuotaReply {
         let (tenant, program) = (&question.tenant, question.program.as_deref());
         self.with_counters(partition, claim, |counters, now_ms| {
             counters.left(tenant, program, now_ms);
-            QuotaAnswer::Granted {
+            QuotaReply::Granted {
                 used: counters.used_by(tenant, now_ms),
             }
         })
@@ -83,8 +83,8 @@
         &self,
         partition: u32,
         claim: &Claim,
-        act: impl FnOnce(&mut Book, u64) -> QuotaAnswer,
-    ) -> QuotaAnswer {
+        act: impl FnOnce(&mut Book, u64) -> QuotaReply,
+    ) -> QuotaReply {
         let now_ms = self.started.elapsed().as_millis() as u64;
         let mut by_partition = self.by_partition.borrow_mut();
         let is_current = by_partition
@@ -98,7 +98,7 @@
             by_partition.insert(partition, new);
         }
         let Some(current) = by_partition.get_mut(&partition) else {
-            return QuotaAnswer::Refused { retry_after_ms: 0 };
+            return QuotaReply::Refused { retry_after_ms: 0 };
         };
         act(&mut current.counters, now_ms)
     }
@@ -107,14 +107,14 @@
 /// Grants of a former owner are not known, whether or not it released the partition in a planned
 /// stop.
 fn former(claim: &Claim) -> Former {
-    match claim.former {
-        ownership::Former::None => Former::None,
-        ownership::Former::Settled { .. } | ownership::Former::Lost => Former::Lost,
+    match claim.previous_owner {
+        ownership::PreviousOwner::None => Former::None,
+        ownership::PreviousOwner::Settled { .. } | ownership::PreviousOwner::Lost => Former::Lost,
     }
 }
 
 /// Converts a request about a cold server.
-pub(super) fn cold_question(question: &ColdQuestion) -> Question<'_> {
+pub(super) fn cold_question(question: &ColdServerRequest) -> Question<'_> {
     cold::question(
         &question.server,
         question.rate_per_s,
@@ -124,7 +124,7 @@
 }
 
 /// Converts a request about a tenant.
-pub(super) fn tenant_question(question: &QuotaQuestion) -> Question<'_> {
+pub(super) fn tenant_question(question: &QuotaRequest) -> Question<'_> {
     Question {
         tenant: &question.tenant,
         limit: Limit {
@@ -134,15 +134,15 @@
         version: question.version,
         program: question.program.as_deref(),
         route: &question.route,
-        begins: question.begins,
-        patience_ms: question.patience_ms,
+        begins: question.starts_program,
+        patience_ms: question.max_wait_ms,
         leaves: 0,
     }
 }
 
-fn quota_answer(answer: Answer) -> QuotaAnswer {
+fn quota_answer(answer: Answer) -> QuotaReply {
     match answer {
-        Answer::Granted { used } => QuotaAnswer::Granted { used },
-        Answer::Refused { retry_after_ms } => QuotaAnswer::Refused { retry_after_ms },
+        Answer::Granted { used } => QuotaReply::Granted { used },
+        Answer::Refused { retry_after_ms } => QuotaReply::Refused { retry_after_ms },
     }
 }
--- a/crates/gateway/src/ledger/load.rs
+++ b/crates/gateway/src/ledger/load.rs
@@ -98,7 +98,7 @@
         if self.after.is_some() {
             return Ok(None);
         }
-        self.state.loaded();
+        self.state.finish_loading();
         Ok(Some(LoadedPartition {
             state: std::mem::take(&mut self.state),
             end: self.end,
--- a/crates/gateway/src/ledger/owner.rs
+++ b/crates/gateway/src/ledger/owner.rs
@@ -11,15 +11,15 @@
 use crate::relay::Relay;
 use crate::settings::{GatewaySettings, Quota};
 use fieldhook_ledger::message::{
-    ClaimPartition, KnownOwner, LedgerReply, LedgerRequest, QuotaMatter, QuotaQuestion,
+    ClaimPartition, KnownOwner, LedgerReply, LedgerRequest, QuotaEvent, QuotaRequest,
 };
-use fieldhook_ledger::partition::doubt_after_loss;
+use fieldhook_ledger::partition::uncertainty_after_loss_ms;
 use fieldhook_log::api::{LogStore, Partition as LogPartition, StoreError};
 use fieldhook_log::appender::fence;
+use fieldhook_log::claim_delay::{Capacity, claim_delay};
 use fieldhook_log::claims::Claims;
-use fieldhook_log::contact::Contact;
+use fieldhook_log::log_health::LogHealth;
 use fieldhook_log::ownership::Claim;
-use fieldhook_log::patience::{Capacity, before_claim};
 use fieldhook_log::reach::Reach;
 use fieldhook_traffic::window::Bounds;
 use std::cell::{Cell, RefCell};
@@ -47,7 +47,7 @@
     pub claims: Rc<Claims>,
     relay: Rc<Relay>,
     pub(super) store: Rc<dyn LogStore>,
-    pub(super) contact: Rc<Contact>,
+    pub(super) contact: Rc<LogHealth>,
     pub(super) metrics: Rc<Metrics>,
     pub(super) held: RefCell<HashMap<u32, HeldPartition>>,
     capacity: Capacity,
@@ -71,7 +71,7 @@
     /// Creates an owner that holds no partition.
     pub fn new(
         relay: Rc<Relay>,
-        contact: Rc<Contact>,
+        contact: Rc<LogHealth>,
         metrics: Rc<Metrics>,
         settings: &GatewaySettings,
         assigner: Rc<Assigner>,
@@ -121,7 +121,7 @@
         let loading = held
             .values()
             .filter(|partition| matches!(partition, HeldPartition::Loading(_)));
-        before_claim(self.capacity, loading.count() as u32)
+        claim_delay(self.capacity, loading.count() as u32)
     }
 
     /// Sets the longest time that a turn may take.
@@ -131,7 +131,7 @@
 
     /// Returns how long programs without a record are in doubt after their owner was lost.
     pub(super) fn doubt_after_loss_ms(&self) -> u64 {
-        doubt_after_loss(self.longest_turn_ms.get())
+        uncertainty_after_loss_ms(self.longest_turn_ms.get())
     }
 
     /// Whether a partition is claimed but not loaded yet.
@@ -148,14 +148,15 @@
         request: LedgerRequest,
         sender: mpsc::UnboundedSender<LedgerReply>,
     ) {
-        let partition = request.partition(self.places.layout.free());
+        let partition = request.partition(self.places.layout.global_count());
         match request {
-            LedgerRequest::HasLog => {
-                let has_log = self.contact.within(RECENT_LOG_REPLY) && !self.contact.failing();
-                let _ = sender.send(LedgerReply::HasLog(has_log));
+            LedgerRequest::HasRecentLogContact => {
+                let has_log =
+                    self.contact.answered_within(RECENT_LOG_REPLY) && !self.contact.is_failing();
+                let _ = sender.send(LedgerReply::LogContact(has_log));
             }
-            LedgerRequest::KeepsLog => {
-                let _ = sender.send(LedgerReply::HasLog(!self.contact.lost()));
+            LedgerRequest::HasLogContact => {
+                let _ = sender.send(LedgerReply::LogContact(!self.contact.is_lost()));
             }
             LedgerRequest::Config(version) => {
                 let _ = sender.send(LedgerReply::Config(
@@ -181,7 +182,7 @@
             LedgerRequest::Cold(question) => {
                 ntex::rt::spawn(cold::answer(self.clone(), partition, question, sender));
             }
-            LedgerRequest::WhoOwns(_) => {
+            LedgerRequest::FindOwner(_) => {
                 let _ = sender.send(LedgerReply::NotOwner(self.known_owner(partition)));
             }
             request => self.handle_held(partition, request, sender),
@@ -199,8 +200,8 @@
             Some(HeldPartition::Serving(served)) => served.handle(request, sender),
             // `Unavailable` would make clients wait for the load, which does not finish while the
             // log serves other daemons but not this one.
-            Some(HeldPartition::Loading(_)) if self.contact.lost() => {
-                let _ = sender.send(LedgerReply::Unreadable);
+            Some(HeldPartition::Loading(_)) if self.contact.is_lost() => {
+                let _ = sender.send(LedgerReply::NotLoaded);
             }
             Some(HeldPartition::Loading(_) | HeldPartition::Releasing(_)) => {
                 let _ = sender.send(LedgerReply::Unavailable);
@@ -218,18 +219,18 @@
     fn handle_quota(
         &self,
         partition: u32,
-        question: &QuotaQuestion,
+        question: &QuotaRequest,
         sender: &mpsc::UnboundedSender<LedgerReply>,
     ) {
         let may_be_replaced = self.reach.get() == Reach::CutOff;
         let claim = self.own_claim(partition).filter(|_| !may_be_replaced);
         let reply = match claim {
-            Some(claim) => LedgerReply::Quota(match question.matter {
-                QuotaMatter::Request => {
+            Some(claim) => LedgerReply::Quota(match question.event {
+                QuotaEvent::Request => {
                     let question = limits::tenant_question(question);
                     self.limits.admit(partition, &claim, &question)
                 }
-                QuotaMatter::ClientLeft => self.limits.client_left(partition, &claim, question),
+                QuotaEvent::Interrupted => self.limits.client_left(partition, &claim, question),
             }),
             None if may_be_replaced => LedgerReply::NotOwner(None),
             None => LedgerReply::NotOwner(self.known_owner(partition)),
@@ -262,7 +263,7 @@
         };
         let held_epoch = self.held.borrow().get(&partition).map(HeldPartition::epoch);
         let mine = self.claims.is_mine(&claim);
-        if mine && held_epoch != Some(claim.epoch) && !self.claims.is_released() {
+        if mine && held_epoch != Some(claim.epoch) && !self.claims.has_stopped_claiming() {
             self.held
                 .borrow_mut()
                 .insert(partition, HeldPartition::Loading(claim.epoch));
@@ -310,7 +311,7 @@
     pub(super) fn publish_held(&self, held: &HashMap<u32, HeldPartition>) {
         self.metrics.partitions_owned.set(held.len() as i64);
         // Engines are assigned by the owners of free partitions, which order the programs.
-        let free = self.places.layout.free();
+        let free = self.places.layout.global_count();
         let ordering = held.keys().copied().filter(|partition| *partition < free);
         self.assigner.set_owned(ordering.collect());
     }
@@ -330,7 +331,7 @@
 
     /// Returns the partition of the log that stores the records of a ledger partition.
     pub(super) fn log_partition(&self, partition: u32) -> LogPartition {
-        let place = self.places.layout.place(partition);
+        let place = self.places.layout.location(partition);
         LogPartition {
             topic: match place.region {
                 Some(region) => format!("{HOME_TOPIC}{region}"),
@@ -359,12 +360,12 @@
     let partition = claim.partition;
     let claimed = owner
         .claims
-        .take_over(partition, claim.former_epoch())
+        .take_over(partition, claim.replaced_epoch())
         .await;
     tracing::info!(
         event = "claimed_for_another",
         partition,
-        epoch = claim.epoch,
+        epoch = claim.replaced_epoch,
         ?claimed
     );
     let _ = sender.send(LedgerReply::NotOwner(owner.known_owner(partition)));
--- a/crates/gateway/src/ledger/quota.rs
+++ b/crates/gateway/src/ledger/quota.rs
@@ -3,7 +3,7 @@
 
 use super::client::LedgerClient;
 use super::exchange::Exchange;
-use fieldhook_ledger::message::{LedgerReply, LedgerRequest, QuotaAnswer, QuotaQuestion};
+use fieldhook_ledger::message::{LedgerReply, LedgerRequest, QuotaReply, QuotaRequest};
 use fieldhook_log::reach::Reach;
 use fieldhook_traffic::share::Share;
 use std::cell::RefCell;
@@ -84,7 +84,7 @@
     }
 
     /// Decides on one request of a tenant, by the owner of its limit if that answers.
-    pub async fn acquire(&self, ledger: &LedgerClient, question: &QuotaQuestion) -> Outcome {
+    pub async fn acquire(&self, ledger: &LedgerClient, question: &QuotaRequest) -> Outcome {
         let tenant = &question.tenant;
         let partition = ledger.partition_of(tenant);
         if self.skips_owner(partition) && self.take_from_share(tenant) {
@@ -97,7 +97,7 @@
         };
         let deadline = Instant::now() + limit;
         match ledger.ask(&request, deadline).await {
-            Some((LedgerReply::Quota(QuotaAnswer::Granted { used }), _)) => {
+            Some((LedgerReply::Quota(QuotaReply::Granted { used }), _)) => {
                 self.skip_owner_until.borrow_mut().remove(&partition);
                 let window_s = self.window_ms as f64 / 1_000.0;
                 let limit = question.rate_per_s * window_s + question.burst;
@@ -107,7 +107,7 @@
                 });
                 Outcome::Granted
             }
-            Some((LedgerReply::Quota(QuotaAnswer::Refused { retry_after_ms }), _)) => {
+            Some((LedgerReply::Quota(QuotaReply::Refused { retry_after_ms }), _)) => {
                 Outcome::Refused { retry_after_ms }
             }
             _ => {
@@ -126,7 +126,7 @@
     /// Reports to the owner of a limit, in the background, that a client disconnected. The report
     /// is sent only once: hundreds of clients disconnect when owners stop answering, and an owner
     /// that misses a report merely counts the program as a short one.
-    pub(crate) fn report_client_left(self: &Rc<Self>, question: QuotaQuestion) {
+    pub(crate) fn report_client_left(self: &Rc<Self>, question: QuotaRequest) {
         let ledger = self.clone();
         ntex::rt::spawn(async move {
             let partition = ledger.partition_of(&question.tenant);
--- a/crates/gateway/src/ledger/reach.rs
+++ b/crates/gateway/src/ledger/reach.rs
@@ -2,8 +2,8 @@
 //! probes the zones while an owner does not answer.
 
 use crate::daemon::Daemon;
-use crate::upstream::probe::{self, Probed};
-use fieldhook_log::reach::{Judge, Look, Reach, Round};
+use crate::upstream::probe::{self, ProbeOutcome};
+use fieldhook_log::reach::{Look, Reach, ReachTracker, Round};
 use fieldhook_traffic::directory::ServerEntry;
 use futures_util::future::join_all;
 use std::collections::BTreeMap;
@@ -26,7 +26,7 @@
 /// answer.
 pub async fn run(daemon: Rc<Daemon>) {
     let ledger = daemon.ledger.clone();
-    let mut judge = Judge::default();
+    let mut tracker = ReachTracker::default();
     let mut changed = Instant::now();
     loop {
         sleep(PERIOD).await;
@@ -34,16 +34,16 @@
         daemon
             .away
             .send_if_modified(|now| std::mem::replace(now, away) != away);
-        let round = match ledger.contact.lost() {
+        let round = match ledger.contact.is_lost() {
             true => ledger.poll_peers_for_log().await,
             false => Round::Heard,
         };
-        let must_look = ledger.owner_timed_out.take() || judge.reach() == Reach::Minority;
+        let must_look = ledger.owner_timed_out.take() || tracker.reach() == Reach::Minority;
         let look = match must_look {
             true => Some(probe_surroundings(&daemon).await),
             false => None,
         };
-        let Some(reach) = judge.step_with(round, look) else {
+        let Some(reach) = tracker.update_with(round, look) else {
             continue;
         };
         ledger.reach.set(reach);
@@ -53,7 +53,7 @@
             ?reach,
             ?round,
             ?look,
-            log_age_ms = ledger.contact.age_ms()
+            log_age_ms = ledger.contact.ms_since_answer()
         );
         if matches!(reach, Reach::CutOff | Reach::Minority) {
             ledger.owner.claims.changed.notify_waiters();
@@ -108,7 +108,7 @@
 /// Whether the log answered recently or answers now.
 async fn reaches_log(daemon: &Daemon) -> bool {
     let ledger = &daemon.ledger;
-    ledger.contact.within(PERIOD) || ledger.log_accepts_appends(PROBED_PARTITION).await
+    ledger.contact.answered_within(PERIOD) || ledger.log_accepts_appends(PROBED_PARTITION).await
 }
 
 /// Whether at least one of a sample of the servers can be reached.
@@ -119,5 +119,5 @@
     join_all(probes)
         .await
         .into_iter()
-        .any(|probed| probed != Probed::Unanswered)
+        .any(|probed| probed != ProbeOutcome::Unreachable)
 }
--- a/crates/gateway/src/ledger/region.rs
+++ b/crates/gateway/src/ledger/region.rs
@@ -103,7 +103,7 @@
             asked = asked.len(),
             known
         );
-        let question = LedgerRequest::Claim(ClaimPartition::after(partition, epoch));
+        let question = LedgerRequest::Claim(ClaimPartition::replacing(partition, epoch));
         let calls = asked
             .into_iter()
             .map(|other| self.query_peer(other, &question, CLAIM_TIMEOUT));
@@ -138,7 +138,7 @@
         let layout = &self.owner.places.layout;
         let region = layout.region(partition);
         let mut owners: Vec<SocketAddr> = layout
-            .homes()
+            .home_partitions()
             .filter(|other| layout.region(*other) == region)
             .filter_map(|other| claims.claim(other)?.address)
             .collect();
--- a/crates/gateway/src/ledger/replace.rs
+++ b/crates/gateway/src/ledger/replace.rs
@@ -2,10 +2,10 @@
 
 use super::client::{LedgerClient, OWNER_CHANGE_WAIT, RETRY_PAUSE};
 use fieldhook_ledger::message::{
-    ClaimPartition, ConfigNews, KnownOwner, LedgerReply, LedgerRequest,
+    ClaimPartition, ConfigUpdate, KnownOwner, LedgerReply, LedgerRequest,
 };
 use fieldhook_log::api::StoreError;
-use fieldhook_log::ownership::{Claim, Former};
+use fieldhook_log::ownership::{Claim, PreviousOwner};
 use fieldhook_log::reach::{Reach, Round};
 use futures_util::future::join_all;
 use std::cell::RefCell;
@@ -57,7 +57,7 @@
             address: Some(address),
             incarnation: known.incarnation,
             epoch: known.epoch,
-            former: Former::Lost,
+            previous_owner: PreviousOwner::Lost,
             settled_doubt_ms: None,
         };
         self.owner.claims.learn(partition, claim)
@@ -71,7 +71,7 @@
             .claims
             .claim(partition)
             .and_then(|claim| claim.address);
-        let question = LedgerRequest::WhoOwns(partition);
+        let question = LedgerRequest::FindOwner(partition);
         let answers = self.query_peers(suspected, &question, PEER_TIMEOUT).await;
         let mut found_newer = false;
         for answer in answers.into_iter().flatten() {
@@ -125,9 +125,9 @@
     /// Queries some daemons whether the log answers them.
     pub async fn poll_peers_for_log(&self) -> Round {
         let answers = self
-            .query_peers(None, &LedgerRequest::HasLog, PEER_TIMEOUT)
+            .query_peers(None, &LedgerRequest::HasRecentLogContact, PEER_TIMEOUT)
             .await;
-        let reach_log = |answer: &&LedgerReply| matches!(answer, LedgerReply::HasLog(true));
+        let reach_log = |answer: &&LedgerReply| matches!(answer, LedgerReply::LogContact(true));
         Round::Asked {
             asked: answers.len(),
             answered: answers.iter().flatten().count(),
@@ -137,7 +137,7 @@
 
     /// Queries a larger sample of daemons; returns how many were queried and how many answered.
     pub async fn poll_reachable_peers(&self) -> (usize, usize) {
-        let question = LedgerRequest::HasLog;
+        let question = LedgerRequest::HasRecentLogContact;
         let answers = self
             .query_sample(REACHABILITY_SAMPLE, None, &question, PEER_TIMEOUT)
             .await;
@@ -145,7 +145,7 @@
     }
 
     /// Queries some daemons for a configuration newer than this version.
-    pub async fn query_peer_configs(&self, version: u64) -> Vec<ConfigNews> {
+    pub async fn query_peer_configs(&self, version: u64) -> Vec<ConfigUpdate> {
         let question = LedgerRequest::Config(version);
         let answers = self.query_peers(None, &question, PEER_TIMEOUT).await;
         let news = answers.into_iter().flatten();
@@ -161,7 +161,7 @@
         if self.owner.places.layout.region(partition).is_some() {
             return self.request_claim_in_region(partition, epoch).await;
         }
-        let question = LedgerRequest::Claim(ClaimPartition::after(partition, Some(epoch)));
+        let question = LedgerRequest::Claim(ClaimPartition::replacing(partition, Some(epoch)));
         let answers = self.query_peers(None, &question, CLAIM_TIMEOUT).await;
         let mut found_newer = false;
         for answer in answers.into_iter().flatten() {
@@ -179,7 +179,7 @@
         let suspected = claim.and_then(|claim| claim.address);
         let mut others = self.owners_in_region_of(partition);
         others.retain(|other| Some(*other) != suspected);
-        let question = LedgerRequest::Claim(ClaimPartition::after(partition, Some(epoch)));
+        let question = LedgerRequest::Claim(ClaimPartition::replacing(partition, Some(epoch)));
         for other in others {
             let answer = self.query_peer(other, &question, CLAIM_TIMEOUT).await;
             if let Some(LedgerReply::NotOwner(Some(known))) = answer
@@ -202,7 +202,7 @@
         if self.request_claim_of_unowned(partition).await {
             return true;
         }
-        if !self.contact.failing() || !self.learn_owner_from_peers(partition, epoch).await {
+        if !self.contact.is_failing() || !self.learn_owner_from_peers(partition, epoch).await {
             let _ = timeout(OWNER_CHANGE_WAIT, self.owner.claims.changed.notified()).await;
         }
         true
@@ -218,13 +218,13 @@
         let Some(address) = claim.address.filter(|_| !claims.is_mine(&claim)) else {
             return;
         };
-        let question = LedgerRequest::HasLog;
+        let question = LedgerRequest::HasRecentLogContact;
         let answer = self.query_peer(address, &question, PEER_TIMEOUT).await;
         match answer {
-            Some(LedgerReply::HasLog(true)) => {}
+            Some(LedgerReply::LogContact(true)) => {}
             // The owner itself reports that it is stuck, so a daemon of its region may claim the
             // partition without checking.
-            Some(LedgerReply::HasLog(false)) if !claims.is_eligible(partition) => {
+            Some(LedgerReply::LogContact(false)) if !claims.is_eligible(partition) => {
                 if !self.request_claim_in_region(partition, claim.epoch).await {
                     let _ = timeout(OWNER_CHANGE_WAIT, claims.changed.notified()).await;
                 }
@@ -249,7 +249,11 @@
             return false;
         };
         self.peers.discard(address);
-        let answer = self.query_peer(address, &LedgerRequest::HasLog, RECONNECT_TIMEOUT);
+        let answer = self.query_peer(
+            address,
+            &LedgerRequest::HasRecentLogContact,
+            RECONNECT_TIMEOUT,
+        );
         answer.await.is_some()
     }
 
@@ -259,9 +263,9 @@
         if self.defer_to_region(partition, Some(epoch)).await {
             return;
         }
-        let may_claim = self.contact.steady_for(STEADY)
+        let may_claim = self.contact.no_failure_for(STEADY)
             && self.log_accepts_appends(partition).await
-            && (self.contact.steady_for(NOT_RECENTLY_CUT_OFF)
+            && (self.contact.no_failure_for(NOT_RECENTLY_CUT_OFF)
                 || !self.owner_answers(partition).await);
         if may_claim {
             self.replace(partition, Some(epoch)).await;
@@ -283,7 +287,7 @@
             let _ = timeout(OWNER_CHANGE_WAIT, self.owner.claims.changed.notified()).await;
             return;
         }
-        if self.contact.failing() && self.learn_owner_from_peers(partition, epoch).await {
+        if self.contact.is_failing() && self.learn_owner_from_peers(partition, epoch).await {
             return;
         }
         if self.reach.get() == Reach::CutOff
@@ -292,7 +296,7 @@
         {
             return;
         }
-        if self.contact.failing() || !self.claiming.borrow_mut().insert(partition) {
+        if self.contact.is_failing() || !self.claiming.borrow_mut().insert(partition) {
             let _ = timeout(OWNER_CHANGE_WAIT, self.owner.claims.changed.notified()).await;
             return;
         }
--- a/crates/gateway/src/ledger/served.rs
+++ b/crates/gateway/src/ledger/served.rs
@@ -4,9 +4,9 @@
 use super::assigner::Assigner;
 use crate::daemon::unix_ms;
 use fieldhook_ledger::message::{CloseTurn, LedgerReply, LedgerRequest, OpenTurn};
+use fieldhook_ledger::name::QualifiedName;
 use fieldhook_ledger::partition::{OpenOutcome, Partition};
 use fieldhook_ledger::record::Record;
-use fieldhook_ledger::scope::Name;
 use fieldhook_log::api::KeyedRecord;
 use fieldhook_log::appender::{Appender, Outcome, Urgency};
 use std::cell::RefCell;
@@ -38,9 +38,9 @@
             LedgerRequest::Open(open) => self.open(&open, sender),
             LedgerRequest::Close(close) => self.close(&close, sender),
             LedgerRequest::Find(find) => self.find(&find.turn, sender),
-            LedgerRequest::WhoOwns(_)
-            | LedgerRequest::HasLog
-            | LedgerRequest::KeepsLog
+            LedgerRequest::FindOwner(_)
+            | LedgerRequest::HasRecentLogContact
+            | LedgerRequest::HasLogContact
             | LedgerRequest::Config(_)
             | LedgerRequest::Quota(_)
             | LedgerRequest::Cold(_)
@@ -57,7 +57,7 @@
                 chain,
                 durable,
                 allowed,
-                begins,
+                is_first_turn: begins,
                 records,
             } => {
                 let engine = self.assigner.assign(open);
@@ -66,7 +66,7 @@
                     durable,
                     allowed,
                     engine,
-                    begins,
+                    is_first_turn: begins,
                 });
                 let pending = (!durable).then_some(PendingReply {
                     sender,
@@ -83,12 +83,12 @@
                 self.reply_after_fence_check(sender, LedgerReply::BudgetSpent(shortage));
             }
             // The turn was closed before this request arrived: no one waits for the reply.
-            OpenOutcome::Ended => {
+            OpenOutcome::AlreadyEnded => {
                 tracing::info!(
                     event = "turn_asked_late",
                     request = open.turn,
                     program = open.program,
-                    reservation = open.reservation(),
+                    reservation = open.reservation_id(),
                     epoch = self.epoch
                 );
                 let _ = sender.send(LedgerReply::Unavailable);
@@ -102,7 +102,7 @@
     fn close(&self, close: &CloseTurn, sender: mpsc::UnboundedSender<LedgerReply>) {
         self.assigner.end_turn(close);
         let records = self.state.borrow_mut().close(close, unix_ms());
-        let _ = sender.send(LedgerReply::Noted);
+        let _ = sender.send(LedgerReply::Accepted);
         let reply = LedgerReply::Closed;
         let urgency = match close.awaited {
             true => Urgency::Now,
@@ -116,9 +116,9 @@
     /// the next owner, in milliseconds; `None` if this owner was fenced.
     pub(super) fn append_handover(&self) -> oneshot::Receiver<Option<u64>> {
         let (sender, receiver) = oneshot::channel();
-        let records = self.state.borrow_mut().hand_over();
+        let records = self.state.borrow_mut().handover_records();
         let keyed = records.iter().map(keyed_record).collect();
-        let doubt_ms = self.state.borrow().doubt_ms(unix_ms());
+        let doubt_ms = self.state.borrow().uncertainty_ms(unix_ms());
         let done = move |outcome| {
             let _ = sender.send((outcome == Outcome::Durable).then_some(doubt_ms));
         };
@@ -129,7 +129,7 @@
     /// Appends the record that lets programs begin while the log is down, during the time in which
     /// programs without a record are in doubt.
     pub(super) fn claim_part(&self) {
-        let records = self.state.borrow().claim_part(unix_ms());
+        let records = self.state.borrow().claim_unrecorded_share(unix_ms());
         if !records.is_empty() {
             self.push(records, None, Urgency::Now);
         }
@@ -143,8 +143,8 @@
         }
     }
 
-    fn find(&self, turn: &Name, sender: mpsc::UnboundedSender<LedgerReply>) {
-        match self.state.borrow().contents(turn) {
+    fn find(&self, turn: &QualifiedName, sender: mpsc::UnboundedSender<LedgerReply>) {
+        match self.state.borrow().chain_contents(turn) {
             Some(chain) => {
                 let _ = sender.send(LedgerReply::Chain(chain));
             }
@@ -172,7 +172,9 @@
         let done = move |outcome| {
             if outcome == Outcome::Durable {
                 let mut state = state.borrow_mut();
-                records.iter().for_each(|record| state.appended(record));
+                records
+                    .iter()
+                    .for_each(|record| state.record_appended(record));
             }
             if let Some(pending) = pending {
                 let reply = match outcome {
--- a/crates/gateway/tests/gateway/abandoned.rs
+++ b/crates/gateway/tests/gateway/abandoned.rs
@@ -124,15 +124,15 @@
         turn: format!("lost-{program}"),
         attempt: 1,
         program: program.to_owned(),
-        line: Some("a".to_owned()),
+        session: Some("a".to_owned()),
         previous: None,
         wants_chain: true,
         keeps_context: true,
-        brings_chain: false,
+        supplies_chain: false,
         budget: Some(60),
-        most_tokens: 40,
+        max_tokens: 40,
         placement: None,
-        keeper: None,
+        home_partition: None,
     };
     let ledger = &gateway.daemon.ledger;
     let deadline = Instant::now() + KNOWN_WITHIN;
@@ -179,7 +179,7 @@
             let reply = b.ask("POST", "/chat/1", &next, "x").await;
             assert_eq!(reply.head.status, 200, "{program}");
             let ledger = &a.daemon.ledger;
-            let end = left.withdrawn();
+            let end = left.cancellation();
             let is_told = ledger.close(&end, Instant::now() + KNOWN_WITHIN).await;
             assert!(is_told, "its end is not known");
             // Ten tokens are used: the budget holds one more turn.
--- a/crates/gateway/tests/gateway/ownership.rs
+++ b/crates/gateway/tests/gateway/ownership.rs
@@ -3,7 +3,7 @@
 use crate::support::{Act, Gateway, Server, World, run};
 use fieldhook_emulator::log::memory::LogFault;
 use fieldhook_gateway::ledger::owner::LEDGER_TOPIC;
-use fieldhook_ledger::message::{LedgerReply, LedgerRequest, QuotaMatter, QuotaQuestion};
+use fieldhook_ledger::message::{LedgerReply, LedgerRequest, QuotaEvent, QuotaRequest};
 use fieldhook_log::api::Partition;
 use fieldhook_log::reach::Reach;
 use std::time::Duration;
@@ -118,7 +118,7 @@
         cut.wait_ready(1).await;
         sleep(Duration::from_millis(100)).await;
         cut.store.set_fault(LogFault::Silent);
-        cut.daemon.contact.failed();
+        cut.daemon.contact.record_failure();
         // The claim changes twice: the owner releases the partition in a planned stop, and the
         // other gateway claims it.
         fieldhook_gateway::drain::run(owner.daemon.clone()).await;
@@ -147,9 +147,9 @@
 /// Cuts a gateway off from the log and lets it notice.
 async fn cut_off_from_log(gateway: &Gateway) {
     gateway.store.set_fault(LogFault::Silent);
-    gateway.daemon.contact.failed();
+    gateway.daemon.contact.record_failure();
     sleep(Duration::from_millis(850)).await;
-    gateway.daemon.contact.failed();
+    gateway.daemon.contact.record_failure();
 }
 
 #[test]
@@ -162,7 +162,7 @@
         let contact = other.daemon.contact.clone();
         ntex::rt::spawn(async move {
             loop {
-                contact.answered();
+                contact.record_answer();
                 sleep(Duration::from_millis(100)).await;
             }
         });
@@ -179,16 +179,16 @@
 /// Returns an owner's reply to a quota request of tenant `p`, which is counted in the same partition
 /// as program `p`.
 async fn quota_reply(owner: &Gateway) -> LedgerReply {
-    let question = QuotaQuestion {
-        matter: QuotaMatter::Request,
+    let question = QuotaRequest {
+        event: QuotaEvent::Request,
         tenant: "p".to_owned(),
         rate_per_s: 1.0,
         burst: 10.0,
         version: 1,
         program: None,
         route: "r".to_owned(),
-        begins: false,
-        patience_ms: 0,
+        starts_program: false,
+        max_wait_ms: 0,
     };
     let (sender, mut replies) = mpsc::unbounded_channel();
     let owner = &owner.daemon.owner;
@@ -210,7 +210,7 @@
         let contact = other.daemon.contact.clone();
         ntex::rt::spawn(async move {
             loop {
-                contact.answered();
+                contact.record_answer();
                 sleep(Duration::from_millis(100)).await;
             }
         });
--- a/crates/gateway/tests/gateway/tenants.rs
+++ b/crates/gateway/tests/gateway/tenants.rs
@@ -76,7 +76,7 @@
         for (seen, (tenant, rank)) in seen.iter().zip(wanted) {
             let headers = &seen.head.headers;
             assert_eq!(headers.text("tenant"), tenant);
-            assert!(headers.all("tenant").count() <= 1);
+            assert!(headers.get_all("tenant").count() <= 1);
             assert_eq!(headers.text("rank"), Some(rank));
             assert!(!headers.has("key"));
         }
@@ -205,7 +205,7 @@
         cut.wait_ready(1).await;
         sleep(Duration::from_millis(100)).await;
         cut.store.set_fault(LogFault::Silent);
-        cut.daemon.contact.failed();
+        cut.daemon.contact.record_failure();
         world.publish(1).await;
         wait_version(&owner, 2).await;
         let waited = tokio::time::timeout(Duration::from_secs(6), wait_version(&cut, 2));
--- a/crates/ledger/tests/chain_fuzz.rs
+++ b/crates/ledger/tests/chain_fuzz.rs
@@ -4,9 +4,9 @@
 //! for their turns; none ever goes on from a turn of another.
 
 use fieldhook_ledger::message::{CloseTurn, OpenTurn, TurnContent};
+use fieldhook_ledger::name::QualifiedName;
 use fieldhook_ledger::partition::{OpenOutcome, Partition};
 use fieldhook_ledger::record::Record;
-use fieldhook_ledger::scope::Name;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeMap;
 
@@ -82,15 +82,15 @@
             turn: turn.to_owned(),
             attempt: 0,
             program: "p".to_owned(),
-            line: None,
+            session: None,
             previous,
             wants_chain: true,
             keeps_context: true,
-            brings_chain: false,
+            supplies_chain: false,
             budget: None,
-            most_tokens: 10,
+            max_tokens: 10,
             placement: None,
-            keeper: None,
+            home_partition: None,
         };
         self.owner.open(&request, self.now_ms)
     }
@@ -135,7 +135,7 @@
             attempt: 0,
             program: "p".to_owned(),
             budget: None,
-            most_tokens: 10,
+            max_tokens: 10,
             tokens: 1,
             content: Some(TurnContent {
                 previous,
@@ -144,7 +144,7 @@
                 retention_ms: RETENTION_MS,
             }),
             engine: None,
-            keeper: None,
+            home_partition: None,
             awaited: true,
         };
         let records = self.owner.close(&close, self.now_ms);
@@ -184,7 +184,7 @@
                 self.owner.load(record);
             }
         }
-        self.owner.loaded();
+        self.owner.finish_loading();
     }
 
     fn step(&mut self, step: Step) -> bool {
@@ -236,6 +236,6 @@
             owner.load(Record::Turn(name, Some(record)));
         }
     }
-    owner.loaded();
-    assert_eq!(owner.contents(&Name::new(None, "t0")), None);
+    owner.finish_loading();
+    assert_eq!(owner.chain_contents(&QualifiedName::new(None, "t0")), None);
 }
