--- a/crates/gateway/src/follow/long_poll.rs
+++ b/crates/gateway/src/follow/long_poll.rs
@@ -5,8 +5,8 @@
 //! This counts as lost contact: the time bounds of the settings apply again once contact has been
 //! undisturbed for `contact_ms`. A read that was sent right before the connection stopped
 //! responding ends with its time-out, and the next read, on a new connection, has to be answered
-//! within `contact_ms` as well. A read may therefore wait for `contact_ms` less the slack of a
-//! read and the pauses between two of them. The bounds of configuration, draining and evacuation
+//! within `contact_ms` as well. A read may therefore wait for `contact_ms` less the margin of a
+//! read's time-out and the pauses until the next read. The bounds of configuration, draining and evacuation
 //! are not affected, since a healthy connection delivers a change at once.
 
 use crate::settings::GatewaySettings;
@@ -20,7 +20,7 @@
 /// Time left for the reply of a busy log. Each read that ends without a change confirms the
 /// configuration. Where API keys have to be confirmed within a limit, the read ends this much
 /// before the limit, so that requests with these keys are served without interruption.
-const CONFIRM_SLACK: Duration = Duration::from_millis(300);
+const CONFIRM_MARGIN: Duration = Duration::from_millis(300);
 
 /// Returns the longest wait of successive reads that are `pause` apart.
 pub fn max_wait(contact: Duration, pause: Duration) -> Duration {
@@ -34,7 +34,7 @@
     match settings.revocation_ms {
         Some(limit_ms) => {
             let limit = Duration::from_millis(limit_ms);
-            wait.min(limit.saturating_sub(CONFIRM_SLACK)).max(MIN_WAIT)
+            wait.min(limit.saturating_sub(CONFIRM_MARGIN)).max(MIN_WAIT)
         }
         None => wait,
     }
--- a/crates/gateway/src/ledger/client.rs
+++ b/crates/gateway/src/ledger/client.rs
@@ -59,9 +59,9 @@
     }
 
     /// Returns the usage of a budget that does not cover the turn.
-    pub fn shortage(&self) -> Option<&BudgetUsage> {
+    pub fn budget_usage(&self) -> Option<&BudgetUsage> {
         match self {
-            Self::BudgetSpent(shortage) => Some(shortage),
+            Self::BudgetSpent(usage) => Some(usage),
             _ => None,
         }
     }
@@ -74,7 +74,7 @@
     /// Engine that the program is assigned to.
     pub engine: Option<String>,
     /// Whether it is the first turn of its program.
-    pub begins: bool,
+    pub is_first_turn: bool,
     durable: bool,
     allowed: u64,
     replies: mpsc::UnboundedReceiver<LedgerReply>,
@@ -101,8 +101,8 @@
 pub struct LedgerClient {
     /// The partitions that this daemon owns itself.
     pub owner: Rc<Owner>,
-    /// When the log last answered this daemon.
-    pub contact: Rc<LogHealth>,
+    /// Whether and when the log last answered this daemon.
+    pub log_health: Rc<LogHealth>,
     /// What this daemon can reach, updated by [`super::reach`].
     pub reach: Rc<Cell<Reach>>,
     pub(super) peers: Peers,
@@ -125,11 +125,11 @@
 
 impl LedgerClient {
     /// Creates a client; requests for partitions of `owner` do not leave the process.
-    pub fn new(owner: Rc<Owner>, contact: Rc<LogHealth>) -> Self {
+    pub fn new(owner: Rc<Owner>, log_health: Rc<LogHealth>) -> Self {
         Self {
             reach: owner.reach.clone(),
             owner,
-            contact,
+            log_health,
             peers: Peers::default(),
             claiming: RefCell::default(),
             claim_lock: Mutex::default(),
@@ -143,7 +143,7 @@
 
     /// Opens a turn. If the program's own partition does not know the previous turn, the other
     /// partitions are queried, since the turn may belong to another program; `request` then states
-    /// that the chain is brought along. `in_doubt` tells whether an owner may have opened the turn
+    /// that the chain is supplied. `in_doubt` tells whether an owner may have opened the turn
     /// without having replied, even if this future is dropped.
     ///
     /// # Errors
@@ -159,19 +159,21 @@
         }
         // Requested for the first turn of a program as well: without an owner that stores its
         // contents, the turn must not run.
-        let mut contents = request.home_partition_request();
+        let mut home_request = request.home_partition_request();
         // The home partition that stores the contents reserves no tokens.
         let nothing_in_doubt = Cell::default();
         let stored = match self
-            .open_with_chain(&mut contents, &nothing_in_doubt, deadline)
+            .open_with_chain(&mut home_request, &nothing_in_doubt, deadline)
             .await
         {
             Err(OpenFailure::Unavailable) => return Err(OpenFailure::HomeUnavailable),
             stored => stored?,
         };
-        request.supplies_chain = contents.supplies_chain;
-        let order = request.program_partition_request();
-        let opened = self.open_at_partition(&order, in_doubt, deadline).await?;
+        request.supplies_chain = home_request.supplies_chain;
+        let program_request = request.program_partition_request();
+        let opened = self
+            .open_at_partition(&program_request, in_doubt, deadline)
+            .await?;
         Ok(OpenedTurn {
             chain: stored.chain,
             ..opened
@@ -204,14 +206,14 @@
         deadline: Instant,
     ) -> Result<Vec<u8>, OpenFailure> {
         let layout = &self.owner.places.layout;
-        let home = request
+        let own_partition = request
             .home_partition
             .unwrap_or_else(|| layout.program_partition(&request.program));
         let was_claimed = |partition: &u32| self.owner.claims.claim(*partition).is_some();
         let turn = request.qualified_name(request.previous.as_deref().unwrap_or_default());
-        let questions: Vec<LedgerRequest> = (0..layout.global_count())
+        let requests: Vec<LedgerRequest> = (0..layout.global_count())
             .chain(layout.home_partitions().filter(was_claimed))
-            .filter(|partition| *partition != home)
+            .filter(|partition| *partition != own_partition)
             .map(|partition| {
                 LedgerRequest::Find(FindChain {
                     partition,
@@ -220,9 +222,9 @@
             })
             .collect();
         let until = deadline.min(Instant::now() + SILENCE_LIMIT);
-        let asked = questions.iter().map(|question| {
-            let is_home = question.partition(layout.global_count()) >= layout.global_count();
-            self.ask(question, if is_home { until } else { deadline })
+        let asked = requests.iter().map(|request| {
+            let is_home = request.partition(layout.global_count()) >= layout.global_count();
+            self.ask(request, if is_home { until } else { deadline })
         });
         let mut answers: FuturesUnordered<_> = asked.collect();
         let mut failure = OpenFailure::UnknownTurn;
@@ -258,16 +260,16 @@
                     durable,
                     allowed,
                     engine,
-                    is_first_turn: begins,
+                    is_first_turn,
                 } => Ok(OpenedTurn {
                     chain,
                     engine,
-                    begins,
+                    is_first_turn,
                     durable,
                     allowed,
                     replies,
                 }),
-                LedgerReply::BudgetSpent(shortage) => Err(OpenFailure::BudgetSpent(shortage)),
+                LedgerReply::BudgetSpent(usage) => Err(OpenFailure::BudgetSpent(usage)),
                 LedgerReply::UnknownTurn => Err(OpenFailure::UnknownTurn),
                 _ => Err(OpenFailure::Unavailable),
             },
@@ -291,8 +293,11 @@
                 Ok(_) => {
                     // The turn is closed in any case, so doubt need not be tracked.
                     let in_doubt = Cell::default();
-                    let order = request.program_partition_request();
-                    match self.open_at_partition(&order, &in_doubt, deadline).await {
+                    let program_request = request.program_partition_request();
+                    match self
+                        .open_at_partition(&program_request, &in_doubt, deadline)
+                        .await
+                    {
                         Ok(again) => *opened = again,
                         Err(_) => return false,
                     }
@@ -316,7 +321,7 @@
     /// Completes once this daemon is cut off from the log together with a minority of the zones,
     /// so that it cannot have anything recorded.
     pub async fn wait_until_cut_off(&self) {
-        while self.reach.get() != Reach::Minority || !self.contact.is_failing() {
+        while self.reach.get() != Reach::Minority || !self.log_health.is_failing() {
             sleep(MINORITY_CHECK_PERIOD).await;
         }
     }
--- a/crates/gateway/src/ledger/cold.rs
+++ b/crates/gateway/src/ledger/cold.rs
@@ -93,7 +93,7 @@
 pub(super) async fn answer(
     owner: Rc<Owner>,
     partition: u32,
-    question: ColdServerRequest,
+    request: ColdServerRequest,
     sender: mpsc::UnboundedSender<LedgerReply>,
 ) {
     let started = Instant::now();
@@ -106,7 +106,7 @@
                 if needs_renewal {
                     ntex::rt::spawn(confirm(owner.clone(), partition, claim));
                 }
-                let question = limits::cold_question(&question);
+                let question = limits::cold_question(&request);
                 let limits = &owner.cold_counters.limits;
                 break LedgerReply::Quota(limits.admit(partition, &claim, &question));
             }
@@ -173,9 +173,9 @@
     /// An owner is then searched for in the background, for the requests that follow.
     pub(crate) async fn request_cold_permit(
         self: &Rc<Self>,
-        question: &ColdServerRequest,
+        cold_request: &ColdServerRequest,
     ) -> Option<QuotaReply> {
-        let request = LedgerRequest::Cold(question.clone());
+        let request = LedgerRequest::Cold(cold_request.clone());
         let answer = timeout(PERMIT_TIMEOUT, self.request_permit_from_owner(&request)).await;
         if let Ok(Some(answer)) = answer {
             return Some(answer);
--- a/crates/gateway/src/ledger/exchange.rs
+++ b/crates/gateway/src/ledger/exchange.rs
@@ -67,7 +67,7 @@
         };
         if suspicions.insert(partition, suspicion) != Some(suspicion) {
             let (epoch, state) = suspicion;
-            let log_age_ms = self.contact.ms_since_answer();
+            let log_age_ms = self.log_health.ms_since_answer();
             tracing::info!(event = "owner_doubted", partition, epoch, state, log_age_ms);
         }
     }
--- a/crates/gateway/src/ledger/held.rs
+++ b/crates/gateway/src/ledger/held.rs
@@ -43,7 +43,7 @@
     let state = match claim.map_or(PreviousOwner::Lost, |claim| claim.previous_owner) {
         PreviousOwner::None => Partition::default(),
         PreviousOwner::Settled { doubt_ms } => Partition::after_handover(unix_ms(), doubt_ms),
-        PreviousOwner::Lost => Partition::after_loss(unix_ms(), owner.doubt_after_loss_ms()),
+        PreviousOwner::Lost => Partition::after_loss(unix_ms(), owner.uncertainty_after_loss_ms()),
     };
     let mut loader = PartitionLoader::new(owner.log_partition(partition), epoch, state);
     loop {
@@ -93,7 +93,7 @@
         owner.log_partition(partition),
         epoch,
         owner.store.clone(),
-        owner.contact.clone(),
+        owner.log_health.clone(),
     ));
     let is_current = matches!(owner.held.borrow().get(&partition), Some(HeldPartition::Loading(now)) if *now == epoch);
     if !is_current {
@@ -114,7 +114,7 @@
         appender: appender.clone(),
         assigner: owner.assigner.clone(),
     };
-    served.claim_part();
+    served.claim_unrecorded_share();
     owner
         .held
         .borrow_mut()
--- a/crates/gateway/src/ledger/homes.rs
+++ b/crates/gateway/src/ledger/homes.rs
@@ -21,7 +21,7 @@
 /// moment.
 const CHECK_JITTER_MS: u64 = 500;
 
-/// Returns the rule for the partitions that this daemon may own. Any daemon may own a free
+/// Returns the rule for the partitions that this daemon may own. Any daemon may own a global
 /// partition. A home partition may be owned by the daemons of its region, if the configuration
 /// names the region as a home or the partition was claimed before: it may still store contents
 /// that have to be kept.
--- a/crates/gateway/src/ledger/limits.rs
+++ b/crates/gateway/src/ledger/limits.rs
@@ -67,9 +67,9 @@
         &self,
         partition: u32,
         claim: &Claim,
-        question: &QuotaRequest,
+        report: &QuotaRequest,
     ) -> QuotaReply {
-        let (tenant, program) = (&question.tenant, question.program.as_deref());
+        let (tenant, program) = (&report.tenant, report.program.as_deref());
         self.with_counters(partition, claim, |counters, now_ms| {
             counters.left(tenant, program, now_ms);
             QuotaReply::Granted {
@@ -93,7 +93,7 @@
         if !is_current {
             let new = ClaimCounters {
                 epoch: claim.epoch,
-                counters: Book::new(self.bounds, former(claim), now_ms),
+                counters: Book::new(self.bounds, previous_owner(claim), now_ms),
             };
             by_partition.insert(partition, new);
         }
@@ -104,9 +104,9 @@
     }
 }
 
-/// Grants of a former owner are not known, whether or not it released the partition in a planned
+/// Grants of the previous owner are not known, whether or not it released the partition in a planned
 /// stop.
-fn former(claim: &Claim) -> Former {
+fn previous_owner(claim: &Claim) -> Former {
     match claim.previous_owner {
         ownership::PreviousOwner::None => Former::None,
         ownership::PreviousOwner::Settled { .. } | ownership::PreviousOwner::Lost => Former::Lost,
@@ -114,28 +114,28 @@
 }
 
 /// Converts a request about a cold server.
-pub(super) fn cold_question(question: &ColdServerRequest) -> Question<'_> {
+pub(super) fn cold_question(request: &ColdServerRequest) -> Question<'_> {
     cold::question(
-        &question.server,
-        question.rate_per_s,
-        question.version,
-        question.rank,
+        &request.server,
+        request.rate_per_s,
+        request.version,
+        request.rank,
     )
 }
 
 /// Converts a request about a tenant.
-pub(super) fn tenant_question(question: &QuotaRequest) -> Question<'_> {
+pub(super) fn tenant_question(request: &QuotaRequest) -> Question<'_> {
     Question {
-        tenant: &question.tenant,
+        tenant: &request.tenant,
         limit: Limit {
-            rate_per_s: question.rate_per_s,
-            burst: question.burst,
+            rate_per_s: request.rate_per_s,
+            burst: request.burst,
         },
-        version: question.version,
-        program: question.program.as_deref(),
-        route: &question.route,
-        begins: question.starts_program,
-        patience_ms: question.max_wait_ms,
+        version: request.version,
+        program: request.program.as_deref(),
+        route: &request.route,
+        begins: request.starts_program,
+        patience_ms: request.max_wait_ms,
         leaves: 0,
     }
 }
--- a/crates/gateway/src/ledger/owner.rs
+++ b/crates/gateway/src/ledger/owner.rs
@@ -47,7 +47,7 @@
     pub claims: Rc<Claims>,
     relay: Rc<Relay>,
     pub(super) store: Rc<dyn LogStore>,
-    pub(super) contact: Rc<LogHealth>,
+    pub(super) log_health: Rc<LogHealth>,
     pub(super) metrics: Rc<Metrics>,
     pub(super) held: RefCell<HashMap<u32, HeldPartition>>,
     capacity: Capacity,
@@ -71,7 +71,7 @@
     /// Creates an owner that holds no partition.
     pub fn new(
         relay: Rc<Relay>,
-        contact: Rc<LogHealth>,
+        log_health: Rc<LogHealth>,
         metrics: Rc<Metrics>,
         settings: &GatewaySettings,
         assigner: Rc<Assigner>,
@@ -81,7 +81,7 @@
         let store: Rc<dyn LogStore> = relay.clone();
         let claims = Claims::new(
             store.clone(),
-            contact.clone(),
+            log_health.clone(),
             OWNERS_TOPIC,
             places.layout.count(),
             settings.peers,
@@ -92,7 +92,7 @@
             claims: Rc::new(claims),
             relay,
             store,
-            contact,
+            log_health,
             metrics,
             held: RefCell::default(),
             capacity: settings.capacity,
@@ -129,8 +129,9 @@
         self.longest_turn_ms.set(longest_ms);
     }
 
-    /// Returns how long programs without a record are in doubt after their owner was lost.
-    pub(super) fn doubt_after_loss_ms(&self) -> u64 {
+    /// Returns how long it stays uncertain what a lost owner granted to programs without a record,
+    /// in milliseconds.
+    pub(super) fn uncertainty_after_loss_ms(&self) -> u64 {
         uncertainty_after_loss_ms(self.longest_turn_ms.get())
     }
 
@@ -151,12 +152,12 @@
         let partition = request.partition(self.places.layout.global_count());
         match request {
             LedgerRequest::HasRecentLogContact => {
-                let has_log =
-                    self.contact.answered_within(RECENT_LOG_REPLY) && !self.contact.is_failing();
+                let has_log = self.log_health.answered_within(RECENT_LOG_REPLY)
+                    && !self.log_health.is_failing();
                 let _ = sender.send(LedgerReply::LogContact(has_log));
             }
             LedgerRequest::HasLogContact => {
-                let _ = sender.send(LedgerReply::LogContact(!self.contact.is_lost()));
+                let _ = sender.send(LedgerReply::LogContact(!self.log_health.is_lost()));
             }
             LedgerRequest::Config(version) => {
                 let _ = sender.send(LedgerReply::Config(
@@ -166,21 +167,21 @@
             LedgerRequest::Claim(claim) => {
                 ntex::rt::spawn(claim_on_request(self.clone(), claim, sender));
             }
-            LedgerRequest::Follow(question) => {
+            LedgerRequest::Follow(request) => {
                 let relay = self.relay.clone();
                 ntex::rt::spawn(async move {
-                    let _ = sender.send(relay.answer_follow(&question).await);
+                    let _ = sender.send(relay.answer_follow(&request).await);
                 });
             }
-            LedgerRequest::List(question) => {
+            LedgerRequest::List(request) => {
                 let relay = self.relay.clone();
                 ntex::rt::spawn(async move {
-                    let _ = sender.send(relay.answer_list(&question).await);
+                    let _ = sender.send(relay.answer_list(&request).await);
                 });
             }
-            LedgerRequest::Quota(question) => self.handle_quota(partition, &question, &sender),
-            LedgerRequest::Cold(question) => {
-                ntex::rt::spawn(cold::answer(self.clone(), partition, question, sender));
+            LedgerRequest::Quota(request) => self.handle_quota(partition, &request, &sender),
+            LedgerRequest::Cold(request) => {
+                ntex::rt::spawn(cold::answer(self.clone(), partition, request, sender));
             }
             LedgerRequest::FindOwner(_) => {
                 let _ = sender.send(LedgerReply::NotOwner(self.known_owner(partition)));
@@ -200,7 +201,7 @@
             Some(HeldPartition::Serving(served)) => served.handle(request, sender),
             // `Unavailable` would make clients wait for the load, which does not finish while the
             // log serves other daemons but not this one.
-            Some(HeldPartition::Loading(_)) if self.contact.is_lost() => {
+            Some(HeldPartition::Loading(_)) if self.log_health.is_lost() => {
                 let _ = sender.send(LedgerReply::NotLoaded);
             }
             Some(HeldPartition::Loading(_) | HeldPartition::Releasing(_)) => {
@@ -219,18 +220,18 @@
     fn handle_quota(
         &self,
         partition: u32,
-        question: &QuotaRequest,
+        request: &QuotaRequest,
         sender: &mpsc::UnboundedSender<LedgerReply>,
     ) {
         let may_be_replaced = self.reach.get() == Reach::CutOff;
         let claim = self.own_claim(partition).filter(|_| !may_be_replaced);
         let reply = match claim {
-            Some(claim) => LedgerReply::Quota(match question.event {
+            Some(claim) => LedgerReply::Quota(match request.event {
                 QuotaEvent::Request => {
-                    let question = limits::tenant_question(question);
+                    let question = limits::tenant_question(request);
                     self.limits.admit(partition, &claim, &question)
                 }
-                QuotaEvent::Interrupted => self.limits.client_left(partition, &claim, question),
+                QuotaEvent::Interrupted => self.limits.client_left(partition, &claim, request),
             }),
             None if may_be_replaced => LedgerReply::NotOwner(None),
             None => LedgerReply::NotOwner(self.known_owner(partition)),
@@ -310,10 +311,13 @@
     /// Updates the metrics and the engine assigner after the set of held partitions changed.
     pub(super) fn publish_held(&self, held: &HashMap<u32, HeldPartition>) {
         self.metrics.partitions_owned.set(held.len() as i64);
-        // Engines are assigned by the owners of free partitions, which order the programs.
-        let free = self.places.layout.global_count();
-        let ordering = held.keys().copied().filter(|partition| *partition < free);
-        self.assigner.set_owned(ordering.collect());
+        // Engines are assigned by the owners of global partitions, which order the programs.
+        let global_count = self.places.layout.global_count();
+        let global = held
+            .keys()
+            .copied()
+            .filter(|partition| *partition < global_count);
+        self.assigner.set_owned(global.collect());
     }
 
     /// Exports how much of their limits the tenants counted by this daemon use.
@@ -331,13 +335,13 @@
 
     /// Returns the partition of the log that stores the records of a ledger partition.
     pub(super) fn log_partition(&self, partition: u32) -> LogPartition {
-        let place = self.places.layout.location(partition);
+        let location = self.places.layout.location(partition);
         LogPartition {
-            topic: match place.region {
+            topic: match location.region {
                 Some(region) => format!("{HOME_TOPIC}{region}"),
                 None => LEDGER_TOPIC.to_owned(),
             },
-            number: place.number,
+            number: location.number,
         }
     }
 }
--- a/crates/gateway/src/ledger/peer.rs
+++ b/crates/gateway/src/ledger/peer.rs
@@ -103,15 +103,12 @@
     let mut buffer = BytesMut::new();
     while let Ok(envelope) = next_frame::<LedgerRequest>(&mut reader, &mut buffer).await {
         let (sender, mut replies) = mpsc::unbounded_channel();
-        let call = envelope.call_id;
+        let call_id = envelope.call_id;
         owner.handle(envelope.body, sender);
         let frames = frames.clone();
         ntex::rt::spawn(async move {
             while let Some(body) = replies.recv().await {
-                let _ = frames.send(encode(&Envelope {
-                    call_id: call,
-                    body,
-                }));
+                let _ = frames.send(encode(&Envelope { call_id, body }));
             }
         });
     }
@@ -123,7 +120,7 @@
 pub struct PeerConnection {
     frames: mpsc::UnboundedSender<Vec<u8>>,
     calls: RefCell<HashMap<u64, Replies>>,
-    next_call: Cell<u64>,
+    next_call_id: Cell<u64>,
     closed: Cell<bool>,
     discarded: Cell<bool>,
     on_discard: Notify,
@@ -144,7 +141,7 @@
         let connection = Rc::new(Self {
             frames,
             calls: RefCell::default(),
-            next_call: Cell::new(0),
+            next_call_id: Cell::new(0),
             closed: Cell::new(false),
             discarded: Cell::new(false),
             on_discard: Notify::new(),
@@ -166,11 +163,11 @@
                 break;
             };
             let mut calls = self.calls.borrow_mut();
-            let more = envelope.body.is_interim();
+            let is_interim = envelope.body.is_interim();
             if let Some(sender) = calls.get(&envelope.call_id) {
                 let _ = sender.send(envelope.body);
             }
-            if !more {
+            if !is_interim {
                 calls.remove(&envelope.call_id);
             }
         }
@@ -206,19 +203,16 @@
     /// connection does.
     pub fn call(&self, body: LedgerRequest) -> mpsc::UnboundedReceiver<LedgerReply> {
         let (sender, replies) = mpsc::unbounded_channel();
-        let call = self.next_call.get();
-        self.next_call.set(call + 1);
-        self.calls.borrow_mut().insert(call, sender);
+        let call_id = self.next_call_id.get();
+        self.next_call_id.set(call_id + 1);
+        self.calls.borrow_mut().insert(call_id, sender);
         if self.closed.get()
             || self
                 .frames
-                .send(encode(&Envelope {
-                    call_id: call,
-                    body,
-                }))
+                .send(encode(&Envelope { call_id, body }))
                 .is_err()
         {
-            self.calls.borrow_mut().remove(&call);
+            self.calls.borrow_mut().remove(&call_id);
         }
         replies
     }
@@ -256,12 +250,12 @@
     pub async fn request(
         &self,
         address: SocketAddr,
-        question: &LedgerRequest,
+        request: &LedgerRequest,
         limit: Duration,
     ) -> Option<LedgerReply> {
         let exchange = async {
             let connection = self.connection(address).await.ok()?;
-            connection.call(question.clone()).recv().await
+            connection.call(request.clone()).recv().await
         };
         timeout(limit, exchange).await.ok().flatten()
     }
--- a/crates/gateway/src/ledger/quota.rs
+++ b/crates/gateway/src/ledger/quota.rs
@@ -84,13 +84,13 @@
     }
 
     /// Decides on one request of a tenant, by the owner of its limit if that answers.
-    pub async fn acquire(&self, ledger: &LedgerClient, question: &QuotaRequest) -> Outcome {
-        let tenant = &question.tenant;
+    pub async fn acquire(&self, ledger: &LedgerClient, quota_request: &QuotaRequest) -> Outcome {
+        let tenant = &quota_request.tenant;
         let partition = ledger.partition_of(tenant);
         if self.skips_owner(partition) && self.take_from_share(tenant) {
             return Outcome::AdmittedLocally;
         }
-        let request = LedgerRequest::Quota(question.clone());
+        let request = LedgerRequest::Quota(quota_request.clone());
         let limit = match ledger.reach.get() {
             Reach::Minority => MINORITY_OWNER_LIMIT,
             _ => OWNER_LIMIT,
@@ -100,7 +100,7 @@
             Some((LedgerReply::Quota(QuotaReply::Granted { used }), _)) => {
                 self.skip_owner_until.borrow_mut().remove(&partition);
                 let window_s = self.window_ms as f64 / 1_000.0;
-                let limit = question.rate_per_s * window_s + question.burst;
+                let limit = quota_request.rate_per_s * window_s + quota_request.burst;
                 self.with_share(tenant, |share, now_ms| {
                     share.learn_limit(limit);
                     share.granted(used, self.window_ms, now_ms);
@@ -126,12 +126,12 @@
     /// Reports to the owner of a limit, in the background, that a client disconnected. The report
     /// is sent only once: hundreds of clients disconnect when owners stop answering, and an owner
     /// that misses a report merely counts the program as a short one.
-    pub(crate) fn report_client_left(self: &Rc<Self>, question: QuotaRequest) {
+    pub(crate) fn report_client_left(self: &Rc<Self>, report: QuotaRequest) {
         let ledger = self.clone();
         ntex::rt::spawn(async move {
-            let partition = ledger.partition_of(&question.tenant);
-            let (program, tenant) = (question.program.clone(), question.tenant.clone());
-            let request = LedgerRequest::Quota(question);
+            let partition = ledger.partition_of(&report.tenant);
+            let (program, tenant) = (report.program.clone(), report.tenant.clone());
+            let request = LedgerRequest::Quota(report);
             let answer = ledger.exchange(partition, &request, OWNER_LIMIT).await;
             if !matches!(answer, Exchange::Answered(..)) {
                 tracing::info!(event = "left_untold", program, tenant, partition);
--- a/crates/gateway/src/ledger/reach.rs
+++ b/crates/gateway/src/ledger/reach.rs
@@ -34,7 +34,7 @@
         daemon
             .away
             .send_if_modified(|now| std::mem::replace(now, away) != away);
-        let round = match ledger.contact.is_lost() {
+        let round = match ledger.log_health.is_lost() {
             true => ledger.poll_peers_for_log().await,
             false => Round::Heard,
         };
@@ -53,7 +53,7 @@
             ?reach,
             ?round,
             ?look,
-            log_age_ms = ledger.contact.ms_since_answer()
+            log_age_ms = ledger.log_health.ms_since_answer()
         );
         if matches!(reach, Reach::CutOff | Reach::Minority) {
             ledger.owner.claims.changed.notify_waiters();
@@ -108,7 +108,7 @@
 /// Whether the log answered recently or answers now.
 async fn reaches_log(daemon: &Daemon) -> bool {
     let ledger = &daemon.ledger;
-    ledger.contact.answered_within(PERIOD) || ledger.log_accepts_appends(PROBED_PARTITION).await
+    ledger.log_health.answered_within(PERIOD) || ledger.log_accepts_appends(PROBED_PARTITION).await
 }
 
 /// Whether at least one of a sample of the servers can be reached.
--- a/crates/gateway/src/ledger/region.rs
+++ b/crates/gateway/src/ledger/region.rs
@@ -53,7 +53,7 @@
     }
 
     /// Completes once no daemon of a home partition's region has answered for [`SILENCE_LIMIT`].
-    /// Never completes for a free partition.
+    /// Never completes for a global partition.
     pub(super) async fn wait_for_region_silence(&self, partition: u32) {
         if self.owner.places.layout.region(partition).is_none() {
             return pending().await;
@@ -103,10 +103,10 @@
             asked = asked.len(),
             known
         );
-        let question = LedgerRequest::Claim(ClaimPartition::replacing(partition, epoch));
+        let request = LedgerRequest::Claim(ClaimPartition::replacing(partition, epoch));
         let calls = asked
             .into_iter()
-            .map(|other| self.query_peer(other, &question, CLAIM_TIMEOUT));
+            .map(|other| self.query_peer(other, &request, CLAIM_TIMEOUT));
         let mut answers: FuturesUnordered<_> = calls.collect();
         loop {
             let changed = claims.changed.notified();
--- a/crates/gateway/src/ledger/release.rs
+++ b/crates/gateway/src/ledger/release.rs
@@ -1,4 +1,4 @@
-//! Releasing partitions in a planned stop, so that nothing is in doubt for their next owners. See
+//! Releasing partitions in a planned stop, so that nothing is uncertain for their next owners. See
 //! docs/PLATFORM.md, "Budget and history".
 
 use super::held::HeldPartition;
@@ -41,7 +41,7 @@
 
     /// Appends the program records that the next owner of a partition needs. Once these and
     /// everything before them are durable, returns how long programs that earlier owners left
-    /// without a record stay in doubt for the next owner; `None` if this owner was fenced.
+    /// without a record stay uncertain for the next owner; `None` if this owner was fenced.
     fn append_handover(&self, partition: u32) -> impl Future<Output = Option<u64>> + use<> {
         let handover = match self.held.borrow().get(&partition) {
             Some(HeldPartition::Serving(served) | HeldPartition::Releasing(served)) => {
--- a/crates/gateway/src/ledger/replace.rs
+++ b/crates/gateway/src/ledger/replace.rs
@@ -71,8 +71,8 @@
             .claims
             .claim(partition)
             .and_then(|claim| claim.address);
-        let question = LedgerRequest::FindOwner(partition);
-        let answers = self.query_peers(suspected, &question, PEER_TIMEOUT).await;
+        let request = LedgerRequest::FindOwner(partition);
+        let answers = self.query_peers(suspected, &request, PEER_TIMEOUT).await;
         let mut found_newer = false;
         for answer in answers.into_iter().flatten() {
             if let LedgerReply::NotOwner(Some(known)) = answer {
@@ -87,10 +87,10 @@
     async fn query_peers(
         &self,
         except: Option<SocketAddr>,
-        question: &LedgerRequest,
+        request: &LedgerRequest,
         limit: Duration,
     ) -> Vec<Option<LedgerReply>> {
-        self.query_sample(QUERIED_PEERS, except, question, limit)
+        self.query_sample(QUERIED_PEERS, except, request, limit)
             .await
     }
 
@@ -99,7 +99,7 @@
         &self,
         count: usize,
         except: Option<SocketAddr>,
-        question: &LedgerRequest,
+        request: &LedgerRequest,
         limit: Duration,
     ) -> Vec<Option<LedgerReply>> {
         let mut others = self.owner.claims.addresses();
@@ -108,7 +108,7 @@
         let asked = others
             .into_iter()
             .take(count)
-            .map(|other| self.query_peer(other, question, limit));
+            .map(|other| self.query_peer(other, request, limit));
         join_all(asked).await
     }
 
@@ -116,10 +116,10 @@
     pub(super) async fn query_peer(
         &self,
         address: SocketAddr,
-        question: &LedgerRequest,
+        request: &LedgerRequest,
         limit: Duration,
     ) -> Option<LedgerReply> {
-        self.peers.request(address, question, limit).await
+        self.peers.request(address, request, limit).await
     }
 
     /// Queries some daemons whether the log answers them.
@@ -137,17 +137,17 @@
 
     /// Queries a larger sample of daemons; returns how many were queried and how many answered.
     pub async fn poll_reachable_peers(&self) -> (usize, usize) {
-        let question = LedgerRequest::HasRecentLogContact;
+        let request = LedgerRequest::HasRecentLogContact;
         let answers = self
-            .query_sample(REACHABILITY_SAMPLE, None, &question, PEER_TIMEOUT)
+            .query_sample(REACHABILITY_SAMPLE, None, &request, PEER_TIMEOUT)
             .await;
         (answers.len(), answers.iter().flatten().count())
     }
 
     /// Queries some daemons for a configuration newer than this version.
     pub async fn query_peer_configs(&self, version: u64) -> Vec<ConfigUpdate> {
-        let question = LedgerRequest::Config(version);
-        let answers = self.query_peers(None, &question, PEER_TIMEOUT).await;
+        let request = LedgerRequest::Config(version);
+        let answers = self.query_peers(None, &request, PEER_TIMEOUT).await;
         let news = answers.into_iter().flatten();
         news.filter_map(|answer| match answer {
             LedgerReply::Config(news) => Some(news),
@@ -161,8 +161,8 @@
         if self.owner.places.layout.region(partition).is_some() {
             return self.request_claim_in_region(partition, epoch).await;
         }
-        let question = LedgerRequest::Claim(ClaimPartition::replacing(partition, Some(epoch)));
-        let answers = self.query_peers(None, &question, CLAIM_TIMEOUT).await;
+        let request = LedgerRequest::Claim(ClaimPartition::replacing(partition, Some(epoch)));
+        let answers = self.query_peers(None, &request, CLAIM_TIMEOUT).await;
         let mut found_newer = false;
         for answer in answers.into_iter().flatten() {
             if let LedgerReply::NotOwner(Some(known)) = answer {
@@ -179,9 +179,9 @@
         let suspected = claim.and_then(|claim| claim.address);
         let mut others = self.owners_in_region_of(partition);
         others.retain(|other| Some(*other) != suspected);
-        let question = LedgerRequest::Claim(ClaimPartition::replacing(partition, Some(epoch)));
+        let request = LedgerRequest::Claim(ClaimPartition::replacing(partition, Some(epoch)));
         for other in others {
-            let answer = self.query_peer(other, &question, CLAIM_TIMEOUT).await;
+            let answer = self.query_peer(other, &request, CLAIM_TIMEOUT).await;
             if let Some(LedgerReply::NotOwner(Some(known))) = answer
                 && self.learn_owner(partition, &known)
             {
@@ -202,7 +202,7 @@
         if self.request_claim_of_unowned(partition).await {
             return true;
         }
-        if !self.contact.is_failing() || !self.learn_owner_from_peers(partition, epoch).await {
+        if !self.log_health.is_failing() || !self.learn_owner_from_peers(partition, epoch).await {
             let _ = timeout(OWNER_CHANGE_WAIT, self.owner.claims.changed.notified()).await;
         }
         true
@@ -218,8 +218,8 @@
         let Some(address) = claim.address.filter(|_| !claims.is_mine(&claim)) else {
             return;
         };
-        let question = LedgerRequest::HasRecentLogContact;
-        let answer = self.query_peer(address, &question, PEER_TIMEOUT).await;
+        let request = LedgerRequest::HasRecentLogContact;
+        let answer = self.query_peer(address, &request, PEER_TIMEOUT).await;
         match answer {
             Some(LedgerReply::LogContact(true)) => {}
             // The owner itself reports that it is stuck, so a daemon of its region may claim the
@@ -263,9 +263,9 @@
         if self.defer_to_region(partition, Some(epoch)).await {
             return;
         }
-        let may_claim = self.contact.no_failure_for(STEADY)
+        let may_claim = self.log_health.no_failure_for(STEADY)
             && self.log_accepts_appends(partition).await
-            && (self.contact.no_failure_for(NOT_RECENTLY_CUT_OFF)
+            && (self.log_health.no_failure_for(NOT_RECENTLY_CUT_OFF)
                 || !self.owner_answers(partition).await);
         if may_claim {
             self.replace(partition, Some(epoch)).await;
@@ -287,7 +287,7 @@
             let _ = timeout(OWNER_CHANGE_WAIT, self.owner.claims.changed.notified()).await;
             return;
         }
-        if self.contact.is_failing() && self.learn_owner_from_peers(partition, epoch).await {
+        if self.log_health.is_failing() && self.learn_owner_from_peers(partition, epoch).await {
             return;
         }
         if self.reach.get() == Reach::CutOff
@@ -296,7 +296,7 @@
         {
             return;
         }
-        if self.contact.is_failing() || !self.claiming.borrow_mut().insert(partition) {
+        if self.log_health.is_failing() || !self.claiming.borrow_mut().insert(partition) {
             let _ = timeout(OWNER_CHANGE_WAIT, self.owner.claims.changed.notified()).await;
             return;
         }
--- a/crates/gateway/src/ledger/served.rs
+++ b/crates/gateway/src/ledger/served.rs
@@ -112,23 +112,23 @@
     }
 
     /// Appends the program records that the next owner needs. Once these and everything before
-    /// them are durable, the receiver gets how long programs without a record stay in doubt for
+    /// them are durable, the receiver gets how long programs without a record stay uncertain for
     /// the next owner, in milliseconds; `None` if this owner was fenced.
     pub(super) fn append_handover(&self) -> oneshot::Receiver<Option<u64>> {
         let (sender, receiver) = oneshot::channel();
         let records = self.state.borrow_mut().handover_records();
         let keyed = records.iter().map(keyed_record).collect();
-        let doubt_ms = self.state.borrow().uncertainty_ms(unix_ms());
+        let uncertainty_ms = self.state.borrow().uncertainty_ms(unix_ms());
         let done = move |outcome| {
-            let _ = sender.send((outcome == Outcome::Durable).then_some(doubt_ms));
+            let _ = sender.send((outcome == Outcome::Durable).then_some(uncertainty_ms));
         };
         self.appender.push(keyed, Urgency::Now, Box::new(done));
         receiver
     }
 
-    /// Appends the record that lets programs begin while the log is down, during the time in which
-    /// programs without a record are in doubt.
-    pub(super) fn claim_part(&self) {
+    /// Appends the record that lets programs start while the log is down, as long as programs without
+    /// a record are uncertain.
+    pub(super) fn claim_unrecorded_share(&self) {
         let records = self.state.borrow().claim_unrecorded_share(unix_ms());
         if !records.is_empty() {
             self.push(records, None, Urgency::Now);
--- a/crates/gateway/src/serve/opening.rs
+++ b/crates/gateway/src/serve/opening.rs
@@ -164,7 +164,7 @@
         request = context.meta.id,
         program = context.meta.program,
         cause,
-        log_age_ms = context.daemon.ledger.contact.ms_since_answer()
+        log_age_ms = context.daemon.ledger.log_health.ms_since_answer()
     );
     Err(TurnRefusal::Unavailable)
 }
@@ -250,7 +250,7 @@
     /// Says why it does not begin, with what the budget counts: a reservation that nobody uses
     /// shows as an open turn that is older than a turn can be.
     fn note_refusal(&self, context: &RequestContext, failure: &OpenFailure) {
-        let shortage = failure.shortage();
+        let shortage = failure.budget_usage();
         tracing::info!(
             event = "turn_refused",
             request = self.request.turn,
--- a/crates/gateway/src/serve/turn.rs
+++ b/crates/gateway/src/serve/turn.rs
@@ -51,7 +51,7 @@
 
     /// Whether it is the first turn of its program.
     pub fn begins(&self) -> bool {
-        self.opened.begins
+        self.opened.is_first_turn
     }
 
     /// The engine that its program is assigned to.
--- a/crates/gateway/tests/gateway/budget_after_owner_loss.rs
+++ b/crates/gateway/tests/gateway/budget_after_owner_loss.rs
@@ -20,15 +20,15 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::sleep;
 
-/// Number of free partitions.
-const FREE: u32 = 2;
+/// Number of global partitions.
+const GLOBAL_PARTITIONS: u32 = 2;
 /// Covers one reserved turn, but not two.
 const BUDGET: u64 = 60;
 const MAX_TOKENS: u64 = 40;
 /// Time until all partitions have owners.
 const OWNERS_SETTLED: Duration = Duration::from_millis(2_500);
-/// Longer than programs are in doubt after an owner was lost.
-const DOUBT_MS: u64 = 60_000;
+/// Longer than programs without a record are uncertain after an owner was lost.
+const UNCERTAINTY_MS: u64 = 60_000;
 
 fn now_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
@@ -39,10 +39,10 @@
 fn new_owner_state(world: &World, program: &str) -> Partition {
     let log_partition = LogPartition {
         topic: LEDGER_TOPIC.to_owned(),
-        number: partition_of(program, FREE),
+        number: partition_of(program, GLOBAL_PARTITIONS),
     };
     let page = world.log.core.borrow_mut().newest(&log_partition, None);
-    let mut owner = Partition::after_loss(now_ms(), DOUBT_MS);
+    let mut owner = Partition::after_loss(now_ms(), UNCERTAINTY_MS);
     for (_, record) in &page.records {
         owner.load(Record::read(&record.key, &record.value).expect("a record"));
     }
@@ -72,7 +72,7 @@
 /// holds when the client has the complete answer.
 async fn open_next_turn_after_loss(homes: Set) -> OpenOutcome {
     let world = World::new().await;
-    world.partitions.set(FREE);
+    world.partitions.set(GLOBAL_PARTITIONS);
     *world.zones.borrow_mut() = Map::new([("a1", "a"), ("b1", "b")]);
     let mut initial = config(1);
     for route in &mut initial.routes {
--- a/crates/gateway/tests/gateway/homes.rs
+++ b/crates/gateway/tests/gateway/homes.rs
@@ -15,8 +15,8 @@
 
 /// Record size in bytes that no record may reach. The input of one turn and its names are smaller.
 const RECORD_SIZE_LIMIT: usize = 210 << 10;
-/// Number of free partitions in most tests.
-const FREE: u32 = 2;
+/// Number of global partitions in most tests.
+const GLOBAL_PARTITIONS: u32 = 2;
 /// Time until all partitions have owners, with two daemons per region.
 const OWNERS_SETTLED: Duration = Duration::from_millis(2_500);
 
@@ -53,15 +53,19 @@
 
 impl Fleet {
     async fn start(initial: TrafficConfig, zones: &[&'static str]) -> Self {
-        let fleet = Self::start_unsettled(initial, zones, FREE).await;
+        let fleet = Self::start_unsettled(initial, zones, GLOBAL_PARTITIONS).await;
         sleep(OWNERS_SETTLED).await;
         fleet
     }
 
-    /// The same with a given number of free partitions, and before all partitions have owners.
-    async fn start_unsettled(initial: TrafficConfig, zones: &[&'static str], free: u32) -> Self {
+    /// The same with a given number of global partitions, and before all partitions have owners.
+    async fn start_unsettled(
+        initial: TrafficConfig,
+        zones: &[&'static str],
+        global_count: u32,
+    ) -> Self {
         let world = World::new().await;
-        world.partitions.set(free);
+        world.partitions.set(global_count);
         *world.zones.borrow_mut() = zone_map();
         world.configs.borrow_mut()[0] = initial;
         let server_a = Server::start("sa", single_event()).await;
@@ -163,9 +167,12 @@
         let fleet = Fleet::start(config(1), &["a1", "b1"]).await;
         assert_eq!(turn(fleet.at("a1"), "t1", None).await, (200, true));
         let claims = &fleet.at("a1").daemon.owner.claims;
-        assert!(claims.partitions() > FREE);
+        assert!(claims.partitions() > GLOBAL_PARTITIONS);
         for partition in 0..claims.partitions() {
-            assert_eq!(claims.claim(partition).is_some(), partition < FREE);
+            assert_eq!(
+                claims.claim(partition).is_some(),
+                partition < GLOBAL_PARTITIONS
+            );
         }
     });
 }
--- a/crates/gateway/tests/gateway/ownership.rs
+++ b/crates/gateway/tests/gateway/ownership.rs
@@ -179,7 +179,7 @@
 /// Returns an owner's reply to a quota request of tenant `p`, which is counted in the same partition
 /// as program `p`.
 async fn quota_reply(owner: &Gateway) -> LedgerReply {
-    let question = QuotaRequest {
+    let request = QuotaRequest {
         event: QuotaEvent::Request,
         tenant: "p".to_owned(),
         rate_per_s: 1.0,
@@ -192,7 +192,7 @@
     };
     let (sender, mut replies) = mpsc::unbounded_channel();
     let owner = &owner.daemon.owner;
-    owner.handle(LedgerRequest::Quota(question), sender);
+    owner.handle(LedgerRequest::Quota(request), sender);
     replies.recv().await.expect("an answer")
 }
 
@@ -294,7 +294,7 @@
     });
 }
 
-/// A planned stop leaves no program in doubt, so new programs can start at the next owner while the
+/// A planned stop leaves no program uncertain, so new programs can start at the next owner while the
 /// log is down.
 #[test]
 fn programs_start_without_the_log_after_a_planned_stop_of_the_owner() {
