--- a/crates/gateway/src/serve/turn.rs
+++ b/crates/gateway/src/serve/turn.rs
@@ -51,7 +51,7 @@
 
     /// Returns whether this is the first turn of its program.
     pub fn is_first_turn(&self) -> bool {
-        self.opened.begins
+        self.opened.is_first_turn
     }
 
     /// Engine assigned to the program.
--- a/crates/gateway/src/serve/turn_open.rs
+++ b/crates/gateway/src/serve/turn_open.rs
@@ -166,7 +166,7 @@
         request = context.meta.id,
         program = context.meta.program,
         cause,
-        log_age_ms = context.daemon.ledger.contact.ms_since_answer()
+        log_age_ms = context.daemon.ledger.log_health.ms_since_answer()
     );
     Err(TurnRefusal::Unavailable)
 }
@@ -261,7 +261,7 @@
     /// Logs why the turn may not start, together with the budget accounting. A leaked reservation
     /// shows as an open turn that is older than any turn can be.
     fn log_refusal(&self, context: &RequestContext, failure: &OpenFailure) {
-        let shortage = failure.shortage();
+        let shortage = failure.budget_usage();
         tracing::info!(
             event = "turn_refused",
             request = self.request.turn,
