--- a/crates/gateway/src/follow/config.rs
+++ b/crates/gateway/src/follow/config.rs
@@ -8,8 +8,8 @@
 use fieldhook_log::reach::Reach;
 use fieldhook_topology::evacuation::State;
 use fieldhook_traffic::config::TrafficConfig;
-use fieldhook_traffic::homes;
-use fieldhook_traffic::table::{RouteTable, supersedes};
+use fieldhook_traffic::residency;
+use fieldhook_traffic::route_table::{RouteTable, supersedes};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::sleep;
@@ -188,15 +188,17 @@
 /// Applies the home regions of a configuration and logs routes and tenants that no region can
 /// serve.
 fn apply_homes(daemon: &Daemon, config: &TrafficConfig) {
-    daemon.places.set_home_regions(homes::regions(config));
-    let problems = homes::problems(config, &daemon.places.map);
+    daemon
+        .places
+        .set_home_regions(residency::named_regions(config));
+    let problems = residency::find_problems(config, &daemon.places.map);
     for problem in problems.iter().take(MAX_LOGGED_PROBLEMS) {
         tracing::error!(
             event = "homes_unservable",
             version = config.version,
             route = problem.route,
             tenant = problem.tenant.as_deref(),
-            problem = %problem.fault
+            problem = %problem.kind
         );
     }
     if let Some(more) = problems.len().checked_sub(MAX_LOGGED_PROBLEMS + 1) {
--- a/crates/gateway/src/follow/servers.rs
+++ b/crates/gateway/src/follow/servers.rs
@@ -98,7 +98,7 @@
             self.remove(&name, offset, "removed");
             return;
         }
-        let is_new = self.daemon.directory.borrow().is_news(&name, offset);
+        let is_new = self.daemon.directory.borrow().is_newer(&name, offset);
         match parse_entry(self.daemon, record) {
             Ok(entry) => self.insert(&name, entry, offset),
             Err(problem) if is_new => {
@@ -115,12 +115,12 @@
         let former = daemon
             .directory
             .borrow()
-            .identity_of(name)
+            .current_identity(name)
             .map(str::to_owned);
         let id = entry.id.clone();
         let server = entry.clone();
         let change = daemon.directory.borrow_mut().insert(entry, offset);
-        let is_current = daemon.directory.borrow().identity_of(name) == Some(&id);
+        let is_current = daemon.directory.borrow().current_identity(name) == Some(&id);
         if !is_current {
             return;
         }
--- a/crates/gateway/src/ledger/assigner.rs
+++ b/crates/gateway/src/ledger/assigner.rs
@@ -5,14 +5,14 @@
 use crate::upstream::pool::Pools;
 use fieldhook_ledger::message::{CloseTurn, OpenTurn, PlacementRequest};
 use fieldhook_ledger::partition_of;
-use fieldhook_topology::region::Set;
+use fieldhook_topology::region::RegionSet;
 use fieldhook_topology::zone::Distance;
-use fieldhook_traffic::assignment::{Engine, Settings, Table, Turn};
-use fieldhook_traffic::candidates::{Draw, WEIGHED_WHOLE, draw};
+use fieldhook_traffic::assignment::{AssignmentSettings, AssignmentTable, Engine, Turn};
+use fieldhook_traffic::candidates::{CandidateQuery, FULL_SCAN_MAX, select_candidates};
 use fieldhook_traffic::cold;
-use fieldhook_traffic::directory::{Directory, ServerEntry, Serving};
-use fieldhook_traffic::groups::{Groups, group_count};
-use fieldhook_traffic::ring::{Arc, place};
+use fieldhook_traffic::directory::{ActiveServers, Directory, ServerEntry};
+use fieldhook_traffic::groups::{EngineGroups, group_count};
+use fieldhook_traffic::hash_ring::{HashRange, ring_position};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -25,7 +25,7 @@
 /// The engine groups of a service, computed for a version of its engine list.
 struct CachedGroups {
     version: u64,
-    groups: Rc<Groups>,
+    groups: Rc<EngineGroups>,
 }
 
 /// Assigns engines according to the server directory and the engines' health as seen by this
@@ -35,7 +35,7 @@
     pools: Rc<Pools>,
     pub(super) places: Rc<Places>,
     cold: Rc<ColdServers>,
-    table: RefCell<Table>,
+    table: RefCell<AssignmentTable>,
     groups_by_service: RefCell<HashMap<String, CachedGroups>>,
     partitions: u32,
     /// Partitions that this daemon owns.
@@ -57,7 +57,7 @@
             pools,
             places,
             cold,
-            table: RefCell::new(Table::new(Settings::default())),
+            table: RefCell::new(AssignmentTable::new(AssignmentSettings::default())),
             groups_by_service: RefCell::default(),
             partitions: partitions.max(1),
             owned: RefCell::default(),
@@ -75,9 +75,9 @@
         let placement = open.placement.as_ref()?;
         let now_ms = self.started.elapsed().as_millis() as u64;
         let directory = self.directory.borrow();
-        let serving = directory.serving(&placement.service)?;
+        let serving = directory.active_servers(&placement.service)?;
         let partition = partition_of(&open.program, self.partitions);
-        let (mut engines, share) = match serving.all.len() <= WEIGHED_WHOLE {
+        let (mut engines, share) = match serving.all.len() <= FULL_SCAN_MAX {
             true => self.small_service_engines(&placement.service, serving, partition),
             false => self.large_service_engines(&directory, serving, open, placement, partition),
         };
@@ -101,14 +101,14 @@
     fn small_service_engines<'a>(
         &self,
         service: &str,
-        serving: &'a Serving,
+        serving: &'a ActiveServers,
         partition: u32,
     ) -> (Vec<Engine<'a>>, f64) {
         let groups = self.groups(service, serving);
-        let home = groups.of_partition(partition);
+        let home = groups.partition_group(partition);
         let mut engines = sorted_engines(serving);
         for engine in &mut engines {
-            engine.is_home = groups.of_engine(engine.id) == Some(home);
+            engine.is_in_group = groups.engine_group(engine.id) == Some(home);
         }
         (engines, self.share(groups.count(), home))
     }
@@ -121,31 +121,31 @@
     fn large_service_engines<'a>(
         &self,
         directory: &'a Directory,
-        serving: &'a Serving,
+        serving: &'a ActiveServers,
         open: &OpenTurn,
         placement: &PlacementRequest,
         partition: u32,
     ) -> (Vec<Engine<'a>>, f64) {
         let count = group_count(serving.all.len(), self.partitions);
         let home = partition % count;
-        let arc = Arc::of(home, count);
+        let arc = HashRange::nth_of(home, count);
         let regions = allowed_regions(placement);
         let servers = self.places.with_rule(&regions, &placement.zone, |rule| {
-            let is_usable = |server: &ServerEntry| rule.serve(&server.zone).is_ok();
-            let from = |arc| Draw {
+            let is_usable = |server: &ServerEntry| rule.serving_distance(&server.zone).is_ok();
+            let from = |arc| CandidateQuery {
                 zone: &placement.zone,
-                arc,
-                number: placement.prefix_hash,
+                range: arc,
+                start: placement.prefix_hash,
             };
-            let drawn = draw(serving, &from(arc), &is_usable).servers;
+            let drawn = select_candidates(serving, &from(arc), &is_usable).servers;
             match drawn.len() >= MIN_DRAWN {
                 true => drawn,
-                false => draw(serving, &from(Arc::WHOLE), &is_usable).servers,
+                false => select_candidates(serving, &from(HashRange::FULL), &is_usable).servers,
             }
         });
         let mut servers: Vec<&ServerEntry> = servers.into_iter().map(|server| &**server).collect();
         let table = self.table.borrow();
-        let previous = table.engine_of(&open.program);
+        let previous = table.assigned_engine(&open.program);
         let previous = previous
             .and_then(|id| directory.entry(id))
             .filter(|server| {
@@ -154,7 +154,7 @@
             });
         servers.extend(previous);
         let engines = servers.into_iter().map(|server| Engine {
-            is_home: arc.contains(place(&server.id)),
+            is_in_group: arc.contains(ring_position(&server.id)),
             ..engine(server)
         });
         (engines.collect(), self.share(count, home))
@@ -164,7 +164,7 @@
     fn retain_allowed(&self, engines: &mut Vec<Engine<'_>>, placement: &PlacementRequest) {
         let regions = allowed_regions(placement);
         self.places.with_rule(&regions, &placement.zone, |rule| {
-            engines.retain_mut(|engine| match rule.serve(engine.zone) {
+            engines.retain_mut(|engine| match rule.serving_distance(engine.zone) {
                 Ok(distance) => {
                     engine.distance = distance;
                     true
@@ -181,7 +181,7 @@
             let cold = entry.and_then(|entry| self.cold.cold(entry));
             if let Some(cold) = cold {
                 engine.is_cold = true;
-                engine.slots = engine.slots.min(cold::slots(&cold));
+                engine.slots = engine.slots.min(cold::cold_slots(&cold));
             }
         }
     }
@@ -189,14 +189,14 @@
     /// Records that a turn has ended.
     pub fn end_turn(&self, close: &CloseTurn) {
         let mut table = self.table.borrow_mut();
-        table.end(&close.turn);
+        table.end_turn(&close.turn);
         if let Some(engine) = &close.engine {
-            table.ran_at(&close.program, engine);
+            table.move_program(&close.program, engine);
         }
     }
 
     /// Returns the engine groups of a service, which are recomputed if its engines have changed.
-    fn groups(&self, service: &str, serving: &Serving) -> Rc<Groups> {
+    fn groups(&self, service: &str, serving: &ActiveServers) -> Rc<EngineGroups> {
         let version = serving.version;
         let mut groups_by_service = self.groups_by_service.borrow_mut();
         if let Some(cached) = groups_by_service.get(service)
@@ -204,7 +204,10 @@
         {
             return cached.groups.clone();
         }
-        let groups = Rc::new(Groups::divide(&sorted_engines(serving), self.partitions));
+        let groups = Rc::new(EngineGroups::divide(
+            &sorted_engines(serving),
+            self.partitions,
+        ));
         let current = CachedGroups {
             version,
             groups: groups.clone(),
@@ -226,16 +229,18 @@
 }
 
 /// Returns the regions that may serve a turn.
-fn allowed_regions(placement: &PlacementRequest) -> Set {
+fn allowed_regions(placement: &PlacementRequest) -> RegionSet {
     match &placement.regions {
-        Some(regions) => Set::Only(regions.iter().map(|region| Rc::from(&**region)).collect()),
-        None => Set::All,
+        Some(regions) => {
+            RegionSet::Only(regions.iter().map(|region| Rc::from(&**region)).collect())
+        }
+        None => RegionSet::All,
     }
 }
 
 /// Returns the engines of a service that accept new work, sorted by identity.
-fn sorted_engines(serving: &Serving) -> Vec<Engine<'_>> {
-    let all = serving.all.from(Arc::WHOLE, 0);
+fn sorted_engines(serving: &ActiveServers) -> Vec<Engine<'_>> {
+    let all = serving.all.iter_from(HashRange::FULL, 0);
     let mut engines: Vec<Engine<'_>> = all.map(|server| engine(server)).collect();
     engines.sort_by(|left, right| left.id.cmp(right.id));
     engines
@@ -247,7 +252,7 @@
         zone: &server.zone,
         distance: Distance::SameRegion,
         slots: server.slots,
-        is_home: false,
+        is_in_group: false,
         is_cold: false,
     }
 }
--- a/crates/gateway/src/ledger/client.rs
+++ b/crates/gateway/src/ledger/client.rs
@@ -9,7 +9,7 @@
 };
 use fieldhook_log::log_health::LogHealth;
 use fieldhook_log::reach::Reach;
-use fieldhook_topology::region::Set;
+use fieldhook_topology::region::RegionSet;
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
 use std::cell::{Cell, RefCell};
@@ -314,7 +314,7 @@
 
     /// Returns the home partition that stores the contents of a program, if the program is
     /// restricted to home regions.
-    pub fn home_partition(&self, program: &str, homes: &Set) -> Option<u32> {
+    pub fn home_partition(&self, program: &str, homes: &RegionSet) -> Option<u32> {
         self.owner.places.layout.home_partition(program, homes)
     }
 
--- a/crates/gateway/src/ledger/cold.rs
+++ b/crates/gateway/src/ledger/cold.rs
@@ -10,7 +10,7 @@
 use fieldhook_log::appender::fence;
 use fieldhook_log::lease::{Lease, State, TERM_MS};
 use fieldhook_log::ownership::{Claim, PreviousOwner};
-use fieldhook_traffic::cold::{BOUNDS, PERMIT_MS};
+use fieldhook_traffic::cold::{PERMIT_BOUNDS, PERMIT_VALIDITY_MS};
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -19,7 +19,7 @@
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
 /// A permit that arrives later than this is not used.
-const PERMIT_TIMEOUT: Duration = Duration::from_millis(PERMIT_MS);
+const PERMIT_TIMEOUT: Duration = Duration::from_millis(PERMIT_VALIDITY_MS);
 /// Pause before the request is sent to an owner that this daemon just learned of.
 const RETRY_PAUSE: Duration = Duration::from_millis(1);
 /// Pause after the log did not confirm an owner, in milliseconds.
@@ -44,7 +44,7 @@
 impl Default for ColdCounters {
     fn default() -> Self {
         Self {
-            limits: LimitCounters::new(BOUNDS),
+            limits: LimitCounters::new(PERMIT_BOUNDS),
             leases: RefCell::default(),
             confirming: RefCell::default(),
             failed_ms: RefCell::default(),
--- a/crates/gateway/src/ledger/limits.rs
+++ b/crates/gateway/src/ledger/limits.rs
@@ -4,9 +4,9 @@
 use fieldhook_ledger::message::{ColdServerRequest, QuotaReply, QuotaRequest};
 use fieldhook_log::ownership::{self, Claim};
 use fieldhook_traffic::cold;
-use fieldhook_traffic::quota::{Answer, Book, Former, Question};
+use fieldhook_traffic::quota::{AdmissionRequest, PreviousOwner, QuotaDecision, QuotaTracker};
+use fieldhook_traffic::sliding_window::Bounds;
 use fieldhook_traffic::tenants::Limit;
-use fieldhook_traffic::window::Bounds;
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -15,7 +15,7 @@
 /// The counters of a partition under one claim.
 struct ClaimCounters {
     epoch: u64,
-    counters: Book,
+    counters: QuotaTracker,
 }
 
 /// Counters by partition.
@@ -43,7 +43,7 @@
             .iter_mut()
             .filter(|(partition, _)| is_held(**partition));
         let mut usage: Vec<(Rc<str>, f64)> = held
-            .flat_map(|(_, claim)| claim.counters.used(now_ms))
+            .flat_map(|(_, claim)| claim.counters.usage(now_ms))
             .collect();
         usage.sort_by(|left, right| right.1.total_cmp(&left.1));
         usage
@@ -55,10 +55,10 @@
         &self,
         partition: u32,
         claim: &Claim,
-        question: &Question<'_>,
+        question: &AdmissionRequest<'_>,
     ) -> QuotaReply {
         self.with_counters(partition, claim, |counters, now_ms| {
-            quota_answer(counters.ask(question, now_ms))
+            quota_answer(counters.decide(question, now_ms))
         })
     }
 
@@ -71,9 +71,9 @@
     ) -> QuotaReply {
         let (tenant, program) = (&report.tenant, report.program.as_deref());
         self.with_counters(partition, claim, |counters, now_ms| {
-            counters.left(tenant, program, now_ms);
+            counters.record_disconnect(tenant, program, now_ms);
             QuotaReply::Granted {
-                used: counters.used_by(tenant, now_ms),
+                used: counters.usage_of(tenant, now_ms),
             }
         })
     }
@@ -83,7 +83,7 @@
         &self,
         partition: u32,
         claim: &Claim,
-        act: impl FnOnce(&mut Book, u64) -> QuotaReply,
+        act: impl FnOnce(&mut QuotaTracker, u64) -> QuotaReply,
     ) -> QuotaReply {
         let now_ms = self.started.elapsed().as_millis() as u64;
         let mut by_partition = self.by_partition.borrow_mut();
@@ -93,7 +93,7 @@
         if !is_current {
             let new = ClaimCounters {
                 epoch: claim.epoch,
-                counters: Book::new(self.bounds, previous_owner(claim), now_ms),
+                counters: QuotaTracker::new(self.bounds, previous_owner(claim), now_ms),
             };
             by_partition.insert(partition, new);
         }
@@ -106,18 +106,18 @@
 
 /// Grants of the previous owner are not known, whether or not it released the partition in a planned
 /// stop.
-fn previous_owner(claim: &Claim) -> Former {
+fn previous_owner(claim: &Claim) -> PreviousOwner {
     match claim.previous_owner {
-        ownership::PreviousOwner::None => Former::None,
+        ownership::PreviousOwner::None => PreviousOwner::None,
         ownership::PreviousOwner::HandedOver { .. } | ownership::PreviousOwner::Lost => {
-            Former::Lost
+            PreviousOwner::Lost
         }
     }
 }
 
 /// Converts a request about a cold server.
-pub(super) fn cold_question(request: &ColdServerRequest) -> Question<'_> {
-    cold::question(
+pub(super) fn cold_question(request: &ColdServerRequest) -> AdmissionRequest<'_> {
+    cold::permit_request(
         &request.server,
         request.rate_per_s,
         request.version,
@@ -126,8 +126,8 @@
 }
 
 /// Converts a request about a tenant.
-pub(super) fn tenant_question(request: &QuotaRequest) -> Question<'_> {
-    Question {
+pub(super) fn tenant_question(request: &QuotaRequest) -> AdmissionRequest<'_> {
+    AdmissionRequest {
         tenant: &request.tenant,
         limit: Limit {
             rate_per_s: request.rate_per_s,
@@ -136,15 +136,15 @@
         version: request.version,
         program: request.program.as_deref(),
         route: &request.route,
-        begins: request.starts_program,
-        patience_ms: request.max_wait_ms,
-        leaves: 0,
+        starts_program: request.starts_program,
+        max_wait_ms: request.max_wait_ms,
+        reserved: 0,
     }
 }
 
-fn quota_answer(answer: Answer) -> QuotaReply {
+fn quota_answer(answer: QuotaDecision) -> QuotaReply {
     match answer {
-        Answer::Granted { used } => QuotaReply::Granted { used },
-        Answer::Refused { retry_after_ms } => QuotaReply::Refused { retry_after_ms },
+        QuotaDecision::Granted { used } => QuotaReply::Granted { used },
+        QuotaDecision::Refused { retry_after_ms } => QuotaReply::Refused { retry_after_ms },
     }
 }
--- a/crates/gateway/src/ledger/quota.rs
+++ b/crates/gateway/src/ledger/quota.rs
@@ -5,7 +5,7 @@
 use super::exchange::Exchange;
 use fieldhook_ledger::message::{LedgerReply, LedgerRequest, QuotaReply, QuotaRequest};
 use fieldhook_log::reach::Reach;
-use fieldhook_traffic::share::Share;
+use fieldhook_traffic::fallback_quota::FallbackQuota;
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -40,7 +40,7 @@
 
 /// This daemon's shares of the tenants' limits, as granted by the owners.
 pub struct TenantShares {
-    by_tenant: RefCell<HashMap<Rc<str>, Share>>,
+    by_tenant: RefCell<HashMap<Rc<str>, FallbackQuota>>,
     /// Until when the owner of a partition is not asked before the local share is used.
     skip_owner_until: RefCell<HashMap<u32, Instant>>,
     window_ms: u64,
@@ -59,13 +59,13 @@
     }
 
     /// Calls `act` with the share of a tenant and the current time.
-    fn with_share<T>(&self, tenant: &str, act: impl FnOnce(&mut Share, u64) -> T) -> T {
+    fn with_share<T>(&self, tenant: &str, act: impl FnOnce(&mut FallbackQuota, u64) -> T) -> T {
         let now_ms = self.started.elapsed().as_millis() as u64;
         let mut shares = self.by_tenant.borrow_mut();
         if let Some(share) = shares.get_mut(tenant) {
             return act(share, now_ms);
         }
-        let mut share = Share::default();
+        let mut share = FallbackQuota::default();
         let outcome = act(&mut share, now_ms);
         shares.insert(Rc::from(tenant), share);
         outcome
@@ -78,9 +78,7 @@
     }
 
     fn take_from_share(&self, tenant: &str) -> bool {
-        self.with_share(tenant, |share, now_ms| {
-            share.take_unasked(self.window_ms, now_ms)
-        })
+        self.with_share(tenant, |share, now_ms| share.take(self.window_ms, now_ms))
     }
 
     /// Decides on one request of a tenant, by the owner of its limit if that answers.
@@ -102,8 +100,8 @@
                 let window_s = self.window_ms as f64 / 1_000.0;
                 let limit = quota_request.rate_per_s * window_s + quota_request.burst;
                 self.with_share(tenant, |share, now_ms| {
-                    share.learn_limit(limit);
-                    share.granted(used, self.window_ms, now_ms);
+                    share.set_window_limit(limit);
+                    share.record_grant(used, self.window_ms, now_ms);
                 });
                 Outcome::Granted
             }
--- a/crates/gateway/src/ledger/reach.rs
+++ b/crates/gateway/src/ledger/reach.rs
@@ -81,7 +81,7 @@
     let own = daemon.places.zone.to_string();
     let mut by_zone: BTreeMap<String, Vec<ServerEntry>> = {
         let directory = daemon.directory.borrow();
-        let sample = directory.some_of_each_zone(PROBED_PER_ZONE, fastrand::u64(..));
+        let sample = directory.sample_zones(PROBED_PER_ZONE, fastrand::u64(..));
         let to_owned = |servers: Vec<&ServerEntry>| servers.into_iter().cloned().collect();
         sample
             .into_iter()
--- a/crates/gateway/src/places.rs
+++ b/crates/gateway/src/places.rs
@@ -4,11 +4,11 @@
 use crate::settings::GatewaySettings;
 use fieldhook_ledger::layout::Layout;
 use fieldhook_ledger::message::EvacuationStatus;
-use fieldhook_topology::belief::Belief;
-use fieldhook_topology::evacuation::{State, Zones};
-use fieldhook_topology::place::Rule;
-use fieldhook_topology::region::Set;
-use fieldhook_topology::zone::Map;
+use fieldhook_topology::evacuation::{Evacuations, State};
+use fieldhook_topology::freshness::Freshness;
+use fieldhook_topology::region::RegionSet;
+use fieldhook_topology::zone::ZoneMap;
+use fieldhook_topology::zone_rule::ZoneRule;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -19,13 +19,13 @@
     /// Zone of this daemon.
     pub zone: Rc<str>,
     /// The zones of the deployment.
-    pub map: Map,
+    pub map: ZoneMap,
     /// Which partition keeps what.
     pub layout: Layout,
     /// Regions that the configuration in force names as homes.
     home_regions: RefCell<BTreeSet<Rc<str>>>,
-    evacuations: RefCell<Zones>,
-    belief: RefCell<Belief>,
+    evacuations: RefCell<Evacuations>,
+    belief: RefCell<Freshness>,
     all_evacuated: Cell<bool>,
     started: Instant,
 }
@@ -39,7 +39,7 @@
             layout: Layout::new(settings.partitions, &settings.zones),
             home_regions: RefCell::default(),
             evacuations: RefCell::default(),
-            belief: RefCell::new(Belief::new(settings.bounds.evacuation_ms)),
+            belief: RefCell::new(Freshness::new(settings.bounds.evacuation_ms)),
             all_evacuated: Cell::new(false),
             started: Instant::now(),
         }
@@ -66,13 +66,18 @@
 
     /// Decides by the rule of a request whose data may stay in `homes` and that comes through
     /// `from`.
-    pub fn with_rule<T>(&self, homes: &Set, from: &str, decide: impl FnOnce(&Rule<'_>) -> T) -> T {
+    pub fn with_rule<T>(
+        &self,
+        homes: &RegionSet,
+        from: &str,
+        decide: impl FnOnce(&ZoneRule<'_>) -> T,
+    ) -> T {
         let evacuations = self.evacuations.borrow();
-        decide(&Rule {
+        decide(&ZoneRule {
             map: &self.map,
             evacuations: &evacuations,
-            homes,
-            from,
+            allowed_regions: homes,
+            from_zone: from,
         })
     }
 
@@ -94,7 +99,7 @@
         let is_change = self
             .evacuations
             .borrow_mut()
-            .take(zone, state, revision, now_ms);
+            .apply(zone, state, revision, now_ms);
         if is_change {
             tracing::info!(event = "zone_evacuation", zone, ?state, revision, source);
             self.note_all_evacuated();
@@ -108,7 +113,7 @@
         let opened = self
             .evacuations
             .borrow_mut()
-            .retain_listed(listed, end, now_ms);
+            .apply_listing(listed, end, now_ms);
         for zone in opened {
             tracing::info!(event = "zone_evacuation", zone = &*zone, state = ?State::Open,
                 revision = end, source = "listing");
@@ -137,7 +142,7 @@
     /// The process runs, and what it knows was the newest `age_ms` ago.
     pub fn ran(&self, age_ms: u64) {
         let now_ms = self.now_ms();
-        if self.belief.borrow_mut().ran(now_ms, age_ms) {
+        if self.belief.borrow_mut().record_run(now_ms, age_ms) {
             tracing::warn!(
                 event = "process_was_stopped",
                 age_ms,
@@ -148,14 +153,14 @@
 
     /// Others were heard who know no more.
     pub fn settle(&self) {
-        self.belief.borrow_mut().settle();
+        self.belief.borrow_mut().accept_unconfirmed();
     }
 
     /// Whether what is known is too old to send anything by it.
     pub fn is_doubtful(&self, age_ms: u64, is_isolated: bool) -> bool {
         let now_ms = self.now_ms();
         let belief = self.belief.borrow();
-        belief.is_doubtful(now_ms, age_ms, is_isolated)
+        belief.is_stale(now_ms, age_ms, is_isolated)
     }
 
     /// All that is known of evacuations, for daemons that cannot read it themselves.
--- a/crates/gateway/src/serve/quota.rs
+++ b/crates/gateway/src/serve/quota.rs
@@ -5,8 +5,8 @@
 use crate::daemon::Daemon;
 use crate::ledger::quota::Outcome;
 use fieldhook_ledger::message::{QuotaEvent, QuotaRequest};
+use fieldhook_traffic::quota_wait;
 use fieldhook_traffic::tenants::Limit;
-use fieldhook_traffic::wait;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::sleep;
@@ -128,11 +128,11 @@
 fn max_wait(context: &RequestContext, starts_program: bool) -> Option<Duration> {
     let route = &context.entry.route;
     if starts_program {
-        let remaining_ms = route.target_ms.saturating_sub(context.age_ms());
-        return wait::patience(Duration::ZERO, Duration::from_millis(remaining_ms));
+        let remaining_ms = route.target_latency_ms.saturating_sub(context.age_ms());
+        return quota_wait::max_wait(Duration::ZERO, Duration::from_millis(remaining_ms));
     }
     let usual = context.daemon.answer_times.overdue_after(&route.name);
-    wait::patience(usual, Duration::from_millis(context.remaining_ms()))
+    quota_wait::max_wait(usual, Duration::from_millis(context.remaining_ms()))
 }
 
 /// Name and limit of the tenant, and the version of the configuration that defines them.
--- a/crates/gateway/src/serve/request.rs
+++ b/crates/gateway/src/serve/request.rs
@@ -14,7 +14,7 @@
 use bytes::Bytes;
 use fieldhook_log::reach::Reach;
 use fieldhook_topology::region;
-use fieldhook_traffic::table::RouteEntry;
+use fieldhook_traffic::route_table::RouteEntry;
 use fieldhook_traffic::tenants::Tenant;
 use std::cell::{OnceCell, RefCell};
 use std::rc::Rc;
@@ -54,7 +54,7 @@
     pub tenant: Option<Rc<Tenant>>,
     /// Regions that may process the request and store its data, according to its route and its
     /// tenant.
-    pub homes: region::Set,
+    pub homes: region::RegionSet,
     /// Version of the configuration that determined `homes`.
     pub version: u64,
     /// Method as received.
--- a/crates/gateway/src/serve/send_check.rs
+++ b/crates/gateway/src/serve/send_check.rs
@@ -4,7 +4,7 @@
 use super::attempt::DispatchFailure;
 use super::homes;
 use super::request::RequestContext;
-use fieldhook_topology::place::Denial;
+use fieldhook_topology::zone_rule::Denial;
 use fieldhook_traffic::attempt::AttemptFailure;
 use fieldhook_traffic::directory::ServerEntry;
 use std::time::Duration;
@@ -51,7 +51,7 @@
     server: &ServerEntry,
 ) -> Result<(), DispatchFailure> {
     let daemon = &context.daemon;
-    let cause = if !daemon.directory.borrow().takes_work(&server.id) {
+    let cause = if !daemon.directory.borrow().accepts_work(&server.id) {
         "server_leaves"
     } else if daemon.places.is_evacuated(&server.zone) {
         "zone_evacuated"
@@ -77,7 +77,7 @@
 fn is_in_home_region(context: &RequestContext, server: &ServerEntry) -> bool {
     let places = &context.daemon.places;
     let homes = homes::current(context);
-    places.with_rule(&homes, &server.zone, |rule| rule.may_hold(&server.zone))
+    places.with_rule(&homes, &server.zone, |rule| rule.may_store(&server.zone))
 }
 
 /// Returns why no server was found: all servers that could handle the request may be in evacuated
@@ -92,7 +92,9 @@
     let homes = homes::current(context);
     let denials: Result<Vec<Denial>, ()> = daemon.places.with_rule(&homes, zone, |rule| {
         let zones = directory.zones_of(service);
-        zones.map(|zone| rule.serve(zone).err().ok_or(())).collect()
+        zones
+            .map(|zone| rule.serving_distance(zone).err().ok_or(()))
+            .collect()
     });
     match denials {
         Ok(denials) if denials.contains(&Denial::Evacuated) => DispatchFailure::Evacuated,
--- a/crates/gateway/tests/gateway/budget_after_owner_loss.rs
+++ b/crates/gateway/tests/gateway/budget_after_owner_loss.rs
@@ -15,8 +15,8 @@
 use fieldhook_ledger::partition_of;
 use fieldhook_ledger::record::Record;
 use fieldhook_log::api::Partition as LogPartition;
-use fieldhook_topology::region::Set;
-use fieldhook_topology::zone::Map;
+use fieldhook_topology::region::RegionSet;
+use fieldhook_topology::zone::ZoneMap;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::sleep;
 
@@ -70,13 +70,13 @@
 
 /// Runs a turn of ten tokens, and opens the next turn at a new owner that knows only what the log
 /// holds when the client has the complete answer.
-async fn open_next_turn_after_loss(homes: Set) -> OpenOutcome {
+async fn open_next_turn_after_loss(homes: RegionSet) -> OpenOutcome {
     let world = World::new().await;
     world.partitions.set(GLOBAL_PARTITIONS);
-    *world.zones.borrow_mut() = Map::new([("a1", "a"), ("b1", "b")]);
+    *world.zones.borrow_mut() = ZoneMap::new([("a1", "a"), ("b1", "b")]);
     let mut initial = config(1);
     for route in &mut initial.routes {
-        route.homes = homes.clone();
+        route.allowed_regions = homes.clone();
     }
     world.configs.borrow_mut()[0] = initial;
     let server = Server::start("sa", Act::Events(vec!["one".to_owned()], None)).await;
@@ -100,7 +100,7 @@
 #[test]
 fn completed_turn_counts_its_used_tokens_after_owner_loss() {
     run(async {
-        let next = open_next_turn_after_loss(Set::All).await;
+        let next = open_next_turn_after_loss(RegionSet::All).await;
         assert!(is_opened(&next), "{next:?}");
     });
 }
@@ -108,7 +108,7 @@
 #[test]
 fn completed_turn_stored_in_home_regions_counts_its_used_tokens_after_owner_loss() {
     run(async {
-        let next = open_next_turn_after_loss(Set::of(["a"])).await;
+        let next = open_next_turn_after_loss(RegionSet::from_names(["a"])).await;
         assert!(is_opened(&next), "{next:?}");
     });
 }
--- a/crates/gateway/tests/gateway/homes.rs
+++ b/crates/gateway/tests/gateway/homes.rs
@@ -6,8 +6,8 @@
 use fieldhook_gateway::ledger::owner::OWNERS_TOPIC;
 use fieldhook_log::api::{Append, LogStore, Partition};
 use fieldhook_log::ownership::Ownership;
-use fieldhook_topology::region::Set;
-use fieldhook_topology::zone::Map;
+use fieldhook_topology::region::RegionSet;
+use fieldhook_topology::zone::ZoneMap;
 use fieldhook_traffic::config::TrafficConfig;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -24,8 +24,8 @@
     Act::Events(vec!["one".to_owned()], None)
 }
 
-fn zone_map() -> Map {
-    Map::new([
+fn zone_map() -> ZoneMap {
+    ZoneMap::new([
         ("a1", "a"),
         ("a2", "a"),
         ("b1", "b"),
@@ -38,7 +38,7 @@
 fn chat_in(version: u64, regions: &[&str]) -> TrafficConfig {
     let mut config = config(version);
     let chat = config.routes.iter_mut().find(|route| route.name == "chat");
-    chat.expect("a route").homes = Set::of(regions.iter().copied());
+    chat.expect("a route").allowed_regions = RegionSet::from_names(regions.iter().copied());
     config
 }
 
@@ -121,7 +121,7 @@
 
     /// Returns the zone whose gateway owns the home partition of program `p` in region a.
     fn home_owner(&self) -> &'static str {
-        let homes = Set::of(["a"]);
+        let homes = RegionSet::from_names(["a"]);
         let ledger = &self.at("b1").daemon.ledger;
         let partition = ledger
             .home_partition("p", &homes)
@@ -213,7 +213,10 @@
 async fn claim_for_lost_daemon(fleet: &Fleet) -> SocketAddr {
     let gone = SocketAddr::from(([127, 0, 0, 1], 9));
     let gateway = fleet.at("b1");
-    let partition = gateway.daemon.ledger.home_partition("p", &Set::of(["a"]));
+    let partition = gateway
+        .daemon
+        .ledger
+        .home_partition("p", &RegionSet::from_names(["a"]));
     let record = Ownership::claim_record(partition.expect("a home partition"), gone, 77);
     let append = Append {
         partition: Partition {
@@ -272,7 +275,7 @@
         }
         let ledger = &fleet.at("b2").daemon.ledger;
         let partition = ledger
-            .home_partition("p", &Set::of(["a"]))
+            .home_partition("p", &RegionSet::from_names(["a"]))
             .expect("a partition");
         let claim = ledger.owner.claims.claim(partition).expect("a claim");
         assert_eq!(claim.address, Some(gone));
@@ -297,7 +300,7 @@
             }
             let mut narrowed = config(2);
             for route in &mut narrowed.routes {
-                route.homes = Set::of(["a"]);
+                route.allowed_regions = RegionSet::from_names(["a"]);
             }
             fleet.publish(narrowed).await;
             (fleet.server_a.count(), fleet.server_b.count())
@@ -378,7 +381,7 @@
         let lines = Lines::start();
         let mut initial = config(1);
         for route in &mut initial.routes {
-            route.homes = Set::of(["c"]);
+            route.allowed_regions = RegionSet::from_names(["c"]);
         }
         let fleet = Fleet::start(initial, &["a1", "b1"]).await;
         let fields = "Request: r1\r\n";
@@ -527,7 +530,7 @@
         let fleet = Fleet::start_unsettled(chat_in(1, &["a"]), &["a1", "b1"], 4).await;
         let b = fleet.at("b1");
         let ledger = &b.daemon.ledger;
-        let homes = Set::of(["a"]);
+        let homes = RegionSet::from_names(["a"]);
         let names: Vec<String> = (0..12).map(|number| format!("p{number}")).collect();
         let mut partitions: Vec<_> = names
             .iter()
@@ -572,12 +575,12 @@
     run(async {
         let lines = Lines::start();
         let mut red = tenant("red", "k1");
-        red.homes = Set::of(["b"]);
+        red.allowed_regions = RegionSet::from_names(["b"]);
         let mut blue = tenant("blue", "k2");
-        blue.homes = Set::of(["a", "b"]);
+        blue.allowed_regions = RegionSet::from_names(["a", "b"]);
         let mut initial = config_of(1, vec![red, blue]);
         for route in &mut initial.routes {
-            route.homes = Set::of(["a"]);
+            route.allowed_regions = RegionSet::from_names(["a"]);
         }
         let fleet = Fleet::start(initial, &["a1", "b1"]).await;
         for path in ["/safe/1", "/unsafe/1", "/chat/1"] {
--- a/crates/gateway/tests/gateway/incarnations.rs
+++ b/crates/gateway/tests/gateway/incarnations.rs
@@ -5,7 +5,7 @@
 use fieldhook_emulator::log::memory::LogFault;
 use fieldhook_gateway::settings::Bounds;
 use fieldhook_log::api::{Append, KeyedRecord, Partition};
-use fieldhook_traffic::config::Cold;
+use fieldhook_traffic::config::ColdLimit;
 use futures_util::future::{join, join_all};
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
@@ -284,7 +284,7 @@
             assert_stale_use_within(&s1, since, EFFECT_BOUND);
         }
         let directory = gateway.daemon.directory.borrow();
-        assert_eq!(directory.identity_of("s1"), Some("s1~5"));
+        assert_eq!(directory.current_identity("s1"), Some("s1~5"));
         assert_eq!(directory.len(), 1);
     });
 }
@@ -377,14 +377,14 @@
     run(async {
         let s1 = Server::start("s1", plain_answer()).await;
         let world = World::new().await;
-        world.configs.borrow_mut()[0].services[0].cold = Some(Cold {
+        world.configs.borrow_mut()[0].services[0].cold = Some(ColdLimit {
             rate_per_s: 100.0,
-            lasts_ms: 2_000,
+            duration_ms: 2_000,
         });
         let gateway = gateway_with_incarnation(&world, &s1, 1).await;
         let is_cold = || {
             let directory = gateway.daemon.directory.borrow();
-            let id = directory.identity_of("s1").expect("a server");
+            let id = directory.current_identity("s1").expect("a server");
             let entry = directory.entry(id).expect("its entry");
             gateway.daemon.cold.cold(entry).is_some()
         };
--- a/crates/ledger/src/layout.rs
+++ b/crates/ledger/src/layout.rs
@@ -7,8 +7,8 @@
 //! program change. docs/design/homes.md describes the alternatives that were considered.
 
 use crate::partition_of;
-use fieldhook_topology::region::Set;
-use fieldhook_topology::zone::Map;
+use fieldhook_topology::region::RegionSet;
+use fieldhook_topology::zone::ZoneMap;
 use std::rc::Rc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -37,7 +37,7 @@
 impl Layout {
     /// Layout for `partitions` global partitions and the regions of a map. Each region gets as many
     /// home partitions, up to `MAX_HOME_PARTITIONS`.
-    pub fn new(partitions: u32, map: &Map) -> Self {
+    pub fn new(partitions: u32, map: &ZoneMap) -> Self {
         let global_count = partitions.max(1);
         Self {
             global_count,
@@ -82,7 +82,7 @@
     }
 
     /// Whether a partition may store the contents of a program with these homes.
-    pub fn may_store(&self, partition: u32, homes: &Set) -> bool {
+    pub fn may_store(&self, partition: u32, homes: &RegionSet) -> bool {
         match self.region(partition) {
             Some(region) => homes.contains(Some(region)),
             None => homes.is_all(),
@@ -90,7 +90,7 @@
     }
 
     /// Whether at least one region of the deployment is allowed.
-    pub fn has_allowed_region(&self, homes: &Set) -> bool {
+    pub fn has_allowed_region(&self, homes: &RegionSet) -> bool {
         homes.is_all() || self.allowed_regions(homes).next().is_some()
     }
 
@@ -106,7 +106,7 @@
     /// Regions are chosen by rendezvous hashing: each allowed region gets a weight that depends
     /// only on the program and the region, and the highest weight wins. If a region is removed from
     /// the set, only its own programs move; if one is added, only the programs that it wins move.
-    pub fn home_partition(&self, program: &str, homes: &Set) -> Option<u32> {
+    pub fn home_partition(&self, program: &str, homes: &RegionSet) -> Option<u32> {
         if homes.is_all() {
             return None;
         }
@@ -121,7 +121,10 @@
         Some(first + partition_of(program, self.homes_per_region))
     }
 
-    fn allowed_regions<'a>(&'a self, homes: &'a Set) -> impl Iterator<Item = (usize, &'a Rc<str>)> {
+    fn allowed_regions<'a>(
+        &'a self,
+        homes: &'a RegionSet,
+    ) -> impl Iterator<Item = (usize, &'a Rc<str>)> {
         let regions = self.regions.iter().enumerate();
         regions.filter(|(_, name)| homes.contains(Some(name)))
     }
--- a/crates/ledger/tests/layout.rs
+++ b/crates/ledger/tests/layout.rs
@@ -2,14 +2,14 @@
 
 use fieldhook_ledger::layout::Layout;
 use fieldhook_ledger::partition_of;
-use fieldhook_topology::region::Set;
-use fieldhook_topology::zone::Map;
+use fieldhook_topology::region::RegionSet;
+use fieldhook_topology::zone::ZoneMap;
 use quickcheck::{Gen, QuickCheck};
 
 const NAMES: [&str; 6] = ["ash", "birch", "cedar", "elm", "fir", "oak"];
 const PROGRAMS: u32 = 300;
 
-fn map(regions: usize) -> Map {
+fn map(regions: usize) -> ZoneMap {
     let zones: Vec<(String, &str)> = NAMES
         .iter()
         .take(regions)
@@ -20,19 +20,19 @@
             ]
         })
         .collect();
-    Map::new(zones.iter().map(|(zone, region)| (zone.as_str(), *region)))
+    ZoneMap::new(zones.iter().map(|(zone, region)| (zone.as_str(), *region)))
 }
 
 /// A subset of the names, chosen by the bits of a number. Some may not be regions of the map.
-fn homes(bits: u8) -> Set {
+fn homes(bits: u8) -> RegionSet {
     let chosen = NAMES
         .iter()
         .enumerate()
         .filter(|(index, _)| bits & (1 << index) != 0);
     let names: Vec<&str> = chosen.map(|(_, name)| *name).collect();
     match names.is_empty() {
-        true => Set::of(["nowhere"]),
-        false => Set::of(names),
+        true => RegionSet::from_names(["nowhere"]),
+        false => RegionSet::from_names(names),
     }
 }
 
@@ -91,15 +91,15 @@
     let layout = Layout::new(8, &map(3));
     for number in 0..PROGRAMS {
         let program = format!("p{number}");
-        assert_eq!(layout.home_partition(&program, &Set::All), None);
+        assert_eq!(layout.home_partition(&program, &RegionSet::All), None);
         assert_eq!(
             layout.program_partition(&program),
             partition_of(&program, 8)
         );
-        assert!(layout.may_store(layout.program_partition(&program), &Set::All));
+        assert!(layout.may_store(layout.program_partition(&program), &RegionSet::All));
         assert!(!layout.may_store(layout.program_partition(&program), &homes(1)));
     }
-    assert_eq!(Layout::new(8, &Map::default()).count(), 8);
+    assert_eq!(Layout::new(8, &ZoneMap::default()).count(), 8);
 }
 
 #[test]
@@ -124,7 +124,7 @@
 #[test]
 fn programs_spread_over_all_allowed_regions() {
     let layout = Layout::new(8, &map(4));
-    let homes = Set::of(["ash", "elm"]);
+    let homes = RegionSet::from_names(["ash", "elm"]);
     for region in ["ash", "elm"] {
         let stored = (0..PROGRAMS).filter(|number| {
             let partition = layout.home_partition(&format!("p{number}"), &homes);
