--- a/crates/gateway/src/follow/config.rs
+++ b/crates/gateway/src/follow/config.rs
@@ -26,7 +26,7 @@
 const UNREADABLE_CONFIG: RecordSource = RecordSource {
     event: "config_unreadable",
     kind: "configuration",
-    remedy: "the previous configuration stays in effect; publish a corrected one with a higher version",
+    remedy: "the previous configuration stays active; publish a corrected one with a higher version",
 };
 /// Evacuation records whose key does not name a zone.
 const UNREADABLE_EVACUATION: RecordSource = RecordSource {
--- a/crates/gateway/src/follow/long_poll.rs
+++ b/crates/gateway/src/follow/long_poll.rs
@@ -1,13 +1,13 @@
 //! Wait times of long-poll reads of followed topics. Every read is a billed log call, so reads
 //! wait as long as the time bounds in the settings allow.
 //!
-//! An open connection may stop responding for good, which only the time-out of a read reveals.
-//! This counts as lost contact: the time bounds of the settings apply again once contact has been
+//! An open connection may stop responding for good, which only the time-out of a read reveals. This
+//! counts as lost contact: the time bounds of the settings apply again once contact has been
 //! undisturbed for `contact_ms`. A read that was sent right before the connection stopped
 //! responding ends with its time-out, and the next read, on a new connection, has to be answered
 //! within `contact_ms` as well. A read may therefore wait for `contact_ms` less the margin of a
-//! read's time-out and the pauses until the next read. The bounds of configuration, draining and evacuation
-//! are not affected, since a healthy connection delivers a change at once.
+//! read's time-out and the pauses until the next read. The bounds of configuration, draining and
+//! evacuation are not affected, since a healthy connection delivers a change at once.
 
 use crate::settings::GatewaySettings;
 use fieldhook_log::follow::{READ_MARGIN, RESUME_DELAY};
--- a/crates/gateway/src/ledger/assigner.rs
+++ b/crates/gateway/src/ledger/assigner.rs
@@ -213,8 +213,8 @@
         groups
     }
 
-    /// Returns the fraction of a group's programs that this daemon sees as an owner; `groups` is the
-    /// number of groups.
+    /// Returns the fraction of a group's programs that this daemon sees as an owner; `groups` is
+    /// the number of groups.
     fn share(&self, groups: u32, group: u32) -> f64 {
         let owned = self.owned.borrow();
         let of_group = owned
--- a/crates/gateway/src/ledger/held.rs
+++ b/crates/gateway/src/ledger/held.rs
@@ -95,7 +95,10 @@
         owner.store.clone(),
         owner.log_health.clone(),
     ));
-    let is_current = matches!(owner.held.borrow().get(&partition), Some(HeldPartition::Loading(now)) if *now == epoch);
+    let is_current = matches!(
+        owner.held.borrow().get(&partition),
+        Some(HeldPartition::Loading(now)) if *now == epoch
+    );
     if !is_current {
         return;
     }
--- a/crates/gateway/src/ledger/limits.rs
+++ b/crates/gateway/src/ledger/limits.rs
@@ -104,8 +104,8 @@
     }
 }
 
-/// Grants of the previous owner are not known, whether or not it released the partition in a planned
-/// stop.
+/// Grants of the previous owner are not known, whether or not it released the partition in a
+/// planned stop.
 fn previous_owner(claim: &Claim) -> Former {
     match claim.previous_owner {
         ownership::PreviousOwner::None => Former::None,
--- a/crates/gateway/src/ledger/peer.rs
+++ b/crates/gateway/src/ledger/peer.rs
@@ -176,8 +176,8 @@
         self.calls.borrow_mut().clear();
     }
 
-    /// Completes once the connection was discarded and no call waits for a reply on it. It has to be
-    /// closed then, since the other daemon would keep its end open forever.
+    /// Completes once the connection was discarded and no call waits for a reply on it. It has to
+    /// be closed then, since the other daemon would keep its end open forever.
     async fn wait_idle_after_discard(&self) {
         while !self.discarded.get() {
             self.on_discard.notified().await;
--- a/crates/gateway/src/ledger/replace.rs
+++ b/crates/gateway/src/ledger/replace.rs
@@ -156,7 +156,8 @@
         .collect()
     }
 
-    /// Asks daemons that reach the log to claim a partition. Returns whether there is a newer owner.
+    /// Asks daemons that reach the log to claim a partition. Returns whether there is a newer
+    /// owner.
     async fn request_claim(&self, partition: u32, epoch: u64) -> bool {
         if self.owner.places.layout.region(partition).is_some() {
             return self.request_claim_in_region(partition, epoch).await;
--- a/crates/gateway/src/ledger/served.rs
+++ b/crates/gateway/src/ledger/served.rs
@@ -57,7 +57,7 @@
                 chain,
                 durable,
                 allowed,
-                is_first_turn: begins,
+                is_first_turn,
                 records,
             } => {
                 let engine = self.assigner.assign(open);
@@ -66,7 +66,7 @@
                     durable,
                     allowed,
                     engine,
-                    is_first_turn: begins,
+                    is_first_turn,
                 });
                 let pending = (!durable).then_some(PendingReply {
                     sender,
@@ -126,8 +126,8 @@
         receiver
     }
 
-    /// Appends the record that lets programs start while the log is down, as long as programs without
-    /// a record are uncertain.
+    /// Appends the record that lets programs start while the log is down, as long as programs
+    /// without a record are uncertain.
     pub(super) fn claim_unrecorded_share(&self) {
         let records = self.state.borrow().claim_unrecorded_share(unix_ms());
         if !records.is_empty() {
--- a/crates/gateway/tests/gateway/budget_after_owner_loss.rs
+++ b/crates/gateway/tests/gateway/budget_after_owner_loss.rs
@@ -2,11 +2,11 @@
 //!
 //! If a program's contents are stored in a home partition, another partition orders its turns and
 //! counts its budget. That partition recorded the turn as open, with its token maximum reserved.
-//! When the turn completes, its contents become durable in the home partition before the client gets
-//! the end of the answer, while the budget partition is informed separately. If all daemons are lost
-//! right then, the next owner must not find a turn that stays open forever: the program, having used
-//! a sixth of its budget, would be refused every further turn. Without home regions one record
-//! covers both, and the end of the answer waits for it.
+//! When the turn completes, its contents become durable in the home partition before the client
+//! gets the end of the answer, while the budget partition is informed separately. If all daemons
+//! are lost right then, the next owner must not find a turn that stays open forever: the program,
+//! having used a sixth of its budget, would be refused every further turn. Without home regions one
+//! record covers both, and the end of the answer waits for it.
 
 use crate::support::{Act, Server, World, config, run};
 use fieldhook_gateway::ledger::owner::LEDGER_TOPIC;
--- a/crates/gateway/tests/gateway/incarnations.rs
+++ b/crates/gateway/tests/gateway/incarnations.rs
@@ -205,8 +205,8 @@
     });
 }
 
-/// A restart during a log outage is missed until the next read succeeds, and a hanging read first has
-/// to end with its time-out. Both have to happen within `contact_ms` after the outage.
+/// A restart during a log outage is missed until the next read succeeds, and a hanging read first
+/// has to end with its time-out. Both have to happen within `contact_ms` after the outage.
 #[test]
 fn restart_during_a_log_outage_takes_effect_soon_after_it() {
     const CONTACT: Duration = Duration::from_millis(2_000);
@@ -370,8 +370,8 @@
     });
 }
 
-/// A restarted server is cold from the moment the restart is known, even if its entry does not say so
-/// and the previous process was warm.
+/// A restarted server is cold from the moment the restart is known, even if its entry does not say
+/// so and the previous process was warm.
 #[test]
 fn restarted_server_is_cold_although_the_previous_process_was_warm() {
     run(async {
--- a/crates/gateway/tests/gateway/ownership.rs
+++ b/crates/gateway/tests/gateway/ownership.rs
@@ -176,8 +176,8 @@
     });
 }
 
-/// Returns an owner's reply to a quota request of tenant `p`, which is counted in the same partition
-/// as program `p`.
+/// Returns an owner's reply to a quota request of tenant `p`, which is counted in the same
+/// partition as program `p`.
 async fn quota_reply(owner: &Gateway) -> LedgerReply {
     let request = QuotaRequest {
         event: QuotaEvent::Request,
@@ -294,8 +294,8 @@
     });
 }
 
-/// A planned stop leaves no program uncertain, so new programs can start at the next owner while the
-/// log is down.
+/// A planned stop leaves no program uncertain, so new programs can start at the next owner while
+/// the log is down.
 #[test]
 fn programs_start_without_the_log_after_a_planned_stop_of_the_owner() {
     run(async {
