--- a/crates/gateway/src/serve/attempt.rs
+++ b/crates/gateway/src/serve/attempt.rs
@@ -191,7 +191,7 @@
     /// request.
     pub fn finish(self, context: &RequestContext) {
         observe(context, &self.server, Observation::Answered, "answered");
-        context.daemon.retry_budget.borrow_mut().answered();
+        context.daemon.retry_budget.borrow_mut().record_answer();
         let keep_alive = self.response.meta.keep_alive_ms.map(Duration::from_millis);
         context
             .daemon
--- a/crates/gateway/src/serve/response_times.rs
+++ b/crates/gateway/src/serve/response_times.rs
@@ -1,7 +1,7 @@
 //! Response times per route, from which the gateway learns when a response is overdue.
 
 use fieldhook_log::round_trip::RoundTrip;
-use fieldhook_traffic::overdue;
+use fieldhook_traffic::attempt_timeout;
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -37,7 +37,7 @@
 
     /// Timeout of an attempt, or `None` if it should not be abandoned in favor of another one.
     pub fn attempt_timeout(&self, route: &str, remaining: Duration) -> Option<Duration> {
-        overdue::wait(self.overdue_after(route), remaining)
+        attempt_timeout::attempt_timeout(self.overdue_after(route), remaining)
     }
 
     /// Removes routes for which `known` returns false.
--- a/crates/gateway/src/serve/retry.rs
+++ b/crates/gateway/src/serve/retry.rs
@@ -5,7 +5,7 @@
 use super::homes;
 use super::local_response::LocalResponse;
 use super::request::{RETRY_LATER_MS, RETRY_SOON_MS, RequestContext};
-use fieldhook_traffic::attempt::{Attempts, NextStep, Time};
+use fieldhook_traffic::attempt::{Attempts, NextStep, TimeLeft};
 use fieldhook_traffic::tenants::Denial;
 use std::time::Duration;
 use tokio::time::sleep;
@@ -38,7 +38,7 @@
     /// Returns the timeout of the next attempt, or `None` if no further attempt could follow it.
     pub fn attempt_timeout(&self, context: &RequestContext) -> Option<Duration> {
         let route = &context.entry.route;
-        if !self.attempts.allow_another(route.kind, route.max_attempts) {
+        if !self.attempts.allows_another(route.kind, route.max_attempts) {
             return None;
         }
         let remaining = Duration::from_millis(context.remaining_ms());
@@ -75,7 +75,7 @@
             }
             DispatchFailure::ColdServersBusy { .. } => {
                 self.attempts
-                    .without_server(route.kind, route.max_attempts, time)
+                    .on_no_server(route.kind, route.max_attempts, time)
             }
             DispatchFailure::Evacuated | DispatchFailure::EvacuationsUncertain => {
                 return Err(self.evacuation_response(failure));
@@ -88,12 +88,12 @@
             }
             DispatchFailure::NoServer => {
                 self.attempts
-                    .without_server(route.kind, route.max_attempts, time)
+                    .on_no_server(route.kind, route.max_attempts, time)
             }
             DispatchFailure::Attempt(failure) => {
                 self.history.record_failure(failure);
                 self.attempts
-                    .after(route.kind, route.max_attempts, failure, time)
+                    .on_failure(route.kind, route.max_attempts, failure, time)
             }
         };
         match next {
@@ -190,10 +190,10 @@
     }
 }
 
-fn time_limits(context: &RequestContext) -> Time {
+fn time_limits(context: &RequestContext) -> TimeLeft {
     let allowed = context.deadline - context.started;
-    Time {
-        for_attempt: context.remaining_ms() > MIN_ATTEMPT_TIME_MS,
-        for_wait: context.started.elapsed() < allowed / MAX_WAIT_DIVISOR,
+    TimeLeft {
+        enough_for_attempt: context.remaining_ms() > MIN_ATTEMPT_TIME_MS,
+        enough_for_wait: context.started.elapsed() < allowed / MAX_WAIT_DIVISOR,
     }
 }
--- a/crates/gateway/src/serve/selection.rs
+++ b/crates/gateway/src/serve/selection.rs
@@ -2,23 +2,23 @@
 
 use super::attempt::AttemptHistory;
 use super::request::RequestContext;
-use fieldhook_topology::region::Set;
+use fieldhook_topology::region::RegionSet;
 use fieldhook_traffic::assignment::prefix_hash;
 use fieldhook_traffic::balance::{self, Candidate, Request};
-use fieldhook_traffic::candidates::{Draw, draw};
+use fieldhook_traffic::candidates::{CandidateQuery, select_candidates};
 use fieldhook_traffic::directory::ServerEntry;
-use fieldhook_traffic::ring::Arc;
+use fieldhook_traffic::hash_ring::HashRange;
 
 /// Selects one of the servers that were not tried yet and are in an allowed location. Skips cold
 /// servers without capacity.
 pub fn choose(
     context: &RequestContext,
-    homes: &Set,
+    homes: &RegionSet,
     history: &AttemptHistory,
 ) -> Option<ServerEntry> {
     let daemon = &context.daemon;
     let directory = daemon.directory.borrow();
-    let serving = directory.serving(context.service()?)?;
+    let serving = directory.active_servers(context.service()?)?;
     let now_ms = daemon.now_ms();
     let zone = &daemon.settings.zone;
     let is_stream = context.entry.route.kind.is_stream();
@@ -27,16 +27,16 @@
     // Requests of a program are sampled by its id, so that they find the same engine again; all
     // others by the name of the daemon, so that they use servers with open connections.
     let sampling_key = affinity.unwrap_or(&daemon.settings.name);
-    let servers = Draw {
+    let servers = CandidateQuery {
         zone,
-        arc: Arc::WHOLE,
-        number: prefix_hash(sampling_key),
+        range: HashRange::FULL,
+        start: prefix_hash(sampling_key),
     };
     let servers = daemon.places.with_rule(homes, zone, |rule| {
-        let may_serve = |server: &ServerEntry| rule.serve(&server.zone).is_ok();
+        let may_serve = |server: &ServerEntry| rule.serving_distance(&server.zone).is_ok();
         let is_usable =
             |server: &ServerEntry| may_serve(server) && !history.servers.contains(&server.id);
-        let drawn = draw(serving, &servers, &is_usable).servers;
+        let drawn = select_candidates(serving, &servers, &is_usable).servers;
         let mut servers: Vec<&ServerEntry> = drawn.into_iter().map(|server| &**server).collect();
         let assigned = preferred.and_then(|id| directory.entry(id));
         let assigned = assigned.filter(|server| {
@@ -79,8 +79,8 @@
             .map
             .distance(&daemon.settings.zone, &server.zone),
         in_flight: status.in_flight,
-        avoided: status.avoided,
-        unsound: status.unsound,
+        is_in_backoff: status.avoided,
+        is_unhealthy: status.unsound,
         is_cold,
         has_idle_connection: status.has_idle_connection,
     })
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -3,47 +3,47 @@
 //!
 //! - [`config`]: the traffic configuration: routes, services, limits.
 //! - [`tenants`]: whose request it is.
-//! - [`homes`]: regions that may serve a request and keep its data.
+//! - [`residency`]: regions that may serve a request and keep its data.
 //! - [`quota`]: what tenants may still send, as the owner of their limits counts it.
-//! - [`window`]: counting what was sent in a sliding window.
-//! - [`share`]: what one daemon may send of it while no owner can be asked.
-//! - [`table`]: looking up a request's route and tenant.
-//! - [`split`]: dividing a route's requests among weighted services.
+//! - [`sliding_window`]: counting what was sent in a sliding window.
+//! - [`fallback_quota`]: what one daemon may send of it while no owner can be asked.
+//! - [`route_table`]: looking up a request's route and tenant.
+//! - [`round_robin`]: dividing a route's requests among weighted services.
 //! - [`directory`]: which servers exist and which of them are leaving.
 //! - [`cold`]: which servers bear only a few requests for now.
 //! - [`health`]: leaving a failing server alone and trying it again.
-//! - [`room`]: the memory that is spent on peers that are slow to read.
-//! - [`rest`]: how long an idle connection may rest.
+//! - [`buffer_memory`]: the memory that is spent on peers that are slow to read.
+//! - [`idle_limit`]: how long an idle connection may rest.
 //! - [`groups`]: which engines the owner of a partition assigns.
 //! - [`assignment`]: the engine at which a program's turns run.
-//! - [`ring`]: servers in an order that all daemons know alike.
+//! - [`hash_ring`]: servers in an order that all daemons know alike.
 //! - [`candidates`]: which servers are weighed for a request.
 //! - [`balance`]: choosing a server for one attempt.
-//! - [`wait`]: waiting for a place that comes free at a known time.
-//! - [`overdue`]: how long an attempt is waited for.
+//! - [`quota_wait`]: waiting for a place that comes free at a known time.
+//! - [`attempt_timeout`]: how long an attempt is waited for.
 //! - [`attempt`]: what may follow a failed attempt.
 //! - [`retry_budget`]: how many attempts a daemon may repeat over all its requests.
 
 pub mod assignment;
 pub mod attempt;
+pub mod attempt_timeout;
 pub mod balance;
+pub mod buffer_memory;
 pub mod candidates;
 pub mod cold;
 pub mod config;
 pub mod directory;
+pub mod fallback_quota;
 pub mod groups;
+pub mod hash_ring;
 pub mod health;
-pub mod homes;
-pub mod overdue;
+pub mod idle_limit;
 pub mod quota;
-pub mod rest;
+pub mod quota_wait;
+pub mod residency;
 pub mod retry_budget;
-pub mod ring;
-pub mod room;
-pub mod share;
+pub mod round_robin;
+pub mod route_table;
 pub mod silence;
-pub mod split;
-pub mod table;
+pub mod sliding_window;
 pub mod tenants;
-pub mod wait;
-pub mod window;
--- a/crates/traffic/src/table.rs
+++ b/crates/traffic/src/route_table.rs
@@ -1,8 +1,8 @@
 //! The routing table: the longest prefix among the routes of a host wins.
 
 use crate::config::{Route, TrafficConfig};
-use crate::split::Split;
-use crate::tenants::{Denial, Key, Tenant, Tenants};
+use crate::round_robin::WeightedRoundRobin;
+use crate::tenants::{ApiKey, Denial, Tenant, TenantIndex};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -12,14 +12,14 @@
 pub struct RouteEntry {
     /// The route.
     pub route: Route,
-    split: RefCell<Split>,
+    split: RefCell<WeightedRoundRobin>,
 }
 
 impl RouteEntry {
     /// The service for the next request.
     pub fn next_service(&self) -> Option<String> {
         let index = self.split.borrow_mut().next()?;
-        Some(self.route.parts[index].service.clone())
+        Some(self.route.services[index].service.clone())
     }
 }
 
@@ -28,7 +28,7 @@
     /// The configuration that it was built from.
     pub config: TrafficConfig,
     by_host: HashMap<String, Vec<Rc<RouteEntry>>>,
-    tenants: Option<Tenants>,
+    tenants: Option<TenantIndex>,
 }
 
 impl RouteTable {
@@ -48,9 +48,9 @@
                 .push(entry);
         }
         for entries in by_host.values_mut() {
-            entries.sort_by_key(|entry| std::cmp::Reverse(entry.route.prefix.len()));
+            entries.sort_by_key(|entry| std::cmp::Reverse(entry.route.path_prefix.len()));
         }
-        let tenants = config.tenants.as_deref().map(Tenants::new);
+        let tenants = config.tenants.as_deref().map(TenantIndex::new);
         Self {
             config,
             by_host,
@@ -59,11 +59,11 @@
     }
 
     /// The split of a route as it stands, where its parts are the same.
-    fn split_of(&self, route: &Route) -> Option<Split> {
+    fn split_of(&self, route: &Route) -> Option<WeightedRoundRobin> {
         let entries = self.by_host.get(&route.host.to_ascii_lowercase())?;
-        let entry = entries
-            .iter()
-            .find(|entry| entry.route.name == route.name && entry.route.parts == route.parts)?;
+        let entry = entries.iter().find(|entry| {
+            entry.route.name == route.name && entry.route.services == route.services
+        })?;
         Some(entry.split.borrow().clone())
     }
 
@@ -74,16 +74,16 @@
 
     /// The tenant of that name.
     pub fn tenant(&self, name: &str) -> Option<&Rc<Tenant>> {
-        self.tenants.as_ref()?.named(name)
+        self.tenants.as_ref()?.by_name(name)
     }
 
     /// The tenant that a request of a route belongs to, if there are tenants.
     ///
     /// # Errors
     /// It needs a key that a tenant holds.
-    pub fn admit(&self, route: &Route, key: Option<&Key>) -> Result<Option<Rc<Tenant>>, Denial> {
+    pub fn admit(&self, route: &Route, key: Option<&ApiKey>) -> Result<Option<Rc<Tenant>>, Denial> {
         match &self.tenants {
-            Some(tenants) => tenants.admit(key, route.is_open),
+            Some(tenants) => tenants.admit(key, route.is_public),
             None => Ok(None),
         }
     }
@@ -95,14 +95,14 @@
         self.by_host
             .get(&host)?
             .iter()
-            .find(|entry| path.starts_with(&entry.route.prefix))
+            .find(|entry| path.starts_with(&entry.route.path_prefix))
             .cloned()
     }
 }
 
-fn begin_split(route: &Route, random: u64) -> Split {
-    let weights = route.parts.iter().map(|part| part.weight).collect();
-    Split::new(weights, xxh3_64_with_seed(route.name.as_bytes(), random))
+fn begin_split(route: &Route, random: u64) -> WeightedRoundRobin {
+    let weights = route.services.iter().map(|part| part.weight).collect();
+    WeightedRoundRobin::new(weights, xxh3_64_with_seed(route.name.as_bytes(), random))
 }
 
 fn without_port(host: &str) -> &str {
