--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -12,7 +12,7 @@
     ConfigStatus, DaemonStatus, EngineStatus, Explanation, OwnedShardStatus, ProgramLine,
     ShardStatus, Status,
 };
-use fieldhook_placement::{EngineView, Need, estimate, judge};
+use fieldhook_placement::{EngineView, Need, estimate, evaluate_rules};
 use fieldhook_program::EndReason;
 use ntex::web::{self, HttpResponse, ServiceConfig, types};
 use std::rc::Rc;
@@ -173,7 +173,7 @@
         .map(|message| message.content.len())
         .sum();
     let explain_engine = |engine: EngineView| {
-        let verdict = judge(&config.document, &labels, &engine.labels);
+        let verdict = evaluate_rules(&config.document, &labels, &engine.labels);
         let holds = program.held_by.contains(&engine.address);
         let held = if holds { bytes as u64 / 4 } else { 0 };
         let need = Need {
--- a/crates/daemon/src/sequencer/place.rs
+++ b/crates/daemon/src/sequencer/place.rs
@@ -7,7 +7,7 @@
 use fieldhook_model::error::{CallError, ErrorKind};
 use fieldhook_model::ids::ProgramId;
 use fieldhook_model::labels::Labels;
-use fieldhook_placement::{Refusal, Work, choose, judge};
+use fieldhook_placement::{Refusal, Work, choose, evaluate_rules};
 
 /// When to come back if nothing can serve a call now.
 const NO_TARGET_RETRY_MS: u64 = 1_000;
@@ -112,7 +112,7 @@
         let own = config
             .document
             .machine_labels(&machine.name, &machine.zone, &machine.labels);
-        let verdict = judge(&config.document, &labels, &own);
+        let verdict = evaluate_rules(&config.document, &labels, &own);
         if verdict.allowed && !avoid.contains(&machine.address) {
             return Ok(Target {
                 address: machine.address,
--- a/crates/placement/src/choice.rs
+++ b/crates/placement/src/choice.rs
@@ -1,7 +1,7 @@
 //! The choice among the engines that the rules leave.
 
 use crate::cost::{Estimate, Need, estimate};
-use crate::rules::{Verdict, judge};
+use crate::rules::{RuleEvaluation, evaluate_rules};
 use fieldhook_model::config::ConfigDocument;
 use fieldhook_model::labels::Labels;
 use fieldhook_model::platform::EngineLoad;
@@ -77,13 +77,13 @@
     work: &Work,
 ) -> Result<Choice, Refusal> {
     let able = engines.iter().filter(|engine| can_serve(engine, work));
-    let judged = able.map(|engine| (engine, judge(document, &work.labels, &engine.labels)));
-    let allowed: Vec<(&EngineView, Verdict)> =
+    let judged = able.map(|engine| (engine, evaluate_rules(document, &work.labels, &engine.labels)));
+    let allowed: Vec<(&EngineView, RuleEvaluation)> =
         judged.filter(|(_, verdict)| verdict.allowed).collect();
     if allowed.is_empty() {
         return Err(Refusal::NoEngine);
     }
-    let open: Vec<&(&EngineView, Verdict)> = allowed
+    let open: Vec<&(&EngineView, RuleEvaluation)> = allowed
         .iter()
         .filter(|(engine, _)| has_room(engine))
         .collect();
@@ -108,7 +108,7 @@
     queued < places * QUEUE_LIMIT_BATCHES
 }
 
-fn candidate(engine: &EngineView, verdict: &Verdict, work: &Work) -> Choice {
+fn candidate(engine: &EngineView, verdict: &RuleEvaluation, work: &Work) -> Choice {
     let held = work.held.get(&engine.address).copied().unwrap_or(0);
     let need = Need {
         missing_tokens: work.prompt_tokens.saturating_sub(held),
@@ -122,7 +122,7 @@
     }
 }
 
-fn shortest_wait_ms(engines: &[(&EngineView, Verdict)]) -> u64 {
+fn shortest_wait_ms(engines: &[(&EngineView, RuleEvaluation)]) -> u64 {
     let waits = engines.iter().map(|(engine, _)| {
         let estimate = estimate(&engine.load, engine.assigned, Need::default());
         estimate.wait_us / 1_000
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -9,4 +9,4 @@
 pub use choice::{Choice, EngineView, Refusal, Work, choose};
 pub use cost::{Estimate, Need, estimate};
 pub use rotation::Rotation;
-pub use rules::{Verdict, judge};
+pub use rules::{RuleEvaluation, evaluate_rules};
--- a/crates/placement/src/rules.rs
+++ b/crates/placement/src/rules.rs
@@ -5,7 +5,7 @@
 
 /// What the configuration says of one program and one machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Verdict {
+pub struct RuleEvaluation {
     /// Whether the work may go there.
     pub allowed: bool,
     /// Priority of the work there.
@@ -16,7 +16,7 @@
 
 /// Evaluates all rules. `deny` and `drain` win over `allow`. A program that
 /// some `allow` rule selects may only go where one of these rules points.
-pub fn judge(document: &ConfigDocument, program: &Labels, machine: &Labels) -> Verdict {
+pub fn evaluate_rules(document: &ConfigDocument, program: &Labels, machine: &Labels) -> RuleEvaluation {
     let mut matched = Vec::new();
     let mut barred = false;
     let mut confined = false;
@@ -35,7 +35,7 @@
             Effect::Deny | Effect::Drain => barred = true,
         }
     }
-    Verdict {
+    RuleEvaluation {
         allowed: !barred && (!confined || priority.is_some()),
         priority: priority.unwrap_or(DEFAULT_PRIORITY),
         matched,
--- a/crates/placement/tests/choice.rs
+++ b/crates/placement/tests/choice.rs
@@ -3,7 +3,7 @@
 use fieldhook_model::config::{ConfigDocument, Effect, Rule};
 use fieldhook_model::labels::{Labels, Operator, Requirement, Selector};
 use fieldhook_model::platform::EngineLoad;
-use fieldhook_placement::{EngineView, Refusal, Rotation, Work, choose, judge};
+use fieldhook_placement::{EngineView, Refusal, Rotation, Work, choose, evaluate_rules};
 use quickcheck::{Gen, QuickCheck};
 
 fn labelled(value: u8) -> Labels {
@@ -46,7 +46,7 @@
             .map(|(index, it)| rule(index, it))
             .collect(),
     };
-    let verdict = judge(&document, &labelled(program), &labelled(machine));
+    let verdict = evaluate_rules(&document, &labelled(program), &labelled(machine));
     let of = |effect: u8| rules.iter().filter(move |rule| rule.0 % 3 == effect);
     let confined = of(0).any(|rule| fits(rule.1, program));
     let granted = of(0).any(|rule| fits(rule.1, program) && fits(rule.2, machine));
