--- a/crates/daemon/src/sequencer/place.rs
+++ b/crates/daemon/src/sequencer/place.rs
@@ -7,7 +7,7 @@
 use fieldhook_model::error::{CallError, ErrorKind};
 use fieldhook_model::ids::ProgramId;
 use fieldhook_model::labels::Labels;
-use fieldhook_placement::{Refusal, Work, choose, evaluate_rules};
+use fieldhook_placement::{PlacementError, PlacementRequest, evaluate_rules, select_engine};
 
 /// When to come back if nothing can serve a call now.
 const NO_TARGET_RETRY_MS: u64 = 1_000;
@@ -65,25 +65,25 @@
             .iter()
             .map(|message| message.content.len())
             .sum();
-        Work {
+        PlacementRequest {
             labels,
             model: model.model.clone(),
             prompt_tokens: known.map_or(0, |known| known.tokens) + new_bytes as u64 / 4,
             new_tokens: u64::from(model.max_tokens),
-            held: record
+            cached_tokens: record
                 .map(|record| record.held_by.clone())
                 .unwrap_or_default(),
-            avoid: avoid.to_vec(),
+            excluded: avoid.to_vec(),
         }
     };
     let config = node.config.borrow();
-    let choice = choose(&config.document, &engine_views(node), &work);
+    let choice = select_engine(&config.document, &engine_views(node), &work);
     match choice {
         Ok(choice) => Ok(Target {
             address: choice.address,
             priority: choice.priority,
         }),
-        Err(Refusal::NoEngine) => Err(CallError::not_run(
+        Err(PlacementError::NoEngine) => Err(CallError::not_run(
             ErrorKind::NoTarget,
             format!(
                 "no live engine allowed by the rules has model {:?}",
@@ -91,7 +91,7 @@
             ),
         )
         .retry_after(NO_TARGET_RETRY_MS)),
-        Err(Refusal::Overloaded(wait_ms)) => Err(CallError::not_run(
+        Err(PlacementError::Overloaded(wait_ms)) => Err(CallError::not_run(
             ErrorKind::Overloaded,
             "come back after retry_after_ms; all allowed engines have long queues",
         )
--- a/crates/placement/src/rules.rs
+++ b/crates/placement/src/rules.rs
@@ -16,7 +16,11 @@
 
 /// Evaluates all rules. `deny` and `drain` win over `allow`. A program that
 /// some `allow` rule selects may only go where one of these rules points.
-pub fn evaluate_rules(document: &ConfigDocument, program: &Labels, machine: &Labels) -> RuleEvaluation {
+pub fn evaluate_rules(
+    document: &ConfigDocument,
+    program: &Labels,
+    machine: &Labels,
+) -> RuleEvaluation {
     let mut matched = Vec::new();
     let mut barred = false;
     let mut confined = false;
--- a/crates/placement/src/choice.rs
+++ b/crates/placement/src/selection.rs
@@ -29,7 +29,7 @@
 
 /// What is to be placed.
 #[derive(Clone, Debug)]
-pub struct Work {
+pub struct PlacementRequest {
     /// Labels of the program, with its tenant.
     pub labels: Labels,
     /// Model asked for.
@@ -39,14 +39,14 @@
     /// Tokens to generate at most.
     pub new_tokens: u64,
     /// Tokens of this program that engines are thought to hold.
-    pub held: BTreeMap<String, u64>,
+    pub cached_tokens: BTreeMap<String, u64>,
     /// Engines that failed this call already.
-    pub avoid: Vec<String>,
+    pub excluded: Vec<String>,
 }
 
 /// The engine chosen.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Choice {
+pub struct Selection {
     /// IP and port.
     pub address: String,
     /// Priority by the rules.
@@ -57,7 +57,7 @@
 
 /// Why there is no choice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum PlacementError {
     /// No live engine has the model and is allowed.
     NoEngine,
     /// All allowed engines have long queues; when to come back, in milliseconds.
@@ -71,17 +71,22 @@
 ///
 /// # Errors
 /// No engine may or can take the work.
-pub fn choose(
+pub fn select_engine(
     document: &ConfigDocument,
     engines: &[EngineView],
-    work: &Work,
-) -> Result<Choice, Refusal> {
+    work: &PlacementRequest,
+) -> Result<Selection, PlacementError> {
     let able = engines.iter().filter(|engine| can_serve(engine, work));
-    let judged = able.map(|engine| (engine, evaluate_rules(document, &work.labels, &engine.labels)));
+    let judged = able.map(|engine| {
+        (
+            engine,
+            evaluate_rules(document, &work.labels, &engine.labels),
+        )
+    });
     let allowed: Vec<(&EngineView, RuleEvaluation)> =
         judged.filter(|(_, verdict)| verdict.allowed).collect();
     if allowed.is_empty() {
-        return Err(Refusal::NoEngine);
+        return Err(PlacementError::NoEngine);
     }
     let open: Vec<&(&EngineView, RuleEvaluation)> = allowed
         .iter()
@@ -91,14 +96,14 @@
         .into_iter()
         .map(|(engine, verdict)| candidate(engine, verdict, work))
         .min_by_key(|choice| (choice.estimate.total_us(), choice.address.clone()));
-    best.ok_or_else(|| Refusal::Overloaded(shortest_wait_ms(&allowed)))
+    best.ok_or_else(|| PlacementError::Overloaded(shortest_wait_ms(&allowed)))
 }
 
-fn can_serve(engine: &EngineView, work: &Work) -> bool {
+fn can_serve(engine: &EngineView, work: &PlacementRequest) -> bool {
     engine.reachable
         && !engine.leaving
         && !engine.load.leaving
-        && !work.avoid.contains(&engine.address)
+        && !work.excluded.contains(&engine.address)
         && engine.labels.get(MODEL_LABEL) == Some(&work.model)
 }
 
@@ -108,14 +113,18 @@
     queued < places * QUEUE_LIMIT_BATCHES
 }
 
-fn candidate(engine: &EngineView, verdict: &RuleEvaluation, work: &Work) -> Choice {
-    let held = work.held.get(&engine.address).copied().unwrap_or(0);
+fn candidate(engine: &EngineView, verdict: &RuleEvaluation, work: &PlacementRequest) -> Selection {
+    let held = work
+        .cached_tokens
+        .get(&engine.address)
+        .copied()
+        .unwrap_or(0);
     let need = Need {
         missing_tokens: work.prompt_tokens.saturating_sub(held),
         new_tokens: work.new_tokens,
-        switches: held == 0 && work.held.values().any(|tokens| *tokens > 0),
+        switches: held == 0 && work.cached_tokens.values().any(|tokens| *tokens > 0),
     };
-    Choice {
+    Selection {
         address: engine.address.clone(),
         priority: verdict.priority,
         estimate: estimate(&engine.load, engine.assigned, need),
--- a/crates/placement/tests/choice.rs
+++ b/crates/placement/tests/choice.rs
@@ -3,7 +3,9 @@
 use fieldhook_model::config::{ConfigDocument, Effect, Rule};
 use fieldhook_model::labels::{Labels, Operator, Requirement, Selector};
 use fieldhook_model::platform::EngineLoad;
-use fieldhook_placement::{EngineView, Refusal, Rotation, Work, choose, evaluate_rules};
+use fieldhook_placement::{
+    EngineView, PlacementError, PlacementRequest, Rotation, evaluate_rules, select_engine,
+};
 use quickcheck::{Gen, QuickCheck};
 
 fn labelled(value: u8) -> Labels {
@@ -85,22 +87,22 @@
     }
 }
 
-fn work(held: &[(&str, u64)]) -> Work {
-    Work {
+fn work(held: &[(&str, u64)]) -> PlacementRequest {
+    PlacementRequest {
         labels: Labels::new(),
         model: "chat".to_owned(),
         prompt_tokens: 5_000,
         new_tokens: 20,
-        held: held
+        cached_tokens: held
             .iter()
             .map(|(name, tokens)| ((*name).to_owned(), *tokens))
             .collect(),
-        avoid: Vec::new(),
+        excluded: Vec::new(),
     }
 }
 
-fn chosen(engines: &[EngineView], work: &Work) -> Result<String, Refusal> {
-    choose(&ConfigDocument::default(), engines, work).map(|choice| choice.address)
+fn chosen(engines: &[EngineView], work: &PlacementRequest) -> Result<String, PlacementError> {
+    select_engine(&ConfigDocument::default(), engines, work).map(|choice| choice.address)
 }
 
 #[test]
@@ -123,7 +125,7 @@
         engine.load.max_running = 16;
     }
     // A short prompt: nothing but the batches tells the engines apart.
-    let short = Work {
+    let short = PlacementRequest {
         prompt_tokens: 50,
         ..work(&[])
     };
@@ -138,7 +140,7 @@
 
 #[test]
 fn a_short_conversation_stays_where_it_is_held() {
-    let short = Work {
+    let short = PlacementRequest {
         prompt_tokens: 100,
         ..work(&[("b", 60)])
     };
@@ -157,10 +159,10 @@
         chosen(&[leaving.clone(), engine("b", 2)], &work),
         Ok("b".to_owned())
     );
-    assert_eq!(chosen(&[leaving], &work), Err(Refusal::NoEngine));
+    assert_eq!(chosen(&[leaving], &work), Err(PlacementError::NoEngine));
     let full = chosen(&[engine("a", 16), engine("b", 20)], &work);
     assert!(
-        matches!(full, Err(Refusal::Overloaded(wait_ms)) if wait_ms > 0),
+        matches!(full, Err(PlacementError::Overloaded(wait_ms)) if wait_ms > 0),
         "{full:?}"
     );
 }
