--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -12,7 +12,7 @@
     ConfigStatus, DaemonStatus, EngineStatus, Explanation, OwnedShardStatus, ProgramLine,
     ShardStatus, Status,
 };
-use fieldhook_placement::{EngineView, Need, estimate, evaluate_rules};
+use fieldhook_placement::{CallDemand, EngineView, estimate, evaluate_rules};
 use fieldhook_program::EndReason;
 use ntex::web::{self, HttpResponse, ServiceConfig, types};
 use std::rc::Rc;
@@ -176,10 +176,10 @@
         let verdict = evaluate_rules(&config.document, &labels, &engine.labels);
         let holds = program.held_by.contains(&engine.address);
         let held = if holds { bytes as u64 / 4 } else { 0 };
-        let need = Need {
-            missing_tokens: bytes as u64 / 4 - held,
+        let need = CallDemand {
+            uncached_tokens: bytes as u64 / 4 - held,
             new_tokens: TYPICAL_ANSWER_TOKENS,
-            switches: !holds && !program.held_by.is_empty(),
+            migrates: !holds && !program.held_by.is_empty(),
         };
         let expected = estimate(&engine.load, engine.assigned, need);
         Explanation {
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -6,7 +6,7 @@
 mod rules;
 mod selection;
 
-pub use cost::{Estimate, Need, estimate};
+pub use cost::{CallDemand, Estimate, estimate};
 pub use rotation::Rotation;
 pub use rules::{RuleEvaluation, evaluate_rules};
 pub use selection::{EngineView, PlacementError, PlacementRequest, Selection, select_engine};
--- a/crates/placement/src/selection.rs
+++ b/crates/placement/src/selection.rs
@@ -1,6 +1,6 @@
 //! The choice among the engines that the rules leave.
 
-use crate::cost::{Estimate, Need, estimate};
+use crate::cost::{CallDemand, Estimate, estimate};
 use crate::rules::{RuleEvaluation, evaluate_rules};
 use fieldhook_model::config::ConfigDocument;
 use fieldhook_model::labels::Labels;
@@ -108,9 +108,9 @@
 }
 
 fn has_room(engine: &EngineView) -> bool {
-    let places = engine.load.max_running.max(1);
+    let slots = engine.load.max_running.max(1);
     let queued = (engine.load.running + engine.load.waiting).max(engine.assigned);
-    queued < places * QUEUE_LIMIT_BATCHES
+    queued < slots * QUEUE_LIMIT_BATCHES
 }
 
 fn candidate(engine: &EngineView, verdict: &RuleEvaluation, work: &PlacementRequest) -> Selection {
@@ -119,21 +119,21 @@
         .get(&engine.address)
         .copied()
         .unwrap_or(0);
-    let need = Need {
-        missing_tokens: work.prompt_tokens.saturating_sub(held),
+    let demand = CallDemand {
+        uncached_tokens: work.prompt_tokens.saturating_sub(held),
         new_tokens: work.new_tokens,
-        switches: held == 0 && work.cached_tokens.values().any(|tokens| *tokens > 0),
+        migrates: held == 0 && work.cached_tokens.values().any(|tokens| *tokens > 0),
     };
     Selection {
         address: engine.address.clone(),
         priority: verdict.priority,
-        estimate: estimate(&engine.load, engine.assigned, need),
+        estimate: estimate(&engine.load, engine.assigned, demand),
     }
 }
 
 fn shortest_wait_ms(engines: &[(&EngineView, RuleEvaluation)]) -> u64 {
     let waits = engines.iter().map(|(engine, _)| {
-        let estimate = estimate(&engine.load, engine.assigned, Need::default());
+        let estimate = estimate(&engine.load, engine.assigned, CallDemand::default());
         estimate.wait_us / 1_000
     });
     waits.min().unwrap_or(0).max(50)
