--- a/crates/daemon/src/platform/fleet.rs
+++ b/crates/daemon/src/platform/fleet.rs
@@ -165,7 +165,7 @@
     let mut rotation = Rotation::default();
     loop {
         let all = node.fleet.borrow().engines();
-        let mut engines = rotation.take(&all, SAMPLE, |limit| fastrand::usize(..limit));
+        let mut engines = rotation.next_batch(&all, SAMPLE, |limit| fastrand::usize(..limit));
         for busy in node.fleet.borrow().engines_with_work() {
             if !engines.contains(&busy) {
                 engines.push(busy);
--- a/crates/daemon/src/sequencer/upkeep.rs
+++ b/crates/daemon/src/sequencer/upkeep.rs
@@ -123,7 +123,7 @@
 /// an owner that woke too late. Each owner answers for its own shards.
 async fn sweep(node: &Rc<Node>, rotation: &mut Rotation) {
     let all = node.fleet.borrow().engines();
-    let engines = rotation.take(&all, SWEPT_ENGINES, |limit| fastrand::usize(..limit));
+    let engines = rotation.next_batch(&all, SWEPT_ENGINES, |limit| fastrand::usize(..limit));
     for engine in engines {
         let url = format!("http://{engine}/v1/programs");
         let held = node
--- a/crates/placement/src/rotation.rs
+++ b/crates/placement/src/rotation.rs
@@ -15,7 +15,7 @@
 impl Rotation {
     /// The next `count` of `all`. `pick` chooses an index below its argument and
     /// makes the order random.
-    pub fn take(
+    pub fn next_batch(
         &mut self,
         all: &[String],
         count: usize,
--- a/crates/placement/tests/choice.rs
+++ b/crates/placement/tests/choice.rs
@@ -176,7 +176,7 @@
     let mut seen = Vec::new();
     let rounds = all.len().div_ceil(count);
     for round in 0..rounds {
-        let taken = rotation.take(&all, count, |limit| (round * 7 + 3) % limit);
+        let taken = rotation.next_batch(&all, count, |limit| (round * 7 + 3) % limit);
         assert_eq!(taken.len(), count.min(all.len()));
         seen.extend(taken);
     }
@@ -189,7 +189,7 @@
         .filter(|item| **item != lost.to_string())
         .cloned()
         .collect();
-    let taken = rotation.take(&fewer, count, |_| 0);
+    let taken = rotation.next_batch(&fewer, count, |_| 0);
     assert!(
         taken.iter().all(|address| fewer.contains(address)),
         "a lost one came again"
