--- a/crates/bench/src/caller.rs
+++ b/crates/bench/src/caller.rs
@@ -9,8 +9,8 @@
 use fieldhook_emulator::engine::expected_answer;
 use fieldhook_http::{HttpClient, SendError};
 use fieldhook_model::api::{
-    Answer, CallRequest, CallSpec, Message, ModelCall, OpenProgram, ProgramOpened, ProgramView,
-    ServerCall,
+    Answer, CallRequest, CallSpec, Message, ModelCall, OpenProgramRequest, OpenProgramResponse,
+    ProgramView, ServerCall,
 };
 use fieldhook_model::error::Executed;
 use ntex::http::Method;
@@ -62,8 +62,8 @@
     }
 }
 
-fn open_body(tenant: &str, key: &str, budget: i64) -> OpenProgram {
-    OpenProgram {
+fn open_body(tenant: &str, key: &str, budget: i64) -> OpenProgramRequest {
+    OpenProgramRequest {
         tenant: tenant.to_owned(),
         labels: Default::default(),
         budget,
@@ -101,13 +101,13 @@
     pub async fn open_with(
         client: &HttpClient,
         gateways: &[String],
-        body: &OpenProgram,
+        body: &OpenProgramRequest,
     ) -> Result<Self, SendError> {
         let mut gateway = fastrand::usize(..gateways.len());
         let begun = Instant::now();
         loop {
             let url = format!("http://{}/v1/programs", gateways[gateway]);
-            let opened: Result<ProgramOpened, SendError> =
+            let opened: Result<OpenProgramResponse, SendError> =
                 client.post_json(&url, body, OPEN_TIMEOUT).await;
             match opened {
                 Ok(opened) => {
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -2,7 +2,7 @@
 
 use crate::caller::{CallEnd, Caller, Violation};
 use fieldhook_http::HttpClient;
-use fieldhook_model::api::OpenProgram;
+use fieldhook_model::api::OpenProgramRequest;
 use fieldhook_model::error::{CallError, Executed};
 use hdrhistogram::Histogram;
 use ntex::time::{Millis, sleep};
@@ -225,7 +225,7 @@
         index: usize,
     ) {
         let begun = Instant::now();
-        let body = OpenProgram {
+        let body = OpenProgramRequest {
             tenant: workload.tenant.clone(),
             labels: workload.labels.clone(),
             budget: workload.budget,
--- a/crates/daemon/src/gateway/programs.rs
+++ b/crates/daemon/src/gateway/programs.rs
@@ -7,7 +7,7 @@
 use crate::node::Node;
 use crate::sequencer::CommandMessage;
 use fieldhook_http::json;
-use fieldhook_model::api::{OpenProgram, ProgramOpened};
+use fieldhook_model::api::{OpenProgramRequest, OpenProgramResponse};
 use fieldhook_model::error::CallError;
 use fieldhook_model::ids::ProgramId;
 use fieldhook_program::{EndReason, Open};
@@ -30,7 +30,7 @@
     match open_program(&node, payload).await {
         Ok(program) => json(
             201,
-            &ProgramOpened {
+            &OpenProgramResponse {
                 program: program.to_string(),
             },
         ),
@@ -40,14 +40,14 @@
 
 async fn open_program(node: &Rc<Node>, payload: types::Payload) -> Result<ProgramId, CallError> {
     check_admission(node)?;
-    let request: OpenProgram = read_json(node, payload).await?;
+    let request: OpenProgramRequest = read_json(node, payload).await?;
     let open = checked_open(node, request)?;
     let program = open.program;
     ask_owner(node, CommandMessage::Open(open)).await?;
     Ok(program)
 }
 
-fn checked_open(node: &Node, request: OpenProgram) -> Result<Open, CallError> {
+fn checked_open(node: &Node, request: OpenProgramRequest) -> Result<Open, CallError> {
     check_key(&request.request_key)?;
     if request.tenant.is_empty() {
         return Err(invalid("name the tenant"));
--- a/crates/model/src/api.rs
+++ b/crates/model/src/api.rs
@@ -18,7 +18,7 @@
 /// Body of `POST /v1/programs`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct OpenProgram {
+pub struct OpenProgramRequest {
     /// Who pays and shares fairly with others.
     pub tenant: String,
     /// Labels that selectors match.
@@ -41,7 +41,7 @@
 
 /// Answer to `POST /v1/programs`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct ProgramOpened {
+pub struct OpenProgramResponse {
     /// Identifier for all further requests.
     pub program: String,
 }
