--- a/crates/bench/src/overhead.rs
+++ b/crates/bench/src/overhead.rs
@@ -5,7 +5,7 @@
 use crate::cluster::{Cluster, Shape};
 use crate::report::Percentiles;
 use fieldhook_http::{HttpClient, SseDecoder};
-use fieldhook_model::platform::Generate;
+use fieldhook_model::platform::GenerateRequest;
 use futures_util::StreamExt;
 use hdrhistogram::Histogram;
 use ntex::http::Method;
@@ -89,7 +89,7 @@
     engine: &str,
     key: &str,
 ) -> Result<Duration, Box<dyn Error>> {
-    let request = Generate {
+    let request = GenerateRequest {
         stream: format!("direct-{key}"),
         program: format!("direct-{key}"),
         model: "chat".to_owned(),
--- a/crates/daemon/src/platform/log_client.rs
+++ b/crates/daemon/src/platform/log_client.rs
@@ -2,7 +2,7 @@
 
 use crate::node::Node;
 use fieldhook_http::SendError;
-use fieldhook_model::platform::{Appended, LogPage};
+use fieldhook_model::platform::{AppendResponse, LogPage};
 use ntex::http::Method;
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
         .client
         .fetch(Method::POST, &url, &[], data.into_bytes(), APPEND_TIMEOUT)
         .await?;
-    let appended = serde_json::from_str::<Appended>(&reply.body)
+    let appended = serde_json::from_str::<AppendResponse>(&reply.body)
         .map(|appended| appended.offset)
         .map_err(|_| SendError::Status {
             status: reply.status,
--- a/crates/daemon/src/sequencer/model_attempt.rs
+++ b/crates/daemon/src/sequencer/model_attempt.rs
@@ -4,7 +4,7 @@
 use crate::sequencer::attempt::{AttemptEnd, RunningCall};
 use fieldhook_http::{SendError, SseDecoder};
 use fieldhook_model::api::{ModelCall, Usage};
-use fieldhook_model::platform::{Generate, GenerateEvent};
+use fieldhook_model::platform::{GenerateEvent, GenerateRequest};
 use fieldhook_program::Attempt;
 use futures_util::StreamExt;
 use ntex::client::ClientResponse;
@@ -93,7 +93,7 @@
         });
     }
     let messages = call.host.state.borrow().prompt(call.program, call.number);
-    let request = Generate {
+    let request = GenerateRequest {
         stream: stream_name(call, attempt),
         program: call.program.to_string(),
         model: model.model.clone(),
--- a/crates/daemon/src/sequencer/server_attempt.rs
+++ b/crates/daemon/src/sequencer/server_attempt.rs
@@ -8,7 +8,7 @@
 use crate::sequencer::model_attempt::Start;
 use fieldhook_http::SendError;
 use fieldhook_model::api::{ServerCall, Usage};
-use fieldhook_model::platform::{Execution, KEY_HEADER};
+use fieldhook_model::platform::{Execution, REQUEST_KEY_HEADER};
 use fieldhook_program::Attempt;
 use ntex::http::Method;
 use ntex::time::{Millis, sleep};
@@ -40,7 +40,7 @@
         server.path.trim_start_matches('/')
     );
     let headers = [
-        (KEY_HEADER, key.as_str()),
+        (REQUEST_KEY_HEADER, key.as_str()),
         ("content-type", "application/json"),
     ];
     let limit = call.node.settings.limits.server_timeout();
--- a/crates/emulator/src/engine/core.rs
+++ b/crates/emulator/src/engine/core.rs
@@ -4,7 +4,7 @@
 use crate::engine::cache::PrefixCache;
 use crate::engine::text::{answer_word, block_hashes, count_tokens, prompt_digest};
 use fieldhook_model::api::{Message, Usage};
-use fieldhook_model::platform::Generate;
+use fieldhook_model::platform::GenerateRequest;
 
 /// Cost model and limits of an engine.
 #[derive(Clone, Copy, Debug)]
@@ -38,7 +38,7 @@
 
 #[derive(Debug)]
 struct Sequence {
-    request: Generate,
+    request: GenerateRequest,
     digest: u64,
     hashes: Vec<u64>,
     usage: Usage,
@@ -82,7 +82,7 @@
     }
 
     /// Queues a request.
-    pub fn submit(&mut self, request: Generate) {
+    pub fn submit(&mut self, request: GenerateRequest) {
         self.arrivals += 1;
         let (question, words_so_far) = split_continuation(&request);
         let sequence = Sequence {
@@ -202,7 +202,7 @@
 }
 
 /// The messages before a continued answer, and the words that answer has.
-fn split_continuation(request: &Generate) -> (&[Message], u64) {
+fn split_continuation(request: &GenerateRequest) -> (&[Message], u64) {
     match request.messages.split_last() {
         Some((last, before)) if request.continues => {
             (before, last.content.split_whitespace().count() as u64)
--- a/crates/emulator/src/engine/service.rs
+++ b/crates/emulator/src/engine/service.rs
@@ -5,7 +5,7 @@
 use crate::faults::Faults;
 use crate::serve::serve;
 use fieldhook_http::{encode_event, event_stream, json, text};
-use fieldhook_model::platform::{Generate, GenerateEvent};
+use fieldhook_model::platform::{GenerateEvent, GenerateRequest};
 use futures_util::stream;
 use ntex::time::{Millis, sleep};
 use ntex::util::Bytes;
@@ -127,7 +127,7 @@
     if let Err(answer) = faults.before().await {
         return answer;
     }
-    let request: Generate = match serde_json::from_slice(&body) {
+    let request: GenerateRequest = match serde_json::from_slice(&body) {
         Ok(request) => request,
         Err(error) => return text(400, error.to_string()),
     };
--- a/crates/emulator/src/engine/state.rs
+++ b/crates/emulator/src/engine/state.rs
@@ -3,7 +3,7 @@
 use crate::engine::core::{EngineCore, EngineSettings, StepReport};
 use crate::faults::Faults;
 use fieldhook_model::api::Usage;
-use fieldhook_model::platform::{EngineLoad, Generate};
+use fieldhook_model::platform::{EngineLoad, GenerateRequest};
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -73,7 +73,7 @@
         }
     }
 
-    pub(super) fn submit(&mut self, request: Generate) -> Rc<RefCell<StreamState>> {
+    pub(super) fn submit(&mut self, request: GenerateRequest) -> Rc<RefCell<StreamState>> {
         if let Some(stream) = self.streams.get(&request.stream) {
             return stream.clone();
         }
--- a/crates/emulator/src/log/streams.rs
+++ b/crates/emulator/src/log/streams.rs
@@ -2,7 +2,7 @@
 
 use crate::faults::Faults;
 use fieldhook_http::json;
-use fieldhook_model::platform::{Appended, LogPage, LogRecord};
+use fieldhook_model::platform::{AppendResponse, LogPage, LogRecord};
 use ntex::time::{Millis, sleep};
 use ntex::util::Bytes;
 use ntex::web::{HttpResponse, types};
@@ -74,7 +74,7 @@
         return answer;
     }
     let offset = streams.append(&name, String::from_utf8_lossy(&body).into_owned());
-    faults.after(json(200, &Appended { offset })).await
+    faults.after(json(200, &AppendResponse { offset })).await
 }
 
 /// Reads a stream from an offset on.
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -5,7 +5,7 @@
 use crate::faults::Faults;
 use crate::serve::serve;
 use fieldhook_http::{json, text};
-use fieldhook_model::platform::{Execution, KEY_HEADER};
+use fieldhook_model::platform::{Execution, REQUEST_KEY_HEADER};
 use ntex::time::{Millis, sleep};
 use ntex::util::Bytes;
 use ntex::web::{self, HttpRequest, HttpResponse, ServiceConfig, types};
@@ -65,7 +65,7 @@
     }
     let key = request
         .headers()
-        .get(KEY_HEADER)
+        .get(REQUEST_KEY_HEADER)
         .and_then(|value| value.to_str().ok());
     let Some(key) = key else {
         return text(400, "send the header x-request-key");
--- a/crates/model/src/platform.rs
+++ b/crates/model/src/platform.rs
@@ -78,14 +78,14 @@
 
 /// Answer to an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Appended {
+pub struct AppendResponse {
     /// Offset that the record got.
     pub offset: u64,
 }
 
 /// Body of a request to generate.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Generate {
+pub struct GenerateRequest {
     /// Names the stream for resuming and cancelling; a second request with the
     /// same name joins the first.
     pub stream: String,
@@ -124,4 +124,4 @@
 }
 
 /// Header that carries the request key to servers.
-pub const KEY_HEADER: &str = "x-request-key";
+pub const REQUEST_KEY_HEADER: &str = "x-request-key";
