--- a/crates/cli/src/engines.rs
+++ b/crates/cli/src/engines.rs
@@ -40,7 +40,7 @@
         )));
     }
     let rule = Rule::drain(&rule_name(engine), "name", engine);
-    edit(connection, AUTHOR, |document| document.put_rule(rule)).await
+    edit(connection, AUTHOR, |document| document.upsert_rule(rule)).await
 }
 
 async fn undrain(connection: &Connection, engine: &str) -> Result<(), ClientError> {
--- a/crates/cli/src/evacuate.rs
+++ b/crates/cli/src/evacuate.rs
@@ -30,5 +30,5 @@
         )));
     }
     let rule = Rule::drain(&name, ZONE_LABEL, zone);
-    edit(connection, AUTHOR, |document| document.put_rule(rule)).await
+    edit(connection, AUTHOR, |document| document.upsert_rule(rule)).await
 }
--- a/crates/cli/src/programs.rs
+++ b/crates/cli/src/programs.rs
@@ -5,7 +5,7 @@
 use crate::error::ClientError;
 use crate::output::{Form, print};
 use fieldhook_model::api::ProgramView;
-use fieldhook_model::operator::{Explanation, ProgramLine};
+use fieldhook_model::operator::{PlacementExplanation, ProgramSummary};
 
 /// Runs a program command.
 pub async fn run(connection: &Connection, arguments: ProgramsArguments) -> Result<(), ClientError> {
@@ -21,13 +21,13 @@
 
 /// Each daemon lists the programs of the shards that it leads.
 async fn list(connection: &Connection) -> Result<(), ClientError> {
-    let mut programs: Vec<ProgramLine> = Vec::new();
+    let mut programs: Vec<ProgramSummary> = Vec::new();
     for daemon in connection.status().await?.daemons {
         if daemon.state == "alive" {
             let path = "/v1/operator/programs";
             programs.extend(
                 connection
-                    .get_from::<Vec<ProgramLine>>(&daemon.address, path)
+                    .get_from::<Vec<ProgramSummary>>(&daemon.address, path)
                     .await?,
             );
         }
@@ -38,7 +38,7 @@
     Ok(())
 }
 
-fn program_row(line: &ProgramLine) -> Vec<String> {
+fn program_row(line: &ProgramSummary) -> Vec<String> {
     vec![
         line.program.clone(),
         line.tenant.clone(),
@@ -80,7 +80,7 @@
 
 /// Says which rules let which machines serve a program.
 pub async fn explain(connection: &Connection, program: &str) -> Result<(), ClientError> {
-    let machines: Vec<Explanation> = connection
+    let machines: Vec<PlacementExplanation> = connection
         .get(&format!("/v1/operator/explain/{program}"))
         .await?;
     let rows: Vec<Vec<String>> = machines.iter().map(explanation_row).collect();
@@ -98,7 +98,7 @@
     Ok(())
 }
 
-fn explanation_row(line: &Explanation) -> Vec<String> {
+fn explanation_row(line: &PlacementExplanation) -> Vec<String> {
     vec![
         line.machine.clone(),
         line.labels.get("name").cloned().unwrap_or_default(),
--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -9,8 +9,8 @@
 use fieldhook_model::api::ProgramView;
 use fieldhook_model::error::CallError;
 use fieldhook_model::operator::{
-    ConfigStatus, DaemonStatus, EngineStatus, Explanation, OwnedShardStatus, ProgramLine,
-    ShardStatus, Status,
+    ConfigStatus, DaemonStatus, EngineStatus, OwnedShardStatus, PlacementExplanation,
+    ProgramSummary, ShardStatus, Status,
 };
 use fieldhook_placement::{CallDemand, EngineView, estimate, evaluate_rules};
 use fieldhook_program::EndReason;
@@ -117,7 +117,7 @@
     let mut lines = Vec::new();
     for host in node.hosts() {
         let state = host.state.borrow();
-        lines.extend(state.programs.iter().map(|(id, program)| ProgramLine {
+        lines.extend(state.programs.iter().map(|(id, program)| ProgramSummary {
             program: id.to_string(),
             tenant: program.tenant.clone(),
             phase: if program.is_open() { "open" } else { "ended" }.to_owned(),
@@ -163,7 +163,7 @@
     })
 }
 
-fn explain(node: &Node, program: &ProgramView) -> Vec<Explanation> {
+fn explain(node: &Node, program: &ProgramView) -> Vec<PlacementExplanation> {
     let mut labels = program.labels.clone();
     labels.insert("tenant".to_owned(), program.tenant.clone());
     let config = node.config.borrow();
@@ -182,7 +182,7 @@
             migrates: !holds && !program.held_by.is_empty(),
         };
         let expected = estimate(&engine.load, engine.assigned, need);
-        Explanation {
+        PlacementExplanation {
             allowed: verdict.allowed,
             rules: verdict.matched,
             priority: verdict.priority,
--- a/crates/model/src/config.rs
+++ b/crates/model/src/config.rs
@@ -144,7 +144,7 @@
     }
 
     /// Adds a rule in place of one of the same name.
-    pub fn put_rule(&mut self, rule: Rule) {
+    pub fn upsert_rule(&mut self, rule: Rule) {
         self.remove_rule(&rule.name);
         self.rules.push(rule);
     }
@@ -188,7 +188,10 @@
 
     fn validate(&self) -> Result<(), ConfigError> {
         let requirements = self.programs.0.iter().chain(&self.machines.0);
-        if let Some(problem) = requirements.filter_map(|item| item.problem()).next() {
+        if let Some(problem) = requirements
+            .filter_map(|item| item.validation_error())
+            .next()
+        {
             return Err(ConfigError::Requirement {
                 rule: self.name.clone(),
                 problem,
--- a/crates/model/src/labels.rs
+++ b/crates/model/src/labels.rs
@@ -49,7 +49,7 @@
     }
 
     /// What is wrong with this condition, if anything.
-    pub fn problem(&self) -> Option<String> {
+    pub fn validation_error(&self) -> Option<String> {
         let needs_values = matches!(self.operator, Operator::In | Operator::NotIn);
         if self.key.is_empty() {
             return Some("a requirement has an empty key".to_owned());
--- a/crates/model/src/operator.rs
+++ b/crates/model/src/operator.rs
@@ -78,7 +78,7 @@
 
 /// One program in the list of a daemon that owns its shard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ProgramLine {
+pub struct ProgramSummary {
     /// Identifier.
     pub program: String,
     /// Owner.
@@ -93,7 +93,7 @@
 
 /// Why a machine may or may not serve a program.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Explanation {
+pub struct PlacementExplanation {
     /// IP and port of the machine.
     pub machine: String,
     /// Its labels.
