--- a/crates/cli/src/config.rs
+++ b/crates/cli/src/config.rs
@@ -5,7 +5,7 @@
 use crate::error::ClientError;
 use crate::output::print;
 use fieldhook_model::config::ConfigDocument;
-use fieldhook_model::config_log::{CONFIG_STREAM, ConfigChange, ConfigState, Verdict};
+use fieldhook_model::config_log::{CONFIG_STREAM, ChangeOutcome, ConfigChange, ConfigState};
 use fieldhook_model::operator::ConfigStatus;
 use ntex::time::{Millis, sleep};
 use serde::Serialize;
@@ -82,19 +82,22 @@
     let sent = connection.append(CONFIG_STREAM, &change).await;
     // Whether or not the log's answer came back, the stream says what happened.
     match find_verdict(connection, &change.change_key).await? {
-        Some(Verdict::Accepted(version)) => Ok(version),
-        Some(Verdict::OutOfDate(version)) => {
+        Some(ChangeOutcome::Accepted(version)) => Ok(version),
+        Some(ChangeOutcome::OutOfDate(version)) => {
             let changes = changes_between(connection, based_on, version).await?;
             Err(ClientError::OutOfDate { version, changes })
         }
-        Some(Verdict::Invalid(cause)) => Err(ClientError::Invalid(cause)),
+        Some(ChangeOutcome::Invalid(cause)) => Err(ClientError::Invalid(cause)),
         None => Err(sent.err().unwrap_or_else(|| {
             ClientError::Unreachable("the log does not show the change; publish again".to_owned())
         })),
     }
 }
 
-async fn find_verdict(connection: &Connection, key: &str) -> Result<Option<Verdict>, ClientError> {
+async fn find_verdict(
+    connection: &Connection,
+    key: &str,
+) -> Result<Option<ChangeOutcome>, ClientError> {
     let begun = Instant::now();
     loop {
         match fold(connection).await {
@@ -113,14 +116,14 @@
 struct FoldedChange {
     offset: u64,
     change: ConfigChange,
-    verdict: Verdict,
+    verdict: ChangeOutcome,
 }
 
 async fn fold(connection: &Connection) -> Result<Vec<FoldedChange>, ClientError> {
     let mut state = ConfigState::default();
     let mut folded = Vec::new();
     for record in connection.read_stream(CONFIG_STREAM).await? {
-        let verdict = state.fold(record.offset, &record.data);
+        let verdict = state.apply_record(record.offset, &record.data);
         if let (Some(verdict), Ok(change)) = (verdict, serde_json::from_str(&record.data)) {
             folded.push(FoldedChange {
                 offset: record.offset,
@@ -183,9 +186,11 @@
             author: entry.change.author,
             based_on: entry.change.based_on,
             outcome: match entry.verdict {
-                Verdict::Accepted(version) => format!("version {version}"),
-                Verdict::OutOfDate(version) => format!("out of date, version {version} came first"),
-                Verdict::Invalid(cause) => {
+                ChangeOutcome::Accepted(version) => format!("version {version}"),
+                ChangeOutcome::OutOfDate(version) => {
+                    format!("out of date, version {version} came first")
+                }
+                ChangeOutcome::Invalid(cause) => {
                     format!("not valid: {}", cause.lines().next().unwrap_or_default())
                 }
             },
@@ -229,7 +234,7 @@
     let document = |version: u64| {
         let accepted = folded
             .iter()
-            .find(|entry| entry.verdict == Verdict::Accepted(version));
+            .find(|entry| entry.verdict == ChangeOutcome::Accepted(version));
         match accepted {
             Some(entry) => Ok(entry.change.document.clone()),
             None if version == 0 => Ok(String::new()),
--- a/crates/daemon/src/platform/config_follow.rs
+++ b/crates/daemon/src/platform/config_follow.rs
@@ -3,7 +3,7 @@
 use crate::node::Node;
 use crate::platform::log_client;
 use fieldhook_membership::Fact;
-use fieldhook_model::config_log::{CONFIG_STREAM, ConfigState, Verdict};
+use fieldhook_model::config_log::{CONFIG_STREAM, ChangeOutcome, ConfigState};
 use nanoserde::{DeBin, SerBin};
 use ntex::time::{Millis, sleep};
 use std::rc::Rc;
@@ -21,7 +21,10 @@
         match log_client::read(&node, CONFIG_STREAM, from, READ_WAIT_MS).await {
             Ok(page) => {
                 for record in &page.records {
-                    let verdict = node.config.borrow_mut().fold(record.offset, &record.data);
+                    let verdict = node
+                        .config
+                        .borrow_mut()
+                        .apply_record(record.offset, &record.data);
                     report(verdict);
                 }
                 announce(&node);
@@ -33,9 +36,9 @@
     }
 }
 
-fn report(verdict: Option<Verdict>) {
+fn report(verdict: Option<ChangeOutcome>) {
     match verdict {
-        Some(Verdict::Accepted(version)) => tracing::info!(version, "configuration in force"),
+        Some(ChangeOutcome::Accepted(version)) => tracing::info!(version, "configuration in force"),
         Some(refused) => tracing::info!(?refused, "configuration change not accepted"),
         None => {}
     }
@@ -84,7 +87,7 @@
 }
 
 fn take_from_peer(node: &Node, state: ConfigState) {
-    if node.config.borrow_mut().adopt(state) {
+    if node.config.borrow_mut().adopt_if_newer(state) {
         let version = node.config.borrow().version;
         tracing::info!(version, "configuration taken from a peer");
     }
--- a/crates/model/src/config_log.rs
+++ b/crates/model/src/config_log.rs
@@ -26,7 +26,7 @@
 
 /// What became of one record.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ChangeOutcome {
     /// In force as this version.
     Accepted(u64),
     /// Another change came first; the version now in force.
@@ -53,37 +53,37 @@
 impl ConfigState {
     /// Folds the record at `offset`. Records out of sequence are ignored,
     /// which makes repeated delivery harmless.
-    pub fn fold(&mut self, offset: u64, data: &str) -> Option<Verdict> {
+    pub fn apply_record(&mut self, offset: u64, data: &str) -> Option<ChangeOutcome> {
         if offset != self.next_offset {
             return None;
         }
         self.next_offset += 1;
-        Some(self.judge(data))
+        Some(self.apply_change(data))
     }
 
-    fn judge(&mut self, data: &str) -> Verdict {
+    fn apply_change(&mut self, data: &str) -> ChangeOutcome {
         let change: ConfigChange = match serde_json::from_str(data) {
             Ok(change) => change,
-            Err(error) => return Verdict::Invalid(error.to_string()),
+            Err(error) => return ChangeOutcome::Invalid(error.to_string()),
         };
         if change.based_on != self.version {
-            return Verdict::OutOfDate(self.version);
+            return ChangeOutcome::OutOfDate(self.version);
         }
         match ConfigDocument::parse(&change.document) {
-            Err(error) => Verdict::Invalid(error.to_string()),
+            Err(error) => ChangeOutcome::Invalid(error.to_string()),
             Ok(document) => {
                 self.version += 1;
                 self.change_key = change.change_key;
                 self.text = change.document;
                 self.document = document;
-                Verdict::Accepted(self.version)
+                ChangeOutcome::Accepted(self.version)
             }
         }
     }
 
     /// Takes over a peer's state if it folds a longer prefix. Prefixes of one
     /// log cannot disagree, so the longer one is the newer one.
-    pub fn adopt(&mut self, other: ConfigState) -> bool {
+    pub fn adopt_if_newer(&mut self, other: ConfigState) -> bool {
         let newer = other.next_offset > self.next_offset;
         if newer {
             *self = other;
--- a/crates/model/tests/config_fuzz.rs
+++ b/crates/model/tests/config_fuzz.rs
@@ -1,7 +1,7 @@
 //! Configuration: many readers that fold, miss, repeat, restart and learn from
 //! each other, against one fold in order.
 
-use fieldhook_model::config_log::{ConfigChange, ConfigState, Verdict};
+use fieldhook_model::config_log::{ChangeOutcome, ConfigChange, ConfigState};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 const READERS: usize = 4;
@@ -78,7 +78,7 @@
             } => self.read(reader, records, back),
             Operation::Learn { reader, from } => {
                 let other = self.readers[usize::from(from)].clone();
-                self.readers[usize::from(reader)].adopt(other);
+                self.readers[usize::from(reader)].adopt_if_newer(other);
             }
             Operation::Restart { reader } => {
                 self.readers[usize::from(reader)] = ConfigState::default();
@@ -113,7 +113,7 @@
         let from = state.next_offset.saturating_sub(u64::from(back));
         for offset in from..from + u64::from(records) {
             if let Some(data) = self.log.get(offset as usize) {
-                state.fold(offset, data);
+                state.apply_record(offset, data);
             }
         }
     }
@@ -185,7 +185,13 @@
     let mut state = ConfigState::default();
     let first = serde_json::to_string(&change("first")).expect("encodes");
     let second = serde_json::to_string(&change("second")).expect("encodes");
-    assert_eq!(state.fold(0, &first), Some(Verdict::Accepted(1)));
-    assert_eq!(state.fold(1, &second), Some(Verdict::OutOfDate(1)));
-    assert_eq!(state.fold(1, &second), None);
+    assert_eq!(
+        state.apply_record(0, &first),
+        Some(ChangeOutcome::Accepted(1))
+    );
+    assert_eq!(
+        state.apply_record(1, &second),
+        Some(ChangeOutcome::OutOfDate(1))
+    );
+    assert_eq!(state.apply_record(1, &second), None);
 }
