--- a/crates/daemon/src/gateway/programs.rs
+++ b/crates/daemon/src/gateway/programs.rs
@@ -10,7 +10,7 @@
 use fieldhook_model::api::{OpenProgramRequest, OpenProgramResponse};
 use fieldhook_model::error::CallError;
 use fieldhook_model::ids::ProgramId;
-use fieldhook_program::{EndReason, Open};
+use fieldhook_program::{EndReason, OpenProgram};
 use ntex::web::{HttpResponse, types};
 use serde::Serialize;
 use std::rc::Rc;
@@ -47,7 +47,7 @@
     Ok(program)
 }
 
-fn checked_open(node: &Node, request: OpenProgramRequest) -> Result<Open, CallError> {
+fn checked_open(node: &Node, request: OpenProgramRequest) -> Result<OpenProgram, CallError> {
     check_key(&request.request_key)?;
     if request.tenant.is_empty() {
         return Err(invalid("name the tenant"));
@@ -66,7 +66,7 @@
         Some(parent) => ProgramId::child(parent, &request.request_key),
         None => ProgramId::root(&request.tenant, &request.request_key, node.settings.shards),
     };
-    Ok(Open {
+    Ok(OpenProgram {
         program,
         parent,
         tenant: request.tenant,
--- a/crates/daemon/src/sequencer/admission.rs
+++ b/crates/daemon/src/sequencer/admission.rs
@@ -8,7 +8,7 @@
 use crate::shard::{ShardHost, Unsettled};
 use fieldhook_model::api::StreamEvent;
 use fieldhook_model::error::{CallError, Executed};
-use fieldhook_program::{Admission, Begin, Command, Reply};
+use fieldhook_program::{Admission, BeginCall, Command, Reply};
 use ntex::time::{Millis, timeout};
 use std::rc::Rc;
 use tokio::sync::mpsc;
@@ -88,7 +88,7 @@
 
 async fn begin(node: &Rc<Node>, host: &Rc<ShardHost>, call: &CallMessage) -> Result<(), Stop> {
     let target = place(node, host, call.program, &call.spec, &[]).map_err(Stop::Refused)?;
-    let command = Command::Begin(Begin {
+    let command = Command::BeginCall(BeginCall {
         program: call.program,
         call_number: call.call_number,
         request_key: call.request_key.clone(),
--- a/crates/daemon/src/sequencer/attempt.rs
+++ b/crates/daemon/src/sequencer/attempt.rs
@@ -10,7 +10,7 @@
 use fieldhook_model::error::{CallError, ErrorKind, Executed};
 use fieldhook_model::ids::ProgramId;
 use fieldhook_program::{
-    Attempt, AttemptCost, Command, Finish, NextAttempt, Outcome, Phase, Reply,
+    Attempt, AttemptCost, Command, FinishCall, NextAttempt, Outcome, Phase, Reply,
 };
 use ntex::time::{Millis, sleep};
 use std::rc::Rc;
@@ -280,7 +280,7 @@
         Outcome::Answered(answer) => StreamEvent::Done(answer.clone()),
         Outcome::Failed(error) => StreamEvent::Failed(error.clone()),
     };
-    let command = Command::Finish(Finish {
+    let command = Command::FinishCall(FinishCall {
         program: call.program,
         call_number: call.number,
         attempt: attempt.number,
--- a/crates/daemon/src/sequencer/commands.rs
+++ b/crates/daemon/src/sequencer/commands.rs
@@ -12,9 +12,9 @@
         return CommandReply::NotOwner;
     };
     match message {
-        CommandMessage::Open(open) => commit(&host, Command::Open(open)).await,
+        CommandMessage::Open(open) => commit(&host, Command::OpenProgram(open)).await,
         CommandMessage::End { program, reason } => {
-            commit(&host, Command::End { program, reason }).await
+            commit(&host, Command::EndProgram { program, reason }).await
         }
         CommandMessage::View(_) if !host.confirm().await => CommandReply::NotOwner,
         CommandMessage::View(program) => match host.state.borrow().view(program) {
--- a/crates/daemon/src/sequencer/message.rs
+++ b/crates/daemon/src/sequencer/message.rs
@@ -3,7 +3,7 @@
 use fieldhook_model::api::{CallSpec, ProgramView};
 use fieldhook_model::error::CallError;
 use fieldhook_model::ids::ProgramId;
-use fieldhook_program::{EndReason, Open};
+use fieldhook_program::{EndReason, OpenProgram};
 use nanoserde::{DeBin, SerBin};
 
 /// How much of an answer a reader has.
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum CommandMessage {
     /// Open a program.
-    Open(Open),
+    Open(OpenProgram),
     /// End a program.
     End {
         /// The program.
--- a/crates/daemon/src/sequencer/upkeep.rs
+++ b/crates/daemon/src/sequencer/upkeep.rs
@@ -50,7 +50,7 @@
         late.map(|(id, _)| *id).collect()
     };
     for program in overdue {
-        let command = Command::End {
+        let command = Command::EndProgram {
             program,
             reason: EndReason::Deadline,
         };
--- a/crates/daemon/tests/storage_fuzz.rs
+++ b/crates/daemon/tests/storage_fuzz.rs
@@ -5,7 +5,7 @@
 use fieldhook_log::api::KeyedRecord;
 use fieldhook_model::ids::ProgramId;
 use fieldhook_model::labels::Labels;
-use fieldhook_program::{Command, EndReason, Open, ShardState, TimedCommand};
+use fieldhook_program::{Command, EndReason, OpenProgram, ShardState, TimedCommand};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -38,7 +38,7 @@
 
 fn command(step: Step) -> Option<Command> {
     match step {
-        Step::Open(number) => Some(Command::Open(Open {
+        Step::Open(number) => Some(Command::OpenProgram(OpenProgram {
             program: program(number),
             parent: None,
             tenant: "tenant".to_owned(),
@@ -47,7 +47,7 @@
             deadline_ms: 60_000,
             max_turns: 10,
         })),
-        Step::End(number) => Some(Command::End {
+        Step::End(number) => Some(Command::EndProgram {
             program: program(number),
             reason: EndReason::Caller,
         }),
--- a/crates/program/src/admission.rs
+++ b/crates/program/src/admission.rs
@@ -43,7 +43,7 @@
         Ok(program)
     }
 
-    /// How a request stands to what is recorded. Reads only; `Begin` applies
+    /// How a request stands to what is recorded. Reads only; `BeginCall` applies
     /// the same rule.
     ///
     /// # Errors
--- a/crates/program/src/command.rs
+++ b/crates/program/src/command.rs
@@ -9,7 +9,7 @@
 
 /// Opens a program.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
-pub struct Open {
+pub struct OpenProgram {
     /// Its identifier.
     pub program: ProgramId,
     /// The program that spawns it, on the same shard.
@@ -28,7 +28,7 @@
 
 /// Records the intent to run a call, before anything is dispatched.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
-pub struct Begin {
+pub struct BeginCall {
     /// The program.
     pub program: ProgramId,
     /// Place in the program's order, from 1.
@@ -80,7 +80,7 @@
 
 /// Records the end of an attempt and of its call.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
-pub struct Finish {
+pub struct FinishCall {
     /// The program.
     pub program: ProgramId,
     /// The call.
@@ -108,13 +108,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum Command {
     /// Opens a program.
-    Open(Open),
+    OpenProgram(OpenProgram),
     /// Records an intent.
-    Begin(Begin),
+    BeginCall(BeginCall),
     /// Records another attempt.
     NextAttempt(NextAttempt),
     /// Records an end.
-    Finish(Finish),
+    FinishCall(FinishCall),
     /// Refuses a key for good, so that no late copy of the request can run.
     RefuseKey {
         /// The program.
@@ -125,7 +125,7 @@
         request_key: String,
     },
     /// Ends a program and its sub-agents.
-    End {
+    EndProgram {
         /// The program.
         program: ProgramId,
         /// Why.
--- a/crates/program/src/lib.rs
+++ b/crates/program/src/lib.rs
@@ -16,7 +16,8 @@
 pub use budget::{Budget, highest_cost, prompt_bound};
 pub use call::{Attempt, Call, CallState};
 pub use command::{
-    AttemptCost, Begin, Command, EndReason, Finish, NextAttempt, Open, Outcome, Reply, TimedCommand,
+    AttemptCost, BeginCall, Command, EndReason, FinishCall, NextAttempt, OpenProgram, Outcome,
+    Reply, TimedCommand,
 };
 pub use lifecycle::RETENTION_MS;
 pub use machine::ShardState;
--- a/crates/program/src/lifecycle.rs
+++ b/crates/program/src/lifecycle.rs
@@ -1,7 +1,7 @@
 //! Opening and ending programs, releasing engines, and dropping old records.
 
 use crate::budget::Budget;
-use crate::command::{EndReason, Finish, Open, Outcome, Reply};
+use crate::command::{EndReason, FinishCall, OpenProgram, Outcome, Reply};
 use crate::machine::ShardState;
 use crate::program::{ForkPoint, Phase, Program};
 use fieldhook_model::error::{CallError, ErrorKind, Executed};
@@ -12,7 +12,7 @@
 pub const RETENTION_MS: u64 = 60_000;
 
 impl ShardState {
-    pub(crate) fn open(&mut self, open: Open) -> Reply {
+    pub(crate) fn open(&mut self, open: OpenProgram) -> Reply {
         if self.programs.contains_key(&open.program) {
             return Reply::Known;
         }
@@ -25,7 +25,7 @@
         }
     }
 
-    pub(crate) fn new_program(&self, open: &Open) -> Result<Program, CallError> {
+    pub(crate) fn new_program(&self, open: &OpenProgram) -> Result<Program, CallError> {
         let parent = match open.parent {
             Some(id) => Some((id, self.open_program(id)?)),
             None => None,
@@ -96,7 +96,7 @@
         let attempt = self.programs[&id].calls[number as usize - 1].attempt.number;
         let error = CallError::not_run(ErrorKind::Cancelled, "the program ended while it ran")
             .executed(Executed::Unknown);
-        self.finish(Finish {
+        self.finish(FinishCall {
             program: id,
             call_number: number,
             attempt,
--- a/crates/program/src/machine.rs
+++ b/crates/program/src/machine.rs
@@ -8,7 +8,7 @@
 use crate::budget::{Budget, TEMPLATE_TOKENS, cost_of, highest_cost, prompt_bound};
 use crate::call::{Attempt, Call, CallState};
 use crate::command::{
-    AttemptCost, Begin, Command, Finish, NextAttempt, Outcome, Reply, TimedCommand,
+    AttemptCost, BeginCall, Command, FinishCall, NextAttempt, Outcome, Reply, TimedCommand,
 };
 use crate::program::{CountedPrompt, Program};
 use fieldhook_model::api::{Answer, CallSpec};
@@ -34,22 +34,22 @@
     pub fn apply(&mut self, timed: TimedCommand) -> Reply {
         self.clock_ms = self.clock_ms.max(timed.at_ms);
         match timed.command {
-            Command::Open(open) => self.open(open),
-            Command::Begin(begin) => self.begin(begin),
+            Command::OpenProgram(open) => self.open(open),
+            Command::BeginCall(begin) => self.begin(begin),
             Command::NextAttempt(next) => self.next_attempt(next),
-            Command::Finish(finish) => self.finish(finish),
+            Command::FinishCall(finish) => self.finish(finish),
             Command::RefuseKey {
                 program,
                 call_number,
                 request_key,
             } => self.refuse_key(program, call_number, request_key),
-            Command::End { program, reason } => self.end(program, reason),
+            Command::EndProgram { program, reason } => self.end(program, reason),
             Command::Released { program, engine } => self.released(program, &engine),
             Command::Forget => self.forget(),
         }
     }
 
-    fn begin(&mut self, begin: Begin) -> Reply {
+    fn begin(&mut self, begin: BeginCall) -> Reply {
         match self.admit(begin.program, begin.call_number, &begin.request_key) {
             Err(error) => return Reply::Refused(error),
             Ok(Admission::Recorded) => return Reply::Known,
@@ -175,7 +175,7 @@
         Reply::Dispatch(attempt)
     }
 
-    pub(crate) fn finish(&mut self, finish: Finish) -> Reply {
+    pub(crate) fn finish(&mut self, finish: FinishCall) -> Reply {
         let Some(call) = self.running(finish.program, finish.call_number, finish.attempt) else {
             return Reply::Stale;
         };
--- a/crates/program/tests/machine_fuzz.rs
+++ b/crates/program/tests/machine_fuzz.rs
@@ -9,8 +9,8 @@
 use fieldhook_model::error::{CallError, ErrorKind, Executed};
 use fieldhook_model::ids::ProgramId;
 use fieldhook_program::{
-    AttemptCost, Begin, Command, EndReason, Finish, NextAttempt, Open, Outcome, RETENTION_MS,
-    Reply, ShardState, TimedCommand,
+    AttemptCost, BeginCall, Command, EndReason, FinishCall, NextAttempt, OpenProgram, Outcome,
+    RETENTION_MS, Reply, ShardState, TimedCommand,
 };
 use nanoserde::{DeBin, SerBin};
 use operations::{Operation, PROGRAMS};
@@ -118,7 +118,7 @@
             } => self.next(program, ran, prefix),
             Operation::RefuseKey { program, key } => self.refuse(program, key),
             Operation::End { program } => {
-                self.apply(Command::End {
+                self.apply(Command::EndProgram {
                     program: id(program),
                     reason: EndReason::Caller,
                 });
@@ -141,7 +141,7 @@
         let inherited = parent
             .map(|parent| self.state.history(id(parent)))
             .unwrap_or_default();
-        let reply = self.apply(Command::Open(Open {
+        let reply = self.apply(Command::OpenProgram(OpenProgram {
             program: id(program),
             parent: parent.map(id),
             tenant: "tenant".to_owned(),
@@ -184,7 +184,7 @@
             1 => calls as u64 + 2,
             _ => calls as u64 + 1,
         };
-        let reply = self.apply(Command::Begin(Begin {
+        let reply = self.apply(Command::BeginCall(BeginCall {
             program: id(program),
             call_number: number,
             request_key: key_name(key),
@@ -261,13 +261,13 @@
         } else {
             Outcome::Answered(answer.clone())
         };
-        let finish = Finish {
+        let finish = FinishCall {
             program: id(program),
             call_number: number,
             attempt,
             outcome,
         };
-        let reply = self.apply(Command::Finish(finish));
+        let reply = self.apply(Command::FinishCall(finish));
         assert_eq!(
             reply == Reply::Stale,
             stale,
@@ -409,7 +409,7 @@
         };
         let repeats_harmlessly = matches!(
             last.command,
-            Command::Begin(_) | Command::Finish(_) | Command::Open(_)
+            Command::BeginCall(_) | Command::FinishCall(_) | Command::OpenProgram(_)
         );
         if repeats_harmlessly {
             let before = self.state.clone();
