--- a/crates/daemon/src/sequencer/attempt.rs
+++ b/crates/daemon/src/sequencer/attempt.rs
@@ -209,7 +209,7 @@
     let command = Command::NextAttempt(NextAttempt {
         program: call.program,
         call_number: call.number,
-        given_up: given_up.number,
+        abandoned_attempt: given_up.number,
         cost,
         target,
         prefix,
--- a/crates/daemon/src/sequencer/upkeep.rs
+++ b/crates/daemon/src/sequencer/upkeep.rs
@@ -84,7 +84,7 @@
 
 async fn release(node: Rc<Node>, host: Rc<ShardHost>, program: ProgramId, engine: String) {
     if is_off_the_list(&node, &engine) || ask_release(&node, program, &engine).await {
-        let command = Command::Released {
+        let command = Command::CacheReleased {
             program,
             engine: engine.clone(),
         };
@@ -113,9 +113,12 @@
 }
 
 async fn forget_old(host: &Rc<ShardHost>) {
-    let due = host.state.borrow().is_forget_due(host.shard_now_ms());
+    let due = host
+        .state
+        .borrow()
+        .has_expired_programs(host.shard_now_ms());
     if due {
-        let _ = host.propose(Command::Forget).await;
+        let _ = host.propose(Command::PurgeExpired).await;
     }
 }
 
--- a/crates/daemon/tests/storage_fuzz.rs
+++ b/crates/daemon/tests/storage_fuzz.rs
@@ -51,7 +51,7 @@
             program: program(number),
             reason: EndReason::Caller,
         }),
-        Step::Forget => Some(Command::Forget),
+        Step::Forget => Some(Command::PurgeExpired),
         Step::Apply | Step::Snapshot | Step::Recover => None,
     }
 }
--- a/crates/program/src/command.rs
+++ b/crates/program/src/command.rs
@@ -60,7 +60,7 @@
     /// The call.
     pub call_number: u64,
     /// The attempt that is given up.
-    pub given_up: u32,
+    pub abandoned_attempt: u32,
     /// What the given-up attempt counts.
     pub cost: AttemptCost,
     /// Address of the new engine or server.
@@ -132,14 +132,14 @@
         reason: EndReason,
     },
     /// An engine acknowledged that it holds nothing more for a program.
-    Released {
+    CacheReleased {
         /// The program.
         program: ProgramId,
         /// Address of the engine.
         engine: String,
     },
     /// Drops ended programs whose retention is over.
-    Forget,
+    PurgeExpired,
 }
 
 /// A command with the owner's time.
--- a/crates/program/src/lifecycle.rs
+++ b/crates/program/src/lifecycle.rs
@@ -116,7 +116,7 @@
             .collect()
     }
 
-    pub(crate) fn released(&mut self, id: ProgramId, engine: &str) -> Reply {
+    pub(crate) fn release_cache(&mut self, id: ProgramId, engine: &str) -> Reply {
         let Some(program) = self.programs.get_mut(&id) else {
             return Reply::Stale;
         };
@@ -132,7 +132,7 @@
     }
 
     /// Ended programs whose records may go at a time of the shard's clock.
-    pub(crate) fn forgettable(&self, now_ms: u64) -> impl Iterator<Item = ProgramId> + '_ {
+    pub(crate) fn expired_programs(&self, now_ms: u64) -> impl Iterator<Item = ProgramId> + '_ {
         let over = self
             .programs
             .iter()
@@ -140,13 +140,13 @@
         over.map(|(id, _)| *id).filter(|id| !self.has_children(*id))
     }
 
-    /// Whether `Command::Forget` would drop anything at that time.
-    pub fn is_forget_due(&self, now_ms: u64) -> bool {
-        self.forgettable(now_ms).next().is_some()
+    /// Whether `Command::PurgeExpired` would drop anything at that time.
+    pub fn has_expired_programs(&self, now_ms: u64) -> bool {
+        self.expired_programs(now_ms).next().is_some()
     }
 
-    pub(crate) fn forget(&mut self) -> Reply {
-        let due: Vec<ProgramId> = self.forgettable(self.clock_ms).collect();
+    pub(crate) fn purge_expired(&mut self) -> Reply {
+        let due: Vec<ProgramId> = self.expired_programs(self.clock_ms).collect();
         for id in due {
             self.programs.remove(&id);
         }
--- a/crates/program/src/machine.rs
+++ b/crates/program/src/machine.rs
@@ -44,8 +44,8 @@
                 request_key,
             } => self.refuse_key(program, call_number, request_key),
             Command::EndProgram { program, reason } => self.end(program, reason),
-            Command::Released { program, engine } => self.released(program, &engine),
-            Command::Forget => self.forget(),
+            Command::CacheReleased { program, engine } => self.release_cache(program, &engine),
+            Command::PurgeExpired => self.purge_expired(),
         }
     }
 
@@ -123,7 +123,8 @@
     }
 
     fn next_attempt(&mut self, next: NextAttempt) -> Reply {
-        let Some(call) = self.running(next.program, next.call_number, next.given_up) else {
+        let Some(call) = self.running(next.program, next.call_number, next.abandoned_attempt)
+        else {
             return Reply::Stale;
         };
         if !call.repeatable && next.cost == AttemptCost::Full {
@@ -153,7 +154,7 @@
             );
             return Reply::Refused(error);
         }
-        let number = next.given_up + 1;
+        let number = next.abandoned_attempt + 1;
         let attempt = Attempt {
             number,
             target: next.target,
--- a/crates/program/tests/machine_fuzz.rs
+++ b/crates/program/tests/machine_fuzz.rs
@@ -316,7 +316,7 @@
         let reply = self.apply(Command::NextAttempt(NextAttempt {
             program: id(program),
             call_number: number,
-            given_up: call.attempt.number,
+            abandoned_attempt: call.attempt.number,
             cost,
             target: "engine-b".to_owned(),
             prefix: "x".repeat(usize::from(prefix)),
@@ -363,7 +363,7 @@
 
     fn release(&mut self, program: u8) {
         for engine in ["engine-a", "engine-b"] {
-            self.apply(Command::Released {
+            self.apply(Command::CacheReleased {
                 program: id(program),
                 engine: engine.to_owned(),
             });
@@ -392,7 +392,7 @@
             .filter(|program| !self.state.programs[program].held_by.is_empty())
             .copied()
             .collect();
-        self.apply(Command::Forget);
+        self.apply(Command::PurgeExpired);
         for program in open.iter().chain(&owing) {
             assert!(
                 self.state.programs.contains_key(program),
