--- a/crates/daemon/src/sequencer/admission.rs
+++ b/crates/daemon/src/sequencer/admission.rs
@@ -70,10 +70,10 @@
         let admission =
             host.state
                 .borrow()
-                .admit(call.program, call.call_number, &call.request_key);
+                .check_admission(call.program, call.call_number, &call.request_key);
         match admission.map_err(Stop::Refused)? {
-            Admission::Recorded => return Ok(()),
-            Admission::AfterRunning => {
+            Admission::AlreadyRecorded => return Ok(()),
+            Admission::PreviousRunning => {
                 let _ = timeout(WAIT_CHECK, ended).await;
                 // Says that this owner lives; fails once the reader is gone.
                 if out.send(StreamEvent::KeepAlive).await.is_err() {
@@ -109,7 +109,7 @@
             Ok(())
         }
         Reply::Refused(error) => Err(Stop::Refused(error)),
-        Reply::Known | Reply::Done | Reply::Stale => Ok(()),
+        Reply::AlreadyRecorded | Reply::Done | Reply::Stale => Ok(()),
     }
 }
 
@@ -130,7 +130,7 @@
         request_key: call.request_key.clone(),
     };
     match host.propose(command).await {
-        Ok(Reply::Known) => Err(()),
+        Ok(Reply::AlreadyRecorded) => Err(()),
         Ok(_) => Ok(StreamEvent::Failed(error)),
         Err(Unsettled::NotOwner) => Ok(StreamEvent::NotOwner),
         Err(Unsettled::Lost) => Ok(StreamEvent::OwnerLost),
--- a/crates/daemon/src/sequencer/place.rs
+++ b/crates/daemon/src/sequencer/place.rs
@@ -59,7 +59,7 @@
         let labels = program_labels(host, program);
         let state = host.state.borrow();
         let record = state.programs.get(&program);
-        let known = record.and_then(|record| record.counted.as_ref());
+        let known = record.and_then(|record| record.counted_prompt.as_ref());
         let new_bytes: usize = model
             .messages
             .iter()
--- a/crates/program/src/admission.rs
+++ b/crates/program/src/admission.rs
@@ -2,8 +2,8 @@
 //! refused. Reads only.
 
 use crate::call::Call;
-use crate::machine::{RUNNING_RETRY_MS, ShardState};
 use crate::program::Program;
+use crate::shard_state::{RUNNING_RETRY_MS, ShardState};
 use fieldhook_model::error::{CallError, ErrorKind};
 use fieldhook_model::ids::ProgramId;
 
@@ -13,9 +13,9 @@
     /// It is the next call and may begin.
     Next,
     /// It is the next call, but the one before is still running.
-    AfterRunning,
+    PreviousRunning,
     /// It is recorded under the same key.
-    Recorded,
+    AlreadyRecorded,
 }
 
 impl ShardState {
@@ -48,7 +48,12 @@
     ///
     /// # Errors
     /// The refusal that the caller gets; the request has not run.
-    pub fn admit(&self, id: ProgramId, number: u64, key: &str) -> Result<Admission, CallError> {
+    pub fn check_admission(
+        &self,
+        id: ProgramId,
+        number: u64,
+        key: &str,
+    ) -> Result<Admission, CallError> {
         let program = self.program(id)?;
         if let Some(call) = program.call(number) {
             return recorded(call, key);
@@ -77,7 +82,7 @@
         }
         let running = program.running_call().is_some();
         Ok(if running {
-            Admission::AfterRunning
+            Admission::PreviousRunning
         } else {
             Admission::Next
         })
@@ -86,7 +91,7 @@
 
 fn recorded(call: &Call, key: &str) -> Result<Admission, CallError> {
     if call.request_key == key {
-        return Ok(Admission::Recorded);
+        return Ok(Admission::AlreadyRecorded);
     }
     Err(CallError::not_run(
         ErrorKind::CallNumberConflict,
--- a/crates/program/src/budget.rs
+++ b/crates/program/src/budget.rs
@@ -48,16 +48,16 @@
 }
 
 /// Upper bound of the tokens of some messages: a token is at least one byte.
-pub fn prompt_bound(messages: &[Message]) -> u64 {
+pub fn max_prompt_tokens(messages: &[Message]) -> u64 {
     let bytes = |message: &Message| message.content.len() as u64 + TEMPLATE_TOKENS;
     messages.iter().map(bytes).sum()
 }
 
 /// Highest possible cost of a call whose history has `history_tokens` at most.
-pub fn highest_cost(spec: &CallSpec, history_tokens: u64) -> u64 {
+pub fn max_cost(spec: &CallSpec, history_tokens: u64) -> u64 {
     match spec {
         CallSpec::Model(model) => {
-            history_tokens + prompt_bound(&model.messages) + u64::from(model.max_tokens)
+            history_tokens + max_prompt_tokens(&model.messages) + u64::from(model.max_tokens)
         }
         CallSpec::Server(_) => SERVER_REQUEST_COST,
     }
--- a/crates/program/src/command.rs
+++ b/crates/program/src/command.rs
@@ -159,7 +159,7 @@
     /// The attempt may be dispatched now.
     Dispatch(Attempt),
     /// The call was recorded before, under the same key.
-    Known,
+    AlreadyRecorded,
     /// The command names an attempt or program that is no longer current.
     Stale,
     /// Refused; nothing changed but what the error says.
--- a/crates/program/src/history.rs
+++ b/crates/program/src/history.rs
@@ -5,8 +5,8 @@
 //! caller passes on what the model should know as a message.
 
 use crate::call::{Call, CallState};
-use crate::machine::ShardState;
 use crate::program::Program;
+use crate::shard_state::ShardState;
 use fieldhook_model::api::{CallSpec, Message};
 use fieldhook_model::ids::ProgramId;
 
--- a/crates/program/src/lib.rs
+++ b/crates/program/src/lib.rs
@@ -8,17 +8,17 @@
 mod command;
 mod history;
 mod lifecycle;
-mod machine;
 mod program;
+mod shard_state;
 mod view;
 
 pub use admission::Admission;
-pub use budget::{Budget, highest_cost, prompt_bound};
+pub use budget::{Budget, max_cost, max_prompt_tokens};
 pub use call::{Attempt, Call, CallState};
 pub use command::{
     AttemptCost, BeginCall, Command, EndReason, FinishCall, NextAttempt, OpenProgram, Outcome,
     Reply, TimedCommand,
 };
 pub use lifecycle::RETENTION_MS;
-pub use machine::ShardState;
 pub use program::{ForkPoint, Phase, Program};
+pub use shard_state::ShardState;
--- a/crates/program/src/lifecycle.rs
+++ b/crates/program/src/lifecycle.rs
@@ -2,8 +2,8 @@
 
 use crate::budget::Budget;
 use crate::command::{EndReason, FinishCall, OpenProgram, Outcome, Reply};
-use crate::machine::ShardState;
 use crate::program::{ForkPoint, Phase, Program};
+use crate::shard_state::ShardState;
 use fieldhook_model::error::{CallError, ErrorKind, Executed};
 use fieldhook_model::ids::ProgramId;
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
 impl ShardState {
     pub(crate) fn open(&mut self, open: OpenProgram) -> Reply {
         if self.programs.contains_key(&open.program) {
-            return Reply::Known;
+            return Reply::AlreadyRecorded;
         }
         match self.new_program(&open) {
             Ok(program) => {
@@ -51,7 +51,7 @@
             refused_keys: Default::default(),
             phase: Phase::Open,
             held_by: BTreeMap::new(),
-            counted: parent.and_then(|(_, parent)| parent.counted.clone()),
+            counted_prompt: parent.and_then(|(_, parent)| parent.counted_prompt.clone()),
         })
     }
 
@@ -65,7 +65,7 @@
             .call(number)
             .is_some_and(|call| call.request_key == key)
         {
-            return Reply::Known;
+            return Reply::AlreadyRecorded;
         }
         program.refused_keys.insert(key);
         Reply::Done
@@ -76,7 +76,7 @@
             return Reply::Stale;
         };
         if !program.is_open() {
-            return Reply::Known;
+            return Reply::AlreadyRecorded;
         }
         self.cancel_running(id);
         let at_ms = self.clock_ms;
--- a/crates/program/src/program.rs
+++ b/crates/program/src/program.rs
@@ -66,7 +66,7 @@
     /// Engines that may hold cache for it, with the tokens they last reported.
     pub held_by: BTreeMap<String, u64>,
     /// Size of the prompt so far.
-    pub counted: Option<CountedPrompt>,
+    pub counted_prompt: Option<CountedPrompt>,
 }
 
 impl Program {
--- a/crates/program/src/machine.rs
+++ b/crates/program/src/shard_state.rs
@@ -5,7 +5,7 @@
 //! is not repeatable gets a second attempt only if the first surely did not run.
 
 use crate::admission::Admission;
-use crate::budget::{Budget, TEMPLATE_TOKENS, cost_of, highest_cost, prompt_bound};
+use crate::budget::{Budget, TEMPLATE_TOKENS, cost_of, max_cost, max_prompt_tokens};
 use crate::call::{Attempt, Call, CallState};
 use crate::command::{
     AttemptCost, BeginCall, Command, FinishCall, NextAttempt, Outcome, Reply, TimedCommand,
@@ -50,10 +50,10 @@
     }
 
     fn begin(&mut self, begin: BeginCall) -> Reply {
-        match self.admit(begin.program, begin.call_number, &begin.request_key) {
+        match self.check_admission(begin.program, begin.call_number, &begin.request_key) {
             Err(error) => return Reply::Refused(error),
-            Ok(Admission::Recorded) => return Reply::Known,
-            Ok(Admission::AfterRunning) => {
+            Ok(Admission::AlreadyRecorded) => return Reply::AlreadyRecorded,
+            Ok(Admission::PreviousRunning) => {
                 let error = CallError::not_run(
                     ErrorKind::CallNumberTooEarly,
                     "wait for the answer to the call before",
@@ -91,22 +91,22 @@
     }
 
     fn reservation(&self, id: ProgramId, spec: &CallSpec) -> u64 {
-        highest_cost(spec, self.history_bound(id, spec))
+        max_cost(spec, self.max_history_tokens(id, spec))
     }
 
     /// Most tokens the history can have: what an engine of the same model
     /// counted, or else a bound from its bytes.
-    fn history_bound(&self, id: ProgramId, spec: &CallSpec) -> u64 {
+    fn max_history_tokens(&self, id: ProgramId, spec: &CallSpec) -> u64 {
         let CallSpec::Model(model) = spec else {
             return 0;
         };
         let counted = self
             .programs
             .get(&id)
-            .and_then(|program| program.counted.as_ref());
+            .and_then(|program| program.counted_prompt.as_ref());
         match counted {
             Some(counted) if counted.model == model.model => counted.tokens,
-            _ => prompt_bound(&self.history(id)),
+            _ => max_prompt_tokens(&self.history(id)),
         }
     }
 
@@ -217,7 +217,7 @@
             tokens: tokens + TEMPLATE_TOKENS,
         };
         let engine = call.attempt.target.clone();
-        program.counted = Some(counted);
+        program.counted_prompt = Some(counted);
         program.held_by.insert(engine, tokens);
     }
 
--- a/crates/program/src/view.rs
+++ b/crates/program/src/view.rs
@@ -1,7 +1,7 @@
 //! What callers and operators see of a program.
 
-use crate::machine::ShardState;
 use crate::program::Program;
+use crate::shard_state::ShardState;
 use fieldhook_model::api::ProgramView;
 use fieldhook_model::error::CallError;
 use fieldhook_model::ids::ProgramId;
--- a/crates/program/tests/machine_fuzz.rs
+++ b/crates/program/tests/machine_fuzz.rs
@@ -150,7 +150,7 @@
             deadline_ms: 1_000_000,
             max_turns: 6,
         }));
-        assert_eq!(reply == Reply::Known, known);
+        assert_eq!(reply == Reply::AlreadyRecorded, known);
         if reply == Reply::Done {
             let root = parent.map_or(program, |parent| self.oracle.records[&parent].root);
             // A new life of the number: what ran in the old one is over.
@@ -200,7 +200,7 @@
                     record.keys.push(key_name(key));
                 }
             }
-            Reply::Known => {
+            Reply::AlreadyRecorded => {
                 let record = &self.oracle.records[&program];
                 assert_eq!(
                     record.keys[number as usize - 1],
