--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -9,10 +9,10 @@
 use fieldhook_model::api::ProgramView;
 use fieldhook_model::error::CallError;
 use fieldhook_model::operator::{
-    ConfigStatus, DaemonStatus, EngineStatus, Explanation, OwnedShardStatus, ProgramLine,
-    ShardStatus, Status,
+    ConfigStatus, DaemonStatus, EngineStatus, OwnedShardStatus, PlacementExplanation,
+    ProgramSummary, ShardStatus, Status,
 };
-use fieldhook_placement::{EngineView, Need, estimate, judge};
+use fieldhook_placement::{CallDemand, EngineView, estimate, evaluate_rules};
 use fieldhook_program::EndReason;
 use ntex::web::{self, HttpResponse, ServiceConfig, types};
 use std::rc::Rc;
@@ -117,7 +117,7 @@
     let mut lines = Vec::new();
     for host in node.hosts() {
         let state = host.state.borrow();
-        lines.extend(state.programs.iter().map(|(id, program)| ProgramLine {
+        lines.extend(state.programs.iter().map(|(id, program)| ProgramSummary {
             program: id.to_string(),
             tenant: program.tenant.clone(),
             phase: if program.is_open() { "open" } else { "ended" }.to_owned(),
@@ -163,7 +163,7 @@
     })
 }
 
-fn explain(node: &Node, program: &ProgramView) -> Vec<Explanation> {
+fn explain(node: &Node, program: &ProgramView) -> Vec<PlacementExplanation> {
     let mut labels = program.labels.clone();
     labels.insert("tenant".to_owned(), program.tenant.clone());
     let config = node.config.borrow();
@@ -173,16 +173,16 @@
         .map(|message| message.content.len())
         .sum();
     let explain_engine = |engine: EngineView| {
-        let verdict = judge(&config.document, &labels, &engine.labels);
+        let verdict = evaluate_rules(&config.document, &labels, &engine.labels);
         let holds = program.held_by.contains(&engine.address);
         let held = if holds { bytes as u64 / 4 } else { 0 };
-        let need = Need {
-            missing_tokens: bytes as u64 / 4 - held,
+        let need = CallDemand {
+            uncached_tokens: bytes as u64 / 4 - held,
             new_tokens: TYPICAL_ANSWER_TOKENS,
-            switches: !holds && !program.held_by.is_empty(),
+            migrates: !holds && !program.held_by.is_empty(),
         };
         let expected = estimate(&engine.load, engine.assigned, need);
-        Explanation {
+        PlacementExplanation {
             allowed: verdict.allowed,
             rules: verdict.matched,
             priority: verdict.priority,
--- a/crates/daemon/src/sequencer/admission.rs
+++ b/crates/daemon/src/sequencer/admission.rs
@@ -8,7 +8,7 @@
 use crate::shard::{ShardHost, Unsettled};
 use fieldhook_model::api::StreamEvent;
 use fieldhook_model::error::{CallError, Executed};
-use fieldhook_program::{Admission, Begin, Command, Reply};
+use fieldhook_program::{Admission, BeginCall, Command, Reply};
 use ntex::time::{Millis, timeout};
 use std::rc::Rc;
 use tokio::sync::mpsc;
@@ -70,10 +70,10 @@
         let admission =
             host.state
                 .borrow()
-                .admit(call.program, call.call_number, &call.request_key);
+                .check_admission(call.program, call.call_number, &call.request_key);
         match admission.map_err(Stop::Refused)? {
-            Admission::Recorded => return Ok(()),
-            Admission::AfterRunning => {
+            Admission::AlreadyRecorded => return Ok(()),
+            Admission::PreviousRunning => {
                 let _ = timeout(WAIT_CHECK, ended).await;
                 // Says that this owner lives; fails once the reader is gone.
                 if out.send(StreamEvent::KeepAlive).await.is_err() {
@@ -88,7 +88,7 @@
 
 async fn begin(node: &Rc<Node>, host: &Rc<ShardHost>, call: &CallMessage) -> Result<(), Stop> {
     let target = place(node, host, call.program, &call.spec, &[]).map_err(Stop::Refused)?;
-    let command = Command::Begin(Begin {
+    let command = Command::BeginCall(BeginCall {
         program: call.program,
         call_number: call.call_number,
         request_key: call.request_key.clone(),
@@ -109,7 +109,7 @@
             Ok(())
         }
         Reply::Refused(error) => Err(Stop::Refused(error)),
-        Reply::Known | Reply::Done | Reply::Stale => Ok(()),
+        Reply::AlreadyRecorded | Reply::Done | Reply::Stale => Ok(()),
     }
 }
 
@@ -130,7 +130,7 @@
         request_key: call.request_key.clone(),
     };
     match host.propose(command).await {
-        Ok(Reply::Known) => Err(()),
+        Ok(Reply::AlreadyRecorded) => Err(()),
         Ok(_) => Ok(StreamEvent::Failed(error)),
         Err(Unsettled::NotOwner) => Ok(StreamEvent::NotOwner),
         Err(Unsettled::Lost) => Ok(StreamEvent::OwnerLost),
--- a/crates/daemon/src/sequencer/upkeep.rs
+++ b/crates/daemon/src/sequencer/upkeep.rs
@@ -50,7 +50,7 @@
         late.map(|(id, _)| *id).collect()
     };
     for program in overdue {
-        let command = Command::End {
+        let command = Command::EndProgram {
             program,
             reason: EndReason::Deadline,
         };
@@ -84,7 +84,7 @@
 
 async fn release(node: Rc<Node>, host: Rc<ShardHost>, program: ProgramId, engine: String) {
     if is_off_the_list(&node, &engine) || ask_release(&node, program, &engine).await {
-        let command = Command::Released {
+        let command = Command::CacheReleased {
             program,
             engine: engine.clone(),
         };
@@ -113,9 +113,12 @@
 }
 
 async fn forget_old(host: &Rc<ShardHost>) {
-    let due = host.state.borrow().is_forget_due(host.shard_now_ms());
+    let due = host
+        .state
+        .borrow()
+        .has_expired_programs(host.shard_now_ms());
     if due {
-        let _ = host.propose(Command::Forget).await;
+        let _ = host.propose(Command::PurgeExpired).await;
     }
 }
 
@@ -123,7 +126,7 @@
 /// an owner that woke too late. Each owner answers for its own shards.
 async fn sweep(node: &Rc<Node>, rotation: &mut Rotation) {
     let all = node.fleet.borrow().engines();
-    let engines = rotation.take(&all, SWEPT_ENGINES, |limit| fastrand::usize(..limit));
+    let engines = rotation.next_batch(&all, SWEPT_ENGINES, |limit| fastrand::usize(..limit));
     for engine in engines {
         let url = format!("http://{engine}/v1/programs");
         let held = node
--- a/crates/placement/tests/choice.rs
+++ b/crates/placement/tests/choice.rs
@@ -3,7 +3,9 @@
 use fieldhook_model::config::{ConfigDocument, Effect, Rule};
 use fieldhook_model::labels::{Labels, Operator, Requirement, Selector};
 use fieldhook_model::platform::EngineLoad;
-use fieldhook_placement::{EngineView, Refusal, Rotation, Work, choose, judge};
+use fieldhook_placement::{
+    EngineView, PlacementError, PlacementRequest, Rotation, evaluate_rules, select_engine,
+};
 use quickcheck::{Gen, QuickCheck};
 
 fn labelled(value: u8) -> Labels {
@@ -46,7 +48,7 @@
             .map(|(index, it)| rule(index, it))
             .collect(),
     };
-    let verdict = judge(&document, &labelled(program), &labelled(machine));
+    let verdict = evaluate_rules(&document, &labelled(program), &labelled(machine));
     let of = |effect: u8| rules.iter().filter(move |rule| rule.0 % 3 == effect);
     let confined = of(0).any(|rule| fits(rule.1, program));
     let granted = of(0).any(|rule| fits(rule.1, program) && fits(rule.2, machine));
@@ -85,22 +87,22 @@
     }
 }
 
-fn work(held: &[(&str, u64)]) -> Work {
-    Work {
+fn work(held: &[(&str, u64)]) -> PlacementRequest {
+    PlacementRequest {
         labels: Labels::new(),
         model: "chat".to_owned(),
         prompt_tokens: 5_000,
         new_tokens: 20,
-        held: held
+        cached_tokens: held
             .iter()
             .map(|(name, tokens)| ((*name).to_owned(), *tokens))
             .collect(),
-        avoid: Vec::new(),
+        excluded: Vec::new(),
     }
 }
 
-fn chosen(engines: &[EngineView], work: &Work) -> Result<String, Refusal> {
-    choose(&ConfigDocument::default(), engines, work).map(|choice| choice.address)
+fn chosen(engines: &[EngineView], work: &PlacementRequest) -> Result<String, PlacementError> {
+    select_engine(&ConfigDocument::default(), engines, work).map(|choice| choice.address)
 }
 
 #[test]
@@ -123,7 +125,7 @@
         engine.load.max_running = 16;
     }
     // A short prompt: nothing but the batches tells the engines apart.
-    let short = Work {
+    let short = PlacementRequest {
         prompt_tokens: 50,
         ..work(&[])
     };
@@ -138,7 +140,7 @@
 
 #[test]
 fn a_short_conversation_stays_where_it_is_held() {
-    let short = Work {
+    let short = PlacementRequest {
         prompt_tokens: 100,
         ..work(&[("b", 60)])
     };
@@ -157,10 +159,10 @@
         chosen(&[leaving.clone(), engine("b", 2)], &work),
         Ok("b".to_owned())
     );
-    assert_eq!(chosen(&[leaving], &work), Err(Refusal::NoEngine));
+    assert_eq!(chosen(&[leaving], &work), Err(PlacementError::NoEngine));
     let full = chosen(&[engine("a", 16), engine("b", 20)], &work);
     assert!(
-        matches!(full, Err(Refusal::Overloaded(wait_ms)) if wait_ms > 0),
+        matches!(full, Err(PlacementError::Overloaded(wait_ms)) if wait_ms > 0),
         "{full:?}"
     );
 }
@@ -174,7 +176,7 @@
     let mut seen = Vec::new();
     let rounds = all.len().div_ceil(count);
     for round in 0..rounds {
-        let taken = rotation.take(&all, count, |limit| (round * 7 + 3) % limit);
+        let taken = rotation.next_batch(&all, count, |limit| (round * 7 + 3) % limit);
         assert_eq!(taken.len(), count.min(all.len()));
         seen.extend(taken);
     }
@@ -187,7 +189,7 @@
         .filter(|item| **item != lost.to_string())
         .cloned()
         .collect();
-    let taken = rotation.take(&fewer, count, |_| 0);
+    let taken = rotation.next_batch(&fewer, count, |_| 0);
     assert!(
         taken.iter().all(|address| fewer.contains(address)),
         "a lost one came again"
--- a/crates/program/src/lifecycle.rs
+++ b/crates/program/src/lifecycle.rs
@@ -1,9 +1,9 @@
 //! Opening and ending programs, releasing engines, and dropping old records.
 
 use crate::budget::Budget;
-use crate::command::{EndReason, Finish, Open, Outcome, Reply};
-use crate::machine::ShardState;
+use crate::command::{EndReason, FinishCall, OpenProgram, Outcome, Reply};
 use crate::program::{ForkPoint, Phase, Program};
+use crate::shard_state::ShardState;
 use fieldhook_model::error::{CallError, ErrorKind, Executed};
 use fieldhook_model::ids::ProgramId;
 use std::collections::BTreeMap;
@@ -12,9 +12,9 @@
 pub const RETENTION_MS: u64 = 60_000;
 
 impl ShardState {
-    pub(crate) fn open(&mut self, open: Open) -> Reply {
+    pub(crate) fn open(&mut self, open: OpenProgram) -> Reply {
         if self.programs.contains_key(&open.program) {
-            return Reply::Known;
+            return Reply::AlreadyRecorded;
         }
         match self.new_program(&open) {
             Ok(program) => {
@@ -25,7 +25,7 @@
         }
     }
 
-    pub(crate) fn new_program(&self, open: &Open) -> Result<Program, CallError> {
+    pub(crate) fn new_program(&self, open: &OpenProgram) -> Result<Program, CallError> {
         let parent = match open.parent {
             Some(id) => Some((id, self.open_program(id)?)),
             None => None,
@@ -51,7 +51,7 @@
             refused_keys: Default::default(),
             phase: Phase::Open,
             held_by: BTreeMap::new(),
-            counted: parent.and_then(|(_, parent)| parent.counted.clone()),
+            counted_prompt: parent.and_then(|(_, parent)| parent.counted_prompt.clone()),
         })
     }
 
@@ -65,7 +65,7 @@
             .call(number)
             .is_some_and(|call| call.request_key == key)
         {
-            return Reply::Known;
+            return Reply::AlreadyRecorded;
         }
         program.refused_keys.insert(key);
         Reply::Done
@@ -76,7 +76,7 @@
             return Reply::Stale;
         };
         if !program.is_open() {
-            return Reply::Known;
+            return Reply::AlreadyRecorded;
         }
         self.cancel_running(id);
         let at_ms = self.clock_ms;
@@ -96,7 +96,7 @@
         let attempt = self.programs[&id].calls[number as usize - 1].attempt.number;
         let error = CallError::not_run(ErrorKind::Cancelled, "the program ended while it ran")
             .executed(Executed::Unknown);
-        self.finish(Finish {
+        self.finish(FinishCall {
             program: id,
             call_number: number,
             attempt,
@@ -116,7 +116,7 @@
             .collect()
     }
 
-    pub(crate) fn released(&mut self, id: ProgramId, engine: &str) -> Reply {
+    pub(crate) fn release_cache(&mut self, id: ProgramId, engine: &str) -> Reply {
         let Some(program) = self.programs.get_mut(&id) else {
             return Reply::Stale;
         };
@@ -132,7 +132,7 @@
     }
 
     /// Ended programs whose records may go at a time of the shard's clock.
-    pub(crate) fn forgettable(&self, now_ms: u64) -> impl Iterator<Item = ProgramId> + '_ {
+    pub(crate) fn expired_programs(&self, now_ms: u64) -> impl Iterator<Item = ProgramId> + '_ {
         let over = self
             .programs
             .iter()
@@ -140,13 +140,13 @@
         over.map(|(id, _)| *id).filter(|id| !self.has_children(*id))
     }
 
-    /// Whether `Command::Forget` would drop anything at that time.
-    pub fn is_forget_due(&self, now_ms: u64) -> bool {
-        self.forgettable(now_ms).next().is_some()
+    /// Whether `Command::PurgeExpired` would drop anything at that time.
+    pub fn has_expired_programs(&self, now_ms: u64) -> bool {
+        self.expired_programs(now_ms).next().is_some()
     }
 
-    pub(crate) fn forget(&mut self) -> Reply {
-        let due: Vec<ProgramId> = self.forgettable(self.clock_ms).collect();
+    pub(crate) fn purge_expired(&mut self) -> Reply {
+        let due: Vec<ProgramId> = self.expired_programs(self.clock_ms).collect();
         for id in due {
             self.programs.remove(&id);
         }
--- a/crates/program/src/machine.rs
+++ b/crates/program/src/shard_state.rs
@@ -5,10 +5,10 @@
 //! is not repeatable gets a second attempt only if the first surely did not run.
 
 use crate::admission::Admission;
-use crate::budget::{Budget, TEMPLATE_TOKENS, cost_of, highest_cost, prompt_bound};
+use crate::budget::{Budget, TEMPLATE_TOKENS, cost_of, max_cost, max_prompt_tokens};
 use crate::call::{Attempt, Call, CallState};
 use crate::command::{
-    AttemptCost, Begin, Command, Finish, NextAttempt, Outcome, Reply, TimedCommand,
+    AttemptCost, BeginCall, Command, FinishCall, NextAttempt, Outcome, Reply, TimedCommand,
 };
 use crate::program::{CountedPrompt, Program};
 use fieldhook_model::api::{Answer, CallSpec};
@@ -34,26 +34,26 @@
     pub fn apply(&mut self, timed: TimedCommand) -> Reply {
         self.clock_ms = self.clock_ms.max(timed.at_ms);
         match timed.command {
-            Command::Open(open) => self.open(open),
-            Command::Begin(begin) => self.begin(begin),
+            Command::OpenProgram(open) => self.open(open),
+            Command::BeginCall(begin) => self.begin(begin),
             Command::NextAttempt(next) => self.next_attempt(next),
-            Command::Finish(finish) => self.finish(finish),
+            Command::FinishCall(finish) => self.finish(finish),
             Command::RefuseKey {
                 program,
                 call_number,
                 request_key,
             } => self.refuse_key(program, call_number, request_key),
-            Command::End { program, reason } => self.end(program, reason),
-            Command::Released { program, engine } => self.released(program, &engine),
-            Command::Forget => self.forget(),
+            Command::EndProgram { program, reason } => self.end(program, reason),
+            Command::CacheReleased { program, engine } => self.release_cache(program, &engine),
+            Command::PurgeExpired => self.purge_expired(),
         }
     }
 
-    fn begin(&mut self, begin: Begin) -> Reply {
-        match self.admit(begin.program, begin.call_number, &begin.request_key) {
+    fn begin(&mut self, begin: BeginCall) -> Reply {
+        match self.check_admission(begin.program, begin.call_number, &begin.request_key) {
             Err(error) => return Reply::Refused(error),
-            Ok(Admission::Recorded) => return Reply::Known,
-            Ok(Admission::AfterRunning) => {
+            Ok(Admission::AlreadyRecorded) => return Reply::AlreadyRecorded,
+            Ok(Admission::PreviousRunning) => {
                 let error = CallError::not_run(
                     ErrorKind::CallNumberTooEarly,
                     "wait for the answer to the call before",
@@ -91,22 +91,22 @@
     }
 
     fn reservation(&self, id: ProgramId, spec: &CallSpec) -> u64 {
-        highest_cost(spec, self.history_bound(id, spec))
+        max_cost(spec, self.max_history_tokens(id, spec))
     }
 
     /// Most tokens the history can have: what an engine of the same model
     /// counted, or else a bound from its bytes.
-    fn history_bound(&self, id: ProgramId, spec: &CallSpec) -> u64 {
+    fn max_history_tokens(&self, id: ProgramId, spec: &CallSpec) -> u64 {
         let CallSpec::Model(model) = spec else {
             return 0;
         };
         let counted = self
             .programs
             .get(&id)
-            .and_then(|program| program.counted.as_ref());
+            .and_then(|program| program.counted_prompt.as_ref());
         match counted {
             Some(counted) if counted.model == model.model => counted.tokens,
-            _ => prompt_bound(&self.history(id)),
+            _ => max_prompt_tokens(&self.history(id)),
         }
     }
 
@@ -123,7 +123,8 @@
     }
 
     fn next_attempt(&mut self, next: NextAttempt) -> Reply {
-        let Some(call) = self.running(next.program, next.call_number, next.given_up) else {
+        let Some(call) = self.running(next.program, next.call_number, next.abandoned_attempt)
+        else {
             return Reply::Stale;
         };
         if !call.repeatable && next.cost == AttemptCost::Full {
@@ -153,7 +154,7 @@
             );
             return Reply::Refused(error);
         }
-        let number = next.given_up + 1;
+        let number = next.abandoned_attempt + 1;
         let attempt = Attempt {
             number,
             target: next.target,
@@ -175,7 +176,7 @@
         Reply::Dispatch(attempt)
     }
 
-    pub(crate) fn finish(&mut self, finish: Finish) -> Reply {
+    pub(crate) fn finish(&mut self, finish: FinishCall) -> Reply {
         let Some(call) = self.running(finish.program, finish.call_number, finish.attempt) else {
             return Reply::Stale;
         };
@@ -216,7 +217,7 @@
             tokens: tokens + TEMPLATE_TOKENS,
         };
         let engine = call.attempt.target.clone();
-        program.counted = Some(counted);
+        program.counted_prompt = Some(counted);
         program.held_by.insert(engine, tokens);
     }
 
