--- a/crates/bench/src/caller/reading.rs
+++ b/crates/bench/src/caller/reading.rs
@@ -45,7 +45,7 @@
         }
         let opened = self
             .client
-            .open(Method::POST, &self.url(), &headers, body, CALL_TIMEOUT)
+            .send(Method::POST, &self.url(), &headers, body, CALL_TIMEOUT)
             .await;
         let mut response = match opened {
             Ok(response) => response,
--- a/crates/bench/src/cluster/ask.rs
+++ b/crates/bench/src/cluster/ask.rs
@@ -2,7 +2,7 @@
 
 use super::running::{Cluster, READY_LIMIT, READY_STEP, REQUEST_TIMEOUT};
 use crate::cluster::process::{Process, ProcessError};
-use fieldhook_http::TextReply;
+use fieldhook_http::TextResponse;
 use fieldhook_model::operator::OwnedShardStatus;
 use fieldhook_model::platform::{Machine, MachineKind};
 use ntex::http::Method;
@@ -44,7 +44,7 @@
     }
 
     /// Reads a path of any process of the cluster.
-    pub async fn get(&self, address: &str, path: &str) -> Option<TextReply> {
+    pub async fn get(&self, address: &str, path: &str) -> Option<TextResponse> {
         let url = format!("http://{address}{path}");
         self.client
             .fetch(Method::GET, &url, &[], Vec::new(), REQUEST_TIMEOUT)
--- a/crates/bench/src/overhead.rs
+++ b/crates/bench/src/overhead.rs
@@ -103,7 +103,7 @@
     let body = serde_json::to_vec(&request)?;
     let headers = [("content-type", "application/json")];
     let mut response = client
-        .open(Method::POST, &url, &headers, body, LIMIT)
+        .send(Method::POST, &url, &headers, body, LIMIT)
         .await?;
     let mut decoder = SseDecoder::default();
     let mut first = None;
--- a/crates/daemon/src/gateway/source.rs
+++ b/crates/daemon/src/gateway/source.rs
@@ -61,7 +61,7 @@
         let body = call.serialize_bin();
         let response = node
             .client
-            .open(Method::POST, &url, &[], body, SILENCE)
+            .send(Method::POST, &url, &[], body, SILENCE)
             .await?;
         if !response.status().is_success() {
             return Err(SendError::Unknown(format!("status {}", response.status())));
--- a/crates/daemon/src/sequencer/model_attempt.rs
+++ b/crates/daemon/src/sequencer/model_attempt.rs
@@ -113,7 +113,7 @@
     match call
         .node
         .client
-        .open(Method::POST, &url, &headers, body, limit)
+        .send(Method::POST, &url, &headers, body, limit)
         .await
     {
         Ok(response) if response.status().is_success() => Ok(response),
@@ -165,7 +165,7 @@
     let url = format!("http://{}/v1/streams/{stream}?from={from}", attempt.target);
     let client = &call.node.client;
     let response = client
-        .open(Method::GET, &url, &[], Vec::new(), RESUME_TIMEOUT)
+        .send(Method::GET, &url, &[], Vec::new(), RESUME_TIMEOUT)
         .await
         .ok()?;
     response.status().is_success().then_some(response)
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -59,7 +59,7 @@
 
 /// A whole answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct TextReply {
+pub struct TextResponse {
     /// HTTP status.
     pub status: u16,
     /// Body.
@@ -103,7 +103,7 @@
     ///
     /// # Errors
     /// No head of an answer within the timeout.
-    pub async fn open(
+    pub async fn send(
         &self,
         method: Method,
         url: &str,
@@ -132,11 +132,11 @@
         headers: &[(&'static str, &str)],
         body: Vec<u8>,
         timeout: Duration,
-    ) -> Result<TextReply, SendError> {
+    ) -> Result<TextResponse, SendError> {
         let (status, bytes) = self
             .fetch_bytes(method, url, headers, body, timeout)
             .await?;
-        Ok(TextReply {
+        Ok(TextResponse {
             status,
             body: String::from_utf8_lossy(&bytes).into_owned(),
         })
@@ -151,7 +151,7 @@
         timeout: Duration,
     ) -> Result<(u16, Vec<u8>), SendError> {
         let whole = async {
-            let response = self.open(method, url, headers, body, timeout).await?;
+            let response = self.send(method, url, headers, body, timeout).await?;
             let status = response.status().as_u16();
             let bytes = response.body().await;
             let bytes = bytes.map_err(|error| SendError::Unknown(error.to_string()))?;
@@ -218,7 +218,7 @@
     }
 }
 
-fn decode<T: DeserializeOwned>(reply: TextReply) -> Result<T, SendError> {
+fn decode<T: DeserializeOwned>(reply: TextResponse) -> Result<T, SendError> {
     if !(200..300).contains(&reply.status) {
         return Err(SendError::Status {
             status: reply.status,
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -3,9 +3,9 @@
 //! events, and JSON answers.
 
 mod client;
-mod respond;
+mod response;
 mod sse;
 
-pub use client::{HttpClient, SendError, TextReply};
-pub use respond::{aborted, event_stream, json, text};
+pub use client::{HttpClient, SendError, TextResponse};
+pub use response::{aborted, event_stream, json, text};
 pub use sse::{SseDecoder, SseEvent, encode_event};
