--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,4 +1,4 @@
-//! An HTTP client whose errors say whether the request may have run.
+//! HTTP client whose errors tell whether the request may have been executed.
 
 use ntex::SharedCfg;
 use ntex::client::error::{ClientError, ConnectError};
@@ -10,27 +10,26 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Largest answer that is read whole, in bytes.
-const BODY_LIMIT: usize = 256 << 20;
-const CONNECT_KEEP_ALIVE_SECONDS: u16 = 10;
-/// More connections than a process may open. The library's own "no limit", 0,
-/// must not be used: a request that comes while another connection to the same
-/// address is being opened then waits for ever (ntex 3.12, `client/pool.rs`:
-/// waiters are only woken while `acquired < limit`).
-const CONNECTION_LIMIT: usize = 1 << 20;
+const MAX_RESPONSE_BYTES: usize = 256 << 20;
+const KEEP_ALIVE_SECONDS: u16 = 10;
+/// More connections than a process can open, so in effect no limit. The library's own value for "no
+/// limit", 0, must not be used: with it, a request that is made while another connection to the same
+/// address is being opened waits forever (ntex 3.12, `client/pool.rs`: waiters are only woken while
+/// `acquired < limit`).
+const MAX_CONNECTIONS: usize = 1 << 20;
 
-/// Why a request has no answer.
+/// Why a request got no successful response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SendError {
-    /// No connection came about: the request was not sent.
+    /// No connection was established, so the request was not sent.
     NotSent(String),
-    /// The request may have arrived and run.
+    /// The request may have been executed, but no valid response was received.
     Unknown(String),
-    /// The server answered with an error status.
+    /// The server responded with an error status.
     Status {
         /// HTTP status.
         status: u16,
-        /// Body of the answer.
+        /// Response body.
         body: String,
     },
 }
@@ -41,13 +40,13 @@
             Self::NotSent(cause) => {
                 write!(
                     formatter,
-                    "no connection ({cause}); check that the process runs there"
+                    "connection failed ({cause}); check that the server process is running"
                 )
             }
             Self::Unknown(cause) => {
                 write!(
                     formatter,
-                    "no answer ({cause}); the request may have run, ask again"
+                    "no response ({cause}); the request may have been executed, try again"
                 )
             }
             Self::Status { status, body } => write!(formatter, "status {status}: {body}"),
@@ -57,32 +56,32 @@
 
 impl std::error::Error for SendError {}
 
-/// A whole answer.
+/// Response whose body was read completely, as text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TextResponse {
     /// HTTP status.
     pub status: u16,
-    /// Body.
+    /// Response body; invalid UTF-8 is replaced.
     pub body: String,
 }
 
-/// A client with pooled connections; one for each thread.
+/// HTTP client with pooled connections. Each thread needs its own.
 #[derive(Clone)]
 pub struct HttpClient {
     client: Client,
 }
 
 impl HttpClient {
-    /// Builds a client that opens as many connections as it needs.
+    /// Creates a client without a limit on the number of connections.
     pub async fn new() -> Self {
         let connector = Connector::new()
-            .limit(CONNECTION_LIMIT)
-            .keep_alive(ntex::time::Seconds(CONNECT_KEEP_ALIVE_SECONDS));
+            .limit(MAX_CONNECTIONS)
+            .keep_alive(ntex::time::Seconds(KEEP_ALIVE_SECONDS));
         let client = Client::builder()
             .connector::<()>(connector)
             .disable_timeout()
             .disable_redirects()
-            .response_payload_limit(BODY_LIMIT)
+            .response_payload_limit(MAX_RESPONSE_BYTES)
             .build(SharedCfg::default())
             .await;
         match client {
@@ -98,11 +97,11 @@
         self.client.request(method, url).timeout(Millis(timeout_ms))
     }
 
-    /// Sends a request and returns once the head of the answer is here; the
-    /// timeout bounds that, not the body.
+    /// Sends a request and returns as soon as the response head is received. The timeout does not
+    /// cover the response body.
     ///
     /// # Errors
-    /// No head of an answer within the timeout.
+    /// No response head was received within the timeout.
     pub async fn send(
         &self,
         method: Method,
@@ -118,13 +117,13 @@
         request
             .send_body(body)
             .await
-            .map_err(|error| classify(&error))
+            .map_err(|error| classify_error(&error))
     }
 
-    /// Sends a request and reads the whole answer, whatever its status.
+    /// Sends a request and reads the complete response, whatever its status.
     ///
     /// # Errors
-    /// No whole answer within the timeout.
+    /// No complete response was received within the timeout.
     pub async fn fetch(
         &self,
         method: Method,
@@ -150,38 +149,38 @@
         body: Vec<u8>,
         timeout: Duration,
     ) -> Result<(u16, Vec<u8>), SendError> {
-        let whole = async {
+        let exchange = async {
             let response = self.send(method, url, headers, body, timeout).await?;
             let status = response.status().as_u16();
             let bytes = response.body().await;
             let bytes = bytes.map_err(|error| SendError::Unknown(error.to_string()))?;
             Ok((status, bytes.to_vec()))
         };
-        match ntex::time::timeout(timeout, whole).await {
+        match ntex::time::timeout(timeout, exchange).await {
             Ok(result) => result,
             Err(()) => Err(SendError::Unknown("timed out".to_owned())),
         }
     }
 
-    /// Reads JSON.
+    /// Sends a GET request and decodes the JSON response.
     ///
     /// # Errors
-    /// No answer, an error status, or not the expected JSON.
+    /// No response, an error status, or a body that cannot be decoded.
     pub async fn get_json<T: DeserializeOwned>(
         &self,
         url: &str,
         timeout: Duration,
     ) -> Result<T, SendError> {
-        decode(
+        decode_json(
             self.fetch(Method::GET, url, &[], Vec::new(), timeout)
                 .await?,
         )
     }
 
-    /// Sends JSON and reads JSON.
+    /// Sends a POST request with a JSON body and decodes the JSON response.
     ///
     /// # Errors
-    /// No answer, an error status, or not the expected JSON.
+    /// No response, an error status, or a body that cannot be decoded.
     pub async fn post_json<B: Serialize, T: DeserializeOwned>(
         &self,
         url: &str,
@@ -190,16 +189,17 @@
     ) -> Result<T, SendError> {
         let body = serde_json::to_vec(body).unwrap_or_default();
         let headers = [("content-type", "application/json")];
-        decode(
+        decode_json(
             self.fetch(Method::POST, url, &headers, body, timeout)
                 .await?,
         )
     }
 
-    /// Sends and reads messages between the project's own processes.
+    /// Sends a POST request in the binary encoding that the project's processes use among
+    /// themselves, and decodes the response.
     ///
     /// # Errors
-    /// No answer, an error status, or an answer that does not decode.
+    /// No response, an error status, or a body that cannot be decoded.
     pub async fn post_binary<B: nanoserde::SerBin, T: nanoserde::DeBin>(
         &self,
         url: &str,
@@ -218,20 +218,20 @@
     }
 }
 
-fn decode<T: DeserializeOwned>(reply: TextResponse) -> Result<T, SendError> {
-    if !(200..300).contains(&reply.status) {
+fn decode_json<T: DeserializeOwned>(response: TextResponse) -> Result<T, SendError> {
+    if !(200..300).contains(&response.status) {
         return Err(SendError::Status {
-            status: reply.status,
-            body: reply.body,
+            status: response.status,
+            body: response.body,
         });
     }
-    serde_json::from_str(&reply.body).map_err(|error| SendError::Unknown(error.to_string()))
+    serde_json::from_str(&response.body).map_err(|error| SendError::Unknown(error.to_string()))
 }
 
-fn classify(error: &ClientError) -> SendError {
+fn classify_error(error: &ClientError) -> SendError {
     match error {
-        // The connector reports a connection that was lost after it came about
-        // in the same kind, so only the two kinds that cannot be that count.
+        // `Disconnected` also covers connections that were lost after they were established, so
+        // it counts as not sent only if the connection was refused.
         ClientError::Connect(ConnectError::Resolver(_) | ConnectError::Timeout) => {
             SendError::NotSent(error.to_string())
         }
--- a/crates/http/src/response.rs
+++ b/crates/http/src/response.rs
@@ -1,4 +1,4 @@
-//! Answers of a server.
+//! Builders for server responses.
 
 use futures_util::stream::{self, Stream};
 use ntex::http::StatusCode;
@@ -11,19 +11,19 @@
     StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR)
 }
 
-/// A JSON answer.
+/// Builds a JSON response.
 pub fn json<T: Serialize>(status: u16, value: &T) -> HttpResponse {
     HttpResponse::build(status_code(status)).json(value)
 }
 
-/// A plain text answer.
+/// Builds a plain text response.
 pub fn text(status: u16, body: impl Into<String>) -> HttpResponse {
     HttpResponse::build(status_code(status))
         .content_type("text/plain")
         .body(body.into())
 }
 
-/// An answer of server-sent events.
+/// Builds a response that streams server-sent events.
 pub fn event_stream<S>(events: S) -> HttpResponse
 where
     S: Stream<Item = Result<Bytes, io::Error>> + 'static,
@@ -34,8 +34,9 @@
         .streaming(Box::pin(events))
 }
 
-/// An answer that breaks off, as when the connection is lost after the effect.
+/// Builds a response whose body is aborted, as if the connection was lost after the request had been
+/// executed.
 pub fn aborted() -> HttpResponse {
-    let broken = Err::<Bytes, _>(io::Error::from(io::ErrorKind::ConnectionAborted));
-    HttpResponse::Ok().streaming(Box::pin(stream::iter([broken])))
+    let error = Err::<Bytes, _>(io::Error::from(io::ErrorKind::ConnectionAborted));
+    HttpResponse::Ok().streaming(Box::pin(stream::iter([error])))
 }
--- a/crates/http/src/sse.rs
+++ b/crates/http/src/sse.rs
@@ -1,9 +1,9 @@
-//! Server-sent events (WHATWG HTML, section 9.2): the subset with `id`,
-//! `event` and one `data` line.
+//! Server-sent events (WHATWG HTML, section 9.2), limited to the fields `id`, `event` and a single
+//! `data` line.
 
 use serde::Serialize;
 
-/// One event.
+/// A server-sent event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SseEvent {
     /// The `id` field, empty if absent.
@@ -14,7 +14,7 @@
     pub data: String,
 }
 
-/// Puts events together from the chunks in which they arrive.
+/// Incremental decoder for a stream of events.
 #[derive(Debug, Default)]
 pub struct SseDecoder {
     pending: Vec<u8>,
@@ -22,19 +22,19 @@
 }
 
 impl SseDecoder {
-    /// Takes a chunk and returns the events that it completes.
+    /// Adds a chunk of the stream and returns the events that are now complete.
     pub fn push(&mut self, chunk: &[u8]) -> Vec<SseEvent> {
         self.pending.extend_from_slice(chunk);
         let mut events = Vec::new();
         while let Some(end) = self.pending.iter().position(|byte| *byte == b'\n') {
             let line: Vec<u8> = self.pending.drain(..=end).collect();
             let line = String::from_utf8_lossy(&line[..end]);
-            self.take_line(line.trim_end_matches('\r'), &mut events);
+            self.process_line(line.trim_end_matches('\r'), &mut events);
         }
         events
     }
 
-    fn take_line(&mut self, line: &str, events: &mut Vec<SseEvent>) {
+    fn process_line(&mut self, line: &str, events: &mut Vec<SseEvent>) {
         if line.is_empty() {
             let event = std::mem::take(&mut self.current);
             if !event.data.is_empty() {
@@ -53,7 +53,7 @@
     }
 }
 
-/// Encodes an event whose data is one line of JSON.
+/// Encodes an event with JSON data. An empty `id` or `event` is left out.
 pub fn encode_event<T: Serialize>(id: &str, event: &str, data: &T) -> String {
     let data = serde_json::to_string(data).unwrap_or_default();
     let mut text = String::with_capacity(data.len() + 32);
--- a/crates/http/tests/client.rs
+++ b/crates/http/tests/client.rs
@@ -1,4 +1,4 @@
-//! The client under many requests at once to one address.
+//! Concurrent requests of one client to one address.
 
 use fieldhook_http::HttpClient;
 use ntex::http::Method;
@@ -7,7 +7,7 @@
 use std::task::Poll;
 use std::time::Duration;
 
-/// Lets the event loop turn once.
+/// Yields to the event loop once.
 async fn yield_now() {
     let mut yielded = false;
     std::future::poll_fn(|context| {
@@ -22,8 +22,10 @@
 
 const REQUESTS: usize = 20;
 
+/// With the connection limit 0, requests made while another connection to the same address was being
+/// opened waited forever.
 #[test]
-fn requests_sent_while_a_connection_opens_are_answered() {
+fn requests_complete_while_another_connection_is_being_opened() {
     let system = ntex::rt::System::build().build(ntex::rt::DefaultRuntime);
     system.block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
@@ -37,18 +39,21 @@
         let client = HttpClient::new().await;
         let url = format!("http://{address}/");
         let limit = Duration::from_secs(5);
-        // Each begins one turn of the event loop later, so that some find a
-        // connection half opened.
-        let requests = (0..REQUESTS).map(async |turns| {
-            for _ in 0..turns {
+        // Each request starts one iteration of the event loop after the previous one, so that some
+        // are made while a connection is being opened.
+        let requests = (0..REQUESTS).map(async |iterations| {
+            for _ in 0..iterations {
                 yield_now().await;
             }
             client
                 .fetch(Method::GET, &url, &[], Vec::new(), limit)
                 .await
         });
-        for reply in futures_util::future::join_all(requests).await {
-            assert_eq!(reply.map(|reply| reply.body), Ok("here".to_owned()));
+        for response in futures_util::future::join_all(requests).await {
+            assert_eq!(
+                response.map(|response| response.body),
+                Ok("here".to_owned())
+            );
         }
         server.stop(false).await;
     });
