--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -23,7 +23,7 @@
     /// First part of its prompt, which other programs may share.
     pub prefix: Option<String>,
     /// Most tokens that the turn may generate.
-    pub most_tokens: u64,
+    pub max_tokens: u64,
     /// Turn that it goes on from.
     pub previous: Option<String>,
     /// The client goes on after this event.
@@ -34,14 +34,14 @@
 
 /// A field that cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BadField {
+pub struct InvalidField {
     /// Name of the field.
     pub field: &'static str,
     /// What the client should send.
     pub remedy: &'static str,
 }
 
-impl std::fmt::Display for BadField {
+impl std::fmt::Display for InvalidField {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(formatter, "field {}: {}", self.field, self.remedy)
     }
@@ -66,7 +66,7 @@
 
 /// What an answer's fields say.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct AnswerMeta {
+pub struct ResponseMeta {
     /// Identity of the request that it answers.
     pub id: Option<String>,
     /// The server says that it did not run the request.
@@ -83,20 +83,20 @@
     ///
     /// # Errors
     /// A field is missing or malformed.
-    fn request(&self, headers: &Headers) -> Result<RequestMeta, BadField>;
+    fn read_request(&self, headers: &Headers) -> Result<RequestMeta, InvalidField>;
 
     /// Removes the fields that only the system may set, whatever the client sent, and the
     /// client's key where keys are the system's matter.
-    fn strip(&self, headers: &mut Headers, keys_are_ours: bool);
+    fn strip(&self, headers: &mut Headers, remove_key: bool);
 
     /// Sets the fields of a request to a server.
     fn forward(&self, headers: &mut Headers, forwarding: &Forwarding<'_>);
 
     /// Reads a server's answer.
-    fn answer(&self, status: u16, headers: &Headers) -> AnswerMeta;
+    fn read_response(&self, status: u16, headers: &Headers) -> ResponseMeta;
 
     /// Fields of an answer of the gateway's own.
-    fn own_answer(&self, request_id: Option<&str>, retry_after_ms: Option<u64>) -> Headers;
+    fn local_response_headers(&self, request_id: Option<&str>, retry_after_ms: Option<u64>) -> Headers;
 
     /// Reads the configuration document.
     ///
@@ -127,7 +127,7 @@
     pub config_key: Vec<u8>,
     /// Beginning of the key of an evacuated zone in it; the zone's name follows. The record
     /// lasts as long as the evacuation.
-    pub evacuations: Vec<u8>,
+    pub evacuation_prefix: Vec<u8>,
     /// Compacted topic with the servers.
     pub servers: String,
 }
--- a/crates/gateway/src/follow/config.rs
+++ b/crates/gateway/src/follow/config.rs
@@ -131,7 +131,7 @@
     }
     let name = record
         .key
-        .strip_prefix(daemon.topics.evacuations.as_slice())?;
+        .strip_prefix(daemon.topics.evacuation_prefix.as_slice())?;
     Some(match std::str::from_utf8(name) {
         Ok(zone) if !zone.is_empty() => Ok(zone),
         _ => Err("its key names no zone"),
--- a/crates/gateway/src/serve/connection.rs
+++ b/crates/gateway/src/serve/connection.rs
@@ -111,7 +111,7 @@
     let started = request.started;
     let keep_alive = request.head.keep_alive;
     let request_guard = RequestGuard::new(daemon);
-    let parsed = daemon.dialect.request(&request.head.headers);
+    let parsed = daemon.dialect.read_request(&request.head.headers);
     let (id, program) = parsed
         .map(|meta| (meta.id, meta.program))
         .unwrap_or_default();
--- a/crates/gateway/src/serve/request.rs
+++ b/crates/gateway/src/serve/request.rs
@@ -257,7 +257,7 @@
     request: ClientRequest,
 ) -> Result<RequestContext, (String, LocalResponse)> {
     let head = request.head;
-    let meta = daemon.dialect.request(&head.headers).map_err(|error| {
+    let meta = daemon.dialect.read_request(&head.headers).map_err(|error| {
         tracing::info!(event = "bad_field", target = head.target, problem = %error);
         (
             String::new(),
--- a/crates/gateway/src/serve/turn_open.rs
+++ b/crates/gateway/src/serve/turn_open.rs
@@ -114,7 +114,7 @@
         keeps_context: route.keeps_context,
         supplies_chain: false,
         budget: meta.budget,
-        max_tokens: meta.most_tokens,
+        max_tokens: meta.max_tokens,
         placement: placement(context, homes),
         home_partition,
     })
@@ -189,7 +189,7 @@
         program = meta.program,
         previous = meta.previous,
         budget = meta.budget,
-        most = meta.most_tokens,
+        most = meta.max_tokens,
         partition = ledger.partition_of(&request.program),
         keeper = request.home_partition,
         durable = opened.is_durable(),
--- a/crates/gateway/src/upstream/connection.rs
+++ b/crates/gateway/src/upstream/connection.rs
@@ -1,6 +1,6 @@
 //! A connection to a server, which handles one request at a time.
 
-use crate::dialect::{AnswerMeta, Dialect};
+use crate::dialect::{ResponseMeta, Dialect};
 use crate::http::body::{BodyDecoder, Piece};
 use crate::http::head::{ResponseHead, decode_response_head};
 use bytes::{Bytes, BytesMut};
@@ -50,7 +50,7 @@
     /// Parsed head.
     pub head: ResponseHead,
     /// What the dialect reads from the header fields.
-    pub meta: AnswerMeta,
+    pub meta: ResponseMeta,
     /// Decoder for the body.
     pub body: BodyDecoder,
 }
@@ -140,7 +140,7 @@
         let mut written = 0;
         for _ in 0..MAX_FOREIGN_RESPONSES {
             let head = self.next_head(outgoing, &mut written).await?;
-            let meta = dialect.answer(head.status, &head.headers);
+            let meta = dialect.read_response(head.status, &head.headers);
             let body = BodyDecoder::new(head.framing);
             if !head.keep_alive || written < outgoing.bytes.len() {
                 self.reusable = false;
--- a/crates/gateway/tests/gateway/support/dialect.rs
+++ b/crates/gateway/tests/gateway/support/dialect.rs
@@ -1,6 +1,6 @@
 //! The spelling of the tests.
 
-use fieldhook_gateway::dialect::{AnswerMeta, BadField, Dialect, Forwarding, RequestMeta};
+use fieldhook_gateway::dialect::{ResponseMeta, InvalidField, Dialect, Forwarding, RequestMeta};
 use fieldhook_gateway::http::headers::Headers;
 use fieldhook_traffic::config::TrafficConfig;
 use fieldhook_traffic::directory::{ServerEntry, identity};
@@ -13,23 +13,23 @@
     pub config: Rc<RefCell<Vec<TrafficConfig>>>,
 }
 
-fn number(headers: &Headers, field: &'static str) -> Result<Option<u64>, BadField> {
+fn number(headers: &Headers, field: &'static str) -> Result<Option<u64>, InvalidField> {
     let remedy = "send a number";
     match headers.text(field) {
         None => Ok(None),
         Some(text) => text
             .parse()
             .map(Some)
-            .map_err(|_| BadField { field, remedy }),
+            .map_err(|_| InvalidField { field, remedy }),
     }
 }
 
 impl Dialect for TestDialect {
-    fn request(&self, headers: &Headers) -> Result<RequestMeta, BadField> {
+    fn read_request(&self, headers: &Headers) -> Result<RequestMeta, InvalidField> {
         assert!(!headers.has("panic"), "as it was told");
         let owned = |field| headers.text(field).map(str::to_owned);
         Ok(RequestMeta {
-            id: owned("request").ok_or(BadField {
+            id: owned("request").ok_or(InvalidField {
                 field: "request",
                 remedy: "send an id",
             })?,
@@ -37,7 +37,7 @@
             program: owned("program"),
             session: owned("session"),
             budget: number(headers, "budget")?,
-            most_tokens: number(headers, "most")?.unwrap_or(0),
+            max_tokens: number(headers, "most")?.unwrap_or(0),
             previous: owned("previous"),
             last_event: number(headers, "last-event")?,
             key: headers.text("key").map(Key::new),
@@ -45,10 +45,10 @@
         })
     }
 
-    fn strip(&self, headers: &mut Headers, keys_are_ours: bool) {
+    fn strip(&self, headers: &mut Headers, remove_key: bool) {
         headers.remove("tenant");
         headers.remove("rank");
-        if keys_are_ours {
+        if remove_key {
             headers.remove("key");
         }
     }
@@ -65,8 +65,8 @@
         }
     }
 
-    fn answer(&self, _status: u16, headers: &Headers) -> AnswerMeta {
-        AnswerMeta {
+    fn read_response(&self, _status: u16, headers: &Headers) -> ResponseMeta {
+        ResponseMeta {
             id: headers.text("request").map(str::to_owned),
             not_run: headers.has("not-run"),
             signed: headers.has("signed"),
@@ -74,7 +74,7 @@
         }
     }
 
-    fn own_answer(&self, request_id: Option<&str>, retry_after_ms: Option<u64>) -> Headers {
+    fn local_response_headers(&self, request_id: Option<&str>, retry_after_ms: Option<u64>) -> Headers {
         let mut headers = Headers::default();
         if let Some(id) = request_id {
             headers.append("request", id);
--- a/crates/gateway/tests/gateway/support/world.rs
+++ b/crates/gateway/tests/gateway/support/world.rs
@@ -265,7 +265,7 @@
             topics: Topics {
                 config: CONFIG.to_owned(),
                 config_key: b"config".to_vec(),
-                evacuations: b"closed/".to_vec(),
+                evacuation_prefix: b"closed/".to_vec(),
                 servers: SERVERS.to_owned(),
             },
             contact: Rc::new(LogHealth::default()),
