--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -68,9 +68,9 @@
     /// Known servers.
     pub directory: Rc<RefCell<Directory>>,
     /// How long answers take.
-    pub answer_times: ResponseTimes,
+    pub response_times: ResponseTimes,
     /// How long streams say nothing between two pieces.
-    pub pauses: ResponseTimes,
+    pub stream_gaps: ResponseTimes,
     /// Connections to servers.
     pub pools: Rc<Pools>,
     /// Repeats of attempts that are left.
@@ -158,8 +158,8 @@
             cold,
             servers_listed: Cell::new(false),
             directory,
-            answer_times: ResponseTimes::default(),
-            pauses: ResponseTimes::default(),
+            response_times: ResponseTimes::default(),
+            stream_gaps: ResponseTimes::default(),
             pools,
             retry_budget: RefCell::default(),
             owner,
--- a/crates/gateway/src/follow/config.rs
+++ b/crates/gateway/src/follow/config.rs
@@ -170,8 +170,8 @@
     );
     take_homes(daemon, &config);
     let is_route = |name: &str| config.routes.iter().any(|route| route.name == name);
-    daemon.answer_times.retain(&is_route);
-    daemon.pauses.retain(&is_route);
+    daemon.response_times.retain(&is_route);
+    daemon.stream_gaps.retain(&is_route);
     let turns = config.routes.iter().filter(|route| route.kind.is_stream());
     if let Some(longest_ms) = turns.map(|route| route.timeout_ms).max() {
         daemon.owner.set_longest_turn(longest_ms);
--- a/crates/gateway/src/serve/buffered.rs
+++ b/crates/gateway/src/serve/buffered.rs
@@ -88,7 +88,7 @@
         ));
     };
     if outcome.is_ok() {
-        let times = &context.daemon.answer_times;
+        let times = &context.daemon.response_times;
         times.observe(&context.entry.route.name, started.elapsed());
     }
     outcome
--- a/crates/gateway/src/serve/quota.rs
+++ b/crates/gateway/src/serve/quota.rs
@@ -131,7 +131,7 @@
         let remaining_ms = route.target_ms.saturating_sub(context.age_ms());
         return wait::patience(Duration::ZERO, Duration::from_millis(remaining_ms));
     }
-    let usual = context.daemon.answer_times.overdue_after(&route.name);
+    let usual = context.daemon.response_times.overdue_after(&route.name);
     wait::patience(usual, Duration::from_millis(context.remaining_ms()))
 }
 
--- a/crates/gateway/src/serve/retry.rs
+++ b/crates/gateway/src/serve/retry.rs
@@ -44,7 +44,7 @@
         let remaining = Duration::from_millis(context.remaining_ms());
         context
             .daemon
-            .answer_times
+            .response_times
             .attempt_timeout(&route.name, remaining)
     }
 
--- a/crates/gateway/src/serve/silence.rs
+++ b/crates/gateway/src/serve/silence.rs
@@ -19,12 +19,12 @@
     if !route.kind.is_stream() {
         return response.await;
     }
-    let pauses = &context.daemon.pauses;
+    let stream_gaps = &context.daemon.stream_gaps;
     let started = Instant::now();
-    let expected = pauses.overdue_after(&route.name);
+    let expected = stream_gaps.overdue_after(&route.name);
     let received = probe::with_silence_detection(&context.daemon, server, expected, response).await;
     if received.is_some() {
-        pauses.observe(&route.name, started.elapsed());
+        stream_gaps.observe(&route.name, started.elapsed());
     }
     received.unwrap_or(Err(ExchangeError::ServerSilent))
 }
--- a/crates/gateway/src/serve/stream.rs
+++ b/crates/gateway/src/serve/stream.rs
@@ -113,7 +113,7 @@
                 let end = forward_events(context, &mut attempt, turn, delivery, writer).await;
                 match end {
                     StreamEnd::Complete => {
-                        let times = &context.daemon.answer_times;
+                        let times = &context.daemon.response_times;
                         times.observe(&context.entry.route.name, started.elapsed());
                         attempt.finish(context);
                         return finish_stream(context, turn, delivery, writer).await;
