--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -54,7 +54,7 @@
     /// Topics of the platform.
     pub topics: Topics,
     /// Contact with the log service.
-    pub contact: Rc<LogHealth>,
+    pub log_health: Rc<LogHealth>,
     /// Routes in force.
     pub routes: RefCell<Option<Rc<RouteTable>>>,
     /// Told when there are new ones.
@@ -106,7 +106,7 @@
     /// Topics of the platform.
     pub topics: Topics,
     /// Contact with the log service, kept by the store.
-    pub contact: Rc<LogHealth>,
+    pub log_health: Rc<LogHealth>,
     /// Figures, counted into by the store.
     pub metrics: Rc<Metrics>,
 }
@@ -137,13 +137,13 @@
         ));
         let owner = Owner::new(
             relay.clone(),
-            adapter.contact.clone(),
+            adapter.log_health.clone(),
             adapter.metrics.clone(),
             &settings,
             Rc::new(assigner),
             incarnation,
         );
-        let ledger = Rc::new(LedgerClient::new(owner.clone(), adapter.contact.clone()));
+        let ledger = Rc::new(LedgerClient::new(owner.clone(), adapter.log_health.clone()));
         let quota = TenantShares::new(settings.quota.window_ms);
         let memory = Rc::new(Memory::new(settings.slow_peers, adapter.metrics.clone()));
         Rc::new(Self {
@@ -151,7 +151,7 @@
             dialect: adapter.dialect,
             relay,
             topics: adapter.topics,
-            contact: adapter.contact,
+            log_health: adapter.log_health,
             routes: RefCell::new(None),
             routes_changed: Notify::new(),
             places,
--- a/crates/gateway/src/follow/config.rs
+++ b/crates/gateway/src/follow/config.rs
@@ -43,7 +43,7 @@
     let known = daemon.owner.config.clone();
     let mut follower = Follower::new(
         daemon.relay.clone(),
-        daemon.contact.clone(),
+        daemon.log_health.clone(),
         partition,
         super::long_poll::max_config_wait(&daemon.settings),
     )
@@ -98,7 +98,7 @@
         sleep(PEER_PERIOD).await;
         let is_outage = daemon.ledger.reach.get() == Reach::Outage;
         let is_doubtful = daemon.is_doubtful();
-        let may_be_behind = daemon.contact.is_failing() && !is_outage;
+        let may_be_behind = daemon.log_health.is_failing() && !is_outage;
         if !may_be_behind && !is_doubtful {
             continue;
         }
--- a/crates/gateway/src/follow/servers.rs
+++ b/crates/gateway/src/follow/servers.rs
@@ -31,7 +31,7 @@
     };
     let mut follower = Follower::new(
         daemon.relay.clone(),
-        daemon.contact.clone(),
+        daemon.log_health.clone(),
         partition,
         super::long_poll::max_server_wait(&daemon.settings, PAUSE),
     );
--- a/crates/gateway/src/ledger/client.rs
+++ b/crates/gateway/src/ledger/client.rs
@@ -101,7 +101,7 @@
     /// The partitions owned here.
     pub owner: Rc<Owner>,
     /// Contact with the log.
-    pub contact: Rc<LogHealth>,
+    pub log_health: Rc<LogHealth>,
     /// What this daemon reaches, kept by [`super::reach`].
     pub reach: Rc<Cell<Reach>>,
     pub(super) peers: Peers,
@@ -121,11 +121,11 @@
 
 impl LedgerClient {
     /// A client beside this daemon's own partitions.
-    pub fn new(owner: Rc<Owner>, contact: Rc<LogHealth>) -> Self {
+    pub fn new(owner: Rc<Owner>, log_health: Rc<LogHealth>) -> Self {
         Self {
             reach: owner.reach.clone(),
             owner,
-            contact,
+            log_health,
             peers: Peers::default(),
             claiming: RefCell::default(),
             claim_turn: Mutex::default(),
@@ -306,7 +306,7 @@
     /// Ends once this daemon is cut off from the log with the minority: nothing can be recorded
     /// from here then.
     pub async fn wait_until_cut_off(&self) {
-        while self.reach.get() != Reach::Minority || !self.contact.is_failing() {
+        while self.reach.get() != Reach::Minority || !self.log_health.is_failing() {
             sleep(MINORITY_PERIOD).await;
         }
     }
--- a/crates/gateway/src/ledger/exchange.rs
+++ b/crates/gateway/src/ledger/exchange.rs
@@ -65,7 +65,7 @@
         };
         if doubts.insert(partition, doubt) != Some(doubt) {
             let (epoch, state) = doubt;
-            let log_age_ms = self.contact.ms_since_answer();
+            let log_age_ms = self.log_health.ms_since_answer();
             tracing::info!(event = "owner_doubted", partition, epoch, state, log_age_ms);
         }
     }
--- a/crates/gateway/src/ledger/hold.rs
+++ b/crates/gateway/src/ledger/hold.rs
@@ -90,7 +90,7 @@
         owner.place(partition),
         epoch,
         owner.store.clone(),
-        owner.contact.clone(),
+        owner.log_health.clone(),
     ));
     let current =
         matches!(owner.held.borrow().get(&partition), Some(Hold::Loading(now)) if *now == epoch);
--- a/crates/gateway/src/ledger/owner.rs
+++ b/crates/gateway/src/ledger/owner.rs
@@ -46,7 +46,7 @@
     pub claims: Rc<Claims>,
     relay: Rc<Relay>,
     pub(super) store: Rc<dyn LogStore>,
-    pub(super) contact: Rc<LogHealth>,
+    pub(super) log_health: Rc<LogHealth>,
     pub(super) metrics: Rc<Metrics>,
     pub(super) held: RefCell<HashMap<u32, Hold>>,
     capacity: Capacity,
@@ -70,7 +70,7 @@
     /// An owner of nothing.
     pub fn new(
         relay: Rc<Relay>,
-        contact: Rc<LogHealth>,
+        log_health: Rc<LogHealth>,
         metrics: Rc<Metrics>,
         settings: &GatewaySettings,
         assigner: Rc<Assigner>,
@@ -80,7 +80,7 @@
         let store: Rc<dyn LogStore> = relay.clone();
         let claims = Claims::new(
             store.clone(),
-            contact.clone(),
+            log_health.clone(),
             OWNERS_TOPIC,
             places.layout.count(),
             settings.peers,
@@ -91,7 +91,7 @@
             claims: Rc::new(claims),
             relay,
             store,
-            contact,
+            log_health,
             metrics,
             held: RefCell::default(),
             capacity: settings.capacity,
@@ -146,11 +146,11 @@
         let partition = request.partition(self.places.layout.global_count());
         match request {
             LedgerRequest::HasRecentLogContact => {
-                let has_log = self.contact.answered_within(FRESH) && !self.contact.is_failing();
+                let has_log = self.log_health.answered_within(FRESH) && !self.log_health.is_failing();
                 let _ = sender.send(LedgerReply::LogContact(has_log));
             }
             LedgerRequest::HasLogContact => {
-                let _ = sender.send(LedgerReply::LogContact(!self.contact.is_lost()));
+                let _ = sender.send(LedgerReply::LogContact(!self.log_health.is_lost()));
             }
             LedgerRequest::Config(version) => {
                 let _ = sender.send(LedgerReply::Config(
@@ -194,7 +194,7 @@
             Some(Hold::Serving(owned)) => owned.handle(request, sender),
             // Awaited as an owner that reads, it would keep programs waiting for as long as the
             // log serves others and not this daemon.
-            Some(Hold::Loading(_)) if self.contact.is_lost() => {
+            Some(Hold::Loading(_)) if self.log_health.is_lost() => {
                 let _ = sender.send(LedgerReply::NotLoaded);
             }
             Some(Hold::Loading(_) | Hold::Releasing(_)) => {
--- a/crates/gateway/src/ledger/reach.rs
+++ b/crates/gateway/src/ledger/reach.rs
@@ -31,7 +31,7 @@
         daemon
             .away
             .send_if_modified(|now| std::mem::replace(now, away) != away);
-        let round = match ledger.contact.is_lost() {
+        let round = match ledger.log_health.is_lost() {
             true => ledger.ask_who_reaches_log().await,
             false => Round::Heard,
         };
@@ -50,7 +50,7 @@
             ?reach,
             ?round,
             ?look,
-            log_age_ms = ledger.contact.ms_since_answer()
+            log_age_ms = ledger.log_health.ms_since_answer()
         );
         if matches!(reach, Reach::CutOff | Reach::Minority) {
             ledger.owner.claims.changed.notify_waiters();
@@ -103,7 +103,7 @@
 /// Whether the log answered a moment ago, or does now.
 async fn reaches_log(daemon: &Daemon) -> bool {
     let ledger = &daemon.ledger;
-    ledger.contact.answered_within(PERIOD) || ledger.reaches(ANY_PARTITION).await
+    ledger.log_health.answered_within(PERIOD) || ledger.reaches(ANY_PARTITION).await
 }
 
 /// Whether one of some servers lets itself be reached.
--- a/crates/gateway/src/ledger/replace.rs
+++ b/crates/gateway/src/ledger/replace.rs
@@ -201,7 +201,7 @@
         if self.have_unowned_claimed(partition).await {
             return true;
         }
-        if !self.contact.is_failing() || !self.learn_from_peers(partition, epoch).await {
+        if !self.log_health.is_failing() || !self.learn_from_peers(partition, epoch).await {
             let _ = timeout(CHANGE_WAIT, self.owner.claims.changed.notified()).await;
         }
         true
@@ -261,9 +261,9 @@
         if self.left_to_region(partition, Some(epoch)).await {
             return;
         }
-        let may_claim = self.contact.no_failure_for(STEADY)
+        let may_claim = self.log_health.no_failure_for(STEADY)
             && self.reaches(partition).await
-            && (self.contact.no_failure_for(SETTLED) || !self.owner_answers(partition).await);
+            && (self.log_health.no_failure_for(SETTLED) || !self.owner_answers(partition).await);
         if may_claim {
             self.replace(partition, Some(epoch)).await;
         } else if !self.learn_from_peers(partition, Some(epoch)).await {
@@ -283,7 +283,7 @@
             let _ = timeout(CHANGE_WAIT, self.owner.claims.changed.notified()).await;
             return;
         }
-        if self.contact.is_failing() && self.learn_from_peers(partition, epoch).await {
+        if self.log_health.is_failing() && self.learn_from_peers(partition, epoch).await {
             return;
         }
         if self.reach.get() == Reach::CutOff
@@ -292,7 +292,7 @@
         {
             return;
         }
-        if self.contact.is_failing() || !self.claiming.borrow_mut().insert(partition) {
+        if self.log_health.is_failing() || !self.claiming.borrow_mut().insert(partition) {
             let _ = timeout(CHANGE_WAIT, self.owner.claims.changed.notified()).await;
             return;
         }
--- a/crates/gateway/src/serve/turn_open.rs
+++ b/crates/gateway/src/serve/turn_open.rs
@@ -166,7 +166,7 @@
         request = context.meta.id,
         program = context.meta.program,
         cause,
-        log_age_ms = context.daemon.ledger.contact.ms_since_answer()
+        log_age_ms = context.daemon.ledger.log_health.ms_since_answer()
     );
     Err(TurnRefusal::Unavailable)
 }
--- a/crates/gateway/src/store_exchange.rs
+++ b/crates/gateway/src/store_exchange.rs
@@ -50,16 +50,16 @@
 /// Connections that wait for calls.
 pub struct StoreConnections {
     address: SocketAddr,
-    contact: Rc<LogHealth>,
+    log_health: Rc<LogHealth>,
     idle: RefCell<Vec<Connection>>,
 }
 
 impl StoreConnections {
     /// Connections to an address.
-    pub fn new(address: SocketAddr, contact: Rc<LogHealth>) -> Self {
+    pub fn new(address: SocketAddr, log_health: Rc<LogHealth>) -> Self {
         Self {
             address,
-            contact,
+            log_health,
             idle: RefCell::default(),
         }
     }
@@ -72,7 +72,7 @@
         let mut connection = match self.connection().await {
             Ok(connection) => connection,
             Err(_) => {
-                self.contact.record_failure();
+                self.log_health.record_failure();
                 return Err(StoreError::NotDone);
             }
         };
@@ -85,12 +85,12 @@
                 Ok(answer)
             }
             Ok(Err(error)) => {
-                self.contact.record_failure();
+                self.log_health.record_failure();
                 self.idle.borrow_mut().clear();
                 Err(error)
             }
             Err(_) => {
-                self.contact.record_failure();
+                self.log_health.record_failure();
                 // Where one connection fell silent, others may have: the next call is not
                 // to wait for that as well.
                 self.idle.borrow_mut().clear();
@@ -102,9 +102,9 @@
     /// A service that is busy answers, but does not serve.
     fn note(&self, answer: &StoreAnswer) {
         if answer.status == 503 {
-            self.contact.record_failure();
+            self.log_health.record_failure();
         } else {
-            self.contact.record_answer();
+            self.log_health.record_answer();
         }
     }
 
--- a/crates/gateway/tests/gateway/evacuation.rs
+++ b/crates/gateway/tests/gateway/evacuation.rs
@@ -271,7 +271,7 @@
         let cut = zones.gateway("g2", "z1").await;
         sleep(Duration::from_millis(100)).await;
         cut.store.set_fault(LogFault::Silent);
-        cut.daemon.contact.record_failure();
+        cut.daemon.log_health.record_failure();
         for is_evacuated in [true, false, true] {
             match is_evacuated {
                 true => zones.close("z1").await,
--- a/crates/gateway/tests/gateway/ownership.rs
+++ b/crates/gateway/tests/gateway/ownership.rs
@@ -117,7 +117,7 @@
         cut.wait_ready(1).await;
         sleep(Duration::from_millis(100)).await;
         cut.store.set_fault(LogFault::Silent);
-        cut.daemon.contact.record_failure();
+        cut.daemon.log_health.record_failure();
         // The partition moves twice, once with its old owner still there to say so.
         fieldhook_gateway::drain::run(owner.daemon.clone()).await;
         assert_eq!(turn(&other, "t2", Some("t1")).await, (200, true));
@@ -142,9 +142,9 @@
 /// A gateway whose calls to the log are not answered, and that has noticed.
 async fn cut_off(gateway: &Gateway) {
     gateway.store.set_fault(LogFault::Silent);
-    gateway.daemon.contact.record_failure();
+    gateway.daemon.log_health.record_failure();
     sleep(Duration::from_millis(850)).await;
-    gateway.daemon.contact.record_failure();
+    gateway.daemon.log_health.record_failure();
 }
 
 #[test]
@@ -154,10 +154,10 @@
         let world = World::new().await;
         let (owner, other) = two_gateways(&world, &server).await;
         // The log in memory leaves no trace in a gateway's contact.
-        let contact = other.daemon.contact.clone();
+        let log_health = other.daemon.log_health.clone();
         ntex::rt::spawn(async move {
             loop {
-                contact.record_answer();
+                log_health.record_answer();
                 sleep(Duration::from_millis(100)).await;
             }
         });
@@ -201,10 +201,10 @@
         let world = World::new().await;
         let (owner, other) = two_gateways(&world, &server).await;
         assert!(matches!(quota_reply(&owner).await, LedgerReply::Quota(_)));
-        let contact = other.daemon.contact.clone();
+        let log_health = other.daemon.log_health.clone();
         ntex::rt::spawn(async move {
             loop {
-                contact.record_answer();
+                log_health.record_answer();
                 sleep(Duration::from_millis(100)).await;
             }
         });
--- a/crates/gateway/tests/gateway/support/world.rs
+++ b/crates/gateway/tests/gateway/support/world.rs
@@ -268,7 +268,7 @@
                 evacuation_prefix: b"closed/".to_vec(),
                 servers: SERVERS.to_owned(),
             },
-            contact: Rc::new(LogHealth::default()),
+            log_health: Rc::new(LogHealth::default()),
             metrics: Rc::new(Metrics::default()),
         };
         let daemon = Daemon::new(settings, adapter);
--- a/crates/gateway/tests/gateway/tenants.rs
+++ b/crates/gateway/tests/gateway/tenants.rs
@@ -205,7 +205,7 @@
         cut.wait_ready(1).await;
         sleep(Duration::from_millis(100)).await;
         cut.store.set_fault(LogFault::Silent);
-        cut.daemon.contact.record_failure();
+        cut.daemon.log_health.record_failure();
         world.publish(1).await;
         wait_version(&owner, 2).await;
         let waited = tokio::time::timeout(Duration::from_secs(6), wait_version(&cut, 2));
--- a/crates/gateway/tests/gateway/unreadable_partitions.rs
+++ b/crates/gateway/tests/gateway/unreadable_partitions.rs
@@ -102,17 +102,17 @@
         let other = world.gateway("g2").await;
         other.wait_ready(1).await;
         // The in-memory log does not update the contact state of a gateway.
-        let contact = other.daemon.contact.clone();
+        let log_health = other.daemon.log_health.clone();
         ntex::rt::spawn(async move {
             loop {
-                contact.record_answer();
+                log_health.record_answer();
                 sleep(Duration::from_millis(100)).await;
             }
         });
         isolated.store.set_fault(LogFault::Silent);
-        isolated.daemon.contact.record_failure();
+        isolated.daemon.log_health.record_failure();
         sleep(Duration::from_millis(850)).await;
-        isolated.daemon.contact.record_failure();
+        isolated.daemon.log_health.record_failure();
         let outcome = ask_until_served(&other, "p").await;
         assert!(outcome.is_ok(), "{outcome:?}");
     });
