--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -34,11 +34,11 @@
 
 /// How far a planned stop is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Stopping {
+pub enum ShutdownPhase {
     /// None is under way.
-    No,
+    Running,
     /// Clients are told to go elsewhere; what they still send is served.
-    Leaving,
+    Draining,
     /// What comes now could not be finished: it is refused.
     Refusing,
 }
@@ -90,10 +90,10 @@
     /// Open connections of clients.
     pub client_connections: Cell<u32>,
     /// How far a planned stop is.
-    pub stopping: watch::Sender<Stopping>,
+    pub shutdown: watch::Sender<ShutdownPhase>,
     /// The platform sends new connections elsewhere by now: idle ones are closed, so that
     /// their clients come there as well.
-    pub away: watch::Sender<bool>,
+    pub close_idle: watch::Sender<bool>,
     started: Instant,
 }
 
@@ -169,8 +169,8 @@
             metrics: adapter.metrics,
             in_flight: Cell::new(0),
             client_connections: Cell::new(0),
-            stopping: watch::Sender::new(Stopping::No),
-            away: watch::Sender::new(false),
+            shutdown: watch::Sender::new(ShutdownPhase::Running),
+            close_idle: watch::Sender::new(false),
             started: Instant::now(),
         })
     }
@@ -196,9 +196,9 @@
 
     /// Whether nothing may be sent to servers before what is known of evacuations is
     /// confirmed.
-    pub fn is_doubtful(&self) -> bool {
+    pub fn is_evacuation_state_stale(&self) -> bool {
         let is_isolated = self.ledger.reach.get() == Reach::Isolated;
-        self.places.is_doubtful(self.word_age_ms(), is_isolated)
+        self.places.is_evacuation_state_stale(self.word_age_ms(), is_isolated)
     }
 
     /// Time since the operator's word as it is known was seen to be the newest, in
@@ -217,19 +217,19 @@
 
     /// Whether a planned stop is under way.
     pub fn is_stopping(&self) -> bool {
-        *self.stopping.borrow() != Stopping::No
+        *self.shutdown.borrow() != ShutdownPhase::Running
     }
 
     /// Whether each answer ends its connection, so that the client's next one goes to a daemon
     /// that can do more for it.
-    pub fn sends_away(&self) -> bool {
+    pub fn closes_connections(&self) -> bool {
         let alone = matches!(self.ledger.reach.get(), Reach::Minority | Reach::Isolated);
         self.is_stopping() || alone
     }
 
     /// Whether requests that come now are refused.
     pub fn is_refusing(&self) -> bool {
-        *self.stopping.borrow() == Stopping::Refusing
+        *self.shutdown.borrow() == ShutdownPhase::Refusing
     }
 
     /// Starts all tasks. `dropped` counts log lines that were dropped.
--- a/crates/gateway/src/drain.rs
+++ b/crates/gateway/src/drain.rs
@@ -1,6 +1,6 @@
 //! The planned stop: no new clients, partitions handed over, requests finished.
 
-use crate::daemon::{Daemon, Stopping};
+use crate::daemon::{Daemon, ShutdownPhase};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
@@ -23,14 +23,14 @@
         in_flight = daemon.in_flight.get(),
         connections = daemon.client_connections.get()
     );
-    let _ = daemon.stopping.send(Stopping::Leaving);
+    let _ = daemon.shutdown.send(ShutdownPhase::Draining);
     daemon.relay.stop_answering();
     let owner = daemon.owner.clone();
     ntex::rt::spawn(async move { owner.release().await });
     let refuse_at = started + Duration::from_millis(daemon.settings.grace_ms).mul_f64(REFUSE_SHARE);
     while Instant::now() < latest {
         if Instant::now() >= refuse_at && !daemon.is_refusing() {
-            let _ = daemon.stopping.send(Stopping::Refusing);
+            let _ = daemon.shutdown.send(ShutdownPhase::Refusing);
         }
         let idle = daemon.in_flight.get() == 0 && daemon.client_connections.get() == 0;
         let ends_told = daemon.ledger.pending_closes.get() == 0;
--- a/crates/gateway/src/follow/config.rs
+++ b/crates/gateway/src/follow/config.rs
@@ -97,9 +97,9 @@
     loop {
         sleep(PEER_PERIOD).await;
         let is_outage = daemon.ledger.reach.get() == Reach::Outage;
-        let is_doubtful = daemon.is_doubtful();
+        let is_evacuation_state_stale = daemon.is_evacuation_state_stale();
         let may_be_behind = daemon.log_health.is_failing() && !is_outage;
-        if !may_be_behind && !is_doubtful {
+        if !may_be_behind && !is_evacuation_state_stale {
             continue;
         }
         let version = daemon.owner.config.version();
--- a/crates/gateway/src/ledger/reach.rs
+++ b/crates/gateway/src/ledger/reach.rs
@@ -29,7 +29,7 @@
         sleep(PERIOD).await;
         let away = ledger.reach.get() == Reach::Minority && changed.elapsed() >= AWAY_AFTER;
         daemon
-            .away
+            .close_idle
             .send_if_modified(|now| std::mem::replace(now, away) != away);
         let round = match ledger.log_health.is_lost() {
             true => ledger.ask_who_reaches_log().await,
--- a/crates/gateway/src/places.rs
+++ b/crates/gateway/src/places.rs
@@ -152,7 +152,7 @@
     }
 
     /// Whether what is known is too old to send anything by it.
-    pub fn is_doubtful(&self, age_ms: u64, is_isolated: bool) -> bool {
+    pub fn is_evacuation_state_stale(&self, age_ms: u64, is_isolated: bool) -> bool {
         let now_ms = self.now_ms();
         let belief = self.belief.borrow();
         belief.is_doubtful(now_ms, age_ms, is_isolated)
--- a/crates/gateway/src/serve/buffered.rs
+++ b/crates/gateway/src/serve/buffered.rs
@@ -167,7 +167,7 @@
     let mut headers = head.headers.clone();
     headers.remove_connection_fields();
     headers.remove("content-length");
-    let close = context.daemon.sends_away();
+    let close = context.daemon.closes_connections();
     response_head(head.status, &head.reason, &headers, body, close)
 }
 
--- a/crates/gateway/src/serve/connection.rs
+++ b/crates/gateway/src/serve/connection.rs
@@ -4,7 +4,7 @@
 use super::reader::{ClientReader, ClientRequest, ReadFailure};
 use super::request::{self, ConnectionAction};
 use super::writer::ClientWriter;
-use crate::daemon::{Daemon, Stopping};
+use crate::daemon::{Daemon, ShutdownPhase};
 use crate::http::head::HeadError;
 use fieldhook_traffic::config::Limits;
 use std::rc::Rc;
@@ -88,14 +88,14 @@
 /// Waits for the next request; returns false if the connection should be closed.
 async fn wait_for_request(daemon: &Daemon, reader: &mut ClientReader) -> bool {
     let idle_timeout = Duration::from_millis(current_limits(daemon).idle_timeout_ms);
-    let mut stopping = daemon.stopping.subscribe();
-    let mut away = daemon.away.subscribe();
+    let mut stopping = daemon.shutdown.subscribe();
+    let mut away = daemon.close_idle.subscribe();
     tokio::select! {
         // A request that has already arrived takes precedence.
         biased;
         received = reader.wait_first_byte(idle_timeout) => received.is_ok(),
         () = async {
-            let _ = stopping.wait_for(|stopping| *stopping != Stopping::No).await;
+            let _ = stopping.wait_for(|stopping| *stopping != ShutdownPhase::Running).await;
             sleep(STOPPING_IDLE_TIMEOUT).await;
         } => false,
         _ = away.wait_for(|away| *away) => false,
@@ -131,7 +131,7 @@
     };
     drop(request_guard);
     match action {
-        ConnectionAction::KeepOpen if !keep_alive || daemon.sends_away() => ConnectionAction::Close,
+        ConnectionAction::KeepOpen if !keep_alive || daemon.closes_connections() => ConnectionAction::Close,
         action => action,
     }
 }
--- a/crates/gateway/src/serve/listener.rs
+++ b/crates/gateway/src/serve/listener.rs
@@ -1,7 +1,7 @@
 //! Accepts client connections.
 
 use super::connection;
-use crate::daemon::{Daemon, Stopping};
+use crate::daemon::{Daemon, ShutdownPhase};
 use crate::upstream::connection::configure_socket;
 use std::io;
 use std::rc::Rc;
@@ -19,12 +19,12 @@
 pub async fn listen(daemon: Rc<Daemon>) -> io::Result<()> {
     let listener = TcpListener::bind(daemon.settings.clients).await?;
     ntex::rt::spawn(async move {
-        let mut stopping = daemon.stopping.subscribe();
+        let mut stopping = daemon.shutdown.subscribe();
         loop {
             let accepted = tokio::select! {
                 accepted = listener.accept() => accepted,
                 // Closing the listener makes clients connect to another daemon at once.
-                _ = stopping.wait_for(|stopping| *stopping == Stopping::Refusing) => return,
+                _ = stopping.wait_for(|stopping| *stopping == ShutdownPhase::Refusing) => return,
             };
             match accepted {
                 Ok((stream, _)) => {
--- a/crates/gateway/src/serve/local_response.rs
+++ b/crates/gateway/src/serve/local_response.rs
@@ -70,7 +70,7 @@
     ) -> io::Result<()> {
         let headers = daemon.dialect.local_response_headers(request_id, self.retry_after_ms);
         let body = self.message.as_bytes();
-        let close = self.close || daemon.sends_away();
+        let close = self.close || daemon.closes_connections();
         let mut bytes = response_head(
             self.status,
             reason(self.status),
--- a/crates/gateway/src/serve/send_check.rs
+++ b/crates/gateway/src/serve/send_check.rs
@@ -24,7 +24,7 @@
 pub async fn wait_for_evacuation_state(context: &RequestContext) -> Result<(), DispatchFailure> {
     let daemon = &context.daemon;
     let deadline = Instant::now() + CONFIRM_TIMEOUT;
-    while daemon.is_doubtful() {
+    while daemon.is_evacuation_state_stale() {
         if Instant::now() >= deadline {
             tracing::info!(
                 event = "evacuations_uncertain",
@@ -57,7 +57,7 @@
         "zone_evacuated"
     } else if !is_in_home_region(context, server) {
         "homes_narrowed"
-    } else if daemon.is_doubtful() {
+    } else if daemon.is_evacuation_state_stale() {
         "evacuations_uncertain"
     } else {
         return Ok(());
--- a/crates/gateway/src/serve/stream.rs
+++ b/crates/gateway/src/serve/stream.rs
@@ -260,7 +260,7 @@
     let mut headers = head.headers.clone();
     headers.remove_connection_fields();
     headers.remove("content-length");
-    let close = context.daemon.sends_away();
+    let close = context.daemon.closes_connections();
     response_head(
         head.status,
         &head.reason,
--- a/crates/gateway/tests/gateway/keep_alive.rs
+++ b/crates/gateway/tests/gateway/keep_alive.rs
@@ -2,7 +2,7 @@
 //! connection in the meantime.
 
 use crate::support::{Act, Gateway, Server, World, run};
-use fieldhook_gateway::daemon::Stopping;
+use fieldhook_gateway::daemon::ShutdownPhase;
 use fieldhook_gateway::settings::SlowPeers;
 use fieldhook_traffic::room::Purpose;
 use std::time::Duration;
@@ -99,10 +99,10 @@
 fn answered_during_a_planned_stop() {
     run(async {
         assert_answered_during(World::new().await, |gateway, write| async move {
-            let _ = gateway.daemon.stopping.send(Stopping::Leaving);
+            let _ = gateway.daemon.shutdown.send(ShutdownPhase::Draining);
             sleep(ms(100)).await;
-            let _ = gateway.daemon.stopping.send(Stopping::Refusing);
-            let _ = gateway.daemon.away.send(true);
+            let _ = gateway.daemon.shutdown.send(ShutdownPhase::Refusing);
+            let _ = gateway.daemon.close_idle.send(true);
             sleep(ms(500)).await;
             drop(write);
         })
