--- a/crates/gateway/src/memory.rs
+++ b/crates/gateway/src/memory.rs
@@ -12,7 +12,7 @@
 
 /// More would be held than may be; come back once slow peers have taken theirs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NoRoom;
+pub struct MemoryExhausted;
 
 /// What is held for all peers.
 pub struct Memory {
@@ -20,16 +20,16 @@
     pub bounds: SlowPeers,
     room: RefCell<Room>,
     /// Told to those who have to give up what they hold.
-    giving_up: RefCell<HashMap<Id, Rc<Notify>>>,
+    evicted: RefCell<HashMap<Id, Rc<Notify>>>,
     metrics: Rc<Metrics>,
     started: Instant,
 }
 
 /// What is held for one peer, until it is dropped.
-pub struct Held {
+pub struct MemoryAccount {
     memory: Rc<Memory>,
     id: Id,
-    giving_up: Rc<Notify>,
+    evicted: Rc<Notify>,
 }
 
 impl Memory {
@@ -38,7 +38,7 @@
         Self {
             bounds,
             room: RefCell::new(Room::new(bounds.held_bytes)),
-            giving_up: RefCell::default(),
+            evicted: RefCell::default(),
             metrics,
             started: Instant::now(),
         }
@@ -50,14 +50,14 @@
     }
 
     /// An account that holds nothing yet.
-    pub fn open(self: &Rc<Self>, purpose: Purpose) -> Held {
+    pub fn open(self: &Rc<Self>, purpose: Purpose) -> MemoryAccount {
         let id = self.room.borrow_mut().open(purpose, self.now_ms());
-        let giving_up = Rc::new(Notify::new());
-        self.giving_up.borrow_mut().insert(id, giving_up.clone());
-        Held {
+        let evicted = Rc::new(Notify::new());
+        self.evicted.borrow_mut().insert(id, evicted.clone());
+        MemoryAccount {
             memory: self.clone(),
             id,
-            giving_up,
+            evicted,
         }
     }
 
@@ -65,31 +65,31 @@
         self.started.elapsed().as_millis() as u64
     }
 
-    fn tell(&self) {
+    fn update_gauge(&self) {
         self.metrics.held_bytes.set(self.held() as i64);
     }
 
-    fn note(&self, outcome: &str) {
+    fn count_outcome(&self, outcome: &str) {
         let counter = &self.metrics.held_outcomes;
         counter.with_label_values(&[outcome]).inc();
     }
 
-    fn give_up(&self, ids: &[Id]) {
+    fn evict(&self, ids: &[Id]) {
         for id in ids {
-            self.note("given_up");
-            if let Some(giving_up) = self.giving_up.borrow().get(id) {
-                giving_up.notify_one();
+            self.count_outcome("given_up");
+            if let Some(evicted) = self.evicted.borrow().get(id) {
+                evicted.notify_one();
             }
         }
     }
 }
 
-impl Held {
+impl MemoryAccount {
     /// So many bytes more are held.
     ///
     /// # Errors
     /// There is no room for them.
-    pub fn grow(&self, bytes: usize) -> Result<(), NoRoom> {
+    pub fn grow(&self, bytes: usize) -> Result<(), MemoryExhausted> {
         let now_ms = self.memory.now_ms();
         let verdict = self
             .memory
@@ -98,13 +98,13 @@
             .grow(self.id, bytes as u64, now_ms);
         match verdict {
             Verdict::Granted => {}
-            Verdict::GrantedFor(others) => self.memory.give_up(&others),
+            Verdict::GrantedFor(others) => self.memory.evict(&others),
             Verdict::Refused => {
-                self.memory.note("refused");
-                return Err(NoRoom);
+                self.memory.count_outcome("refused");
+                return Err(MemoryExhausted);
             }
         }
-        self.memory.tell();
+        self.memory.update_gauge();
         Ok(())
     }
 
@@ -114,23 +114,23 @@
         let mut room = self.memory.room.borrow_mut();
         room.shrink(self.id, bytes as u64, now_ms);
         drop(room);
-        self.memory.tell();
+        self.memory.update_gauge();
     }
 
     /// From now on the client takes what is held.
-    pub fn hand_out(&self) {
+    pub fn start_delivery(&self) {
         let now_ms = self.memory.now_ms();
         self.memory.room.borrow_mut().hand_out(self.id, now_ms);
     }
 
     /// Ends once this has to be given up for others.
-    pub async fn given_up(&self) {
-        self.giving_up.notified().await;
+    pub async fn evicted(&self) {
+        self.evicted.notified().await;
     }
 
     /// The peer has taken nothing for so long that nobody waits for it any more.
-    pub fn note_stalled(&self) {
-        self.memory.note("stalled");
+    pub fn record_stall(&self) {
+        self.memory.count_outcome("stalled");
     }
 
     /// How much may be held, and for how long.
@@ -139,10 +139,10 @@
     }
 }
 
-impl Drop for Held {
+impl Drop for MemoryAccount {
     fn drop(&mut self) {
         self.memory.room.borrow_mut().close(self.id);
-        self.memory.giving_up.borrow_mut().remove(&self.id);
-        self.memory.tell();
+        self.memory.evicted.borrow_mut().remove(&self.id);
+        self.memory.update_gauge();
     }
 }
--- a/crates/gateway/src/serve/buffered.rs
+++ b/crates/gateway/src/serve/buffered.rs
@@ -10,7 +10,7 @@
 use super::writer::ClientWriter;
 use crate::http::body::{Framing, Piece};
 use crate::http::write::{LAST_CHUNK, ResponseFraming, chunk, response_head};
-use crate::memory::Held;
+use crate::memory::MemoryAccount;
 use crate::upstream::connection::ExchangeError;
 use bytes::{Bytes, BytesMut};
 use fieldhook_traffic::attempt::AttemptFailure;
@@ -24,7 +24,7 @@
     /// Response body.
     pub body: Bytes,
     /// Accounts for the memory of the body.
-    pub held: Held,
+    pub held: MemoryAccount,
 }
 
 /// A response that is too large to buffer.
@@ -32,7 +32,7 @@
     attempt: Attempt,
     /// Part of the body received so far.
     received: BytesMut,
-    held: Held,
+    held: MemoryAccount,
 }
 
 /// A response that was read completely or in part.
--- a/crates/gateway/src/serve/reader.rs
+++ b/crates/gateway/src/serve/reader.rs
@@ -3,7 +3,7 @@
 use super::writer::ClientWriter;
 use crate::http::body::{BodyDecoder, Framing, Piece};
 use crate::http::head::{HeadError, RequestHead, decode_request_head};
-use crate::memory::{Held, Memory, NoRoom};
+use crate::memory::{MemoryAccount, Memory, MemoryExhausted};
 use bytes::{Bytes, BytesMut};
 use fieldhook_traffic::config::Limits;
 use fieldhook_traffic::room::Purpose;
@@ -30,7 +30,7 @@
     /// When the first byte was received.
     pub started: Instant,
     /// Accounts for the memory of the request.
-    pub held: Held,
+    pub held: MemoryAccount,
 }
 
 /// Why no request was read.
@@ -50,8 +50,8 @@
     NoRoom,
 }
 
-impl From<NoRoom> for ReadFailure {
-    fn from(_: NoRoom) -> Self {
+impl From<MemoryExhausted> for ReadFailure {
+    fn from(_: MemoryExhausted) -> Self {
         Self::NoRoom
     }
 }
--- a/crates/gateway/src/serve/request.rs
+++ b/crates/gateway/src/serve/request.rs
@@ -10,7 +10,7 @@
 use crate::daemon::Daemon;
 use crate::dialect::RequestMeta;
 use crate::http::headers::Headers;
-use crate::memory::Held;
+use crate::memory::MemoryAccount;
 use bytes::Bytes;
 use fieldhook_log::reach::Reach;
 use fieldhook_topology::region;
@@ -72,7 +72,7 @@
     /// Server that the request was last sent to.
     pub last_server: Rc<RefCell<Option<String>>>,
     /// Accounts for the memory of the request.
-    pub held: Held,
+    pub held: MemoryAccount,
     /// When the first byte arrived.
     pub started: Instant,
     /// When the response must be complete.
--- a/crates/gateway/src/serve/writer.rs
+++ b/crates/gateway/src/serve/writer.rs
@@ -2,7 +2,7 @@
 //! limit. Until the limit is reached the server is read at its own speed, and from then on at the
 //! speed of the client.
 
-use crate::memory::{Held, Memory};
+use crate::memory::{MemoryAccount, Memory};
 use bytes::{Buf, BytesMut};
 use fieldhook_traffic::room::Purpose;
 use std::io;
@@ -19,7 +19,7 @@
     /// Data that the client has not accepted yet.
     backlog: BytesMut,
     /// Accounts for the memory of the backlog.
-    held: Held,
+    held: MemoryAccount,
     /// When the client last accepted data, or when data first became available for it.
     last_progress: Instant,
     /// Id of the request being answered, for log lines.
@@ -83,9 +83,9 @@
     ///
     /// # Errors
     /// The client closed the connection or does not read.
-    pub async fn write_held(&mut self, bytes: &[u8], held: &Held) -> io::Result<()> {
+    pub async fn write_held(&mut self, bytes: &[u8], held: &MemoryAccount) -> io::Result<()> {
         self.flush().await?;
-        held.hand_out();
+        held.start_delivery();
         let written = write_all(&mut self.half, bytes, held, &mut self.last_progress).await;
         written.inspect_err(|error| self.log_if_stalled(error))
     }
@@ -160,7 +160,7 @@
 async fn write_all(
     half: &mut OwnedWriteHalf,
     mut bytes: &[u8],
-    held: &Held,
+    held: &MemoryAccount,
     last_progress: &mut Instant,
 ) -> io::Result<()> {
     *last_progress = Instant::now();
@@ -178,7 +178,7 @@
 async fn write_some(
     half: &mut OwnedWriteHalf,
     bytes: &[u8],
-    held: &Held,
+    held: &MemoryAccount,
     last_progress: Instant,
 ) -> io::Result<usize> {
     let stall = Duration::from_millis(held.bounds().stall_ms);
@@ -188,9 +188,9 @@
             Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
             written => return written,
         },
-        () = held.given_up() => "the client reads nothing and its memory is needed for other peers",
+        () = held.evicted() => "the client reads nothing and its memory is needed for other peers",
         () = sleep_until(last_progress + stall) => {
-            held.note_stalled();
+            held.record_stall();
             "the client has read nothing for too long"
         }
     };
