--- a/crates/gateway/src/cold.rs
+++ b/crates/gateway/src/cold.rs
@@ -18,7 +18,7 @@
     services: RefCell<HashMap<String, Cold>>,
     version: Cell<u64>,
     /// Servers that were said to be cold: each is said once.
-    said: RefCell<HashSet<String>>,
+    logged: RefCell<HashSet<String>>,
     started: Instant,
 }
 
@@ -31,7 +31,7 @@
             denials: RefCell::default(),
             services: RefCell::default(),
             version: Cell::new(0),
-            said: RefCell::default(),
+            logged: RefCell::default(),
             started: Instant::now(),
         }
     }
@@ -54,7 +54,7 @@
     }
 
     /// What a server bears, if it is cold now.
-    pub fn cold(&self, server: &ServerEntry) -> Option<Cold> {
+    pub fn cold_limits(&self, server: &ServerEntry) -> Option<Cold> {
         let services = self.services.borrow();
         let cold = services.get(&server.service)?;
         self.cause(server, cold).map(|_| *cold)
@@ -73,78 +73,78 @@
     }
 
     /// Time until a cold server may have a place, in milliseconds, where it has none now.
-    pub fn denied_ms(&self, id: &str) -> Option<u64> {
+    pub fn denial_wait_ms(&self, id: &str) -> Option<u64> {
         self.denials.borrow().wait_ms(id, self.now_ms())
     }
 
     /// Cold servers that have no place now, and the time until they may have one, in
     /// milliseconds.
-    pub fn denied(&self) -> Vec<(Rc<str>, u64)> {
+    pub fn denied_servers(&self) -> Vec<(Rc<str>, u64)> {
         let now_ms = self.now_ms();
         let denials = self.denials.borrow();
         denials.all(now_ms).collect()
     }
 
     /// A cold server has no place for so long.
-    pub fn deny(&self, id: &str, retry_after_ms: u64) {
+    pub fn record_denial(&self, id: &str, retry_after_ms: u64) {
         let now_ms = self.now_ms();
         self.denials.borrow_mut().denied(id, retry_after_ms, now_ms);
     }
 
     /// Takes in a record of a server.
-    pub fn told(&self, server: &ServerEntry) {
+    pub fn record_report(&self, server: &ServerEntry) {
         let now_ms = self.now_ms();
         self.servers
             .borrow_mut()
             .told(&server.id, server.cold_ms, now_ms);
-        self.say(server);
+        self.log_cold(server);
     }
 
     /// The servers that existed at the start of this daemon are known.
-    pub fn listed(&self) {
+    pub fn finish_initial_listing(&self) {
         self.servers.borrow_mut().listed();
     }
 
     /// A server is gone from discovery.
-    pub fn forget(&self, id: &str) {
+    pub fn remove(&self, id: &str) {
         self.servers.borrow_mut().forget(id);
-        self.said.borrow_mut().remove(id);
+        self.logged.borrow_mut().remove(id);
     }
 
     /// No connection to a server came about.
-    pub fn unreachable(&self, server: &ServerEntry) {
+    pub fn record_unreachable(&self, server: &ServerEntry) {
         self.servers.borrow_mut().unreachable(&server.id);
-        self.say(server);
+        self.log_cold(server);
     }
 
     /// A connection to a server came about.
-    pub fn reached(&self, server: &ServerEntry) {
+    pub fn record_reachable(&self, server: &ServerEntry) {
         let now_ms = self.now_ms();
         if self.servers.borrow_mut().reached(&server.id, now_ms) {
-            self.say(server);
+            self.log_cold(server);
         }
     }
 
     /// A server broke off at once what was sent to it.
-    pub fn reset(&self, server: &ServerEntry) {
+    pub fn record_reset(&self, server: &ServerEntry) {
         let now_ms = self.now_ms();
         self.servers.borrow_mut().reset(&server.id, now_ms);
-        self.say(server);
+        self.log_cold(server);
     }
 
     /// How many servers are cold now. Those that are not any more are said again
     /// when they become so.
-    pub fn count(&self, directory: &Directory) -> usize {
+    pub fn count_cold(&self, directory: &Directory) -> usize {
         if self.services.borrow().is_empty() {
             return 0;
         }
-        let mut said = self.said.borrow_mut();
+        let mut logged = self.logged.borrow_mut();
         let mut count = 0;
         for server in directory.entries() {
-            match self.cold(server) {
+            match self.cold_limits(server) {
                 Some(_) => count += 1,
                 None => {
-                    said.remove(&server.id);
+                    logged.remove(&server.id);
                 }
             }
         }
@@ -152,7 +152,7 @@
     }
 
     /// Writes that a server is cold, once for each time.
-    fn say(&self, server: &ServerEntry) {
+    fn log_cold(&self, server: &ServerEntry) {
         let services = self.services.borrow();
         let Some(cold) = services.get(&server.service) else {
             return;
@@ -160,7 +160,7 @@
         let Some((cause, left_ms)) = self.cause(server, cold) else {
             return;
         };
-        if self.said.borrow_mut().insert(server.id.clone()) {
+        if self.logged.borrow_mut().insert(server.id.clone()) {
             tracing::info!(
                 event = "server_cold",
                 server = server.id,
--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -280,7 +280,7 @@
         daemon
             .pools
             .sweep(&|id| directory.takes_work(id), daemon.now_ms());
-        let cold = daemon.cold.count(&directory);
+        let cold = daemon.cold.count_cold(&directory);
         daemon.metrics.cold_servers.set(cold as i64);
     }
 }
--- a/crates/gateway/src/follow/servers.rs
+++ b/crates/gateway/src/follow/servers.rs
@@ -55,11 +55,11 @@
         .borrow_mut()
         .retain(&|name| listed.contains(name), end);
     for id in gone {
-        daemon.cold.forget(&id);
+        daemon.cold.remove(&id);
         changes.gone(&id, "not listed", end);
     }
     changes.take_all(records);
-    daemon.cold.listed();
+    daemon.cold.finish_initial_listing();
     daemon.servers_listed.set(true);
     tracing::info!(event = "servers_listed", listed = records.len(), end);
 }
@@ -124,9 +124,9 @@
         if !is_in_force {
             return;
         }
-        daemon.cold.told(&told);
+        daemon.cold.record_report(&told);
         if let Some(former) = former.filter(|_| change == DirectoryChange::Restarted) {
-            daemon.cold.forget(&former);
+            daemon.cold.remove(&former);
             tracing::info!(event = "server_restarted", server = id, former, offset);
         }
         if change != DirectoryChange::Unchanged {
@@ -156,7 +156,7 @@
     fn remove(&mut self, name: &str, offset: u64, cause: &'static str) {
         let removed = self.daemon.directory.borrow_mut().remove(name, offset);
         if let Some(id) = removed {
-            self.daemon.cold.forget(&id);
+            self.daemon.cold.remove(&id);
             self.gone(&id, cause, offset);
         }
     }
--- a/crates/gateway/src/ledger/assigner.rs
+++ b/crates/gateway/src/ledger/assigner.rs
@@ -174,7 +174,7 @@
     fn limit_cold(&self, engines: &mut [Engine<'_>], directory: &Directory) {
         for engine in engines {
             let entry = directory.entry(engine.id);
-            let cold = entry.and_then(|entry| self.cold.cold(entry));
+            let cold = entry.and_then(|entry| self.cold.cold_limits(entry));
             if let Some(cold) = cold {
                 engine.is_cold = true;
                 engine.slots = engine.slots.min(cold::slots(&cold));
--- a/crates/gateway/src/serve/cold.rs
+++ b/crates/gateway/src/serve/cold.rs
@@ -56,7 +56,7 @@
         age_ms = context.age_ms()
     );
     if let Some(wait_ms) = wait_ms {
-        daemon.cold.deny(&server.id, wait_ms);
+        daemon.cold.record_denial(&server.id, wait_ms);
     }
     wait_ms.is_none()
 }
@@ -67,7 +67,7 @@
     let daemon = &context.daemon;
     let service = context.service()?;
     let directory = daemon.directory.borrow();
-    let denied = daemon.cold.denied();
+    let denied = daemon.cold.denied_servers();
     daemon
         .places
         .with_rule(&context.homes, &daemon.places.zone, |rule| {
--- a/crates/gateway/src/serve/dispatch.rs
+++ b/crates/gateway/src/serve/dispatch.rs
@@ -50,7 +50,7 @@
         let in_flight = context.daemon.pools.start_request(&server.id);
         let connection = connect(context, &server).await?;
         history.stage = Stage::Choosing;
-        if let Some(limits) = context.daemon.cold.cold(&server)
+        if let Some(limits) = context.daemon.cold.cold_limits(&server)
             && !cold::request_permit(context, &server, &limits).await
         {
             // Nothing was sent, so this does not count as an attempt.
@@ -79,7 +79,7 @@
         .await;
     match acquired {
         Ok(connection) => {
-            daemon.cold.reached(server);
+            daemon.cold.record_reachable(server);
             Ok(connection)
         }
         Err(error) => {
@@ -87,7 +87,7 @@
                 probe::record(daemon, server, ProbeOutcome::Unreachable);
             }
             observe(context, server, Observation::Failed, "not_sent");
-            daemon.cold.unreachable(server);
+            daemon.cold.record_unreachable(server);
             tracing::info!(event = "attempt_failed", request = context.meta.id,
                 server = server.id, outcome = "not_sent", %error, age_ms = context.age_ms());
             Err(DispatchFailure::Attempt(AttemptFailure::NotSent))
@@ -139,7 +139,7 @@
                 pools.record_stale(&server.id, daemon.now_ms(), connection.idle_before_use);
             }
             if !stale && sent.elapsed() < EARLY_FAILURE_WITHIN {
-                daemon.cold.reset(&server);
+                daemon.cold.record_reset(&server);
             }
             tracing::info!(
                 event = "attempt_failed",
--- a/crates/gateway/src/serve/selection.rs
+++ b/crates/gateway/src/serve/selection.rs
@@ -67,8 +67,8 @@
     now_ms: u64,
 ) -> Option<Candidate<'a>> {
     let daemon = &context.daemon;
-    let is_cold = daemon.cold.cold(server).is_some();
-    if is_cold && daemon.cold.denied_ms(&server.id).is_some() {
+    let is_cold = daemon.cold.cold_limits(server).is_some();
+    if is_cold && daemon.cold.denial_wait_ms(&server.id).is_some() {
         return None;
     }
     let status = daemon.pools.status(&server.id, &server.zone, now_ms);
--- a/crates/gateway/tests/gateway/cold.rs
+++ b/crates/gateway/tests/gateway/cold.rs
@@ -303,9 +303,9 @@
         let directory = gateways[0].daemon.directory.clone();
         let entry = directory.borrow().entry("s1").cloned().expect("listed");
         let cold = &gateways[0].daemon.cold;
-        assert_eq!(cold.cold(&entry), None);
-        cold.unreachable(&entry);
-        assert!(cold.cold(&entry).is_some());
+        assert_eq!(cold.cold_limits(&entry), None);
+        cold.record_unreachable(&entry);
+        assert!(cold.cold_limits(&entry).is_some());
         let outcomes = flood_all(&gateways, 40, Duration::from_millis(30)).await;
         let served = count(&outcomes, 200);
         let permits = permits(&gateways[0]);
