--- a/crates/gateway/src/cold.rs
+++ b/crates/gateway/src/cold.rs
@@ -1,6 +1,6 @@
 //! What this daemon knows of cold servers (docs/design/cold-servers.md).
 
-use crate::places::Places;
+use crate::zone_state::ZoneState;
 use fieldhook_traffic::cold::{Cause, Denials, Servers};
 use fieldhook_traffic::config::{Cold, TrafficConfig};
 use fieldhook_traffic::directory::{Directory, ServerEntry};
@@ -11,7 +11,7 @@
 
 /// Cold servers as one daemon knows them.
 pub struct ColdServers {
-    places: Rc<Places>,
+    zone_state: Rc<ZoneState>,
     servers: RefCell<Servers>,
     denials: RefCell<Denials>,
     /// What cold servers bear, by service.
@@ -24,9 +24,9 @@
 
 impl ColdServers {
     /// Nothing is known.
-    pub fn new(places: Rc<Places>) -> Self {
+    pub fn new(zone_state: Rc<ZoneState>) -> Self {
         Self {
-            places,
+            zone_state,
             servers: RefCell::default(),
             denials: RefCell::default(),
             services: RefCell::default(),
@@ -67,7 +67,7 @@
             return Some((name(cause), left_ms));
         }
         // Servers of an evacuated zone may have turned cold before it takes part again.
-        let opened_for_ms = self.places.opened_for_ms(&server.zone)?;
+        let opened_for_ms = self.zone_state.ms_since_reopened(&server.zone)?;
         let left_ms = cold.lasts_ms.checked_sub(opened_for_ms)?;
         (left_ms > 0).then_some(("zone_opened", left_ms))
     }
--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -8,7 +8,7 @@
 use crate::ledger::quota::TenantShares;
 use crate::memory::Memory;
 use crate::metrics::Metrics;
-use crate::places::Places;
+use crate::zone_state::ZoneState;
 use crate::relay::{self, Relay};
 use crate::serve::response_times::ResponseTimes;
 use crate::settings::GatewaySettings;
@@ -60,7 +60,7 @@
     /// Told when there are new ones.
     pub routes_changed: Notify,
     /// Zones of the deployment, and which are evacuated.
-    pub places: Rc<Places>,
+    pub zone_state: Rc<ZoneState>,
     /// Servers that are cold.
     pub cold: Rc<ColdServers>,
     /// Whether all servers were read once: before that most requests would find none.
@@ -120,12 +120,12 @@
         let incarnation = fastrand::u64(1..u64::MAX);
         let directory = Rc::new(RefCell::new(Directory::default()));
         let pools = Rc::new(Pools::default());
-        let places = Rc::new(Places::new(&settings));
-        let cold = Rc::new(ColdServers::new(places.clone()));
+        let zone_state = Rc::new(ZoneState::new(&settings));
+        let cold = Rc::new(ColdServers::new(zone_state.clone()));
         let assigner = Assigner::new(
             directory.clone(),
             pools.clone(),
-            places.clone(),
+            zone_state.clone(),
             cold.clone(),
             settings.partitions,
         );
@@ -154,7 +154,7 @@
             log_health: adapter.log_health,
             routes: RefCell::new(None),
             routes_changed: Notify::new(),
-            places,
+            zone_state,
             cold,
             servers_listed: Cell::new(false),
             directory,
@@ -198,7 +198,7 @@
     /// confirmed.
     pub fn is_evacuation_state_stale(&self) -> bool {
         let is_isolated = self.ledger.reach.get() == Reach::Isolated;
-        self.places.is_evacuation_state_stale(self.word_age_ms(), is_isolated)
+        self.zone_state.is_evacuation_state_stale(self.word_age_ms(), is_isolated)
     }
 
     /// Time since the operator's word as it is known was seen to be the newest, in
@@ -291,7 +291,7 @@
 
 async fn watch_stops(daemon: Rc<Daemon>) {
     loop {
-        daemon.places.ran(daemon.word_age_ms());
+        daemon.zone_state.record_run(daemon.word_age_ms());
         tokio::time::sleep(RUN_PERIOD).await;
     }
 }
--- a/crates/gateway/src/follow/config.rs
+++ b/crates/gateway/src/follow/config.rs
@@ -55,7 +55,7 @@
         };
         let listed = take_all(&daemon, &records);
         if is_listing {
-            daemon.places.retain_listed(&listed, follower.position());
+            daemon.zone_state.apply_listing(&listed, follower.position());
         }
     }
 }
@@ -84,7 +84,7 @@
                 continue;
             }
         };
-        daemon.places.take(zone, state, *offset, "log");
+        daemon.zone_state.apply(zone, state, *offset, "log");
         if state == State::Evacuated {
             evacuated.push(zone);
         }
@@ -105,14 +105,14 @@
         let version = daemon.owner.config.version();
         let answers = daemon.ledger.ask_for_config(version).await;
         if is_outage && !answers.is_empty() {
-            daemon.places.settle();
+            daemon.zone_state.confirm();
         }
         for news in answers {
             if let Some(document) = news.document {
                 take(&daemon, None, &document);
             }
             for evacuation in &news.evacuations {
-                daemon.places.learn(evacuation);
+                daemon.zone_state.apply_peer_status(evacuation);
             }
             if let Some(age_ms) = news.age_ms {
                 daemon.owner.config.confirm(age_ms);
@@ -185,8 +185,8 @@
 
 /// Takes in the homes of a configuration, and says what is wrong with them.
 fn take_homes(daemon: &Daemon, config: &TrafficConfig) {
-    daemon.places.set_home_regions(homes::regions(config));
-    let problems = homes::problems(config, &daemon.places.map);
+    daemon.zone_state.set_home_regions(homes::regions(config));
+    let problems = homes::problems(config, &daemon.zone_state.map);
     for problem in problems.iter().take(MOST_PROBLEMS) {
         tracing::error!(
             event = "homes_unservable",
--- a/crates/gateway/src/follow/known.rs
+++ b/crates/gateway/src/follow/known.rs
@@ -3,7 +3,7 @@
 //! A daemon that the log refuses while it serves others would go on with keys that were
 //! taken away, and would turn away those of new ones (docs/design/tenants.md).
 
-use crate::places::Places;
+use crate::zone_state::ZoneState;
 use fieldhook_ledger::message::ConfigUpdate;
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
@@ -77,13 +77,13 @@
     }
 
     /// What a daemon that knows a version has missed.
-    pub fn news_after(&self, version: u64, places: &Places) -> ConfigUpdate {
+    pub fn news_after(&self, version: u64, zone_state: &ZoneState) -> ConfigUpdate {
         let newest = self.newest.borrow();
         let newer = newest.as_ref().filter(|known| known.version > version);
         ConfigUpdate {
             document: newer.map(|known| known.bytes.to_vec()),
             age_ms: self.age_ms(),
-            evacuations: places.news(),
+            evacuations: zone_state.statuses(),
         }
     }
 }
--- a/crates/gateway/src/ledger/assigner.rs
+++ b/crates/gateway/src/ledger/assigner.rs
@@ -1,7 +1,7 @@
 //! Engines for the turns of programs whose partitions are owned here.
 
 use crate::cold::ColdServers;
-use crate::places::Places;
+use crate::zone_state::ZoneState;
 use crate::upstream::pool::Pools;
 use fieldhook_ledger::message::{CloseTurn, OpenTurn, PlacementRequest};
 use fieldhook_ledger::partition_of;
@@ -32,7 +32,7 @@
 pub struct Assigner {
     directory: Rc<RefCell<Directory>>,
     pools: Rc<Pools>,
-    pub(super) places: Rc<Places>,
+    pub(super) zone_state: Rc<ZoneState>,
     cold: Rc<ColdServers>,
     table: RefCell<Table>,
     divisions: RefCell<HashMap<String, Division>>,
@@ -47,14 +47,14 @@
     pub fn new(
         directory: Rc<RefCell<Directory>>,
         pools: Rc<Pools>,
-        places: Rc<Places>,
+        zone_state: Rc<ZoneState>,
         cold: Rc<ColdServers>,
         partitions: u32,
     ) -> Self {
         Self {
             directory,
             pools,
-            places,
+            zone_state,
             cold,
             table: RefCell::new(Table::new(Settings::default())),
             divisions: RefCell::default(),
@@ -128,7 +128,7 @@
         let home = partition % count;
         let arc = Arc::of(home, count);
         let homes = homes(placement);
-        let servers = self.places.with_rule(&homes, &placement.zone, |rule| {
+        let servers = self.zone_state.with_rule(&homes, &placement.zone, |rule| {
             let is_usable = |server: &ServerEntry| rule.serve(&server.zone).is_ok();
             let from = |arc| Draw {
                 zone: &placement.zone,
@@ -159,7 +159,7 @@
     /// Keeps engines whose places may serve the turn, and tells how far they are from it.
     fn keep_allowed(&self, engines: &mut Vec<Engine<'_>>, placement: &PlacementRequest) {
         let homes = homes(placement);
-        self.places.with_rule(&homes, &placement.zone, |rule| {
+        self.zone_state.with_rule(&homes, &placement.zone, |rule| {
             engines.retain_mut(|engine| match rule.serve(engine.zone) {
                 Ok(distance) => {
                     engine.distance = distance;
--- a/crates/gateway/src/ledger/client.rs
+++ b/crates/gateway/src/ledger/client.rs
@@ -195,7 +195,7 @@
         request: &OpenTurn,
         deadline: Instant,
     ) -> Result<Vec<u8>, OpenFailure> {
-        let layout = &self.owner.places.layout;
+        let layout = &self.owner.zone_state.layout;
         let home = request
             .home_partition
             .unwrap_or_else(|| layout.program_partition(&request.program));
@@ -236,7 +236,7 @@
         deadline: Instant,
     ) -> Result<OpenedTurn, OpenFailure> {
         let request = LedgerRequest::Open(request.clone());
-        let partition = request.partition(self.owner.places.layout.global_count());
+        let partition = request.partition(self.owner.zone_state.layout.global_count());
         let answer = tokio::select! {
             biased;
             answer = self.ask_for(&request, in_doubt, deadline) => answer,
@@ -295,12 +295,12 @@
 
     /// The partition that orders a program.
     pub fn partition_of(&self, program: &str) -> u32 {
-        self.owner.places.layout.program_partition(program)
+        self.owner.zone_state.layout.program_partition(program)
     }
 
     /// The home partition that keeps the contents of a program, where homes bind these.
     pub fn home_partition(&self, program: &str, homes: &Set) -> Option<u32> {
-        self.owner.places.layout.home_partition(program, homes)
+        self.owner.zone_state.layout.home_partition(program, homes)
     }
 
     /// Ends once this daemon is cut off from the log with the minority: nothing can be recorded
@@ -314,7 +314,7 @@
     /// Records the end of a turn. True once it is durable.
     pub async fn close(&self, request: &CloseTurn, deadline: Instant) -> bool {
         let request = LedgerRequest::Close(request.clone());
-        let partition = request.partition(self.owner.places.layout.global_count());
+        let partition = request.partition(self.owner.zone_state.layout.global_count());
         while Instant::now() < deadline {
             let answer = self.ask(&request, deadline).await;
             let Some((LedgerReply::Accepted, mut replies)) = answer else {
@@ -351,7 +351,7 @@
         in_doubt: &Cell<bool>,
         deadline: Instant,
     ) -> Option<(LedgerReply, mpsc::UnboundedReceiver<LedgerReply>)> {
-        let partition = request.partition(self.owner.places.layout.global_count());
+        let partition = request.partition(self.owner.zone_state.layout.global_count());
         loop {
             let exchange = self.exchange_for(partition, request, in_doubt, ANSWER_LIMIT);
             let exchange = timeout_at(deadline, exchange).await;
--- a/crates/gateway/src/ledger/cold.rs
+++ b/crates/gateway/src/ledger/cold.rs
@@ -176,7 +176,7 @@
         if let Ok(Some(answer)) = answer {
             return Some(answer);
         }
-        let partition = request.partition(self.owner.places.layout.global_count());
+        let partition = request.partition(self.owner.zone_state.layout.global_count());
         if self.searching.borrow_mut().insert(partition) {
             let ledger = self.clone();
             ntex::rt::spawn(async move {
@@ -192,7 +192,7 @@
     }
 
     async fn ask_cold_owner(&self, request: &LedgerRequest) -> Option<QuotaReply> {
-        let partition = request.partition(self.owner.places.layout.global_count());
+        let partition = request.partition(self.owner.zone_state.layout.global_count());
         loop {
             match self.exchange(partition, request, PERMIT).await {
                 Exchange::Answered(LedgerReply::Quota(answer), _) => return Some(answer),
--- a/crates/gateway/src/ledger/homes.rs
+++ b/crates/gateway/src/ledger/homes.rs
@@ -3,7 +3,7 @@
 
 use super::client::LedgerClient;
 use super::exchange::Exchange;
-use crate::places::Places;
+use crate::zone_state::ZoneState;
 use fieldhook_ledger::message::{LedgerReply, LedgerRequest};
 use fieldhook_log::eligibility::Predicate;
 use fieldhook_log::ownership::Claim;
@@ -23,13 +23,13 @@
 /// Free partitions are for all daemons. A home partition is for those of its region, once a
 /// configuration has named the region as a home, and for good where it was claimed before: it
 /// may hold what is still promised to be kept.
-pub(super) fn eligibility(places: Rc<Places>) -> Predicate {
+pub(super) fn eligibility(zone_state: Rc<ZoneState>) -> Predicate {
     Rc::new(move |partition, claim: Option<&Claim>| {
-        let Some(region) = places.layout.region(partition) else {
+        let Some(region) = zone_state.layout.region(partition) else {
             return true;
         };
-        let is_here = places.region() == Some(region);
-        is_here && (claim.is_some() || places.is_home(region))
+        let is_here = zone_state.region() == Some(region);
+        is_here && (claim.is_some() || zone_state.is_home_region(region))
     })
 }
 
@@ -42,7 +42,7 @@
         if ledger.owner.claims.has_stopped_claiming() {
             return;
         }
-        for partition in ledger.owner.places.layout.home_partitions() {
+        for partition in ledger.owner.zone_state.layout.home_partitions() {
             look(&ledger, partition).await;
         }
     }
--- a/crates/gateway/src/ledger/owner.rs
+++ b/crates/gateway/src/ledger/owner.rs
@@ -7,7 +7,7 @@
 use super::limits::{self, Limits};
 use crate::follow::known::Known;
 use crate::metrics::Metrics;
-use crate::places::Places;
+use crate::zone_state::ZoneState;
 use crate::relay::Relay;
 use crate::settings::{GatewaySettings, Quota};
 use fieldhook_ledger::message::{
@@ -59,7 +59,7 @@
     /// What this daemon knows of the configuration.
     pub config: Rc<Known>,
     /// What it knows of places.
-    pub places: Rc<Places>,
+    pub zone_state: Rc<ZoneState>,
     /// Held while a partition is read.
     pub(super) reading: Mutex<()>,
     /// What this daemon reaches, kept by [`super::reach`].
@@ -76,17 +76,17 @@
         assigner: Rc<Assigner>,
         incarnation: u64,
     ) -> Rc<Self> {
-        let places = assigner.places.clone();
+        let places = assigner.zone_state.clone();
         let store: Rc<dyn LogStore> = relay.clone();
         let claims = Claims::new(
             store.clone(),
             log_health.clone(),
             OWNERS_TOPIC,
-            places.layout.count(),
+            zone_state.layout.count(),
             settings.peers,
             incarnation,
         );
-        claims.eligibility.set(eligibility(places.clone()));
+        claims.eligibility.set(eligibility(zone_state.clone()));
         let owner = Rc::new(Self {
             claims: Rc::new(claims),
             relay,
@@ -99,7 +99,7 @@
             limits: Limits::new(bounds(settings.quota)),
             counts: Counts::default(),
             config: Rc::default(),
-            places,
+            zone_state,
             assigner,
             reading: Mutex::default(),
             reach: Rc::default(),
@@ -143,7 +143,7 @@
         request: LedgerRequest,
         sender: mpsc::UnboundedSender<LedgerReply>,
     ) {
-        let partition = request.partition(self.places.layout.global_count());
+        let partition = request.partition(self.zone_state.layout.global_count());
         match request {
             LedgerRequest::HasRecentLogContact => {
                 let has_log = self.log_health.answered_within(FRESH) && !self.log_health.is_failing();
@@ -154,7 +154,7 @@
             }
             LedgerRequest::Config(version) => {
                 let _ = sender.send(LedgerReply::Config(
-                    self.config.news_after(version, &self.places),
+                    self.config.news_after(version, &self.zone_state),
                 ));
             }
             LedgerRequest::Claim(claim) => {
@@ -295,7 +295,7 @@
     pub(super) fn note_held(&self, held: &HashMap<u32, Hold>) {
         self.metrics.partitions_owned.set(held.len() as i64);
         // Engines are assigned where programs are ordered.
-        let free = self.places.layout.global_count();
+        let free = self.zone_state.layout.global_count();
         let ordering = held.keys().copied().filter(|partition| *partition < free);
         self.assigner.set_owned(ordering.collect());
     }
@@ -315,7 +315,7 @@
 
     /// Where the records of a partition are.
     pub(super) fn place(&self, partition: u32) -> LogPartition {
-        let place = self.places.layout.location(partition);
+        let place = self.zone_state.layout.location(partition);
         LogPartition {
             topic: match place.region {
                 Some(region) => format!("{HOME_TOPIC}{region}"),
--- a/crates/gateway/src/ledger/reach.rs
+++ b/crates/gateway/src/ledger/reach.rs
@@ -74,7 +74,7 @@
 }
 
 async fn look_at_zones(daemon: &Daemon) -> Look {
-    let own = daemon.places.zone.to_string();
+    let own = daemon.zone_state.zone.to_string();
     let mut by_zone: BTreeMap<String, Vec<ServerEntry>> = {
         let directory = daemon.directory.borrow();
         let some = directory.some_of_each_zone(TRIED_IN_ZONE, fastrand::u64(..));
--- a/crates/gateway/src/ledger/region.rs
+++ b/crates/gateway/src/ledger/region.rs
@@ -46,7 +46,7 @@
     }
 
     fn heard(&self, partition: u32) {
-        if self.owner.places.layout.region(partition).is_some() {
+        if self.owner.zone_state.layout.region(partition).is_some() {
             let mut signs = self.signs.borrow_mut();
             signs.heard.insert(partition, Instant::now());
         }
@@ -55,7 +55,7 @@
     /// Ends once no daemon of a home partition's region gave a sign for so long that there may
     /// be none; never for a free partition.
     pub(super) async fn region_is_silent(&self, partition: u32) {
-        if self.owner.places.layout.region(partition).is_none() {
+        if self.owner.zone_state.layout.region(partition).is_none() {
             return pending().await;
         }
         let begun = Instant::now();
@@ -128,7 +128,7 @@
     /// Where owners of home partitions of the same region listen, each once.
     pub(super) fn owners_in_region_of(&self, partition: u32) -> Vec<SocketAddr> {
         let claims = &self.owner.claims;
-        let layout = &self.owner.places.layout;
+        let layout = &self.owner.zone_state.layout;
         let region = layout.region(partition);
         let mut owners: Vec<SocketAddr> = layout
             .home_partitions()
--- a/crates/gateway/src/ledger/replace.rs
+++ b/crates/gateway/src/ledger/replace.rs
@@ -157,7 +157,7 @@
     /// Asks daemons that reach the log to claim a partition. True if there is a newer
     /// owner.
     async fn have_it_claimed(&self, partition: u32, epoch: u64) -> bool {
-        if self.owner.places.layout.region(partition).is_some() {
+        if self.owner.zone_state.layout.region(partition).is_some() {
             return self.have_region_claim(partition, epoch).await;
         }
         let question = LedgerRequest::Claim(ClaimPartition::replacing(partition, Some(epoch)));
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -8,7 +8,7 @@
 //! - [`http`]: messages on the wire.
 //! - [`store_exchange`]: connections to the log service, for adapters.
 //! - [`follow`]: configuration, evacuations and servers, followed on the log.
-//! - [`places`]: zones, and which are evacuated.
+//! - [`zone_state`]: zones, and which are evacuated.
 //! - [`cold`]: servers that bear only a few requests for now.
 //! - [`memory`]: what is held for peers that are slow to read.
 //! - [`relay`]: the log, read through a few daemons of each zone where its topics are long.
@@ -30,7 +30,7 @@
 pub mod logging;
 pub mod memory;
 pub mod metrics;
-pub mod places;
+pub mod zone_state;
 pub mod probes;
 pub mod relay;
 pub mod serve;
--- a/crates/gateway/src/serve/cold.rs
+++ b/crates/gateway/src/serve/cold.rs
@@ -69,8 +69,8 @@
     let directory = daemon.directory.borrow();
     let denied = daemon.cold.denied_servers();
     daemon
-        .places
-        .with_rule(&context.homes, &daemon.places.zone, |rule| {
+        .zone_state
+        .with_rule(&context.homes, &daemon.zone_state.zone, |rule| {
             let may_serve = |id: &str| {
                 let server = directory.entry(id).filter(|server| !server.draining);
                 server.is_some_and(|server| {
--- a/crates/gateway/src/serve/homes.rs
+++ b/crates/gateway/src/serve/homes.rs
@@ -22,7 +22,7 @@
     tenant: Option<&Tenant>,
 ) -> Result<Set, LocalResponse> {
     let homes = homes::of(route, tenant);
-    if daemon.places.layout.has_allowed_region(&homes) {
+    if daemon.zone_state.layout.has_allowed_region(&homes) {
         return Ok(homes);
     }
     count_outcome(daemon, "no_region");
@@ -85,7 +85,7 @@
     let homes = current(context);
     let directory = daemon.directory.borrow();
     let zone = &daemon.settings.zone;
-    let denials: Vec<Denial> = daemon.places.with_rule(&homes, zone, |rule| {
+    let denials: Vec<Denial> = daemon.zone_state.with_rule(&homes, zone, |rule| {
         let zones = directory.zones_of(service);
         zones.filter_map(|zone| rule.serve(zone).err()).collect()
     });
--- a/crates/gateway/src/serve/selection.rs
+++ b/crates/gateway/src/serve/selection.rs
@@ -32,7 +32,7 @@
         arc: Arc::WHOLE,
         number: prefix_hash(sampling_key),
     };
-    let servers = daemon.places.with_rule(homes, zone, |rule| {
+    let servers = daemon.zone_state.with_rule(homes, zone, |rule| {
         let may_serve = |server: &ServerEntry| rule.serve(&server.zone).is_ok();
         let is_usable =
             |server: &ServerEntry| may_serve(server) && !history.servers.contains(&server.id);
@@ -75,7 +75,7 @@
     Some(Candidate {
         server,
         distance: daemon
-            .places
+            .zone_state
             .map
             .distance(&daemon.settings.zone, &server.zone),
         in_flight: status.in_flight,
--- a/crates/gateway/src/serve/send_check.rs
+++ b/crates/gateway/src/serve/send_check.rs
@@ -53,7 +53,7 @@
     let daemon = &context.daemon;
     let cause = if !daemon.directory.borrow().takes_work(&server.id) {
         "server_leaves"
-    } else if daemon.places.is_evacuated(&server.zone) {
+    } else if daemon.zone_state.is_evacuated(&server.zone) {
         "zone_evacuated"
     } else if !is_in_home_region(context, server) {
         "homes_narrowed"
@@ -75,9 +75,9 @@
 
 /// Returns whether the server is in a region allowed by the current configuration.
 fn is_in_home_region(context: &RequestContext, server: &ServerEntry) -> bool {
-    let places = &context.daemon.places;
+    let places = &context.daemon.zone_state;
     let homes = homes::current(context);
-    places.with_rule(&homes, &server.zone, |rule| rule.may_hold(&server.zone))
+    zone_state.with_rule(&homes, &server.zone, |rule| rule.may_hold(&server.zone))
 }
 
 /// Returns why no server was found: all servers that could handle the request may be in evacuated
@@ -90,7 +90,7 @@
     let directory = daemon.directory.borrow();
     let zone = &daemon.settings.zone;
     let homes = homes::current(context);
-    let denials: Result<Vec<Denial>, ()> = daemon.places.with_rule(&homes, zone, |rule| {
+    let denials: Result<Vec<Denial>, ()> = daemon.zone_state.with_rule(&homes, zone, |rule| {
         let zones = directory.zones_of(service);
         zones.map(|zone| rule.serve(zone).err().ok_or(())).collect()
     });
--- a/crates/gateway/src/serve/turn_record.rs
+++ b/crates/gateway/src/serve/turn_record.rs
@@ -129,7 +129,7 @@
     /// regions may have been narrowed since the turn started. The earlier turns that it continues
     /// from move along. Returns false if no region is allowed any more.
     fn move_to_allowed_partition(&mut self, homes: &Set) -> bool {
-        let layout = &self.ledger.owner.places.layout;
+        let layout = &self.ledger.owner.zone_state.layout;
         let program = &self.request.program;
         let home_partition = self.request.home_partition;
         let partition = home_partition.unwrap_or_else(|| layout.program_partition(program));
--- a/crates/gateway/src/places.rs
+++ b/crates/gateway/src/zone_state.rs
@@ -15,7 +15,7 @@
 use tokio::time::Instant;
 
 /// Places as one daemon knows them.
-pub struct Places {
+pub struct ZoneState {
     /// Zone of this daemon.
     pub zone: Rc<str>,
     /// The zones of the deployment.
@@ -30,7 +30,7 @@
     started: Instant,
 }
 
-impl Places {
+impl ZoneState {
     /// Places by the settings, nothing evacuated.
     pub fn new(settings: &GatewaySettings) -> Self {
         Self {
@@ -56,7 +56,7 @@
     }
 
     /// Whether the configuration names a region as a home.
-    pub fn is_home(&self, region: &str) -> bool {
+    pub fn is_home_region(&self, region: &str) -> bool {
         self.home_regions.borrow().contains(region)
     }
 
@@ -83,13 +83,13 @@
 
     /// For how long this daemon knows that a zone which was evacuated takes part again, in
     /// milliseconds.
-    pub fn opened_for_ms(&self, zone: &str) -> Option<u64> {
+    pub fn ms_since_reopened(&self, zone: &str) -> Option<u64> {
         let since_ms = self.evacuations.borrow().opened_since_ms(zone)?;
         Some(self.now_ms().saturating_sub(since_ms))
     }
 
     /// Takes in a record of the operator, read at a revision or told by another daemon.
-    pub fn take(&self, zone: &str, state: State, revision: u64, source: &'static str) {
+    pub fn apply(&self, zone: &str, state: State, revision: u64, source: &'static str) {
         let now_ms = self.now_ms();
         let is_change = self
             .evacuations
@@ -97,13 +97,13 @@
             .take(zone, state, revision, now_ms);
         if is_change {
             tracing::info!(event = "zone_evacuation", zone, ?state, revision, source);
-            self.note_all_evacuated();
+            self.log_all_evacuated();
         }
     }
 
     /// Takes in which zones a listing of the operator's records names, read where the topic
     /// ended at `end`.
-    pub fn retain_listed(&self, listed: &[&str], end: u64) {
+    pub fn apply_listing(&self, listed: &[&str], end: u64) {
         let now_ms = self.now_ms();
         let opened = self
             .evacuations
@@ -112,12 +112,12 @@
         for zone in opened {
             tracing::info!(event = "zone_evacuation", zone = &*zone, state = ?State::Open,
                 revision = end, source = "listing");
-            self.note_all_evacuated();
+            self.log_all_evacuated();
         }
     }
 
     /// Says once that no server may serve any more, and once that some may again.
-    fn note_all_evacuated(&self) {
+    fn log_all_evacuated(&self) {
         let evacuations = self.evacuations.borrow();
         let mut zones = self.map.zones().peekable();
         let is_told = zones.peek().is_some();
@@ -135,7 +135,7 @@
     }
 
     /// The process runs, and what it knows was the newest `age_ms` ago.
-    pub fn ran(&self, age_ms: u64) {
+    pub fn record_run(&self, age_ms: u64) {
         let now_ms = self.now_ms();
         if self.belief.borrow_mut().ran(now_ms, age_ms) {
             tracing::warn!(
@@ -147,7 +147,7 @@
     }
 
     /// Others were heard who know no more.
-    pub fn settle(&self) {
+    pub fn confirm(&self) {
         self.belief.borrow_mut().settle();
     }
 
@@ -159,7 +159,7 @@
     }
 
     /// All that is known of evacuations, for daemons that cannot read it themselves.
-    pub fn news(&self) -> Vec<EvacuationStatus> {
+    pub fn statuses(&self) -> Vec<EvacuationStatus> {
         let evacuations = self.evacuations.borrow();
         let news = evacuations.records().map(|record| EvacuationStatus {
             zone: record.zone.to_string(),
@@ -170,11 +170,11 @@
     }
 
     /// Takes in what another daemon knows.
-    pub fn learn(&self, news: &EvacuationStatus) {
+    pub fn apply_peer_status(&self, news: &EvacuationStatus) {
         let state = match news.is_evacuated {
             true => State::Evacuated,
             false => State::Open,
         };
-        self.take(&news.zone, state, news.revision, "peer");
+        self.apply(&news.zone, state, news.revision, "peer");
     }
 }
--- a/crates/gateway/tests/gateway/evacuation.rs
+++ b/crates/gateway/tests/gateway/evacuation.rs
@@ -89,9 +89,9 @@
 }
 
 async fn wait_state(gateway: &Gateway, zone: &str, is_evacuated: bool) {
-    let places = &gateway.daemon.places;
+    let places = &gateway.daemon.zone_state;
     let what = format!("{zone} evacuated: {is_evacuated}");
-    until(&what, || places.is_evacuated(zone) == is_evacuated).await;
+    until(&what, || zone_state.is_evacuated(zone) == is_evacuated).await;
 }
 
 /// Waits until an attempt at a server is under way, without letting anything else go by.
@@ -197,8 +197,8 @@
         let asked = gateway.ask("POST", "/unsafe/1", "Request: a\r\n", "");
         let closed = async {
             until_chosen(&gateway, "s1").await;
-            let places = &gateway.daemon.places;
-            places.take("z1", State::Evacuated, 1_000, "test");
+            let places = &gateway.daemon.zone_state;
+            zone_state.apply("z1", State::Evacuated, 1_000, "test");
         };
         let (reply, ()) = join(asked, closed).await;
         assert_eq!(reply.text(), "yes");
@@ -223,7 +223,7 @@
         wait_state(&asker, "z1", true).await;
         let fields = "Request: t2\r\nProgram: p\r\nPrevious: t1\r\n";
         let reply = asker.ask("POST", "/chat/1", fields, "B;").await;
-        assert!(!owner.daemon.places.is_evacuated("z1"));
+        assert!(!owner.daemon.zone_state.is_evacuated("z1"));
         assert!(reply.whole && reply.head.status == 200);
         let [closed, second, third] = zones.counts();
         assert_eq!((closed, second + third), (1, 1));
@@ -297,18 +297,18 @@
         wait_state(&gateway, "z1", true).await;
         let log = &zones.world.log.core;
         let end = log.borrow_mut().newest(&config_partition(), None).end;
-        let places = &gateway.daemon.places;
+        let places = &gateway.daemon.zone_state;
         // A listing read before the record, another daemon that has not read it, and one
         // that knows the state before.
-        places.retain_listed(&[], end - 1);
+        zone_state.apply_listing(&[], end - 1);
         for revision in 0..end - 1 {
-            places.learn(&EvacuationStatus {
+            zone_state.apply_peer_status(&EvacuationStatus {
                 zone: "z1".to_owned(),
                 is_evacuated: false,
                 revision,
             });
         }
-        assert!(places.is_evacuated("z1"));
+        assert!(zone_state.is_evacuated("z1"));
         // The history goes while the log is away: all is listed anew.
         gateway.store.set_fault(LogFault::Down);
         zones.world.publish(0).await;
@@ -316,7 +316,7 @@
         gateway.store.set_fault(LogFault::None);
         for _ in 0..20 {
             sleep(Duration::from_millis(25)).await;
-            assert!(places.is_evacuated("z1"));
+            assert!(zone_state.is_evacuated("z1"));
             gateway.ask("GET", "/safe/1", "Request: a\r\n", "").await;
         }
         assert_eq!(zones.servers[0].count(), 0);
@@ -326,12 +326,12 @@
         log.borrow_mut().forget_history();
         gateway.store.set_fault(LogFault::None);
         wait_state(&gateway, "z1", false).await;
-        places.learn(&EvacuationStatus {
+        zone_state.apply_peer_status(&EvacuationStatus {
             zone: "z1".to_owned(),
             is_evacuated: true,
             revision: end - 1,
         });
-        assert!(!places.is_evacuated("z1"), "old news closes nothing");
+        assert!(!zone_state.is_evacuated("z1"), "old news closes nothing");
     });
 }
 
@@ -349,7 +349,7 @@
             }
             zones.close("z1").await;
             sleep(Duration::from_millis(20)).await;
-            assert!(gateway.daemon.places.is_evacuated("z1"));
+            assert!(gateway.daemon.zone_state.is_evacuated("z1"));
             gateway.ask("GET", "/safe/1", "Request: a\r\n", "").await;
         }
         assert_eq!(zones.servers[0].count(), 0);
--- a/crates/gateway/tests/gateway/incarnations.rs
+++ b/crates/gateway/tests/gateway/incarnations.rs
@@ -492,8 +492,8 @@
         }
         world.put(CONFIG, "closed/", "{}").await;
         sleep(IN_FORCE).await;
-        let places = &gateway.daemon.places;
-        assert!(places.is_evacuated("z1") && !places.is_evacuated("z2"));
+        let places = &gateway.daemon.zone_state;
+        assert!(zone_state.is_evacuated("z1") && !zone_state.is_evacuated("z2"));
         assert!(unreadable(&gateway, "evacuation") > 250);
         let before = s1.count();
         ask(&gateway, 8).await;
--- a/crates/gateway/tests/gateway/readers.rs
+++ b/crates/gateway/tests/gateway/readers.rs
@@ -55,7 +55,7 @@
             .as_ref()
             .map(|table| table.config.version);
         let has_left = !daemon.directory.borrow().takes_work("s1");
-        version == Some(2) && daemon.places.is_evacuated("z9") && has_left
+        version == Some(2) && daemon.zone_state.is_evacuated("z9") && has_left
     };
     while !in_force() {
         sleep(ms(5)).await;
