--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -252,7 +252,7 @@
         ntex::rt::spawn(crate::follow::config::poll_peers(self.clone()));
         ntex::rt::spawn(crate::follow::servers::run(self.clone()));
         ntex::rt::spawn(self.owner.claims.clone().run_follow());
-        ntex::rt::spawn(relay::places::run(self.clone()));
+        ntex::rt::spawn(relay::reader_slots::run(self.clone()));
         let patience = self.owner.claim_delay();
         ntex::rt::spawn(self.owner.claims.clone().run_claim_unowned(patience));
         ntex::rt::spawn(crate::ledger::owner::run_expiry(self.owner.clone()));
--- a/crates/gateway/src/drain.rs
+++ b/crates/gateway/src/drain.rs
@@ -24,7 +24,7 @@
         connections = daemon.client_connections.get()
     );
     let _ = daemon.shutdown.send(ShutdownPhase::Draining);
-    daemon.relay.stop_answering();
+    daemon.relay.stop_serving();
     let owner = daemon.owner.clone();
     ntex::rt::spawn(async move { owner.release().await });
     let refuse_at = started + Duration::from_millis(daemon.settings.grace_ms).mul_f64(REFUSE_SHARE);
--- a/crates/gateway/src/follow/servers.rs
+++ b/crates/gateway/src/follow/servers.rs
@@ -41,7 +41,7 @@
             Update::Records(records) => Changes::new(&daemon).take_all(&records),
         }
         let known = daemon.directory.borrow().len();
-        daemon.relay.note_servers(known);
+        daemon.relay.set_server_count(known);
         sleep(PAUSE).await;
     }
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -3,16 +3,16 @@
 //! [`Relay`] is the log service as the rest of a daemon sees it. Where servers are so many that
 //! all daemons together would read more than the log sends, it asks the readers of its zone for
 //! what it would read itself; where it is a reader, it reads the log and answers the others
-//! ([`reading`]). Nothing that is appended goes another way, nor the claims that an append depends
+//! ([`reader`]). Nothing that is appended goes another way, nor the claims that an append depends
 //! on. docs/design/fleet.md tells what was weighed, and how late anything may be.
 //!
 //! - [`packed`]: records as they go from daemon to daemon.
-//! - [`places`]: becoming a reader.
-//! - [`reading`]: answering those who ask.
+//! - [`reader_slots`]: becoming a reader.
+//! - [`reader`]: answering those who ask.
 
 pub mod packed;
-pub mod places;
-pub mod reading;
+pub mod reader_slots;
+pub mod reader;
 
 use crate::dialect::Topics;
 use crate::ledger::owner::OWNERS_TOPIC;
@@ -27,7 +27,7 @@
 use fieldhook_log::readers::Readers;
 use fieldhook_traffic::assignment::prefix_hash;
 use futures_util::future::LocalBoxFuture;
-use reading::{Reading, Topic};
+use reader::{FollowedTopic, ReaderTopics};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -37,31 +37,31 @@
 
 /// Servers from which on daemons read through readers. They nearly fill a page of a listing, so
 /// that below it asking saves nothing, and a fleet that has so many has hundreds of daemons.
-const MANY_SERVERS: usize = 400;
+const RELAY_MIN_SERVERS: usize = 400;
 /// Records that the topic of servers has had, which stand for so many servers where a daemon
 /// that starts has none listed yet: each is written a few times in its life.
-const LONG_TOPIC: u64 = 2_000;
+const RELAY_MIN_RECORDS: u64 = 2_000;
 /// For so long a daemon that no reader answers waits for its time to ask the log, rather than ask
 /// readers again.
-const LONGEST_WAIT_ALONE: Duration = Duration::from_millis(400);
+const MAX_LOG_READ_WAIT: Duration = Duration::from_millis(400);
 /// Behind this key no server stands: a listing from there tells the end of its topic alone.
-const LAST_KEY: &[u8] = b"~~~~";
+const AFTER_ALL_KEYS: &[u8] = b"~~~~";
 /// How long the first listing waits for the claims, which say whether there are readers.
-const CLAIMS_PATIENCE: Duration = Duration::from_millis(30);
+const CLAIMS_WAIT: Duration = Duration::from_millis(30);
 /// Longest time that a reader holds a question.
-const LONGEST_HOLD: Duration = Duration::from_millis(800);
+const MAX_HOLD: Duration = Duration::from_millis(800);
 /// Part of the time in which a change has to be in force for which a reader holds a question, and
 /// the log a read of it: one in this. What it tells is confirmed by each answer, and the rest is
 /// for noticing that it is not.
-const HOLD_PARTS: u64 = 5;
+const HOLD_DIVISOR: u64 = 5;
 /// An answer that comes later than its hold and this is not waited for.
-const ANSWER_SLACK: Duration = Duration::from_millis(300);
+const REPLY_MARGIN: Duration = Duration::from_millis(300);
 /// How long a page of a listing is waited for. A reader that has just started reads the topic
 /// itself first.
-const PAGE_LIMIT: Duration = Duration::from_millis(900);
+const PAGE_TIMEOUT: Duration = Duration::from_millis(900);
 /// What a reader knows is older than its hold and this where the log does not answer it: the slack
 /// of a read and the way of an answer.
-const AGE_SLACK_MS: u64 = 800;
+const AGE_MARGIN_MS: u64 = 800;
 
 /// How a daemon reads followed topics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -85,14 +85,14 @@
     config: String,
     peers: Peers,
     readers: RefCell<Readers>,
-    asker: RefCell<ReaderSelector>,
-    reading: Reading,
+    reader_selector: RefCell<ReaderSelector>,
+    topics: ReaderTopics,
     /// Whether servers are many.
-    is_long: Cell<bool>,
+    has_many_servers: Cell<bool>,
     /// How long a reader holds a question.
     hold: Duration,
     /// It answers nobody any more: the process is about to end.
-    is_mute: Cell<bool>,
+    is_stopped: Cell<bool>,
     claims_listed: Cell<bool>,
     claims_were_listed: Notify,
     /// Told when this daemon reads in another way from now on.
@@ -118,11 +118,11 @@
             config: topics.config.clone(),
             peers: Peers::default(),
             readers: RefCell::default(),
-            asker: RefCell::new(ReaderSelector::new(bound_ms, fastrand::u64(..))),
-            reading: Reading::default(),
-            is_long: Cell::new(false),
-            hold: Duration::from_millis(bound_ms / HOLD_PARTS).min(LONGEST_HOLD),
-            is_mute: Cell::new(false),
+            reader_selector: RefCell::new(ReaderSelector::new(bound_ms, fastrand::u64(..))),
+            topics: ReaderTopics::default(),
+            has_many_servers: Cell::new(false),
+            hold: Duration::from_millis(bound_ms / HOLD_DIVISOR).min(MAX_HOLD),
+            is_stopped: Cell::new(false),
             claims_listed: Cell::new(false),
             claims_were_listed: Notify::new(),
             role_changed: Notify::new(),
@@ -132,10 +132,10 @@
     }
 
     /// So many servers are known.
-    pub fn note_servers(&self, count: usize) {
-        if count >= MANY_SERVERS && !self.is_long.get() {
+    pub fn set_server_count(&self, count: usize) {
+        if count >= RELAY_MIN_SERVERS && !self.has_many_servers.get() {
             tracing::info!(event = "servers_are_many", count);
-            self.change_role(|| self.is_long.set(true));
+            self.change_role(|| self.has_many_servers.set(true));
         }
     }
 
@@ -151,8 +151,8 @@
     }
 
     /// Whether daemons read through readers.
-    pub fn is_shared(&self) -> bool {
-        self.is_long.get() || !self.readers.borrow().is_empty()
+    pub fn uses_readers(&self) -> bool {
+        self.has_many_servers.get() || !self.readers.borrow().is_empty()
     }
 
     /// Whether this daemon reads for others.
@@ -162,12 +162,12 @@
 
     /// Answers nobody from now on: those who ask turn to the other reader of their zone, and not
     /// only once this process is gone.
-    pub fn stop_answering(&self) {
-        self.is_mute.set(true);
+    pub fn stop_serving(&self) {
+        self.is_stopped.set(true);
     }
 
     fn role(&self) -> Role {
-        match self.is_shared() {
+        match self.uses_readers() {
             false => Role::Alone,
             true if self.is_reader() => Role::Reader,
             true => Role::Asker,
@@ -175,8 +175,8 @@
     }
 
     /// What a reader tells is of no use once it is older than this, in milliseconds.
-    fn most_age_ms(&self) -> u64 {
-        self.hold.as_millis() as u64 + AGE_SLACK_MS
+    fn max_age_ms(&self) -> u64 {
+        self.hold.as_millis() as u64 + AGE_MARGIN_MS
     }
 
     fn now_ms(&self) -> u64 {
@@ -188,7 +188,7 @@
     }
 
     /// Takes in who reads for others, from records of the topic of claims.
-    fn note_readers<'a>(&self, records: impl Iterator<Item = (u64, &'a KeyedRecord)>) {
+    fn apply_reader_claims<'a>(&self, records: impl Iterator<Item = (u64, &'a KeyedRecord)>) {
         for (offset, record) in records {
             let mut is_news = false;
             self.change_role(|| is_news = self.readers.borrow_mut().apply(offset, record));
@@ -207,7 +207,7 @@
             false => Vec::new(),
         };
         let appended = self.log.append(append).await?;
-        self.note_readers((appended.offset..).zip(&records));
+        self.apply_reader_claims((appended.offset..).zip(&records));
         Ok(appended)
     }
 
@@ -224,12 +224,12 @@
             return self.log.newest(partition, after, limit).await;
         }
         if after.is_none() {
-            self.learn_role(&partition.topic, limit).await?;
+            self.determine_role(&partition.topic, limit).await?;
         }
         match self.role() {
             Role::Alone => self.log.newest(partition, after, limit).await,
-            Role::Reader => self.list_for_others(partition, after, limit).await,
-            Role::Asker => self.ask_for_page(partition, after, limit).await,
+            Role::Reader => self.list_as_reader(partition, after, limit).await,
+            Role::Asker => self.request_page(partition, after, limit).await,
         }
     }
 
@@ -241,14 +241,14 @@
         limit: Duration,
     ) -> Result<NewestPage, StoreError> {
         let page = self.log.newest(partition, after.clone(), limit).await?;
-        self.note_readers(
+        self.apply_reader_claims(
             page.records
                 .iter()
                 .map(|(offset, record)| (*offset, record)),
         );
-        self.reading
+        self.topics
             .topic(OWNERS_TOPIC)
-            .take_page(after.as_deref(), &page);
+            .apply_page(after.as_deref(), &page);
         if page.more_after.is_none() {
             self.claims_listed.set(true);
             self.claims_were_listed.notify_waiters();
@@ -258,40 +258,40 @@
 
     /// Learns whether this daemon reads by itself: the claims name readers where any read for
     /// others, and where none do yet, the length of the topic of servers decides.
-    async fn learn_role(&self, topic: &str, limit: Duration) -> Result<(), StoreError> {
+    async fn determine_role(&self, topic: &str, limit: Duration) -> Result<(), StoreError> {
         if !self.claims_listed.get() {
             let listed = self.claims_were_listed.notified();
-            let _ = timeout(CLAIMS_PATIENCE, listed).await;
+            let _ = timeout(CLAIMS_WAIT, listed).await;
         }
-        if self.is_shared() || topic != self.servers {
+        if self.uses_readers() || topic != self.servers {
             return Ok(());
         }
-        let place = Partition {
+        let partition = Partition {
             topic: self.servers.clone(),
             number: 0,
         };
-        let end = self.log.newest(place, Some(LAST_KEY.to_vec()), limit);
+        let end = self.log.newest(partition, Some(AFTER_ALL_KEYS.to_vec()), limit);
         let end = end.await?.end;
-        if end >= LONG_TOPIC && !self.is_long.get() {
+        if end >= RELAY_MIN_RECORDS && !self.has_many_servers.get() {
             tracing::info!(event = "servers_are_many", end);
-            self.change_role(|| self.is_long.set(true));
+            self.change_role(|| self.has_many_servers.set(true));
         }
         Ok(())
     }
 
-    async fn list_for_others(
+    async fn list_as_reader(
         &self,
         partition: Partition,
         after: Option<Vec<u8>>,
         limit: Duration,
     ) -> Result<NewestPage, StoreError> {
-        let topic = self.reading.topic(&partition.topic);
+        let topic = self.topics.topic(&partition.topic);
         let page = self.log.newest(partition, after.clone(), limit).await?;
-        topic.take_page(after.as_deref(), &page);
+        topic.apply_page(after.as_deref(), &page);
         Ok(page)
     }
 
-    async fn ask_for_page(
+    async fn request_page(
         &self,
         partition: Partition,
         after: Option<Vec<u8>>,
@@ -301,20 +301,20 @@
             topic: partition.topic.clone(),
             after_key: after.clone(),
         });
-        match self.ask(&partition.topic, &question, PAGE_LIMIT).await {
-            Some(Told::Records(told, records)) => Ok(NewestPage {
+        match self.request(&partition.topic, &question, PAGE_TIMEOUT).await {
+            Some(RelayedRead::Records(told, records)) => Ok(NewestPage {
                 records,
                 more_after: told.more_after,
                 end: told.end_offset,
                 age_ms: told.age_ms,
             }),
-            Some(Told::Gone(first)) => Err(StoreError::Gone(first)),
+            Some(RelayedRead::Gone(first)) => Err(StoreError::Gone(first)),
             None if self
-                .asker
+                .reader_selector
                 .borrow()
                 .may_list_log(&partition.topic, self.now_ms()) =>
             {
-                self.turn_to_log(&partition.topic);
+                self.fall_back_to_log(&partition.topic);
                 self.log.newest(partition, after, limit).await
             }
             None => Err(StoreError::NotDone),
@@ -342,19 +342,19 @@
                     () = self.role_changed.notified() => return Err(StoreError::NotDone),
                 }
             }
-            Role::Reader => self.read_for_others(partition, from, wait, limit).await?,
-            Role::Asker => match self.ask_behind(&partition.topic, from, wait).await? {
+            Role::Reader => self.read_as_reader(partition, from, wait, limit).await?,
+            Role::Asker => match self.request_records(&partition.topic, from, wait).await? {
                 Some(batch) => batch,
                 None if is_claims => self.log.read(partition, from, wait, limit).await?,
                 None => {
-                    self.wait_alone(&partition.topic).await?;
-                    self.turn_to_log(&partition.topic);
+                    self.wait_for_log_read(&partition.topic).await?;
+                    self.fall_back_to_log(&partition.topic);
                     self.log.read(partition, from, wait, limit).await?
                 }
             },
         };
         if is_claims {
-            self.note_readers(
+            self.apply_reader_claims(
                 batch
                     .records
                     .iter()
@@ -366,22 +366,22 @@
 
     /// Reads the log, for the others as well. While it does not answer, another reader may have
     /// heard from it: what that one tells is told on with its age, so that it ages on the way.
-    async fn read_for_others(
+    async fn read_as_reader(
         &self,
         partition: Partition,
         from: u64,
         wait: Duration,
         limit: Duration,
     ) -> Result<ReadBatch, StoreError> {
-        let topic = self.reading.topic(&partition.topic);
-        if !topic.is_whole() {
+        let topic = self.topics.topic(&partition.topic);
+        if !topic.is_complete() {
             return Err(StoreError::Gone(from));
         }
         let asked = Instant::now();
         let wait = wait.min(self.hold);
         match self.log.read(partition.clone(), from, wait, limit).await {
             Ok(batch) => {
-                topic.take_batch(from, &batch, asked, wait);
+                topic.apply_batch(from, &batch, asked, wait);
                 Ok(batch)
             }
             Err(StoreError::Gone(first)) => {
@@ -390,17 +390,17 @@
             }
             // Without news it is a failure still, which the next read follows after a pause.
             Err(error) => {
-                let told = self.ask_behind(&partition.topic, from, Duration::ZERO);
+                let told = self.request_records(&partition.topic, from, Duration::ZERO);
                 let told = told.await?.filter(|batch| !batch.records.is_empty());
                 let batch = told.ok_or(error)?;
-                topic.take_told(from, &batch);
+                topic.apply_relayed(from, &batch);
                 Ok(batch)
             }
         }
     }
 
     /// What readers know behind an offset; `None` where none answers.
-    async fn ask_behind(
+    async fn request_records(
         &self,
         topic: &str,
         from: u64,
@@ -412,31 +412,31 @@
             from_offset: from,
             wait_ms: wait.as_millis() as u64,
         });
-        match self.ask(topic, &question, wait + ANSWER_SLACK).await {
-            Some(Told::Records(told, records)) => Ok(Some(ReadBatch {
+        match self.request(topic, &question, wait + REPLY_MARGIN).await {
+            Some(RelayedRead::Records(told, records)) => Ok(Some(ReadBatch {
                 end: told.end_offset,
                 records,
                 next: told.next_offset,
                 age_ms: told.age_ms,
             })),
-            Some(Told::Gone(first)) => Err(StoreError::Gone(first)),
+            Some(RelayedRead::Gone(first)) => Err(StoreError::Gone(first)),
             None => Ok(None),
         }
     }
 
     /// Asks readers one after another until one knows. One that has begun to read later than
     /// another keeps less of what was: that it is gone there, does not mean that it is gone.
-    async fn ask(&self, topic: &str, question: &LedgerRequest, limit: Duration) -> Option<Told> {
+    async fn request(&self, topic: &str, question: &LedgerRequest, limit: Duration) -> Option<RelayedRead> {
         let mut gone = None;
         for reader in self.candidates(topic) {
             let reply = self.peers.request(reader, question, limit).await;
-            match told(reply, self.most_age_ms()) {
+            match decode_reply(reply, self.max_age_ms()) {
                 Ok(told) => {
-                    self.asker.borrow_mut().record_answer(reader, topic);
+                    self.reader_selector.borrow_mut().record_answer(reader, topic);
                     self.count("answered");
                     match told {
-                        Told::Gone(_) => gone = Some(told),
-                        Told::Records(..) => return Some(told),
+                        RelayedRead::Gone(_) => gone = Some(told),
+                        RelayedRead::Records(..) => return Some(told),
                     }
                 }
                 Err(cause) => {
@@ -445,7 +445,7 @@
                     }
                     self.count(cause);
                     tracing::info!(event = "reader_passed_over", %reader, cause);
-                    self.asker
+                    self.reader_selector
                         .borrow_mut()
                         .record_failure(reader, self.now_ms());
                 }
@@ -455,7 +455,7 @@
             return gone;
         }
         self.count("alone");
-        self.asker
+        self.reader_selector
             .borrow_mut()
             .record_unanswered(topic, self.now_ms());
         None
@@ -465,19 +465,19 @@
     ///
     /// # Errors
     /// That takes longer: readers are asked again meanwhile.
-    async fn wait_alone(&self, topic: &str) -> Result<(), StoreError> {
-        let left_ms = self.asker.borrow().log_read_delay_ms(topic, self.now_ms());
+    async fn wait_for_log_read(&self, topic: &str) -> Result<(), StoreError> {
+        let left_ms = self.reader_selector.borrow().log_read_delay_ms(topic, self.now_ms());
         let left = left_ms.map(Duration::from_millis);
-        let left = left.filter(|left| *left <= LONGEST_WAIT_ALONE);
+        let left = left.filter(|left| *left <= MAX_LOG_READ_WAIT);
         sleep(left.ok_or(StoreError::NotDone)?).await;
         Ok(())
     }
 
     /// No reader tells anything of a topic: this daemon reads the log itself for once.
-    fn turn_to_log(&self, topic: &str) {
+    fn fall_back_to_log(&self, topic: &str) {
         self.count("log");
         tracing::info!(event = "no_reader_answers", topic);
-        self.asker
+        self.reader_selector
             .borrow_mut()
             .record_log_fallback(topic, self.now_ms());
     }
@@ -493,8 +493,8 @@
         };
         let near = in_order(readers.in_zone(&self.zone).map(|(_, at)| at).collect());
         let far = in_order(readers.outside_zone(&self.zone).collect());
-        let asker = self.asker.borrow();
-        asker.candidates(topic, &near, &far, self.now_ms())
+        let selector = self.reader_selector.borrow();
+        selector.candidates(topic, &near, &far, self.now_ms())
     }
 
     fn count(&self, outcome: &str) {
@@ -506,20 +506,20 @@
 const SILENT: &str = "silent";
 
 /// What a reader told.
-enum Told {
+enum RelayedRead {
     Records(TopicRecords, Vec<(u64, KeyedRecord)>),
     Gone(u64),
 }
 
 /// What an answer tells, or why it is of no use.
-fn told(reply: Option<LedgerReply>, most_age_ms: u64) -> Result<Told, &'static str> {
+fn decode_reply(reply: Option<LedgerReply>, max_age_ms: u64) -> Result<RelayedRead, &'static str> {
     match reply {
-        Some(LedgerReply::Topic(told)) if told.age_ms > most_age_ms => Err("too_old"),
+        Some(LedgerReply::Topic(told)) if told.age_ms > max_age_ms => Err("too_old"),
         Some(LedgerReply::Topic(told)) => match packed::unpack(&told.packed) {
-            Some(records) => Ok(Told::Records(told, records)),
+            Some(records) => Ok(RelayedRead::Records(told, records)),
             None => Err("unreadable"),
         },
-        Some(LedgerReply::TopicGone(first)) => Ok(Told::Gone(first)),
+        Some(LedgerReply::TopicGone(first)) => Ok(RelayedRead::Gone(first)),
         Some(_) => Err("not_reader"),
         None => Err(SILENT),
     }
@@ -554,8 +554,8 @@
     }
 }
 
-impl Topic {
-    fn is_whole(&self) -> bool {
+impl FollowedTopic {
+    fn is_complete(&self) -> bool {
         self.mirror.borrow().is_complete()
     }
 }
--- a/crates/gateway/src/relay/reading.rs
+++ b/crates/gateway/src/relay/reader.rs
@@ -13,21 +13,21 @@
 use tokio::time::{Instant, sleep_until, timeout_at};
 
 /// Pages that are kept packed: those of twenty times the servers of the largest sheet.
-const MOST_PAGES: usize = 400;
+const MAX_PAGES: usize = 400;
 /// Batches that are kept packed: askers differ by a few batches.
-const MOST_TOLD: usize = 8;
+const MAX_BATCHES: usize = 8;
 /// How long a listing is held where this daemon has yet to read the topic itself.
-const LIST_HOLD: Duration = Duration::from_millis(600);
+const MAX_LIST_HOLD: Duration = Duration::from_millis(600);
 
 /// Topics that are read for others.
 #[derive(Default)]
-pub struct Reading {
-    topics: RefCell<HashMap<String, Rc<Topic>>>,
+pub struct ReaderTopics {
+    topics: RefCell<HashMap<String, Rc<FollowedTopic>>>,
 }
 
-impl Reading {
+impl ReaderTopics {
     /// One of them.
-    pub fn topic(&self, name: &str) -> Rc<Topic> {
+    pub fn topic(&self, name: &str) -> Rc<FollowedTopic> {
         if let Some(topic) = self.topics.borrow().get(name) {
             return topic.clone();
         }
@@ -45,20 +45,20 @@
 
 /// A topic as it was read.
 #[derive(Default)]
-pub struct Topic {
+pub struct FollowedTopic {
     pub(super) mirror: RefCell<Mirror>,
     pages: RefCell<HashMap<Option<Vec<u8>>, Rc<Page>>>,
     /// What the last askers were told, by the offsets that it stands between: those who wait for
     /// the same news get the same bytes.
-    told: RefCell<VecDeque<(u64, u64, Vec<u8>)>>,
+    packed_batches: RefCell<VecDeque<(u64, u64, Vec<u8>)>>,
     /// When the log confirmed last that this is all.
     confirmed: Cell<Option<Instant>>,
     changed: Notify,
 }
 
-impl Topic {
+impl FollowedTopic {
     /// Takes in a page of a listing.
-    pub fn take_page(&self, after: Option<&[u8]>, page: &NewestPage) {
+    pub fn apply_page(&self, after: Option<&[u8]>, page: &NewestPage) {
         self.mirror.borrow_mut().apply_page(after, page);
         if page.more_after.is_none() {
             self.confirmed.set(Some(Instant::now()));
@@ -68,7 +68,7 @@
 
     /// Takes in an answer to a read that was asked then, to wait so long. One that lay there while
     /// this process was stopped is as old as the question.
-    pub fn take_batch(&self, from: u64, batch: &ReadBatch, asked: Instant, wait: Duration) {
+    pub fn apply_batch(&self, from: u64, batch: &ReadBatch, asked: Instant, wait: Duration) {
         self.mirror.borrow_mut().apply_batch(from, batch);
         let is_late = asked.elapsed() > wait + READ_MARGIN;
         let confirmed = if is_late { asked } else { Instant::now() };
@@ -77,7 +77,7 @@
     }
 
     /// Takes in what another reader told.
-    pub fn take_told(&self, from: u64, batch: &ReadBatch) {
+    pub fn apply_relayed(&self, from: u64, batch: &ReadBatch) {
         self.mirror.borrow_mut().apply_batch(from, batch);
         let age = Duration::from_millis(batch.age_ms);
         if let Some(at) = Instant::now().checked_sub(age)
@@ -91,7 +91,7 @@
     /// Nothing of it is known any more.
     pub fn forget(&self) {
         self.mirror.replace(Mirror::default());
-        self.told.borrow_mut().clear();
+        self.packed_batches.borrow_mut().clear();
     }
 
     fn age_ms(&self) -> u64 {
@@ -100,8 +100,8 @@
     }
 
     /// When what is known becomes too old to be of use.
-    fn old_at(&self, most_age_ms: u64) -> Option<Instant> {
-        Some(self.confirmed.get()? + Duration::from_millis(most_age_ms))
+    fn expires_at(&self, max_age_ms: u64) -> Option<Instant> {
+        Some(self.confirmed.get()? + Duration::from_millis(max_age_ms))
     }
 
     /// A page, packed. It is packed anew once the records that came since are not kept.
@@ -120,7 +120,7 @@
             end: fresh.end,
             more_after: fresh.more_after,
         });
-        if pages.len() >= MOST_PAGES {
+        if pages.len() >= MAX_PAGES {
             pages.clear();
         }
         pages.insert(after, page.clone());
@@ -139,36 +139,36 @@
     }
 
     fn packed(&self, records: &[(u64, KeyedRecord)], from: u64, next: u64) -> Vec<u8> {
-        let mut told = self.told.borrow_mut();
-        let known = told
+        let mut batches = self.packed_batches.borrow_mut();
+        let known = batches
             .iter()
             .find(|(first, behind, _)| (*first, *behind) == (from, next));
         if let Some((_, _, packed)) = known {
             return packed.clone();
         }
         let packed = packed::pack(records);
-        if told.len() >= MOST_TOLD {
-            told.pop_front();
+        if batches.len() >= MAX_BATCHES {
+            batches.pop_front();
         }
-        told.push_back((from, next, packed.clone()));
+        batches.push_back((from, next, packed.clone()));
         packed
     }
 }
 
 impl Relay {
-    fn answers(&self) -> bool {
-        self.is_reader() && !self.is_mute.get()
+    fn is_serving(&self) -> bool {
+        self.is_reader() && !self.is_stopped.get()
     }
 
     /// Answers a question for the records behind an offset, once there are some or the asker
     /// has to hear that there are none.
     pub async fn answer_follow(&self, question: &FollowTopic) -> LedgerReply {
-        if !self.answers() {
+        if !self.is_serving() {
             return LedgerReply::NotReader;
         }
-        let topic = self.reading.topic(&question.topic);
+        let topic = self.topics.topic(&question.topic);
         let hold = Duration::from_millis(question.wait_ms).min(self.hold);
-        let most_age_ms = self.most_age_ms();
+        let max_age_ms = self.max_age_ms();
         let until = Instant::now() + hold;
         loop {
             let changed = topic.changed.notified();
@@ -179,14 +179,14 @@
                 ReadResult::Truncated => {
                     return LedgerReply::TopicGone(topic.mirror.borrow().first_offset());
                 }
-                ReadResult::Empty if is_over || topic.age_ms() > most_age_ms => {
+                ReadResult::Empty if is_over || topic.age_ms() > max_age_ms => {
                     return topic.reply(&[], question.from_offset);
                 }
                 ReadResult::Ahead if is_over => return LedgerReply::NotReader,
                 ReadResult::Empty | ReadResult::Ahead => {}
             }
-            let old_at = topic.old_at(most_age_ms).filter(|at| *at > Instant::now());
-            let next = old_at.map_or(until, |at| at.min(until));
+            let expires_at = topic.expires_at(max_age_ms).filter(|at| *at > Instant::now());
+            let next = expires_at.map_or(until, |at| at.min(until));
             tokio::select! {
                 () = changed => {}
                 () = sleep_until(next) => {}
@@ -196,11 +196,11 @@
 
     /// Answers a question for a page of a listing.
     pub async fn answer_list(&self, question: &ListTopic) -> LedgerReply {
-        if !self.answers() {
+        if !self.is_serving() {
             return LedgerReply::NotReader;
         }
-        let topic = self.reading.topic(&question.topic);
-        let until = Instant::now() + LIST_HOLD;
+        let topic = self.topics.topic(&question.topic);
+        let until = Instant::now() + MAX_LIST_HOLD;
         loop {
             let changed = topic.changed.notified();
             if let Some(page) = topic.page(question.after_key.clone()) {
--- a/crates/gateway/src/relay/places.rs
+++ b/crates/gateway/src/relay/reader_slots.rs
@@ -16,31 +16,31 @@
 /// Looks for places for good.
 pub async fn run(daemon: Rc<Daemon>) {
     let relay = daemon.relay.clone();
-    let patience = patience(daemon.settings.capacity);
+    let delay = slot_claim_delay(daemon.settings.capacity);
     loop {
         sleep(PERIOD).await;
-        let Some(place) = relay.vacancy() else {
+        let Some(slot) = relay.vacant_slot() else {
             continue;
         };
-        sleep(patience + random_delay::draw(fastrand::u64(..))).await;
-        let is_vacant = || relay.vacancy().as_ref() == Some(&place);
+        sleep(delay + random_delay::draw(fastrand::u64(..))).await;
+        let is_vacant = || relay.vacant_slot().as_ref() == Some(&slot);
         if !is_vacant() || daemon.is_stopping() {
             continue;
         }
-        let record = Readers::record(&place, relay.address);
+        let record = Readers::record(&slot, relay.address);
         let claims = &daemon.owner.claims;
         let taken = claims.append_while(record, &is_vacant).await;
         tracing::info!(
             event = "reader_place",
-            zone = place.zone,
-            number = place.number,
+            zone = slot.zone,
+            number = slot.number,
             ?taken
         );
     }
 }
 
 /// Small machines let all large ones go first.
-fn patience(capacity: Capacity) -> Duration {
+fn slot_claim_delay(capacity: Capacity) -> Duration {
     match claim_delay(capacity, 0).is_zero() {
         true => Duration::ZERO,
         false => random_delay::max(),
@@ -49,13 +49,13 @@
 
 impl Relay {
     /// A place that this daemon might take.
-    fn vacancy(&self) -> Option<ReaderSlot> {
-        if !self.is_shared() || self.is_reader() {
+    fn vacant_slot(&self) -> Option<ReaderSlot> {
+        if !self.uses_readers() || self.is_reader() {
             return None;
         }
-        let asker = self.asker.borrow();
+        let selector = self.reader_selector.borrow();
         let now_ms = self.now_ms();
-        let is_lost = |reader| asker.is_lost(reader, now_ms);
+        let is_lost = |reader| selector.is_lost(reader, now_ms);
         self.readers.borrow().vacant_slot(&self.zone, &is_lost)
     }
 }
--- a/crates/gateway/tests/gateway/relay.rs
+++ b/crates/gateway/tests/gateway/relay.rs
@@ -116,7 +116,7 @@
         let server = Server::start("s1", Act::Answer(200, "yes".to_owned())).await;
         let world = World::new().await;
         let gateway = world.ready(&[&server]).await;
-        assert!(!gateway.daemon.relay.is_shared());
+        assert!(!gateway.daemon.relay.uses_readers());
         for number in 0..500 {
             let name = format!("e{number:05}");
             world.put(SERVERS, &name, "other 127.0.0.1:9").await;
@@ -148,7 +148,7 @@
         let world = World::new().await;
         let gateway = world.ready(&[&server]).await;
         sleep(ms(1_500)).await;
-        assert!(!gateway.daemon.relay.is_shared());
+        assert!(!gateway.daemon.relay.uses_readers());
     });
 }
 
@@ -209,7 +209,7 @@
     run(still_knows(
         |readers| {
             for reader in readers {
-                reader.daemon.relay.stop_answering();
+                reader.daemon.relay.stop_serving();
             }
         },
         IN_FORCE,
@@ -255,7 +255,7 @@
         let (world, _server) = large_world().await;
         let (readers, askers) = split(settled(&world, 4).await);
         for reader in &readers {
-            reader.daemon.relay.stop_answering();
+            reader.daemon.relay.stop_serving();
         }
         wait_for("no other reads", ms(9_000), || {
             askers.iter().any(|one| one.daemon.relay.is_reader())
