--- a/crates/gateway/src/ledger/owner.rs
+++ b/crates/gateway/src/ledger/owner.rs
@@ -76,7 +76,7 @@
         assigner: Rc<Assigner>,
         incarnation: u64,
     ) -> Rc<Self> {
-        let places = assigner.zone_state.clone();
+        let zone_state = assigner.zone_state.clone();
         let store: Rc<dyn LogStore> = relay.clone();
         let claims = Claims::new(
             store.clone(),
@@ -305,7 +305,7 @@
         let used = self
             .limits
             .used(|partition| self.held.borrow().contains_key(&partition));
-        self.metrics.tell_tenants(&used);
+        self.metrics.set_tenant_usage(&used);
     }
 
     /// Partitions held here.
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 /// Tenants that are shown by name: with thousands of them each would be a series of its own.
-const MOST_TENANTS: usize = 8;
+const MAX_TENANTS_SHOWN: usize = 8;
 const LATENCY_BUCKETS: [f64; 14] = [
     0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.35, 0.5, 1.0, 2.0, 4.0, 8.0,
 ];
@@ -16,7 +16,7 @@
 pub struct Metrics {
     registry: Registry,
     /// Answers to clients by status; 0 is an answer broken off.
-    pub answers: IntCounterVec,
+    pub responses: IntCounterVec,
     /// Requests under way.
     pub in_flight: IntGauge,
     /// Attempts at servers by outcome.
@@ -49,7 +49,7 @@
     /// Calls to the log service by kind.
     pub store_calls: IntCounterVec,
     /// Questions to readers of followed topics, by outcome.
-    pub relayed: IntCounterVec,
+    pub relayed_reads: IntCounterVec,
     /// Partitions owned.
     pub partitions_owned: IntGauge,
     /// Version of the configuration in force.
@@ -109,7 +109,7 @@
         };
         let b = &build;
         Self {
-            answers: b.counters("fieldhook_answers_total", "Answers to clients", "status"),
+            responses: b.counters("fieldhook_answers_total", "Answers to clients", "status"),
             in_flight: b.gauge("fieldhook_in_flight", "Requests under way"),
             attempts: b.counters("fieldhook_attempts_total", "Attempts at servers", "outcome"),
             silence: b.counters(
@@ -159,7 +159,7 @@
             ),
             connections: b.counter("fieldhook_server_connections_total", "Connections opened"),
             store_calls: b.counters("fieldhook_store_calls_total", "Log service calls", "kind"),
-            relayed: b.counters(
+            relayed_reads: b.counters(
                 "fieldhook_relayed_reads_total",
                 "Questions to readers of followed topics",
                 "outcome",
@@ -178,10 +178,10 @@
 
 impl Metrics {
     /// Takes in how much of their limits tenants use, most first.
-    pub fn tell_tenants(&self, used: &[(Rc<str>, f64)]) {
+    pub fn set_tenant_usage(&self, used: &[(Rc<str>, f64)]) {
         self.tenants.set(used.len() as i64);
         self.tenant_limit_used.reset();
-        for (tenant, part) in used.iter().take(MOST_TENANTS) {
+        for (tenant, part) in used.iter().take(MAX_TENANTS_SHOWN) {
             self.tenant_limit_used
                 .with_label_values(&[tenant])
                 .set(*part);
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -498,7 +498,7 @@
     }
 
     fn count(&self, outcome: &str) {
-        self.metrics.relayed.with_label_values(&[outcome]).inc();
+        self.metrics.relayed_reads.with_label_values(&[outcome]).inc();
     }
 }
 
--- a/crates/gateway/src/serve/buffered.rs
+++ b/crates/gateway/src/serve/buffered.rs
@@ -248,7 +248,7 @@
     let status = attempt.response.head.status;
     let metrics = &context.daemon.metrics;
     metrics
-        .answers
+        .responses
         .with_label_values(&[&status.to_string()])
         .inc();
     metrics
--- a/crates/gateway/src/serve/local_response.rs
+++ b/crates/gateway/src/serve/local_response.rs
@@ -81,7 +81,7 @@
         bytes.extend_from_slice(body);
         daemon
             .metrics
-            .answers
+            .responses
             .with_label_values(&[&self.status.to_string()])
             .inc();
         writer.write(&bytes).await
--- a/crates/gateway/src/serve/send_check.rs
+++ b/crates/gateway/src/serve/send_check.rs
@@ -75,7 +75,7 @@
 
 /// Returns whether the server is in a region allowed by the current configuration.
 fn is_in_home_region(context: &RequestContext, server: &ServerEntry) -> bool {
-    let places = &context.daemon.zone_state;
+    let zone_state = &context.daemon.zone_state;
     let homes = homes::current(context);
     zone_state.with_rule(&homes, &server.zone, |rule| rule.may_hold(&server.zone))
 }
--- a/crates/gateway/src/serve/stream.rs
+++ b/crates/gateway/src/serve/stream.rs
@@ -81,7 +81,7 @@
     context
         .daemon
         .metrics
-        .answers
+        .responses
         .with_label_values(&["0"])
         .inc();
     tracing::info!(
@@ -291,7 +291,7 @@
     context
         .daemon
         .metrics
-        .answers
+        .responses
         .with_label_values(&["200"])
         .inc();
     tracing::info!(
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -27,7 +27,7 @@
 
 /// How much more than it bears a cold server may get in a second, as the sheet says.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Cold {
+pub struct ColdTolerance {
     /// Times what it bears.
     pub overshoot: f64,
     /// Requests on top of that.
@@ -47,7 +47,7 @@
     /// Time until servers of an evacuated zone get nothing new, in milliseconds.
     pub evacuation_ms: u64,
     /// How cold servers are judged.
-    pub cold: Cold,
+    pub cold: ColdTolerance,
 }
 
 impl Default for Bounds {
@@ -59,7 +59,7 @@
             config_ms: 2_000,
             drain_ms: 2_000,
             evacuation_ms: 5_000,
-            cold: Cold {
+            cold: ColdTolerance {
                 overshoot: 1.0,
                 slack: 0.0,
             },
@@ -85,7 +85,7 @@
 
 impl SlowPeers {
     /// What a machine with so much memory holds for them.
-    pub fn on(memory_bytes: u64) -> Self {
+    pub fn for_memory(memory_bytes: u64) -> Self {
         Self {
             held_bytes: memory_bytes / HELD_DIVISOR,
             ..Self::default()
--- a/crates/gateway/src/store_exchange.rs
+++ b/crates/gateway/src/store_exchange.rs
@@ -24,7 +24,7 @@
 const IDLE_LIMIT: Duration = Duration::from_secs(2);
 
 /// A call.
-pub struct Exchange {
+pub struct StoreRequest {
     /// Method.
     pub method: &'static str,
     /// Head and body.
@@ -34,7 +34,7 @@
 }
 
 /// An answer of the service.
-pub struct StoreAnswer {
+pub struct StoreResponse {
     /// Status.
     pub status: u16,
     /// Body.
@@ -68,7 +68,7 @@
     ///
     /// # Errors
     /// Nothing was done, or nobody can tell.
-    pub async fn exchange(&self, exchange: Exchange) -> Result<StoreAnswer, StoreError> {
+    pub async fn exchange(&self, exchange: StoreRequest) -> Result<StoreResponse, StoreError> {
         let mut connection = match self.connection().await {
             Ok(connection) => connection,
             Err(_) => {
@@ -100,7 +100,7 @@
     }
 
     /// A service that is busy answers, but does not serve.
-    fn note(&self, answer: &StoreAnswer) {
+    fn note(&self, answer: &StoreResponse) {
         if answer.status == 503 {
             self.log_health.record_failure();
         } else {
@@ -140,7 +140,7 @@
 }
 
 impl Connection {
-    async fn call(&mut self, exchange: &Exchange) -> Result<(StoreAnswer, bool), StoreError> {
+    async fn call(&mut self, exchange: &StoreRequest) -> Result<(StoreResponse, bool), StoreError> {
         // Without all bytes the service does nothing, but whether it has them all is
         // known only from its answer.
         self.stream
@@ -161,7 +161,7 @@
                 return Err(StoreError::Unreadable);
             }
         }
-        let answer = StoreAnswer {
+        let answer = StoreResponse {
             status: head.status,
             body: body.freeze(),
         };
--- a/crates/gateway/tests/gateway/cold.rs
+++ b/crates/gateway/tests/gateway/cold.rs
@@ -2,7 +2,7 @@
 
 use crate::support::{Act, CONFIG, Gateway, Reply, Server, World, config, run};
 use fieldhook_emulator::log::memory::LogFault;
-use fieldhook_gateway::settings::{Bounds, Cold as Judged};
+use fieldhook_gateway::settings::{Bounds, ColdTolerance};
 use fieldhook_traffic::config::Cold;
 use futures_util::future::join_all;
 use std::rc::Rc;
@@ -30,7 +30,7 @@
     });
     world.configs.borrow_mut()[0] = config;
     world.bounds.set(Bounds {
-        cold: Judged {
+        cold: ColdTolerance {
             overshoot: 1.5,
             slack: 5.0,
         },
--- a/crates/gateway/tests/gateway/evacuation.rs
+++ b/crates/gateway/tests/gateway/evacuation.rs
@@ -89,7 +89,7 @@
 }
 
 async fn wait_state(gateway: &Gateway, zone: &str, is_evacuated: bool) {
-    let places = &gateway.daemon.zone_state;
+    let zone_state = &gateway.daemon.zone_state;
     let what = format!("{zone} evacuated: {is_evacuated}");
     until(&what, || zone_state.is_evacuated(zone) == is_evacuated).await;
 }
@@ -197,7 +197,7 @@
         let asked = gateway.ask("POST", "/unsafe/1", "Request: a\r\n", "");
         let closed = async {
             until_chosen(&gateway, "s1").await;
-            let places = &gateway.daemon.zone_state;
+            let zone_state = &gateway.daemon.zone_state;
             zone_state.apply("z1", State::Evacuated, 1_000, "test");
         };
         let (reply, ()) = join(asked, closed).await;
@@ -297,7 +297,7 @@
         wait_state(&gateway, "z1", true).await;
         let log = &zones.world.log.core;
         let end = log.borrow_mut().newest(&config_partition(), None).end;
-        let places = &gateway.daemon.zone_state;
+        let zone_state = &gateway.daemon.zone_state;
         // A listing read before the record, another daemon that has not read it, and one
         // that knows the state before.
         zone_state.apply_listing(&[], end - 1);
--- a/crates/gateway/tests/gateway/incarnations.rs
+++ b/crates/gateway/tests/gateway/incarnations.rs
@@ -377,7 +377,7 @@
             let directory = gateway.daemon.directory.borrow();
             let id = directory.identity_of("s1").expect("a server");
             let entry = directory.entry(id).expect("its entry");
-            gateway.daemon.cold.cold(entry).is_some()
+            gateway.daemon.cold.cold_limits(entry).is_some()
         };
         assert!(!is_cold());
         start_again(&world, &s1, 2, "").await;
@@ -492,7 +492,7 @@
         }
         world.put(CONFIG, "closed/", "{}").await;
         sleep(IN_FORCE).await;
-        let places = &gateway.daemon.zone_state;
+        let zone_state = &gateway.daemon.zone_state;
         assert!(zone_state.is_evacuated("z1") && !zone_state.is_evacuated("z2"));
         assert!(unreadable(&gateway, "evacuation") > 250);
         let before = s1.count();
--- a/crates/gateway/tests/gateway/store.rs
+++ b/crates/gateway/tests/gateway/store.rs
@@ -1,7 +1,7 @@
 //! Connections to the log service.
 
 use crate::support::run;
-use fieldhook_gateway::store_exchange::{Exchange, StoreConnections};
+use fieldhook_gateway::store_exchange::{StoreRequest, StoreConnections};
 use fieldhook_log::api::StoreError;
 use fieldhook_log::log_health::LogHealth;
 use futures_util::future::join_all;
@@ -14,8 +14,8 @@
 
 const ANSWER: &[u8] = b"HTTP/1.1 200 Fine\r\nContent-Length: 0\r\n\r\n";
 
-fn call() -> Exchange {
-    Exchange {
+fn call() -> StoreRequest {
+    StoreRequest {
         method: "GET",
         message: b"GET / HTTP/1.1\r\nHost: log\r\n\r\n".to_vec(),
         timeout: Duration::from_millis(200),
