--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -8,11 +8,11 @@
 use crate::ledger::quota::TenantShares;
 use crate::memory::Memory;
 use crate::metrics::Metrics;
-use crate::zone_state::ZoneState;
 use crate::relay::{self, Relay};
 use crate::serve::response_times::ResponseTimes;
 use crate::settings::GatewaySettings;
 use crate::upstream::pool::Pools;
+use crate::zone_state::ZoneState;
 use fieldhook_log::api::LogStore;
 use fieldhook_log::log_health::LogHealth;
 use fieldhook_log::reach::Reach;
@@ -198,7 +198,8 @@
     /// confirmed.
     pub fn is_evacuation_state_stale(&self) -> bool {
         let is_isolated = self.ledger.reach.get() == Reach::Isolated;
-        self.zone_state.is_evacuation_state_stale(self.word_age_ms(), is_isolated)
+        self.zone_state
+            .is_evacuation_state_stale(self.word_age_ms(), is_isolated)
     }
 
     /// Time since the operator's word as it is known was seen to be the newest, in
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -96,7 +96,11 @@
     fn read_response(&self, status: u16, headers: &Headers) -> ResponseMeta;
 
     /// Fields of an answer of the gateway's own.
-    fn local_response_headers(&self, request_id: Option<&str>, retry_after_ms: Option<u64>) -> Headers;
+    fn local_response_headers(
+        &self,
+        request_id: Option<&str>,
+        retry_after_ms: Option<u64>,
+    ) -> Headers;
 
     /// Reads the configuration document.
     ///
--- a/crates/gateway/src/follow/config.rs
+++ b/crates/gateway/src/follow/config.rs
@@ -55,7 +55,9 @@
         };
         let listed = take_all(&daemon, &records);
         if is_listing {
-            daemon.zone_state.apply_listing(&listed, follower.position());
+            daemon
+                .zone_state
+                .apply_listing(&listed, follower.position());
         }
     }
 }
--- a/crates/gateway/src/ledger/assigner.rs
+++ b/crates/gateway/src/ledger/assigner.rs
@@ -1,8 +1,8 @@
 //! Engines for the turns of programs whose partitions are owned here.
 
 use crate::cold::ColdServers;
-use crate::zone_state::ZoneState;
 use crate::upstream::pool::Pools;
+use crate::zone_state::ZoneState;
 use fieldhook_ledger::message::{CloseTurn, OpenTurn, PlacementRequest};
 use fieldhook_ledger::partition_of;
 use fieldhook_topology::region::Set;
--- a/crates/gateway/src/ledger/owner.rs
+++ b/crates/gateway/src/ledger/owner.rs
@@ -7,9 +7,9 @@
 use super::limits::{self, Limits};
 use crate::follow::known::Known;
 use crate::metrics::Metrics;
-use crate::zone_state::ZoneState;
 use crate::relay::Relay;
 use crate::settings::{GatewaySettings, Quota};
+use crate::zone_state::ZoneState;
 use fieldhook_ledger::message::{
     ClaimPartition, KnownOwner, LedgerReply, LedgerRequest, QuotaEvent, QuotaRequest,
 };
@@ -146,7 +146,8 @@
         let partition = request.partition(self.zone_state.layout.global_count());
         match request {
             LedgerRequest::HasRecentLogContact => {
-                let has_log = self.log_health.answered_within(FRESH) && !self.log_health.is_failing();
+                let has_log =
+                    self.log_health.answered_within(FRESH) && !self.log_health.is_failing();
                 let _ = sender.send(LedgerReply::LogContact(has_log));
             }
             LedgerRequest::HasLogContact => {
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -11,8 +11,8 @@
 //! - [`reader`]: answering those who ask.
 
 pub mod packed;
-pub mod reader_slots;
 pub mod reader;
+pub mod reader_slots;
 
 use crate::dialect::Topics;
 use crate::ledger::owner::OWNERS_TOPIC;
@@ -270,7 +270,9 @@
             topic: self.servers.clone(),
             number: 0,
         };
-        let end = self.log.newest(partition, Some(AFTER_ALL_KEYS.to_vec()), limit);
+        let end = self
+            .log
+            .newest(partition, Some(AFTER_ALL_KEYS.to_vec()), limit);
         let end = end.await?.end;
         if end >= RELAY_MIN_RECORDS && !self.has_many_servers.get() {
             tracing::info!(event = "servers_are_many", end);
@@ -301,7 +303,10 @@
             topic: partition.topic.clone(),
             after_key: after.clone(),
         });
-        match self.request(&partition.topic, &question, PAGE_TIMEOUT).await {
+        match self
+            .request(&partition.topic, &question, PAGE_TIMEOUT)
+            .await
+        {
             Some(RelayedRead::Records(told, records)) => Ok(NewestPage {
                 records,
                 more_after: told.more_after,
@@ -426,13 +431,20 @@
 
     /// Asks readers one after another until one knows. One that has begun to read later than
     /// another keeps less of what was: that it is gone there, does not mean that it is gone.
-    async fn request(&self, topic: &str, question: &LedgerRequest, limit: Duration) -> Option<RelayedRead> {
+    async fn request(
+        &self,
+        topic: &str,
+        question: &LedgerRequest,
+        limit: Duration,
+    ) -> Option<RelayedRead> {
         let mut gone = None;
         for reader in self.candidates(topic) {
             let reply = self.peers.request(reader, question, limit).await;
             match decode_reply(reply, self.max_age_ms()) {
                 Ok(told) => {
-                    self.reader_selector.borrow_mut().record_answer(reader, topic);
+                    self.reader_selector
+                        .borrow_mut()
+                        .record_answer(reader, topic);
                     self.count("answered");
                     match told {
                         RelayedRead::Gone(_) => gone = Some(told),
@@ -466,7 +478,10 @@
     /// # Errors
     /// That takes longer: readers are asked again meanwhile.
     async fn wait_for_log_read(&self, topic: &str) -> Result<(), StoreError> {
-        let left_ms = self.reader_selector.borrow().log_read_delay_ms(topic, self.now_ms());
+        let left_ms = self
+            .reader_selector
+            .borrow()
+            .log_read_delay_ms(topic, self.now_ms());
         let left = left_ms.map(Duration::from_millis);
         let left = left.filter(|left| *left <= MAX_LOG_READ_WAIT);
         sleep(left.ok_or(StoreError::NotDone)?).await;
@@ -498,7 +513,10 @@
     }
 
     fn count(&self, outcome: &str) {
-        self.metrics.relayed_reads.with_label_values(&[outcome]).inc();
+        self.metrics
+            .relayed_reads
+            .with_label_values(&[outcome])
+            .inc();
     }
 }
 
--- a/crates/gateway/src/relay/reader.rs
+++ b/crates/gateway/src/relay/reader.rs
@@ -185,7 +185,9 @@
                 ReadResult::Ahead if is_over => return LedgerReply::NotReader,
                 ReadResult::Empty | ReadResult::Ahead => {}
             }
-            let expires_at = topic.expires_at(max_age_ms).filter(|at| *at > Instant::now());
+            let expires_at = topic
+                .expires_at(max_age_ms)
+                .filter(|at| *at > Instant::now());
             let next = expires_at.map_or(until, |at| at.min(until));
             tokio::select! {
                 () = changed => {}
--- a/crates/gateway/src/serve/connection.rs
+++ b/crates/gateway/src/serve/connection.rs
@@ -131,7 +131,9 @@
     };
     drop(request_guard);
     match action {
-        ConnectionAction::KeepOpen if !keep_alive || daemon.closes_connections() => ConnectionAction::Close,
+        ConnectionAction::KeepOpen if !keep_alive || daemon.closes_connections() => {
+            ConnectionAction::Close
+        }
         action => action,
     }
 }
--- a/crates/gateway/src/serve/local_response.rs
+++ b/crates/gateway/src/serve/local_response.rs
@@ -68,7 +68,9 @@
         request_id: Option<&str>,
         writer: &mut ClientWriter,
     ) -> io::Result<()> {
-        let headers = daemon.dialect.local_response_headers(request_id, self.retry_after_ms);
+        let headers = daemon
+            .dialect
+            .local_response_headers(request_id, self.retry_after_ms);
         let body = self.message.as_bytes();
         let close = self.close || daemon.closes_connections();
         let mut bytes = response_head(
--- a/crates/gateway/src/serve/reader.rs
+++ b/crates/gateway/src/serve/reader.rs
@@ -3,7 +3,7 @@
 use super::writer::ClientWriter;
 use crate::http::body::{BodyDecoder, Framing, Piece};
 use crate::http::head::{HeadError, RequestHead, decode_request_head};
-use crate::memory::{MemoryAccount, Memory, MemoryExhausted};
+use crate::memory::{Memory, MemoryAccount, MemoryExhausted};
 use bytes::{Bytes, BytesMut};
 use fieldhook_traffic::config::Limits;
 use fieldhook_traffic::room::Purpose;
--- a/crates/gateway/src/serve/request.rs
+++ b/crates/gateway/src/serve/request.rs
@@ -257,13 +257,16 @@
     request: ClientRequest,
 ) -> Result<RequestContext, (String, LocalResponse)> {
     let head = request.head;
-    let meta = daemon.dialect.read_request(&head.headers).map_err(|error| {
-        tracing::info!(event = "bad_field", target = head.target, problem = %error);
-        (
-            String::new(),
-            LocalResponse::new(400, "a field is missing or malformed"),
-        )
-    })?;
+    let meta = daemon
+        .dialect
+        .read_request(&head.headers)
+        .map_err(|error| {
+            tracing::info!(event = "bad_field", target = head.target, problem = %error);
+            (
+                String::new(),
+                LocalResponse::new(400, "a field is missing or malformed"),
+            )
+        })?;
     if daemon.is_refusing() {
         let response = LocalResponse::not_run("this daemon is about to stop", RETRY_SOON_MS);
         return Err((meta.id, response));
--- a/crates/gateway/src/serve/writer.rs
+++ b/crates/gateway/src/serve/writer.rs
@@ -2,7 +2,7 @@
 //! limit. Until the limit is reached the server is read at its own speed, and from then on at the
 //! speed of the client.
 
-use crate::memory::{MemoryAccount, Memory};
+use crate::memory::{Memory, MemoryAccount};
 use bytes::{Buf, BytesMut};
 use fieldhook_traffic::room::Purpose;
 use std::io;
--- a/crates/gateway/src/upstream/connection.rs
+++ b/crates/gateway/src/upstream/connection.rs
@@ -1,6 +1,6 @@
 //! A connection to a server, which handles one request at a time.
 
-use crate::dialect::{ResponseMeta, Dialect};
+use crate::dialect::{Dialect, ResponseMeta};
 use crate::http::body::{BodyDecoder, Piece};
 use crate::http::head::{ResponseHead, decode_response_head};
 use bytes::{Bytes, BytesMut};
--- a/crates/gateway/tests/gateway/cancellation.rs
+++ b/crates/gateway/tests/gateway/cancellation.rs
@@ -10,8 +10,8 @@
 fn attempt_abandoned_while_connecting_has_not_run() {
     run(async {
         let mut servers = [
-            Server::start_frail("a", Act::Silent).await,
-            Server::start_frail("b", Act::Silent).await,
+            Server::start_with_power_switch("a", Act::Silent).await,
+            Server::start_with_power_switch("b", Act::Silent).await,
         ];
         let world = World::new().await;
         let gateway = world.ready(&[&servers[0], &servers[1]]).await;
@@ -47,7 +47,7 @@
         assert_eq!(reply.text(), "fine");
         assert_eq!(truncating.count(), 1);
         let deadline = Instant::now() + Duration::from_secs(3);
-        while truncating.closed_early.get() == 0 {
+        while truncating.client_disconnects.get() == 0 {
             assert!(Instant::now() < deadline, "the connection is still open");
             sleep(Duration::from_millis(20)).await;
         }
--- a/crates/gateway/tests/gateway/cold.rs
+++ b/crates/gateway/tests/gateway/cold.rs
@@ -258,7 +258,7 @@
         // Where the warm one has no place the cold one gets what it bears, and a request
         // that is denied there waits for the warm one as before.
         full.set(Act::NotRun);
-        let refilled = full.clone_act();
+        let refilled = full.shared_act();
         ntex::rt::spawn(async move {
             sleep(Duration::from_millis(150)).await;
             refilled.replace(yes());
--- a/crates/gateway/tests/gateway/forwarding.rs
+++ b/crates/gateway/tests/gateway/forwarding.rs
@@ -114,7 +114,7 @@
         assert_eq!(silent.count(), 1);
         // The abandoned request is cancelled at the server.
         sleep(Duration::from_millis(50)).await;
-        assert_eq!(silent.closed_early.get(), 1);
+        assert_eq!(silent.client_disconnects.get(), 1);
     });
 }
 
@@ -240,7 +240,7 @@
         }
         drop(client);
         sleep(Duration::from_millis(200)).await;
-        assert_eq!(server.closed_early.get(), 1);
+        assert_eq!(server.client_disconnects.get(), 1);
         assert_eq!(gateway.daemon.in_flight.get(), 0);
     });
 }
--- a/crates/gateway/tests/gateway/homes.rs
+++ b/crates/gateway/tests/gateway/homes.rs
@@ -1,6 +1,8 @@
 //! Homes of data: gateways of several regions, and who gets what a program says.
 
-use crate::support::{Act, Gateway, Lines, Server, World, config, config_of, run, tenant};
+use crate::support::{
+    Act, Gateway, LogCapture, Server, World, config, config_with_tenants, run, tenant,
+};
 use fieldhook_emulator::log::memory::LogFault;
 use fieldhook_gateway::ledger::owner::OWNERS_TOPIC;
 use fieldhook_log::api::{Append, LogStore, Partition};
@@ -91,7 +93,7 @@
         let keepers = self
             .gateways
             .iter()
-            .filter(|(_, gateway)| gateway.spy.has_seen(text));
+            .filter(|(_, gateway)| gateway.spy.has_record_with(text));
         keepers.map(|(zone, _)| *zone).collect()
     }
 
@@ -360,7 +362,7 @@
 #[test]
 fn the_line_of_a_refusal_names_the_rule_of_place() {
     run(async {
-        let lines = Lines::start();
+        let lines = LogCapture::start();
         let mut first = config(1);
         for route in &mut first.routes {
             route.homes = Set::of(["c"]);
@@ -370,11 +372,11 @@
         let reply = fleet.at("b1").ask("POST", "/safe/1", fields, "x").await;
         assert_eq!(reply.head.status, 503);
         assert!(reply.head.headers.has("come-back-ms"));
-        let told = lines.of("no_server_in_place");
+        let told = lines.with_event("no_server_in_place");
         assert_eq!(told.len(), 1);
         assert!(told[0].contains("\"not_home\":2") && told[0].contains("region is not allowed"));
         assert_eq!([fleet.at_a.count(), fleet.at_b.count()], [0, 0]);
-        assert!(lines.of("homes_unservable").is_empty());
+        assert!(lines.with_event("homes_unservable").is_empty());
     });
 }
 
@@ -544,12 +546,12 @@
 #[test]
 fn homes_with_nothing_in_common_refuse_truthfully() {
     run(async {
-        let lines = Lines::start();
+        let lines = LogCapture::start();
         let mut red = tenant("red", "k1");
         red.homes = Set::of(["b"]);
         let mut blue = tenant("blue", "k2");
         blue.homes = Set::of(["a", "b"]);
-        let mut first = config_of(1, vec![red, blue]);
+        let mut first = config_with_tenants(1, vec![red, blue]);
         for route in &mut first.routes {
             route.homes = Set::of(["a"]);
         }
@@ -561,10 +563,10 @@
             assert!(reply.head.headers.has("come-back-ms"));
         }
         assert_eq!(fleet.at_a.count() + fleet.at_b.count(), 0);
-        let told = lines.of("homes_unservable");
+        let told = lines.with_event("homes_unservable");
         let names_both = |line: &String| line.contains("\"chat\"") && line.contains("\"red\"");
         assert!(told.iter().any(names_both), "{told:?}");
-        let refused = lines.of("refused_for_home");
+        let refused = lines.with_event("refused_for_home");
         assert_eq!(refused.len(), 3, "{refused:?}");
         let fields = "Request: r2\r\nProgram: p\r\nKey: k2\r\n";
         let reply = fleet.at("b1").ask("POST", "/chat/1", fields, "x").await;
--- a/crates/gateway/tests/gateway/incarnations.rs
+++ b/crates/gateway/tests/gateway/incarnations.rs
@@ -1,6 +1,6 @@
 //! Entries of servers that start again under their name, and entries of other writers.
 
-use crate::support::{Act, CONFIG, Gateway, Lines, SERVERS, Server, World, run};
+use crate::support::{Act, CONFIG, Gateway, LogCapture, SERVERS, Server, World, run};
 use fieldhook_emulator::log::memory::LogFault;
 use fieldhook_gateway::settings::Bounds;
 use fieldhook_log::api::{Append, KeyedRecord, Partition};
@@ -332,7 +332,7 @@
 #[test]
 fn failures_and_silence_of_the_process_before_are_not_held_against_the_next() {
     run(async {
-        let mut s1 = Server::start_frail("s1", Act::Reset).await;
+        let mut s1 = Server::start_with_power_switch("s1", Act::Reset).await;
         let world = World::new().await;
         start_again(&world, &s1, 1, "").await;
         let gateway = world.gateway("g1").await;
@@ -422,7 +422,7 @@
         let s1 = Server::start("s1", plain()).await;
         let world = World::new().await;
         let gateway = world.ready(&[&s1]).await;
-        let lines = Lines::start();
+        let lines = LogCapture::start();
         let large = "x".repeat(1 << 20);
         world.put(SERVERS, "foreign", &large).await;
         world.put_bytes(SERVERS, b"\xff\xfe", b"service").await;
@@ -437,7 +437,7 @@
             ("zone_unreadable", "evacuation", 1),
         ];
         for (event, kind, count) in said {
-            let lines = lines.of(event);
+            let lines = lines.with_event(event);
             assert_eq!(lines.len(), count, "{event}: {lines:?}");
             assert_eq!(unreadable(&gateway, kind), count as u64, "{kind}");
             assert!(lines.iter().all(|line| line.len() < 1_000), "{event}");
@@ -456,14 +456,14 @@
         let s1 = Server::start("s1", plain()).await;
         let world = World::new().await;
         let gateway = world.ready(&[&s1]).await;
-        let lines = Lines::start();
+        let lines = LogCapture::start();
         for number in 0..300 {
             world.put(SERVERS, &format!("f{number}"), "\u{0}").await;
         }
         world.list(&s1).await;
         sleep(IN_FORCE).await;
         assert_eq!(unreadable(&gateway, "server"), 300);
-        let said = lines.of("server_unreadable");
+        let said = lines.with_event("server_unreadable");
         assert!(said.len() <= 100, "{} lines", said.len());
         assert!(said.iter().any(|line| line.contains("unnamed")));
         ask(&gateway, 4).await;
--- a/crates/gateway/tests/gateway/limits.rs
+++ b/crates/gateway/tests/gateway/limits.rs
@@ -1,6 +1,6 @@
 //! Request limits of tenants, which are shared by all gateways, also when their owner changes.
 
-use crate::support::{Act, Gateway, Reply, Server, World, config_of, run, tenant};
+use crate::support::{Act, Gateway, Reply, Server, World, config_with_tenants, run, tenant};
 use fieldhook_traffic::tenants::{Limit, Tenant};
 use std::time::Duration;
 use tokio::time::sleep;
@@ -20,7 +20,7 @@
 
 async fn world_of(tenants: Vec<Tenant>) -> World {
     let world = World::new().await;
-    world.configs.borrow_mut()[0] = config_of(1, tenants);
+    world.configs.borrow_mut()[0] = config_with_tenants(1, tenants);
     world
 }
 
@@ -115,7 +115,10 @@
             rate_per_s: 0.2,
             burst: 2.0,
         });
-        world.configs.borrow_mut().push(config_of(2, vec![lower]));
+        world
+            .configs
+            .borrow_mut()
+            .push(config_with_tenants(2, vec![lower]));
         let [a, b] = two_gateways(&world, &server).await;
         assert_eq!(ask(&a, 0).await.head.status, 200);
         world.publish(1).await;
--- a/crates/gateway/tests/gateway/outage.rs
+++ b/crates/gateway/tests/gateway/outage.rs
@@ -1,6 +1,6 @@
 //! What has to be in force again once an outage of the log is over.
 
-use crate::support::{Act, Gateway, SERVERS, Server, World, config_of, run, tenant};
+use crate::support::{Act, Gateway, SERVERS, Server, World, config_with_tenants, run, tenant};
 use fieldhook_emulator::log::memory::LogFault;
 use fieldhook_traffic::tenants::{Limit, Tenant};
 use std::time::Duration;
@@ -35,11 +35,11 @@
         let staying = Server::start("s2", Act::Events(vec!["one".to_owned()], None)).await;
         let world = World::new().await;
         world.configs.borrow_mut()[0] =
-            config_of(1, vec![limited("k1", 100.0), tenant("blue", "k3")]);
-        world
-            .configs
-            .borrow_mut()
-            .push(config_of(2, vec![limited("k2", 3.0), tenant("blue", "k3")]));
+            config_with_tenants(1, vec![limited("k1", 100.0), tenant("blue", "k3")]);
+        world.configs.borrow_mut().push(config_with_tenants(
+            2,
+            vec![limited("k2", 3.0), tenant("blue", "k3")],
+        ));
         let a = world.ready(&[&leaving, &staying]).await;
         let b = world.gateway("g2").await;
         b.wait_ready(2).await;
--- a/crates/gateway/tests/gateway/slow_peers.rs
+++ b/crates/gateway/tests/gateway/slow_peers.rs
@@ -1,7 +1,7 @@
 //! Clients and servers that read slowly: the memory held for them is bounded, and other peers are
 //! not affected.
 
-use crate::support::{Act, Gateway, Lines, Server, World, run};
+use crate::support::{Act, Gateway, LogCapture, Server, World, run};
 use fieldhook_gateway::settings::SlowPeers;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -55,7 +55,7 @@
         let body = text(LARGE);
         let server = Server::start("s1", Act::Answer(200, body.clone())).await;
         let (_world, gateway) = gateway(bounds(LARGE, 64 * KIB), &server).await;
-        let mut client = gateway.narrow_client().await;
+        let mut client = gateway.small_buffer_client().await;
         client.send("GET", "/safe/1", "Request: a\r\n", "").await;
         for _ in 0..60 {
             sleep(ms(5)).await;
@@ -71,19 +71,19 @@
 #[test]
 fn client_that_reads_nothing_is_disconnected() {
     run(async {
-        let lines = Lines::start();
+        let lines = LogCapture::start();
         let server = Server::start("s1", Act::Answer(200, text(LARGE))).await;
         let stalled = SlowPeers {
             stall_ms: 300,
             ..bounds(LARGE, 64 * KIB)
         };
         let (_world, gateway) = gateway(stalled, &server).await;
-        let mut client = gateway.narrow_client().await;
+        let mut client = gateway.small_buffer_client().await;
         client.send("GET", "/safe/1", "Request: a\r\n", "").await;
         sleep(ms(100)).await;
         assert!(gateway.daemon.memory.held() > 0);
         wait_until_memory_is_freed(&gateway).await;
-        let logged = lines.of("client_stalled");
+        let logged = lines.with_event("client_stalled");
         assert_eq!(logged.len(), 1, "{logged:?}");
         assert!(logged[0].contains("\"request\":\"a\""), "{logged:?}");
         assert_eq!(gateway.daemon.pools.status("s1", "z1", 0).in_flight, 0);
@@ -93,13 +93,13 @@
 #[test]
 fn hundred_stalled_clients_do_not_block_others() {
     run(async {
-        let lines = Lines::start();
+        let lines = LogCapture::start();
         let server = Server::start("s1", Act::Large(LARGE)).await;
         let limit = 4 << 20;
         let (_world, gateway) = gateway(bounds(limit, 256 * KIB), &server).await;
         let mut stalled = Vec::new();
         for number in 0..100 {
-            let mut client = gateway.narrow_client().await;
+            let mut client = gateway.small_buffer_client().await;
             let fields = format!("Request: r{number}\r\n");
             client.send("GET", "/safe/1", &fields, "").await;
             stalled.push(client);
@@ -119,7 +119,7 @@
         }
         assert!(served > 20, "{served}");
         // Some stalled clients were disconnected to free memory, which is logged.
-        let logged = lines.of("client_stalled");
+        let logged = lines.with_event("client_stalled");
         assert!(!logged.is_empty());
         drop(stalled);
         wait_until_memory_is_freed(&gateway).await;
@@ -132,7 +132,7 @@
         let events: Vec<String> = (0..200).map(|_| text(KIB)).collect();
         let server = Server::start("s1", Act::Events(events.clone(), None)).await;
         let (_world, gateway) = gateway(bounds(LARGE, 512 * KIB), &server).await;
-        let mut client = gateway.narrow_client().await;
+        let mut client = gateway.small_buffer_client().await;
         client
             .send("POST", "/resume/1", "Request: a\r\n", "x")
             .await;
--- a/crates/gateway/tests/gateway/store.rs
+++ b/crates/gateway/tests/gateway/store.rs
@@ -1,7 +1,7 @@
 //! Connections to the log service.
 
 use crate::support::run;
-use fieldhook_gateway::store_exchange::{StoreRequest, StoreConnections};
+use fieldhook_gateway::store_exchange::{StoreConnections, StoreRequest};
 use fieldhook_log::api::StoreError;
 use fieldhook_log::log_health::LogHealth;
 use futures_util::future::join_all;
--- a/crates/gateway/tests/gateway/support/dialect.rs
+++ b/crates/gateway/tests/gateway/support/dialect.rs
@@ -1,6 +1,6 @@
 //! The spelling of the tests.
 
-use fieldhook_gateway::dialect::{ResponseMeta, InvalidField, Dialect, Forwarding, RequestMeta};
+use fieldhook_gateway::dialect::{Dialect, Forwarding, InvalidField, RequestMeta, ResponseMeta};
 use fieldhook_gateway::http::headers::Headers;
 use fieldhook_traffic::config::TrafficConfig;
 use fieldhook_traffic::directory::{ServerEntry, identity};
@@ -74,7 +74,11 @@
         }
     }
 
-    fn local_response_headers(&self, request_id: Option<&str>, retry_after_ms: Option<u64>) -> Headers {
+    fn local_response_headers(
+        &self,
+        request_id: Option<&str>,
+        retry_after_ms: Option<u64>,
+    ) -> Headers {
         let mut headers = Headers::default();
         if let Some(id) = request_id {
             headers.append("request", id);
--- a/crates/gateway/tests/gateway/support/lines.rs
+++ b/crates/gateway/tests/gateway/support/log_capture.rs
@@ -14,7 +14,7 @@
 static SUBSCRIBED: Once = Once::new();
 
 /// The lines written on this thread since then.
-pub struct Lines;
+pub struct LogCapture;
 
 struct ThreadBuffer;
 
@@ -41,7 +41,7 @@
     }
 }
 
-impl Lines {
+impl LogCapture {
     pub fn start() -> Self {
         SUBSCRIBED.call_once(|| {
             tracing_subscriber::fmt()
@@ -55,8 +55,8 @@
         Self
     }
 
-    /// Lines of an event.
-    pub fn of(&self, event: &str) -> Vec<String> {
+    /// LogCapture of an event.
+    pub fn with_event(&self, event: &str) -> Vec<String> {
         let wanted = format!("\"event\":\"{event}\"");
         WRITTEN.with_borrow(|written| {
             let text = String::from_utf8_lossy(written.as_deref().unwrap_or_default());
--- a/crates/gateway/tests/gateway/support/mod.rs
+++ b/crates/gateway/tests/gateway/support/mod.rs
@@ -2,15 +2,15 @@
 
 mod client;
 mod dialect;
-mod lines;
+mod log_capture;
 mod server;
 mod spy;
 mod world;
 
 pub use client::Reply;
-pub use lines::Lines;
+pub use log_capture::LogCapture;
 pub use server::{Act, Seen, Server};
-pub use world::{CONFIG, Gateway, SERVERS, World, config, config_of, tenant};
+pub use world::{CONFIG, Gateway, SERVERS, World, config, config_with_tenants, tenant};
 
 use std::time::Duration;
 
--- a/crates/gateway/tests/gateway/support/server.rs
+++ b/crates/gateway/tests/gateway/support/server.rs
@@ -60,7 +60,7 @@
     pub id: String,
     pub address: SocketAddr,
     pub seen: Rc<RefCell<Vec<Seen>>>,
-    pub closed_early: Rc<Cell<u32>>,
+    pub client_disconnects: Rc<Cell<u32>>,
     act: Rc<RefCell<Act>>,
     dark: Rc<Cell<bool>>,
     /// Connections that wait to be accepted while it is dark.
@@ -79,7 +79,7 @@
     }
 
     /// A server that [`Self::lose_power`] can make unreachable.
-    pub async fn start_frail(id: &str, act: Act) -> Self {
+    pub async fn start_with_power_switch(id: &str, act: Act) -> Self {
         let socket = TcpSocket::new_v4().expect("a socket");
         let address = "127.0.0.1:0".parse().expect("an address");
         socket.bind(address).expect("binds");
@@ -94,11 +94,11 @@
             id: id.to_owned(),
             address: listener.local_addr().expect("an address"),
             seen: Rc::default(),
-            closed_early: Rc::default(),
+            client_disconnects: Rc::default(),
             act: Rc::new(RefCell::new(act)),
         };
         let (seen, act) = (server.seen.clone(), server.act.clone());
-        let closed_early = server.closed_early.clone();
+        let client_disconnects = server.client_disconnects.clone();
         let dark = server.dark.clone();
         ntex::rt::spawn(async move {
             loop {
@@ -113,7 +113,7 @@
                     stream,
                     seen.clone(),
                     act.clone(),
-                    closed_early.clone(),
+                    client_disconnects.clone(),
                 ));
             }
         });
@@ -140,7 +140,7 @@
     }
 
     /// What it does, for a task that changes it later.
-    pub fn clone_act(&self) -> Rc<RefCell<Act>> {
+    pub fn shared_act(&self) -> Rc<RefCell<Act>> {
         self.act.clone()
     }
 
@@ -193,7 +193,7 @@
     mut stream: TcpStream,
     seen: Rc<RefCell<Vec<Seen>>>,
     act: Rc<RefCell<Act>>,
-    closed_early: Rc<Cell<u32>>,
+    client_disconnects: Rc<Cell<u32>>,
 ) {
     let mut buffer = BytesMut::new();
     let accepted = Instant::now();
@@ -231,7 +231,7 @@
                 tokio::select! {
                     () = sleep(delay) => {}
                     _ = stream.read(&mut byte) => {
-                        closed_early.set(closed_early.get() + 1);
+                        client_disconnects.set(client_disconnects.get() + 1);
                         return;
                     }
                 }
@@ -250,7 +250,7 @@
                 let _ = stream.write_all(head.as_bytes()).await;
                 let mut byte = [0; 1];
                 let _ = stream.read(&mut byte).await;
-                closed_early.set(closed_early.get() + 1);
+                client_disconnects.set(client_disconnects.get() + 1);
                 return;
             }
             Act::Reset => return reset(stream),
@@ -288,7 +288,7 @@
             Act::Silent => {
                 let mut byte = [0; 1];
                 let _ = stream.read(&mut byte).await;
-                closed_early.set(closed_early.get() + 1);
+                client_disconnects.set(client_disconnects.get() + 1);
                 return;
             }
         }
--- a/crates/gateway/tests/gateway/support/spy.rs
+++ b/crates/gateway/tests/gateway/support/spy.rs
@@ -25,7 +25,7 @@
     }
 
     /// Whether a record that holds this text passed.
-    pub fn has_seen(&self, text: &str) -> bool {
+    pub fn has_record_with(&self, text: &str) -> bool {
         let holds = |value: &[u8]| {
             value
                 .windows(text.len())
--- a/crates/gateway/tests/gateway/support/world.rs
+++ b/crates/gateway/tests/gateway/support/world.rs
@@ -44,7 +44,7 @@
 
 /// An address of a gateway's own, also beside the tests of other processes, and the first of
 /// its ports.
-fn own_place() -> ([u8; 4], u16) {
+fn allocate_address() -> ([u8; 4], u16) {
     let number = NEXT_HOST.fetch_add(1, Ordering::Relaxed);
     let [_, _, high, low] = std::process::id().to_be_bytes();
     let first_port = FIRST_PORT + PORTS * (number >> 8);
@@ -147,7 +147,7 @@
 }
 
 /// The configuration of most tests, with these tenants.
-pub fn config_of(version: u64, tenants: Vec<Tenant>) -> TrafficConfig {
+pub fn config_with_tenants(version: u64, tenants: Vec<Tenant>) -> TrafficConfig {
     TrafficConfig {
         tenants: Some(tenants),
         ..config(version)
@@ -236,7 +236,7 @@
 
     pub async fn gateway_in(&self, name: &str, zone: &str) -> Gateway {
         let store = Rc::new(MemoryLog::new(self.log.clone()));
-        let (host, first_port) = own_place();
+        let (host, first_port) = allocate_address();
         let at = |offset| SocketAddr::from((host, first_port + offset));
         let settings = GatewaySettings {
             name: name.to_owned(),
@@ -309,7 +309,7 @@
     }
 
     /// A client whose machine takes few bytes that it has not read.
-    pub async fn narrow_client(&self) -> Client {
+    pub async fn small_buffer_client(&self) -> Client {
         let socket = TcpSocket::new_v4().expect("a socket");
         socket.set_recv_buffer_size(NARROW).expect("set");
         Client {
--- a/crates/gateway/tests/gateway/tenants.rs
+++ b/crates/gateway/tests/gateway/tenants.rs
@@ -1,6 +1,6 @@
 //! Keys and tenants: who is let in, what servers are told, whose turns are whose.
 
-use crate::support::{Act, Gateway, Server, World, config_of, run, tenant};
+use crate::support::{Act, Gateway, Server, World, config_with_tenants, run, tenant};
 use fieldhook_emulator::log::memory::LogFault;
 use fieldhook_traffic::tenants::Tenant;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 
 async fn world_of(tenants: Vec<Tenant>) -> World {
     let world = World::new().await;
-    world.configs.borrow_mut()[0] = config_of(1, tenants);
+    world.configs.borrow_mut()[0] = config_with_tenants(1, tenants);
     world
 }
 
@@ -90,10 +90,10 @@
         let world = world_of(vec![tenant("red", "k1"), tenant("blue", "k2")]).await;
         let passed_on = vec![tenant("red", "k3"), tenant("blue", "k1")];
         let taken_away = vec![tenant("red", "k3"), tenant("blue", "k2")];
-        world
-            .configs
-            .borrow_mut()
-            .extend([config_of(2, passed_on), config_of(3, taken_away)]);
+        world.configs.borrow_mut().extend([
+            config_with_tenants(2, passed_on),
+            config_with_tenants(3, taken_away),
+        ]);
         let gateway = world.ready(&[&server]).await;
         let mut client = gateway.client().await;
         client
@@ -129,7 +129,7 @@
         world
             .configs
             .borrow_mut()
-            .push(config_of(2, vec![tenant("red", "k2")]));
+            .push(config_with_tenants(2, vec![tenant("red", "k2")]));
         let gateway = world.ready(&[&server]).await;
         let fields = "Request: a\r\nKey: k1\r\n";
         let asked = gateway.ask("GET", "/safe/1", fields, "");
@@ -197,7 +197,7 @@
         world
             .configs
             .borrow_mut()
-            .push(config_of(2, vec![tenant("red", "k2")]));
+            .push(config_with_tenants(2, vec![tenant("red", "k2")]));
         // The first one owns all partitions and so is known to the other.
         let owner = world.ready(&[&server]).await;
         sleep(Duration::from_millis(900)).await;
--- a/crates/gateway/tests/gateway/zones.rs
+++ b/crates/gateway/tests/gateway/zones.rs
@@ -90,7 +90,7 @@
 #[test]
 fn a_turn_at_a_machine_without_power_is_given_up_and_may_be_sent_anew() {
     run(async {
-        let mut server = Server::start_frail("s1", Act::Silent).await;
+        let mut server = Server::start_with_power_switch("s1", Act::Silent).await;
         let world = World::new().await;
         let gateway = Rc::new(world.ready(&[&server]).await);
         sleep(Duration::from_millis(900)).await;
@@ -118,7 +118,7 @@
         let reply = ask(&gateway, "/resume/1", "Request: t1\r\nProgram: p\r\n").await;
         assert!(begun.elapsed() > Duration::from_millis(1_600));
         assert!(reply.whole);
-        assert_eq!(server.closed_early.get(), 0);
+        assert_eq!(server.client_disconnects.get(), 0);
         assert_eq!(server.count(), 1);
     });
 }
@@ -126,7 +126,7 @@
 #[test]
 fn a_call_that_may_not_be_repeated_is_waited_for_whatever_is_heard() {
     run(async {
-        let mut server = Server::start_frail("s1", Act::Silent).await;
+        let mut server = Server::start_with_power_switch("s1", Act::Silent).await;
         let world = World::new().await;
         let gateway = Rc::new(world.ready(&[&server]).await);
         let begun = Instant::now();
@@ -141,7 +141,7 @@
 #[test]
 fn a_stream_that_may_be_resumed_goes_on_at_a_machine_with_power() {
     run(async {
-        let mut lost = Server::start_frail("s1", Act::Silent).await;
+        let mut lost = Server::start_with_power_switch("s1", Act::Silent).await;
         let other = Server::start("s2", events()).await;
         let world = World::new().await;
         let gateway = Rc::new(world.ready(&[&lost]).await);
@@ -176,7 +176,7 @@
         world.list_in(&near, "z2").await;
         let mut far = Vec::new();
         for zone in ["z1", "z3"] {
-            let server = Server::start_frail(zone, events()).await;
+            let server = Server::start_with_power_switch(zone, events()).await;
             world.list_in(&server, zone).await;
             far.push(server);
         }
