--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -19,7 +19,7 @@
 use fieldhook_traffic::assignment::prefix_hash;
 use fieldhook_traffic::directory::Directory;
 use fieldhook_traffic::retry_budget;
-use fieldhook_traffic::table::RouteTable;
+use fieldhook_traffic::route_table::RouteTable;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -74,7 +74,7 @@
     /// Connections to servers.
     pub pools: Rc<Pools>,
     /// Repeats of attempts that are left.
-    pub retry_budget: RefCell<retry_budget::Budget>,
+    pub retry_budget: RefCell<retry_budget::RetryBudget>,
     /// Partitions owned here.
     pub owner: Rc<Owner>,
     /// Asks the owners of partitions.
@@ -280,14 +280,14 @@
         let directory = daemon.directory.borrow();
         daemon
             .pools
-            .sweep(&|id| directory.takes_work(id), daemon.now_ms());
+            .sweep(&|id| directory.accepts_work(id), daemon.now_ms());
         let cold = daemon.cold.count_cold(&directory);
         daemon.metrics.cold_servers.set(cold as i64);
     }
 }
 
 /// How often the process notes that it runs: several times within the shortest stop that
-/// counts as one ([`fieldhook_topology::belief`]).
+/// counts as one ([`fieldhook_topology::freshness`]).
 const RUN_PERIOD: Duration = Duration::from_millis(250);
 
 async fn watch_stops(daemon: Rc<Daemon>) {
--- a/crates/gateway/src/serve/admission.rs
+++ b/crates/gateway/src/serve/admission.rs
@@ -5,8 +5,8 @@
 use crate::daemon::Daemon;
 use crate::dialect::RequestMeta;
 use fieldhook_traffic::config::Route;
-use fieldhook_traffic::table::RouteTable;
-use fieldhook_traffic::tenants::{Denial, Key, Tenant};
+use fieldhook_traffic::route_table::RouteTable;
+use fieldhook_traffic::tenants::{ApiKey, Denial, Tenant};
 use std::rc::Rc;
 
 /// Returns the tenant of a request, or `None` if no tenants are configured.
@@ -19,7 +19,7 @@
     route: &Route,
     meta: &RequestMeta,
 ) -> Result<Option<Rc<Tenant>>, LocalResponse> {
-    if table.has_tenants() && !route.is_open && !are_keys_current(daemon) {
+    if table.has_tenants() && !route.is_public && !are_keys_current(daemon) {
         return Err(keys_uncertain_response(daemon, table, meta));
     }
     table
@@ -61,7 +61,7 @@
         request = meta.id,
         route = route.name,
         cause = ?denial,
-        key = meta.key.as_ref().map(Key::digest),
+        key = meta.key.as_ref().map(ApiKey::digest),
         version = table.config.version
     );
     LocalResponse::new(401, denial.remedy())
--- a/crates/gateway/src/serve/cold.rs
+++ b/crates/gateway/src/serve/cold.rs
@@ -4,8 +4,8 @@
 use super::local_response::LocalResponse;
 use super::request::{RETRY_SOON_MS, RequestContext};
 use fieldhook_ledger::message::{ColdServerRequest, QuotaReply};
-use fieldhook_traffic::cold::PERMIT_MS;
-use fieldhook_traffic::config::Cold;
+use fieldhook_traffic::cold::PERMIT_VALIDITY_MS;
+use fieldhook_traffic::config::ColdLimit;
 use fieldhook_traffic::directory::ServerEntry;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
@@ -23,7 +23,11 @@
 
 /// Requests a permit to send the request to a cold server immediately. Returns false if there is
 /// none; the server is then skipped for a while.
-pub async fn request_permit(context: &RequestContext, server: &ServerEntry, cold: &Cold) -> bool {
+pub async fn request_permit(
+    context: &RequestContext,
+    server: &ServerEntry,
+    cold: &ColdLimit,
+) -> bool {
     let daemon = &context.daemon;
     let request = ColdServerRequest {
         server: server.id.clone(),
@@ -33,7 +37,7 @@
     };
     let asked = Instant::now();
     let response = daemon.ledger.request_cold_permit(&request).await;
-    let is_late = asked.elapsed() >= Duration::from_millis(PERMIT_MS);
+    let is_late = asked.elapsed() >= Duration::from_millis(PERMIT_VALIDITY_MS);
     let (outcome, wait_ms) = match response {
         Some(QuotaReply::Granted { .. }) if !is_late => ("granted", None),
         Some(QuotaReply::Granted { .. }) => ("late", Some(LATE_PERMIT_PAUSE_MS)),
@@ -74,7 +78,7 @@
             let may_serve = |id: &str| {
                 let server = directory.entry(id).filter(|server| !server.draining);
                 server.is_some_and(|server| {
-                    server.service == service && rule.serve(&server.zone).is_ok()
+                    server.service == service && rule.serving_distance(&server.zone).is_ok()
                 })
             };
             let waits = denied
@@ -92,7 +96,7 @@
 /// It is not; contains the response for the client with a retry delay. The delay is randomized so
 /// that clients refused at the same time do not return at the same time.
 pub async fn wait_or_refuse(context: &RequestContext, wait_ms: u64) -> Result<(), LocalResponse> {
-    let max_wait_ms = context.entry.route.target_ms / TARGET_WAIT_DIVISOR;
+    let max_wait_ms = context.entry.route.target_latency_ms / TARGET_WAIT_DIVISOR;
     if context.age_ms() + wait_ms < max_wait_ms {
         sleep(Duration::from_millis(wait_ms)).await;
         return Ok(());
--- a/crates/gateway/src/serve/connection.rs
+++ b/crates/gateway/src/serve/connection.rs
@@ -6,7 +6,7 @@
 use super::writer::ClientWriter;
 use crate::daemon::{Daemon, ShutdownPhase};
 use crate::http::head::HeadError;
-use fieldhook_traffic::config::Limits;
+use fieldhook_traffic::config::ClientLimits;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpStream;
@@ -77,12 +77,12 @@
     reader.linger(LINGER_TIMEOUT).await;
 }
 
-fn current_limits(daemon: &Daemon) -> Limits {
+fn current_limits(daemon: &Daemon) -> ClientLimits {
     daemon
         .routes
         .borrow()
         .as_ref()
-        .map_or_else(Limits::default, |table| table.config.limits)
+        .map_or_else(ClientLimits::default, |table| table.config.limits)
 }
 
 /// Waits for the next request; returns false if the connection should be closed.
--- a/crates/gateway/src/serve/homes.rs
+++ b/crates/gateway/src/serve/homes.rs
@@ -4,10 +4,10 @@
 use super::local_response::LocalResponse;
 use super::request::RequestContext;
 use crate::daemon::Daemon;
-use fieldhook_topology::place::Denial;
-use fieldhook_topology::region::Set;
+use fieldhook_topology::region::RegionSet;
+use fieldhook_topology::zone_rule::Denial;
 use fieldhook_traffic::config::Route;
-use fieldhook_traffic::homes;
+use fieldhook_traffic::residency;
 use fieldhook_traffic::tenants::Tenant;
 
 /// Determines the home regions of a request that has just arrived.
@@ -20,8 +20,8 @@
     id: &str,
     route: &Route,
     tenant: Option<&Tenant>,
-) -> Result<Set, LocalResponse> {
-    let homes = homes::of(route, tenant);
+) -> Result<RegionSet, LocalResponse> {
+    let homes = residency::allowed_regions(route, tenant);
     if daemon.zone_state.layout.has_allowed_region(&homes) {
         return Ok(homes);
     }
@@ -30,9 +30,9 @@
         event = "refused_for_home",
         request = id,
         route = route.name,
-        route_homes = %route.homes,
+        route_homes = %route.allowed_regions,
         tenant = tenant.map(|tenant| &*tenant.name),
-        tenant_homes = tenant.map(|tenant| tenant.homes.to_string()),
+        tenant_homes = tenant.map(|tenant| tenant.allowed_regions.to_string()),
         cause = "no region is allowed for both the route and the tenant",
         version = daemon.owner.config.version()
     );
@@ -44,7 +44,7 @@
 
 /// Returns the home regions of a request under the current configuration. A route or tenant that
 /// was removed in the meantime keeps its last settings.
-pub fn current(context: &RequestContext) -> Set {
+pub fn current(context: &RequestContext) -> RegionSet {
     let Some(table) = context.daemon.routes.borrow().clone() else {
         return context.homes.clone();
     };
@@ -56,7 +56,7 @@
     let route = routes.iter().find(|route| route.name == previous.name);
     let tenant = context.tenant.as_ref();
     let tenant = tenant.map(|tenant| table.tenant(&tenant.name).unwrap_or(tenant));
-    homes::of(route.unwrap_or(previous), tenant.map(|tenant| &**tenant))
+    residency::allowed_regions(route.unwrap_or(previous), tenant.map(|tenant| &**tenant))
 }
 
 /// Logs and counts that no owner in the home regions responded, so the request was not run.
@@ -87,9 +87,13 @@
     let zone = &daemon.settings.zone;
     let denials: Vec<Denial> = daemon.zone_state.with_rule(&homes, zone, |rule| {
         let zones = directory.zones_of(service);
-        zones.filter_map(|zone| rule.serve(zone).err()).collect()
+        zones
+            .filter_map(|zone| rule.serving_distance(zone).err())
+            .collect()
     });
-    let not_home = denials.iter().filter(|denial| **denial == Denial::NotHome);
+    let not_home = denials
+        .iter()
+        .filter(|denial| **denial == Denial::RegionNotAllowed);
     let not_home = not_home.count();
     if denials.is_empty() {
         return;
--- a/crates/gateway/src/serve/reader.rs
+++ b/crates/gateway/src/serve/reader.rs
@@ -5,8 +5,8 @@
 use crate::http::head::{HeadError, RequestHead, decode_request_head};
 use crate::memory::{Memory, MemoryAccount, MemoryExhausted};
 use bytes::{Bytes, BytesMut};
-use fieldhook_traffic::config::Limits;
-use fieldhook_traffic::room::Purpose;
+use fieldhook_traffic::buffer_memory::Purpose;
+use fieldhook_traffic::config::ClientLimits;
 use std::future::pending;
 use std::io;
 use std::rc::Rc;
@@ -113,7 +113,7 @@
     /// The request is invalid, too large or too slow, or there is no memory for it.
     pub async fn read_request(
         &mut self,
-        limits: &Limits,
+        limits: &ClientLimits,
         writer: &mut ClientWriter,
     ) -> Result<ClientRequest, ReadFailure> {
         let started = Instant::now();
@@ -126,7 +126,7 @@
 
     async fn read_message(
         &mut self,
-        limits: &Limits,
+        limits: &ClientLimits,
         writer: &mut ClientWriter,
         started: Instant,
     ) -> Result<ClientRequest, ReadFailure> {
--- a/crates/gateway/src/serve/turn_open.rs
+++ b/crates/gateway/src/serve/turn_open.rs
@@ -8,7 +8,7 @@
 use bytes::BytesMut;
 use fieldhook_ledger::message::{OpenTurn, PlacementRequest};
 use fieldhook_log::reach::Reach;
-use fieldhook_topology::region::Set;
+use fieldhook_topology::region::RegionSet;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -53,10 +53,10 @@
 /// The turn may not start.
 pub async fn open(context: &RequestContext) -> Result<Option<Turn>, TurnRefusal> {
     let route = &context.entry.route;
-    if !route.keeps_context && context.meta.budget.is_none() {
+    if !route.retains_context && context.meta.budget.is_none() {
         return Ok(None);
     }
-    if route.keeps_context && context.body.len() > MAX_RECORD_BYTES {
+    if route.retains_context && context.body.len() > MAX_RECORD_BYTES {
         return Err(TurnRefusal::TooLarge);
     }
     let homes = homes::current(context);
@@ -93,13 +93,13 @@
 }
 
 /// Builds the request to the owner.
-fn open_request(context: &RequestContext, homes: &Set) -> Result<OpenTurn, TurnRefusal> {
+fn open_request(context: &RequestContext, homes: &RegionSet) -> Result<OpenTurn, TurnRefusal> {
     let route = &context.entry.route;
     let meta = &context.meta;
     let program = meta.program.clone().unwrap_or_default();
     let home_partition = context.daemon.ledger.home_partition(&program, homes);
-    let home_partition = home_partition.filter(|_| route.keeps_context);
-    if route.keeps_context && home_partition.is_none() && !homes.is_all() {
+    let home_partition = home_partition.filter(|_| route.retains_context);
+    if route.retains_context && home_partition.is_none() && !homes.is_all() {
         homes::report_no_owner(context, None);
         return Err(TurnRefusal::NoOwnerInHomes);
     }
@@ -110,8 +110,8 @@
         program,
         session: meta.session.clone(),
         previous: meta.previous.clone(),
-        wants_chain: route.keeps_context,
-        keeps_context: route.keeps_context,
+        wants_chain: route.retains_context,
+        keeps_context: route.retains_context,
         supplies_chain: false,
         budget: meta.budget,
         max_tokens: meta.max_tokens,
@@ -130,7 +130,7 @@
 }
 
 /// Returns what the owner needs in order to assign an engine.
-fn placement(context: &RequestContext, homes: &Set) -> Option<PlacementRequest> {
+fn placement(context: &RequestContext, homes: &RegionSet) -> Option<PlacementRequest> {
     let meta = &context.meta;
     let prefix = meta.prefix.as_ref().or(meta.program.as_ref())?;
     Some(PlacementRequest {
@@ -142,7 +142,7 @@
 }
 
 /// Names of the regions that may process the request, or `None` if all may.
-fn region_names(homes: &Set) -> Option<Vec<String>> {
+fn region_names(homes: &RegionSet) -> Option<Vec<String>> {
     let names = homes.names()?;
     Some(names.map(|region| region.to_string()).collect())
 }
@@ -154,7 +154,7 @@
         // No owner can be reached from here, and no daemon here could become one.
         Reach::Isolated => "isolated",
         // The end of the turn could not be recorded from here.
-        Reach::Minority if context.entry.route.keeps_context => "minority",
+        Reach::Minority if context.entry.route.retains_context => "minority",
         Reach::Minority => {
             let limit = Instant::now() + MINORITY_TIMEOUT;
             return Ok(context.deadline.min(limit));
@@ -217,7 +217,7 @@
 fn tokens_per_event(context: &RequestContext) -> u64 {
     let routes = context.daemon.routes.borrow();
     let service = routes.as_ref().and_then(|table| {
-        let part = context.entry.route.parts.first()?;
+        let part = context.entry.route.services.first()?;
         table.config.service(&part.service).cloned()
     });
     service.map_or(1, |service| service.tokens_per_event.max(1))
@@ -261,7 +261,7 @@
     /// Logs why the turn may not start, together with the budget accounting. A leaked reservation
     /// shows as an open turn that is older than any turn can be.
     fn log_refusal(&self, context: &RequestContext, failure: &OpenFailure) {
-        let shortage = failure.shortage();
+        let shortage = failure.budget_usage();
         tracing::info!(
             event = "turn_refused",
             request = self.request.turn,
--- a/crates/gateway/src/serve/turn_record.rs
+++ b/crates/gateway/src/serve/turn_record.rs
@@ -4,7 +4,7 @@
 use super::request::RequestContext;
 use super::turn::{MAX_RECORD_BYTES, Turn};
 use fieldhook_ledger::message::{CloseTurn, TurnContent};
-use fieldhook_topology::region::Set;
+use fieldhook_topology::region::RegionSet;
 use futures_util::future::{join, join_all};
 use tokio::time::Instant;
 
@@ -128,7 +128,7 @@
     /// Makes sure that the content is stored in a region that is allowed now, since the allowed
     /// regions may have been narrowed since the turn started. The earlier turns that it continues
     /// from move along. Returns false if no region is allowed any more.
-    fn move_to_allowed_partition(&mut self, homes: &Set) -> bool {
+    fn move_to_allowed_partition(&mut self, homes: &RegionSet) -> bool {
         let layout = &self.ledger.owner.zone_state.layout;
         let program = &self.request.program;
         let home_partition = self.request.home_partition;
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -4,8 +4,8 @@
 use crate::metrics::Metrics;
 use fieldhook_traffic::directory::ServerEntry;
 use fieldhook_traffic::health::{Health, Observation};
-use fieldhook_traffic::rest::Rest;
-use fieldhook_traffic::silence::Silence;
+use fieldhook_traffic::idle_limit::IdleLimit;
+use fieldhook_traffic::silence::SilenceDetector;
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -27,7 +27,7 @@
     idle: Vec<ServerConnection>,
     in_flight: u32,
     health: Health,
-    rest: Rest,
+    rest: IdleLimit,
     /// When the machine of the server last answered a probe.
     last_probe_answer: Option<Instant>,
 }
@@ -36,7 +36,7 @@
 #[derive(Default)]
 pub struct Pools {
     servers: RefCell<HashMap<String, ServerState>>,
-    silence: RefCell<Silence>,
+    silence: RefCell<SilenceDetector>,
     /// Servers that are being probed.
     probing: RefCell<HashSet<String>>,
 }
@@ -84,12 +84,12 @@
     /// Returns the current state of a server.
     pub fn status(&self, id: &str, zone: &str, now_ms: u64) -> ServerStatus {
         let servers = self.servers.borrow();
-        let in_doubt = self.silence.borrow().is_in_doubt(id, zone, now_ms);
+        let in_doubt = self.silence.borrow().is_suspect(id, zone, now_ms);
         let known = servers.get(id);
         let status = known.map_or_else(ServerStatus::default, |state| ServerStatus {
             in_flight: state.in_flight,
-            avoided: state.health.avoided(now_ms),
-            unsound: state.health.unsound(),
+            avoided: state.health.is_in_backoff(now_ms),
+            unsound: state.health.is_unhealthy(),
             has_idle_connection: !state.idle.is_empty(),
         });
         ServerStatus {
@@ -101,14 +101,14 @@
     /// Records that the machine of a server responded. Returns true if it had been silent.
     pub fn mark_responsive(&self, server: &ServerEntry, now_ms: u64) -> bool {
         let mut silence = self.silence.borrow_mut();
-        silence.heard(&server.id, &server.zone, now_ms)
+        silence.record_contact(&server.id, &server.zone, now_ms)
     }
 
     /// Records that a connection to a server timed out. Returns true if the server counts as silent
     /// from now on.
     pub fn mark_unresponsive(&self, server: &ServerEntry, now_ms: u64) -> bool {
         let mut silence = self.silence.borrow_mut();
-        silence.missed(&server.id, &server.zone, now_ms)
+        silence.record_connect_timeout(&server.id, &server.zone, now_ms)
     }
 
     /// Returns whether the machine of a server counts as silent.
@@ -118,7 +118,7 @@
 
     /// Returns whether several servers of a zone are silent and none of them responds.
     pub fn is_zone_in_doubt(&self, zone: &str, now_ms: u64) -> bool {
-        self.silence.borrow().is_zone_in_doubt(zone, now_ms)
+        self.silence.borrow().is_zone_suspect(zone, now_ms)
     }
 
     /// Records that the machine of a server answered a probe.
@@ -171,7 +171,7 @@
         let state = servers.entry(id.to_owned()).or_default();
         state
             .rest
-            .was_too_long(now_ms, idle_time.as_millis() as u64);
+            .record_stale(now_ms, idle_time.as_millis() as u64);
     }
 
     /// Returns a connection for the next request. If the machine of the server is in doubt, the
@@ -187,7 +187,7 @@
     ) -> std::io::Result<ServerConnection> {
         let in_doubt = {
             let silence = self.silence.borrow();
-            silence.is_in_doubt(&server.id, &server.zone, now_ms)
+            silence.is_suspect(&server.id, &server.zone, now_ms)
         };
         if !in_doubt && let Some(connection) = self.acquire_idle(&server.id, now_ms) {
             return Ok(connection);
--- a/crates/traffic/tests/candidates.rs
+++ b/crates/traffic/tests/candidates.rs
@@ -1,9 +1,9 @@
 //! Servers in one order for all, and what is weighed of them: right, and no more with a fleet of
 //! thousands than with one of hundreds.
 
-use fieldhook_traffic::candidates::{Draw, WEIGHED_WHOLE, draw};
+use fieldhook_traffic::candidates::{CandidateQuery, FULL_SCAN_MAX, select_candidates};
 use fieldhook_traffic::directory::{Directory, ServerEntry};
-use fieldhook_traffic::ring::{Arc, place};
+use fieldhook_traffic::hash_ring::{HashRange, ring_position};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -36,15 +36,15 @@
     number: u64,
     usable: &dyn Fn(&ServerEntry) -> bool,
 ) -> (usize, Vec<String>) {
-    let place = Draw {
+    let place = CandidateQuery {
         zone: "z1",
-        arc: Arc::WHOLE,
-        number,
+        range: HashRange::FULL,
+        start: number,
     };
-    let serving = directory.serving("service0").expect("servers");
-    let drawn = draw(serving, &place, usable);
+    let serving = directory.active_servers("service0").expect("servers");
+    let drawn = select_candidates(serving, &place, usable);
     let ids = drawn.servers.iter().map(|server| server.id.clone());
-    (drawn.looked_at, ids.collect())
+    (drawn.examined, ids.collect())
 }
 
 /// Each of ten thousand servers was looked at for each request.
@@ -56,7 +56,7 @@
         looked.max().expect("draws")
     });
     assert_eq!(most[0], 100, "all of a small service");
-    assert!(most[1] <= WEIGHED_WHOLE, "{most:?}");
+    assert!(most[1] <= FULL_SCAN_MAX, "{most:?}");
     assert_eq!(most[1], most[2]);
 }
 
@@ -68,7 +68,7 @@
     for number in 0..50 {
         let (looked_at, ids) = drawn(&directory, number << 58, &usable);
         assert!(ids.len() >= 16, "{} drawn", ids.len());
-        assert!(looked_at <= WEIGHED_WHOLE, "{looked_at}");
+        assert!(looked_at <= FULL_SCAN_MAX, "{looked_at}");
     }
 }
 
@@ -94,13 +94,13 @@
 #[test]
 fn arcs_divide_the_order_and_each_is_gone_through_once() {
     let directory = fleet(1_000);
-    let all = &directory.serving("service0").expect("servers").all;
+    let all = &directory.active_servers("service0").expect("servers").all;
     for count in [1, 3, 16, 100] {
         let mut seen = BTreeSet::new();
         for index in 0..count {
-            let arc = Arc::of(index, count);
-            let ids: Vec<&str> = all.from(arc, u64::MAX / 3).map(|s| &*s.id).collect();
-            assert!(ids.iter().all(|id| arc.contains(place(id))));
+            let arc = HashRange::nth_of(index, count);
+            let ids: Vec<&str> = all.iter_from(arc, u64::MAX / 3).map(|s| &*s.id).collect();
+            assert!(ids.iter().all(|id| arc.contains(ring_position(id))));
             let size = ids.len();
             seen.extend(ids);
             let even = 1_000 / count as usize;
@@ -162,18 +162,21 @@
                 })
                 .map(|(which, _)| format!("s{which}"))
                 .collect();
-            let Some(serving) = directory.serving(service) else {
+            let Some(serving) = directory.active_servers(service) else {
                 return wanted.is_empty();
             };
             let all: BTreeSet<String> = serving
                 .all
-                .from(Arc::WHOLE, 9)
+                .iter_from(HashRange::FULL, 9)
                 .map(|s| s.id.clone())
                 .collect();
             let by_zone: BTreeSet<String> = serving
                 .zones
                 .iter()
-                .flat_map(|(zone, ring)| ring.from(Arc::WHOLE, 9).filter(move |s| s.zone == *zone))
+                .flat_map(|(zone, ring)| {
+                    ring.iter_from(HashRange::FULL, 9)
+                        .filter(move |s| s.zone == *zone)
+                })
                 .map(|s| s.id.clone())
                 .collect();
             all == wanted && by_zone == wanted
--- a/crates/traffic/tests/homes.rs
+++ b/crates/traffic/tests/homes.rs
@@ -1,80 +1,84 @@
 //! Homes of routes and tenants, both together, and what is wrong with them.
 
-use fieldhook_topology::region::Set;
-use fieldhook_topology::zone::Map;
+use fieldhook_topology::region::RegionSet;
+use fieldhook_topology::zone::ZoneMap;
 use fieldhook_traffic::config::{Route, RouteKind, TrafficConfig};
-use fieldhook_traffic::homes::{self, Fault};
+use fieldhook_traffic::residency::{self, ProblemKind};
 use fieldhook_traffic::tenants::Tenant;
 use std::rc::Rc;
 
-fn route(name: &str, homes: Set) -> Route {
+fn route(name: &str, homes: RegionSet) -> Route {
     Route {
         name: name.to_owned(),
         host: "test.example".to_owned(),
-        prefix: format!("/{name}/"),
+        path_prefix: format!("/{name}/"),
         kind: RouteKind::Safe,
         timeout_ms: 1_000,
-        target_ms: 100,
+        target_latency_ms: 100,
         priority: 1,
-        parts: Vec::new(),
+        services: Vec::new(),
         max_attempts: 2,
-        keeps_context: false,
+        retains_context: false,
         retention_ms: 0,
-        is_open: false,
-        homes,
+        is_public: false,
+        allowed_regions: homes,
     }
 }
 
-fn tenant(name: &str, homes: Set) -> Tenant {
+fn tenant(name: &str, homes: RegionSet) -> Tenant {
     Tenant {
         name: Rc::from(name),
         keys: Vec::new(),
         priority: None,
         limit: None,
-        homes,
+        allowed_regions: homes,
     }
 }
 
 #[test]
 fn both_bind_and_each_fault_names_whose_it_is() {
-    let map = Map::new([("a1", "a"), ("b1", "b")]);
+    let map = ZoneMap::new([("a1", "a"), ("b1", "b")]);
     let config = TrafficConfig {
         routes: vec![
-            route("anywhere", Set::All),
-            route("north", Set::of(["a"])),
-            route("typo", Set::of(["b", "bb"])),
+            route("anywhere", RegionSet::All),
+            route("north", RegionSet::from_names(["a"])),
+            route("typo", RegionSet::from_names(["b", "bb"])),
         ],
         tenants: Some(vec![
-            tenant("free", Set::All),
-            tenant("red", Set::of(["b"])),
-            tenant("lost", Set::of(["x"])),
+            tenant("free", RegionSet::All),
+            tenant("red", RegionSet::from_names(["b"])),
+            tenant("lost", RegionSet::from_names(["x"])),
         ]),
         ..TrafficConfig::default()
     };
     let tenants = config.tenants.as_deref().expect("tenants");
     assert_eq!(
-        homes::of(&config.routes[0], Some(&tenants[1])),
-        Set::of(["b"])
+        residency::allowed_regions(&config.routes[0], Some(&tenants[1])),
+        RegionSet::from_names(["b"])
     );
-    assert_eq!(homes::of(&config.routes[1], None), Set::of(["a"]));
-    assert!(homes::of(&config.routes[1], Some(&tenants[1])).is_empty());
-    let regions: Vec<Rc<str>> = homes::regions(&config).into_iter().collect();
+    assert_eq!(
+        residency::allowed_regions(&config.routes[1], None),
+        RegionSet::from_names(["a"])
+    );
+    assert!(residency::allowed_regions(&config.routes[1], Some(&tenants[1])).is_empty());
+    let regions: Vec<Rc<str>> = residency::named_regions(&config).into_iter().collect();
     assert_eq!(regions, ["a", "b", "bb", "x"].map(Rc::from));
-    let problems: Vec<(Option<String>, Option<String>, Fault)> = homes::problems(&config, &map)
-        .into_iter()
-        .map(|problem| {
-            let tenant = problem.tenant.map(|name| name.to_string());
-            (problem.route, tenant, problem.fault)
-        })
-        .collect();
+    let problems: Vec<(Option<String>, Option<String>, ProblemKind)> =
+        residency::find_problems(&config, &map)
+            .into_iter()
+            .map(|problem| {
+                let tenant = problem.tenant.map(|name| name.to_string());
+                (problem.route, tenant, problem.kind)
+            })
+            .collect();
     let owned = |name: &str| Some(name.to_owned());
-    let unknown = |name: &str| Fault::UnknownRegion(Rc::from(name));
+    let unknown = |name: &str| ProblemKind::UnknownRegion(Rc::from(name));
     let wanted = [
         (owned("typo"), None, unknown("bb")),
         (None, owned("lost"), unknown("x")),
-        (owned("north"), owned("red"), Fault::NothingInCommon),
-        (owned("north"), owned("lost"), Fault::NothingInCommon),
-        (owned("typo"), owned("lost"), Fault::NothingInCommon),
+        (owned("north"), owned("red"), ProblemKind::NoCommonRegion),
+        (owned("north"), owned("lost"), ProblemKind::NoCommonRegion),
+        (owned("typo"), owned("lost"), ProblemKind::NoCommonRegion),
     ];
     assert_eq!(problems, wanted);
 }
@@ -82,10 +86,10 @@
 #[test]
 fn no_homes_are_no_fault() {
     let config = TrafficConfig {
-        routes: vec![route("anywhere", Set::All)],
-        tenants: Some(vec![tenant("free", Set::All)]),
+        routes: vec![route("anywhere", RegionSet::All)],
+        tenants: Some(vec![tenant("free", RegionSet::All)]),
         ..TrafficConfig::default()
     };
-    assert!(homes::problems(&config, &Map::default()).is_empty());
-    assert!(homes::regions(&config).is_empty());
+    assert!(residency::find_problems(&config, &ZoneMap::default()).is_empty());
+    assert!(residency::named_regions(&config).is_empty());
 }
