--- a/crates/gateway/src/cold.rs
+++ b/crates/gateway/src/cold.rs
@@ -1,4 +1,5 @@
-//! What this daemon knows of cold servers (docs/design/cold-servers.md).
+//! Cold servers: servers that for a time take only a limited rate of requests, for example after
+//! a start (docs/design/cold-servers.md).
 
 use crate::zone_state::ZoneState;
 use fieldhook_traffic::cold::{ColdCause, ColdTracker, PermitDenials};
@@ -9,21 +10,21 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// Cold servers as one daemon knows them.
+/// The cold servers known to one daemon.
 pub struct ColdServers {
     zone_state: Rc<ZoneState>,
     servers: RefCell<ColdTracker>,
     denials: RefCell<PermitDenials>,
-    /// What cold servers bear, by service.
+    /// Limits of cold servers, by service.
     services: RefCell<HashMap<String, ColdLimit>>,
     version: Cell<u64>,
-    /// Servers that were said to be cold: each is said once.
+    /// Servers that were logged as cold: each is logged once per cold period.
     logged: RefCell<HashSet<String>>,
     started: Instant,
 }
 
 impl ColdServers {
-    /// Nothing is known.
+    /// Creates an empty state.
     pub fn new(zone_state: Rc<ZoneState>) -> Self {
         Self {
             zone_state,
@@ -40,7 +41,7 @@
         self.started.elapsed().as_millis() as u64
     }
 
-    /// This configuration is in force.
+    /// Applies a configuration.
     pub fn set_config(&self, config: &TrafficConfig) {
         let services = config.services.iter();
         let bounded = services.filter_map(|service| Some((service.name.clone(), service.cold?)));
@@ -53,31 +54,32 @@
         self.version.get()
     }
 
-    /// What a server bears, if it is cold now.
+    /// Returns the limits of a server if it is cold now.
     pub fn cold_limits(&self, server: &ServerEntry) -> Option<ColdLimit> {
         let services = self.services.borrow();
         let cold = services.get(&server.service)?;
         self.cause(server, cold).map(|_| *cold)
     }
 
-    /// Why a server is cold and for how much longer, in milliseconds.
+    /// Returns why a server is cold and for how much longer, in milliseconds.
     fn cause(&self, server: &ServerEntry, cold: &ColdLimit) -> Option<(&'static str, u64)> {
         let now_ms = self.now_ms();
         if let Some((cause, left_ms)) = self.servers.borrow().cold_cause(&server.id, cold, now_ms) {
             return Some((name(cause), left_ms));
         }
-        // Servers of an evacuated zone may have turned cold before it takes part again.
+        // Servers of an evacuated zone may have gone cold by the time the zone is reopened.
         let opened_for_ms = self.zone_state.ms_since_reopened(&server.zone)?;
         let left_ms = cold.duration_ms.checked_sub(opened_for_ms)?;
         (left_ms > 0).then_some(("zone_opened", left_ms))
     }
 
-    /// Time until a cold server may have a place, in milliseconds, where it has none now.
+    /// Returns how long a cold server accepts no further request, in milliseconds, if a permit
+    /// was denied for it.
     pub fn denial_wait_ms(&self, id: &str) -> Option<u64> {
         self.denials.borrow().wait_ms(id, self.now_ms())
     }
 
-    /// Cold servers that have no place now, and the time until they may have one, in
+    /// Returns the cold servers for which permits are denied now, and for how much longer, in
     /// milliseconds.
     pub fn denied_servers(&self) -> Vec<(Rc<str>, u64)> {
         let now_ms = self.now_ms();
@@ -85,7 +87,7 @@
         denials.pending(now_ms).collect()
     }
 
-    /// A cold server has no place for so long.
+    /// Records that no permit for a cold server is granted within `retry_after_ms`.
     pub fn record_denial(&self, id: &str, retry_after_ms: u64) {
         let now_ms = self.now_ms();
         self.denials
@@ -93,7 +95,7 @@
             .record_denial(id, retry_after_ms, now_ms);
     }
 
-    /// Takes in a record of a server.
+    /// Records how much longer a server is cold by its own record.
     pub fn record_report(&self, server: &ServerEntry) {
         let now_ms = self.now_ms();
         self.servers
@@ -102,24 +104,24 @@
         self.log_cold(server);
     }
 
-    /// The servers that existed at the start of this daemon are known.
+    /// Marks the first listing of servers as complete: servers that appear later are new.
     pub fn finish_initial_listing(&self) {
         self.servers.borrow_mut().record_initial_listing();
     }
 
-    /// A server is gone from discovery.
+    /// Removes a server that has left the directory.
     pub fn remove(&self, id: &str) {
         self.servers.borrow_mut().forget(id);
         self.logged.borrow_mut().remove(id);
     }
 
-    /// No connection to a server came about.
+    /// Records a failed connection attempt to a server.
     pub fn record_unreachable(&self, server: &ServerEntry) {
         self.servers.borrow_mut().record_unreachable(&server.id);
         self.log_cold(server);
     }
 
-    /// A connection to a server came about.
+    /// Records a successful connection to a server.
     pub fn record_reachable(&self, server: &ServerEntry) {
         let now_ms = self.now_ms();
         if self
@@ -131,15 +133,15 @@
         }
     }
 
-    /// A server broke off at once what was sent to it.
+    /// Records that a server reset a connection immediately after a request was sent.
     pub fn record_reset(&self, server: &ServerEntry) {
         let now_ms = self.now_ms();
         self.servers.borrow_mut().record_reset(&server.id, now_ms);
         self.log_cold(server);
     }
 
-    /// How many servers are cold now. Those that are not any more are said again
-    /// when they become so.
+    /// Counts the servers that are cold now. Servers that no longer are will be logged again when
+    /// they next become cold.
     pub fn count_cold(&self, directory: &Directory) -> usize {
         if self.services.borrow().is_empty() {
             return 0;
@@ -157,7 +159,7 @@
         count
     }
 
-    /// Writes that a server is cold, once for each time.
+    /// Logs that a server is cold, once per cold period.
     fn log_cold(&self, server: &ServerEntry) {
         let services = self.services.borrow();
         let Some(cold) = services.get(&server.service) else {
--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The state that the tasks of a daemon share, and their start.
+//! State shared by the tasks of a daemon, and the start of these tasks.
 
 use crate::cold::ColdServers;
 use crate::dialect::{Dialect, Topics};
@@ -27,95 +27,96 @@
 use tokio::time::{Instant, timeout_at};
 use tracing_appender::non_blocking::ErrorCounter;
 
-/// From its start on a process holds requests for so long while it knows no configuration.
-/// With 295 daemons that start together it is known after 40 to 150 ms; where the log is
-/// away, what comes later is refused at once.
-const START_PATIENCE: Duration = Duration::from_millis(300);
+/// How long after its start a process holds requests while it has no configuration. With 295
+/// daemons starting together the configuration arrives after 40 to 150 ms. If the log is
+/// unreachable, requests that arrive after this time are refused immediately.
+const ROUTES_WAIT: Duration = Duration::from_millis(300);
 
-/// How far a planned stop is.
+/// Phase of a planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShutdownPhase {
-    /// None is under way.
+    /// No stop is in progress.
     Running,
-    /// Clients are told to go elsewhere; what they still send is served.
+    /// Connections are closed after each response; requests that still arrive are served.
     Draining,
-    /// What comes now could not be finished: it is refused.
+    /// New requests are refused because they could not be finished in time.
     Refusing,
 }
 
-/// Shared state of one daemon; everything runs on one thread.
+/// Shared state of one daemon. All of its tasks run on one thread.
 pub struct Daemon {
-    /// Settings.
+    /// Startup settings.
     pub settings: GatewaySettings,
-    /// Spelling of requests.
+    /// Names and formats of header fields and documents.
     pub dialect: Rc<dyn Dialect>,
-    /// The log service, as it is followed.
+    /// The log service, read directly or through reader daemons.
     pub relay: Rc<Relay>,
     /// Topics of the platform.
     pub topics: Topics,
-    /// Contact with the log service.
+    /// Health of the connection to the log service.
     pub log_health: Rc<LogHealth>,
     /// Routes in force.
     pub routes: RefCell<Option<Rc<RouteTable>>>,
-    /// Told when there are new ones.
+    /// Notified when `routes` is replaced.
     pub routes_changed: Notify,
-    /// Zones of the deployment, and which are evacuated.
+    /// Zones of the deployment and which of them are evacuated.
     pub zone_state: Rc<ZoneState>,
-    /// Servers that are cold.
+    /// Servers with a temporary limit on their request rate.
     pub cold: Rc<ColdServers>,
-    /// Whether all servers were read once: before that most requests would find none.
+    /// Whether the first listing of servers is complete. Before that, most requests would find no
+    /// server.
     pub servers_listed: Cell<bool>,
     /// Known servers.
     pub directory: Rc<RefCell<Directory>>,
-    /// How long answers take.
+    /// Response times by route.
     pub response_times: ResponseTimes,
-    /// How long streams say nothing between two pieces.
+    /// Time between two pieces of a streamed response, by route.
     pub stream_gaps: ResponseTimes,
     /// Connections to servers.
     pub pools: Rc<Pools>,
-    /// Repeats of attempts that are left.
+    /// Limits retries over all requests.
     pub retry_budget: RefCell<retry_budget::RetryBudget>,
-    /// Partitions owned here.
+    /// Ledger partitions owned by this daemon.
     pub owner: Rc<Owner>,
-    /// Asks the owners of partitions.
+    /// Client for the owners of ledger partitions.
     pub ledger: Rc<LedgerClient>,
-    /// Asks for tenants' requests.
+    /// Shares of tenants' limits granted to this daemon.
     pub quota: TenantShares,
-    /// What is held for peers that are slow to read.
+    /// Limits the memory for data buffered for slow peers.
     pub memory: Rc<Memory>,
-    /// Figures.
+    /// Metrics.
     pub metrics: Rc<Metrics>,
-    /// Requests under way.
+    /// Requests in progress.
     pub in_flight: Cell<u32>,
-    /// Open connections of clients.
+    /// Open client connections.
     pub client_connections: Cell<u32>,
-    /// How far a planned stop is.
+    /// Phase of a planned stop.
     pub shutdown: watch::Sender<ShutdownPhase>,
-    /// The platform sends new connections elsewhere by now: idle ones are closed, so that
-    /// their clients come there as well.
+    /// Set once the platform routes new connections to other daemons. Idle connections are then
+    /// closed, so that their clients reconnect there.
     pub close_idle: watch::Sender<bool>,
     started: Instant,
 }
 
 /// What an adapter supplies.
 pub struct Adapter {
-    /// Spelling of requests.
+    /// Names and formats of header fields and documents.
     pub dialect: Rc<dyn Dialect>,
     /// The log service.
     pub store: Rc<dyn LogStore>,
     /// Topics of the platform.
     pub topics: Topics,
-    /// Contact with the log service, kept by the store.
+    /// Health of the connection to the log service, updated by the store.
     pub log_health: Rc<LogHealth>,
-    /// Figures, counted into by the store.
+    /// Metrics, to which the store adds its own counts.
     pub metrics: Rc<Metrics>,
 }
 
 impl Daemon {
-    /// The state of a daemon that starts.
+    /// Creates the state of a daemon. No task runs before [`Daemon::start`].
     pub fn new(settings: GatewaySettings, adapter: Adapter) -> Rc<Self> {
-        // Daemons that start at the same moment would draw the same numbers, and what is spread
-        // by chance would fall together.
+        // Mix in the name: daemons started at the same moment could otherwise draw the same
+        // random delays and act simultaneously.
         fastrand::seed(prefix_hash(&settings.name) ^ fastrand::u64(..));
         let incarnation = fastrand::u64(1..u64::MAX);
         let directory = Rc::new(RefCell::new(Directory::default()));
@@ -180,10 +181,10 @@
         self.started.elapsed().as_millis() as u64
     }
 
-    /// Waits for the first configuration where this process has only just started: a client
-    /// that is refused in these moments has one try less.
+    /// Waits for the first configuration if the process has just started. A client refused at
+    /// that moment would lose one of its attempts.
     pub async fn wait_for_routes(&self) {
-        let until = self.started + START_PATIENCE;
+        let until = self.started + ROUTES_WAIT;
         while self.routes.borrow().is_none() {
             if timeout_at(until, self.routes_changed.notified())
                 .await
@@ -194,46 +195,46 @@
         }
     }
 
-    /// Whether nothing may be sent to servers before what is known of evacuations is
-    /// confirmed.
+    /// Returns whether the known evacuations are too old: requests must not be sent to servers
+    /// before they are confirmed.
     pub fn is_evacuation_state_stale(&self) -> bool {
         let is_isolated = self.ledger.reach.get() == Reach::Isolated;
         self.zone_state
-            .is_evacuation_state_stale(self.word_age_ms(), is_isolated)
+            .is_evacuation_state_stale(self.config_age_ms(), is_isolated)
     }
 
-    /// Time since the operator's word as it is known was seen to be the newest, in
+    /// Time since the known configuration and evacuations were last confirmed to be the newest, in
     /// milliseconds.
-    fn word_age_ms(&self) -> u64 {
+    fn config_age_ms(&self) -> u64 {
         let age_ms = self.owner.config.age_ms();
         age_ms.unwrap_or_else(|| self.now_ms())
     }
 
-    /// Whether new clients should come here.
+    /// Returns whether new clients should connect to this daemon.
     pub fn is_ready(&self) -> bool {
         let better_elsewhere = self.ledger.reach.get().others_are_better_off();
         let knows_all = self.routes.borrow().is_some() && self.servers_listed.get();
         knows_all && !self.is_stopping() && !better_elsewhere
     }
 
-    /// Whether a planned stop is under way.
+    /// Returns whether a planned stop is in progress.
     pub fn is_stopping(&self) -> bool {
         *self.shutdown.borrow() != ShutdownPhase::Running
     }
 
-    /// Whether each answer ends its connection, so that the client's next one goes to a daemon
-    /// that can do more for it.
+    /// Returns whether each response closes its connection, so that the client reconnects to a
+    /// daemon that is not stopping and reaches the log.
     pub fn closes_connections(&self) -> bool {
-        let alone = matches!(self.ledger.reach.get(), Reach::Minority | Reach::Isolated);
-        self.is_stopping() || alone
+        let is_cut_off = matches!(self.ledger.reach.get(), Reach::Minority | Reach::Isolated);
+        self.is_stopping() || is_cut_off
     }
 
-    /// Whether requests that come now are refused.
+    /// Returns whether new requests are refused.
     pub fn is_refusing(&self) -> bool {
         *self.shutdown.borrow() == ShutdownPhase::Refusing
     }
 
-    /// Starts all tasks. `dropped` counts log lines that were dropped.
+    /// Starts all tasks. `dropped` counts dropped log lines.
     ///
     /// # Errors
     /// A listener cannot be bound.
@@ -242,7 +243,7 @@
         self.start_without_probes().await
     }
 
-    /// Starts all tasks except the servers of readiness and metrics.
+    /// Starts all tasks except the HTTP server for readiness and metrics.
     ///
     /// # Errors
     /// A listener cannot be bound.
@@ -254,13 +255,13 @@
         ntex::rt::spawn(crate::follow::servers::run(self.clone()));
         ntex::rt::spawn(self.owner.claims.clone().run_follow());
         ntex::rt::spawn(relay::reader_slots::run(self.clone()));
-        let patience = self.owner.claim_delay();
-        ntex::rt::spawn(self.owner.claims.clone().run_claim_unowned(patience));
+        let claim_delay = self.owner.claim_delay();
+        ntex::rt::spawn(self.owner.claims.clone().run_claim_unowned(claim_delay));
         ntex::rt::spawn(crate::ledger::owner::run_expiry(self.owner.clone()));
         ntex::rt::spawn(crate::ledger::reach::run(self.clone()));
         ntex::rt::spawn(crate::ledger::homes::watch_owners(self.ledger.clone()));
         ntex::rt::spawn(sweep_pools(self.clone()));
-        ntex::rt::spawn(watch_stops(self.clone()));
+        ntex::rt::spawn(detect_suspension(self.clone()));
         Ok(())
     }
 }
@@ -286,13 +287,13 @@
     }
 }
 
-/// How often the process notes that it runs: several times within the shortest stop that
-/// counts as one ([`fieldhook_topology::freshness`]).
-const RUN_PERIOD: Duration = Duration::from_millis(250);
+/// Interval at which the process records that it runs: several times within the shortest
+/// suspension that is detected ([`fieldhook_topology::freshness`]).
+const HEARTBEAT_PERIOD: Duration = Duration::from_millis(250);
 
-async fn watch_stops(daemon: Rc<Daemon>) {
+async fn detect_suspension(daemon: Rc<Daemon>) {
     loop {
-        daemon.zone_state.record_run(daemon.word_age_ms());
-        tokio::time::sleep(RUN_PERIOD).await;
+        daemon.zone_state.record_run(daemon.config_age_ms());
+        tokio::time::sleep(HEARTBEAT_PERIOD).await;
     }
 }
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -1,38 +1,38 @@
-//! What an adapter tells about requests and answers in its own spelling.
+//! The trait by which an adapter maps its header fields and documents to the gateway's types.
 
 use crate::http::headers::Headers;
 use fieldhook_traffic::tenants::ApiKey;
 
-/// What a request's fields say.
+/// Contents of the header fields of a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestMeta {
-    /// Identity of the client's attempt.
+    /// Id that the client gave this attempt.
     pub id: String,
-    /// Time that the client will wait, in milliseconds.
+    /// How long the client waits for the response, in milliseconds.
     pub deadline_ms: Option<u64>,
-    /// Program that it belongs to.
+    /// Program that the request belongs to.
     pub program: Option<String>,
-    /// Line of turns that it belongs to.
+    /// Session, a sequence of turns, that the request belongs to.
     pub session: Option<String>,
-    /// Time until the program should be over, in milliseconds.
+    /// Time until the deadline of the program, in milliseconds.
     pub program_deadline_ms: Option<u64>,
     /// Tokens that all turns of the program may generate.
     pub budget: Option<u64>,
-    /// Tokens of the prompt, as the client says.
+    /// Length of the prompt in tokens, as stated by the client.
     pub prompt_tokens: u64,
-    /// First part of its prompt, which other programs may share.
+    /// Identifies the first part of the prompt, which other programs may share.
     pub prefix: Option<String>,
-    /// Most tokens that the turn may generate.
+    /// Maximum number of tokens that the turn may generate.
     pub max_tokens: u64,
-    /// Turn that it goes on from.
+    /// Turn that this turn continues.
     pub previous: Option<String>,
-    /// The client goes on after this event.
+    /// Last event that the client received of the stream to resume.
     pub last_event: Option<u64>,
-    /// Key that it shows.
+    /// API key of the client.
     pub key: Option<ApiKey>,
 }
 
-/// A field that cannot be read.
+/// A header field that is missing or malformed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidField {
     /// Name of the field.
@@ -47,74 +47,74 @@
     }
 }
 
-/// What is set on a request to a server.
+/// Values of the header fields that are set on a request to a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Forwarding<'a> {
     /// Time left, in milliseconds.
     pub deadline_ms: u64,
-    /// Identity of the server that is meant.
+    /// Id of the server that the request is meant for.
     pub server: &'a str,
-    /// Take the stream up after this event.
+    /// Resume the stream after this event.
     pub last_event: Option<u64>,
-    /// Rank of the request, 0 is the most urgent.
+    /// Priority of the request; 0 is the most urgent.
     pub priority: u8,
-    /// The server is an engine.
+    /// Whether the server is an inference engine.
     pub engine: bool,
-    /// Tenant that it belongs to.
+    /// Tenant that the request belongs to.
     pub tenant: Option<&'a str>,
 }
 
-/// What an answer's fields say.
+/// Contents of the header fields of a response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ResponseMeta {
-    /// Identity of the request that it answers.
+    /// Id of the request that the response belongs to.
     pub id: Option<String>,
-    /// The server says that it did not run the request.
+    /// Whether the server states that it did not run the request.
     pub not_run: bool,
-    /// The server vouches for the answer.
+    /// Whether the response carries the signature of the server.
     pub signed: bool,
     /// How long the server keeps an idle connection, in milliseconds.
     pub keep_alive_ms: Option<u64>,
 }
 
-/// Spelling of requests and answers.
+/// Maps header fields and documents of a platform to the types of the gateway.
 pub trait Dialect {
-    /// Reads a client's request.
+    /// Reads the header fields of a client's request.
     ///
     /// # Errors
     /// A field is missing or malformed.
     fn read_request(&self, headers: &Headers) -> Result<RequestMeta, InvalidField>;
 
-    /// Removes the fields that only the system may set, whatever the client sent, and the
-    /// client's key where keys are the system's matter.
+    /// Removes the fields that only the gateway may set, whatever the client sent in them. Removes
+    /// the client's key as well if `remove_key` is set, because the gateway checks keys itself.
     fn strip(&self, headers: &mut Headers, remove_key: bool);
 
-    /// Sets the fields of a request to a server.
+    /// Sets the header fields of a request to a server.
     fn forward(&self, headers: &mut Headers, forwarding: &Forwarding<'_>);
 
-    /// Reads a server's answer.
+    /// Reads the header fields of a server's response.
     fn read_response(&self, status: u16, headers: &Headers) -> ResponseMeta;
 
-    /// Fields of an answer of the gateway's own.
+    /// Returns the header fields of a response generated by the gateway itself.
     fn local_response_headers(
         &self,
         request_id: Option<&str>,
         retry_after_ms: Option<u64>,
     ) -> Headers;
 
-    /// Reads the configuration document.
+    /// Parses the configuration document.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// A description of the problem, if the document is invalid.
     fn traffic_config(
         &self,
         value: &[u8],
     ) -> Result<fieldhook_traffic::config::TrafficConfig, String>;
 
-    /// Reads a server's entry.
+    /// Parses the entry of a server.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// A description of the problem, if the entry is invalid.
     fn server_entry(
         &self,
         id: &str,
@@ -122,16 +122,16 @@
     ) -> Result<fieldhook_traffic::directory::ServerEntry, String>;
 }
 
-/// Names of topics and keys that the platform gives.
+/// Names of the platform's topics, and of the keys in them.
 #[derive(Clone, Debug)]
 pub struct Topics {
-    /// Compacted topic with the configuration and evacuations.
+    /// Compacted topic of the configuration and the evacuations.
     pub config: String,
-    /// Key of the configuration in it.
+    /// Key of the configuration in that topic.
     pub config_key: Vec<u8>,
-    /// Beginning of the key of an evacuated zone in it; the zone's name follows. The record
-    /// lasts as long as the evacuation.
+    /// Key prefix of evacuation records in that topic; the name of the zone follows. A record exists
+    /// as long as its zone is evacuated.
     pub evacuation_prefix: Vec<u8>,
-    /// Compacted topic with the servers.
+    /// Compacted topic of the servers.
     pub servers: String,
 }
--- a/crates/gateway/src/drain.rs
+++ b/crates/gateway/src/drain.rs
@@ -1,4 +1,5 @@
-//! The planned stop: no new clients, partitions handed over, requests finished.
+//! The planned stop: clients are moved to other daemons, partitions are handed over, and requests
+//! in progress are finished.
 
 use crate::daemon::{Daemon, ShutdownPhase};
 use std::rc::Rc;
@@ -6,18 +7,18 @@
 use tokio::time::{Instant, sleep};
 
 const CHECK_PERIOD: Duration = Duration::from_millis(50);
-/// Time left unused before the process would be killed.
-const MARGIN: Duration = Duration::from_millis(600);
+/// The stop ends by this much before the grace period does, after which the process is killed.
+const KILL_MARGIN: Duration = Duration::from_millis(600);
 
-/// Part of the grace time after which new requests are refused: by then clients had
-/// the time to hear that they should go elsewhere, and what came before has the time
-/// to end.
-const REFUSE_SHARE: f64 = 0.375;
+/// Fraction of the grace period after which new requests are refused. Until then clients have time
+/// to move to other daemons; afterwards, requests in progress have time to finish.
+const REFUSE_AFTER: f64 = 0.375;
 
-/// Stops in order; returns when the process may end.
+/// Runs the planned stop. Returns when the process may exit.
 pub async fn run(daemon: Rc<Daemon>) {
     let started = Instant::now();
-    let latest = started + Duration::from_millis(daemon.settings.grace_ms).saturating_sub(MARGIN);
+    let deadline =
+        started + Duration::from_millis(daemon.settings.grace_ms).saturating_sub(KILL_MARGIN);
     tracing::info!(
         event = "stopping",
         in_flight = daemon.in_flight.get(),
@@ -27,14 +28,14 @@
     daemon.relay.stop_serving();
     let owner = daemon.owner.clone();
     ntex::rt::spawn(async move { owner.release().await });
-    let refuse_at = started + Duration::from_millis(daemon.settings.grace_ms).mul_f64(REFUSE_SHARE);
-    while Instant::now() < latest {
+    let refuse_at = started + Duration::from_millis(daemon.settings.grace_ms).mul_f64(REFUSE_AFTER);
+    while Instant::now() < deadline {
         if Instant::now() >= refuse_at && !daemon.is_refusing() {
             let _ = daemon.shutdown.send(ShutdownPhase::Refusing);
         }
         let idle = daemon.in_flight.get() == 0 && daemon.client_connections.get() == 0;
-        let ends_told = daemon.ledger.pending_closes.get() == 0;
-        if idle && ends_told && daemon.owner.held_count() == 0 {
+        let is_reported = daemon.ledger.pending_closes.get() == 0;
+        if idle && is_reported && daemon.owner.held_count() == 0 {
             break;
         }
         sleep(CHECK_PERIOD).await;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,24 +1,24 @@
 //! The gateway: sockets, clocks and tasks around the pure crates.
 //!
-//! Place in the request path: client -> [`serve`] -> [`upstream`] -> server, with
-//! [`ledger`] asked before and after each turn of a program.
+//! Request path: client -> [`serve`] -> [`upstream`] -> server. The [`ledger`] is called before
+//! and after each turn of a program.
 //!
-//! - [`dialect`]: what an adapter has to tell about requests and answers.
-//! - [`settings`]: what a daemon is told at its start.
-//! - [`http`]: messages on the wire.
+//! - [`dialect`]: the trait by which an adapter reads and writes header fields and documents.
+//! - [`settings`]: the startup settings of a daemon.
+//! - [`http`]: HTTP/1.1 messages.
 //! - [`store_exchange`]: connections to the log service, for adapters.
 //! - [`follow`]: configuration, evacuations and servers, followed on the log.
-//! - [`zone_state`]: zones, and which are evacuated.
-//! - [`cold`]: servers that bear only a few requests for now.
-//! - [`memory`]: what is held for peers that are slow to read.
-//! - [`relay`]: the log, read through a few daemons of each zone where its topics are long.
-//! - [`ledger`]: owners of partitions and the gateways that ask them.
+//! - [`zone_state`]: the zones of the deployment and which of them are evacuated.
+//! - [`cold`]: servers with a temporary limit on their request rate.
+//! - [`memory`]: the memory limit for data buffered for slow peers.
+//! - [`relay`]: reads of long topics of the log through a few daemons of each zone.
+//! - [`ledger`]: owners of partitions and the gateways that call them.
 //! - [`upstream`]: connections to servers.
-//! - [`serve`]: clients' connections and requests.
-//! - [`daemon`]: the state that the tasks share, and their start.
+//! - [`serve`]: client connections and requests.
+//! - [`daemon`]: the state shared by the tasks, and their start.
 //! - [`drain`]: the planned stop.
 //! - [`probes`]: readiness and metrics over HTTP.
-//! - [`metrics`], [`logging`]: what a daemon tells about itself.
+//! - [`metrics`], [`logging`]: metrics and log output of a daemon.
 
 pub mod cold;
 pub mod daemon;
--- a/crates/gateway/src/logging.rs
+++ b/crates/gateway/src/logging.rs
@@ -1,23 +1,23 @@
-//! JSON lines on standard output, written by a thread of its own: a reader that
-//! does not read costs lines, never a request.
+//! Logs JSON lines to standard output through a separate thread. If the consumer does not keep up,
+//! lines are dropped and requests are not delayed.
 
 use tracing_appender::non_blocking::{ErrorCounter, NonBlockingBuilder, WorkerGuard};
 
-/// Lines that wait for the reader at most; more are dropped and counted.
-const LINES_WAITING: usize = 4_096;
+/// Maximum number of buffered lines. Lines beyond it are dropped and counted.
+const MAX_BUFFERED_LINES: usize = 4_096;
 
-/// Keeps the writer alive and counts what it dropped.
+/// Keeps the writer thread alive and counts the dropped lines.
 pub struct LogOutput {
-    /// Lines that were dropped.
+    /// Number of dropped lines.
     pub dropped: ErrorCounter,
     _guard: WorkerGuard,
 }
 
-/// Starts logging. `FIELDHOOK_LOG` sets the level.
+/// Starts logging. The environment variable `FIELDHOOK_LOG` sets the filter.
 pub fn start() -> LogOutput {
     let (writer, guard) = NonBlockingBuilder::default()
         .lossy(true)
-        .buffered_lines_limit(LINES_WAITING)
+        .buffered_lines_limit(MAX_BUFFERED_LINES)
         .finish(std::io::stdout());
     let dropped = writer.error_counter();
     let filter =
--- a/crates/gateway/src/memory.rs
+++ b/crates/gateway/src/memory.rs
@@ -1,5 +1,5 @@
-//! The memory that this daemon spends on peers that are slow to read: see
-//! [`fieldhook_traffic::buffer_memory`] for what gives way where it is used up.
+//! Limits the memory for data buffered for peers that read slowly.
+//! [`fieldhook_traffic::buffer_memory`] decides which buffers are evicted when the limit is reached.
 
 use crate::metrics::Metrics;
 use crate::settings::SlowPeers;
@@ -10,22 +10,23 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// More would be held than may be; come back once slow peers have taken theirs.
+/// The memory for buffered data is exhausted. The request may be retried once slow peers have read
+/// theirs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemoryExhausted;
 
-/// What is held for all peers.
+/// The memory for data buffered for all peers.
 pub struct Memory {
-    /// How much may be held, and for how long.
+    /// Size and time limits.
     pub bounds: SlowPeers,
-    room: RefCell<BufferMemory>,
-    /// Told to those who have to give up what they hold.
+    buffers: RefCell<BufferMemory>,
+    /// Notified when the buffer of an account is evicted.
     evicted: RefCell<HashMap<BufferId, Rc<Notify>>>,
     metrics: Rc<Metrics>,
     started: Instant,
 }
 
-/// What is held for one peer, until it is dropped.
+/// The memory used for one peer. Dropping it releases the memory.
 pub struct MemoryAccount {
     memory: Rc<Memory>,
     id: BufferId,
@@ -33,25 +34,25 @@
 }
 
 impl Memory {
-    /// Nothing is held.
+    /// Creates the memory with nothing buffered.
     pub fn new(bounds: SlowPeers, metrics: Rc<Metrics>) -> Self {
         Self {
             bounds,
-            room: RefCell::new(BufferMemory::new(bounds.held_bytes)),
+            buffers: RefCell::new(BufferMemory::new(bounds.held_bytes)),
             evicted: RefCell::default(),
             metrics,
             started: Instant::now(),
         }
     }
 
-    /// Bytes held.
+    /// Returns the number of buffered bytes.
     pub fn held(&self) -> u64 {
-        self.room.borrow().held()
+        self.buffers.borrow().held()
     }
 
-    /// An account that holds nothing yet.
+    /// Opens an empty account.
     pub fn open(self: &Rc<Self>, purpose: Purpose) -> MemoryAccount {
-        let id = self.room.borrow_mut().open(purpose, self.now_ms());
+        let id = self.buffers.borrow_mut().open(purpose, self.now_ms());
         let evicted = Rc::new(Notify::new());
         self.evicted.borrow_mut().insert(id, evicted.clone());
         MemoryAccount {
@@ -85,18 +86,18 @@
 }
 
 impl MemoryAccount {
-    /// So many bytes more are held.
+    /// Adds bytes to the account. Other accounts may be evicted for them.
     ///
     /// # Errors
-    /// There is no room for them.
+    /// The memory is exhausted.
     pub fn grow(&self, bytes: usize) -> Result<(), MemoryExhausted> {
         let now_ms = self.memory.now_ms();
-        let verdict = self
+        let result = self
             .memory
-            .room
+            .buffers
             .borrow_mut()
             .grow(self.id, bytes as u64, now_ms);
-        match verdict {
+        match result {
             GrowResult::Granted => {}
             GrowResult::GrantedByDropping(others) => self.memory.evict(&others),
             GrowResult::Refused => {
@@ -108,35 +109,35 @@
         Ok(())
     }
 
-    /// The peer took so many of them.
+    /// Removes bytes that the peer has read.
     pub fn shrink(&self, bytes: usize) {
         let now_ms = self.memory.now_ms();
-        let mut room = self.memory.room.borrow_mut();
-        room.shrink(self.id, bytes as u64, now_ms);
-        drop(room);
+        let mut buffers = self.memory.buffers.borrow_mut();
+        buffers.shrink(self.id, bytes as u64, now_ms);
+        drop(buffers);
         self.memory.update_gauge();
     }
 
-    /// From now on the client takes what is held.
+    /// Marks the start of the delivery of the buffered data to the client.
     pub fn start_delivery(&self) {
         let now_ms = self.memory.now_ms();
         self.memory
-            .room
+            .buffers
             .borrow_mut()
             .start_delivery(self.id, now_ms);
     }
 
-    /// Ends once this has to be given up for others.
+    /// Waits until this account is evicted in favor of others.
     pub async fn evicted(&self) {
         self.evicted.notified().await;
     }
 
-    /// The peer has taken nothing for so long that nobody waits for it any more.
+    /// Counts a peer that was disconnected because it read nothing for too long.
     pub fn record_stall(&self) {
         self.memory.count_outcome("stalled");
     }
 
-    /// How much may be held, and for how long.
+    /// Size and time limits.
     pub fn bounds(&self) -> SlowPeers {
         self.memory.bounds
     }
@@ -144,7 +145,7 @@
 
 impl Drop for MemoryAccount {
     fn drop(&mut self) {
-        self.memory.room.borrow_mut().close(self.id);
+        self.memory.buffers.borrow_mut().close(self.id);
         self.memory.evicted.borrow_mut().remove(&self.id);
         self.memory.update_gauge();
     }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms in Prometheus text form.
+//! Metrics in the Prometheus text format.
 
 use prometheus::{
     Encoder, GaugeVec, Histogram, HistogramOpts, IntCounter, IntCounterVec, IntGauge, Opts,
@@ -6,63 +6,62 @@
 };
 use std::rc::Rc;
 
-/// Tenants that are shown by name: with thousands of them each would be a series of its own.
+/// Number of tenants exported by name. Each is a time series of its own, and there may be thousands.
 const MAX_TENANTS_SHOWN: usize = 8;
 const LATENCY_BUCKETS: [f64; 14] = [
     0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.35, 0.5, 1.0, 2.0, 4.0, 8.0,
 ];
 
-/// The daemon's figures.
+/// The metrics of a daemon.
 pub struct Metrics {
     registry: Registry,
-    /// Answers to clients by status; 0 is an answer broken off.
+    /// Responses to clients by status; 0 is an aborted response.
     pub responses: IntCounterVec,
-    /// Requests under way.
+    /// Requests in progress.
     pub in_flight: IntGauge,
-    /// Attempts at servers by outcome.
+    /// Attempts to send a request to a server, by outcome.
     pub attempts: IntCounterVec,
-    /// Servers whose machines went silent, and were heard again.
+    /// Changes of servers between silent and responsive.
     pub silence: IntCounterVec,
-    /// Requests of tenants by what became of them at their limit.
+    /// Requests of tenants with a limit, by outcome.
     pub quota: IntCounterVec,
-    /// Servers that this daemon knows to be cold.
+    /// Servers known to be cold.
     pub cold_servers: IntGauge,
-    /// Questions whether a request may be sent to a cold server, by outcome.
+    /// Requests for a permit to use a cold server, by outcome.
     pub cold_permits: IntCounterVec,
-    /// Requests that homes of data decided about, by what became of them.
+    /// Requests restricted to home regions, by outcome.
     pub homes: IntCounterVec,
-    /// Tenants whose limits are counted here.
+    /// Tenants whose limits are enforced by this daemon.
     pub tenants: IntGauge,
-    /// Part of its limit that a tenant uses: those nearest to it.
+    /// Fraction of its limit that a tenant uses, for the tenants with the highest usage.
     pub tenant_limit_used: GaugeVec,
-    /// Turns that an owner may have opened for an asker that left.
+    /// Turns that an owner may have opened for a client that left before the reply.
     pub turns_in_doubt: IntCounter,
-    /// Records of the configuration, of evacuations and of servers that could not be read, by
-    /// kind.
+    /// Unreadable records of the configuration, of evacuations and of servers, by kind.
     pub unreadable: IntCounterVec,
-    /// Bytes held for peers that are slow to read.
+    /// Bytes buffered for slow peers.
     pub held_bytes: IntGauge,
-    /// What became of them where they were too many or too old, by outcome.
+    /// Buffers refused for lack of memory, evicted for others, or stalled, by outcome.
     pub held_outcomes: IntCounterVec,
     /// Connections opened to servers.
     pub connections: IntCounter,
-    /// Calls to the log service by kind.
+    /// Calls to the log service, by kind.
     pub store_calls: IntCounterVec,
-    /// Questions to readers of followed topics, by outcome.
+    /// Requests to reader daemons for records of followed topics, by outcome.
     pub relayed_reads: IntCounterVec,
-    /// Partitions owned.
+    /// Partitions owned by this daemon.
     pub partitions_owned: IntGauge,
-    /// Version of the configuration in force.
+    /// Version of the current configuration.
     pub config_version: IntGauge,
-    /// Log lines dropped because the reader was slow.
+    /// Log lines dropped because standard output was read too slowly.
     pub lines_dropped: IntGauge,
-    /// Seconds to the head of the answer or the first event.
+    /// Seconds to the head of the response or the first event.
     pub first_byte_seconds: Histogram,
-    /// Seconds that the ledger took to open a turn.
+    /// Seconds taken by the ledger to open a turn.
     pub open_seconds: Histogram,
-    /// Seconds that the ledger took to record the end of a turn.
+    /// Seconds taken by the ledger to record the end of a turn.
     pub close_seconds: Histogram,
-    /// Seconds that an append to the log took.
+    /// Seconds taken by an append to the log.
     pub append_seconds: Histogram,
 }
 
@@ -177,18 +176,18 @@
 }
 
 impl Metrics {
-    /// Takes in how much of their limits tenants use, most first.
+    /// Sets the fraction of its limit that each tenant uses. `used` is sorted from the highest.
     pub fn set_tenant_usage(&self, used: &[(Rc<str>, f64)]) {
         self.tenants.set(used.len() as i64);
         self.tenant_limit_used.reset();
-        for (tenant, part) in used.iter().take(MAX_TENANTS_SHOWN) {
+        for (tenant, fraction) in used.iter().take(MAX_TENANTS_SHOWN) {
             self.tenant_limit_used
                 .with_label_values(&[tenant])
-                .set(*part);
+                .set(*fraction);
         }
     }
 
-    /// All figures as text.
+    /// Returns all metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         let mut bytes = Vec::new();
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut bytes);
--- a/crates/gateway/src/probes.rs
+++ b/crates/gateway/src/probes.rs
@@ -1,4 +1,4 @@
-//! Readiness and metrics over HTTP.
+//! HTTP endpoints for readiness and metrics.
 
 use crate::daemon::Daemon;
 use ntex::SharedCfg;
@@ -11,32 +11,32 @@
 use tokio::time::sleep;
 use tracing_appender::non_blocking::ErrorCounter;
 
-const READY_PERIOD: Duration = Duration::from_millis(20);
+const READINESS_PERIOD: Duration = Duration::from_millis(20);
 
-/// A question for the figures; the servers run on a thread of their own.
-type MetricsQuestion = oneshot::Sender<String>;
+/// Returns the metrics to the HTTP server, which runs on a thread of its own.
+type MetricsSender = oneshot::Sender<String>;
 
-/// Serves readiness and metrics.
+/// Starts the HTTP server for readiness and metrics.
 ///
 /// # Errors
 /// An address cannot be bound.
 pub fn serve(daemon: &Rc<Daemon>, dropped: ErrorCounter) -> std::io::Result<()> {
     let ready = Arc::new(AtomicBool::new(false));
-    let (questions, asked) = mpsc::unbounded_channel::<MetricsQuestion>();
+    let (requests, receiver) = mpsc::unbounded_channel::<MetricsSender>();
     ntex::rt::spawn(track_readiness(daemon.clone(), ready.clone()));
-    ntex::rt::spawn(answer_metrics(daemon.clone(), asked, dropped));
+    ntex::rt::spawn(serve_metrics(daemon.clone(), receiver, dropped));
     let path = daemon.settings.readiness_path.clone();
     let server = HttpServer::new(async move || {
         let ready = ready.clone();
-        let questions = questions.clone();
+        let requests = requests.clone();
         web::App::new()
             .service(web::resource(path.clone()).route(web::get().to(move || {
                 let ready = ready.clone();
                 async move { readiness(&ready) }
             })))
             .service(web::resource("/metrics").route(web::get().to(move || {
-                let questions = questions.clone();
-                async move { metrics(questions).await }
+                let requests = requests.clone();
+                async move { metrics(requests).await }
             })))
     })
     .workers(1)
@@ -60,30 +60,30 @@
     }
 }
 
-async fn metrics(questions: mpsc::UnboundedSender<MetricsQuestion>) -> HttpResponse {
-    let (sender, answer) = oneshot::channel();
-    let _ = questions.send(sender);
-    HttpResponse::Ok().body(answer.await.unwrap_or_default())
+async fn metrics(requests: mpsc::UnboundedSender<MetricsSender>) -> HttpResponse {
+    let (sender, text) = oneshot::channel();
+    let _ = requests.send(sender);
+    HttpResponse::Ok().body(text.await.unwrap_or_default())
 }
 
 async fn track_readiness(daemon: Rc<Daemon>, ready: Arc<AtomicBool>) {
     loop {
         ready.store(daemon.is_ready(), Ordering::Relaxed);
-        sleep(READY_PERIOD).await;
+        sleep(READINESS_PERIOD).await;
     }
 }
 
-async fn answer_metrics(
+async fn serve_metrics(
     daemon: Rc<Daemon>,
-    mut asked: mpsc::UnboundedReceiver<MetricsQuestion>,
+    mut requests: mpsc::UnboundedReceiver<MetricsSender>,
     dropped: ErrorCounter,
 ) {
-    while let Some(answer) = asked.recv().await {
+    while let Some(sender) = requests.recv().await {
         daemon
             .metrics
             .lines_dropped
             .set(dropped.dropped_lines() as i64);
         daemon.owner.record_tenant_usage();
-        let _ = answer.send(daemon.metrics.text());
+        let _ = sender.send(daemon.metrics.text());
     }
 }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,17 +1,17 @@
-//! What a daemon is told at its start.
+//! Startup settings of a daemon.
 
 use fieldhook_log::claim_delay::Capacity;
 use fieldhook_topology::zone::ZoneMap;
 use std::net::SocketAddr;
 
-/// How limits of tenants are judged, as the operator's sheet says.
+/// How strictly tenants' limits are enforced, from the operator's sheet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
-    /// Span over which requests are counted, in milliseconds.
+    /// Window over which requests are counted, in milliseconds.
     pub window_ms: u64,
-    /// Part of the limit of a span by which it may be exceeded.
+    /// Fraction of a window's limit by which it may be exceeded.
     pub overshoot: f64,
-    /// Requests by which it may be exceeded as well.
+    /// Number of requests by which it may be exceeded in addition.
     pub slack: f64,
 }
 
@@ -25,41 +25,42 @@
     }
 }
 
-/// How much more than it bears a cold server may get in a second, as the sheet says.
+/// How far the request rate of a cold server may exceed its limit in a second, from the operator's
+/// sheet.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ColdTolerance {
-    /// Times what it bears.
+pub struct Cold {
+    /// Factor applied to the limit.
     pub overshoot: f64,
-    /// Requests on top of that.
+    /// Number of requests allowed in addition.
     pub slack: f64,
 }
 
-/// Times within which the operator's word has to be followed, and how cold servers are
-/// judged, as the sheet says.
+/// Time limits for following the operator's changes, and the tolerance for cold servers, from the
+/// operator's sheet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// Undisturbed time after which a daemon is held to these bounds, in milliseconds.
+    /// These bounds apply to a daemon after its contact with the log was undisturbed for this time,
+    /// in milliseconds.
     pub contact_ms: u64,
-    /// Time until a configuration is in force, in milliseconds.
+    /// Time until a new configuration is applied, in milliseconds.
     pub config_ms: u64,
-    /// Time until a leaving server gets nothing new, in milliseconds.
+    /// Time until a draining server gets no new requests, in milliseconds.
     pub drain_ms: u64,
-    /// Time until servers of an evacuated zone get nothing new, in milliseconds.
+    /// Time until the servers of an evacuated zone get no new requests, in milliseconds.
     pub evacuation_ms: u64,
-    /// How cold servers are judged.
-    pub cold: ColdTolerance,
+    /// Tolerance for cold servers.
+    pub cold: Cold,
 }
 
 impl Default for Bounds {
-    /// The shortest times of the deployments served so far, and no room above what a cold
-    /// server bears.
+    /// The shortest times of all deployments so far, and no tolerance for cold servers.
     fn default() -> Self {
         Self {
             contact_ms: 3_000,
             config_ms: 2_000,
             drain_ms: 2_000,
             evacuation_ms: 5_000,
-            cold: ColdTolerance {
+            cold: Cold {
                 overshoot: 1.0,
                 slack: 0.0,
             },
@@ -67,24 +68,24 @@
     }
 }
 
-/// What a daemon holds for peers that are slow to read, clients and servers.
+/// Limits on the data buffered for slow peers, both clients and servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlowPeers {
-    /// Bytes held for all of them together.
+    /// Bytes buffered for all peers together.
     pub held_bytes: u64,
-    /// Bytes of an answer that are held for one client. A server cuts off an answer that stays
-    /// unread for seconds, so what is smaller is taken off it at the pace of the server.
+    /// Bytes of a response buffered for one client. Servers abort a response that stays unread for
+    /// seconds, so responses up to this size are read as fast as the server sends them.
     pub connection_bytes: usize,
-    /// A client that takes nothing for so long gets nothing more, in milliseconds.
+    /// A client that reads nothing for this time is disconnected, in milliseconds.
     pub stall_ms: u64,
 }
 
-/// Part of a machine's memory that is held for slow peers: one in this. The smallest machine has
-/// 48 MB, of which the rest of a daemon takes about half.
+/// The machine's memory is divided by this to get the limit on buffered data. The smallest machine
+/// has 48 MB, of which the rest of the daemon uses about half.
 const HELD_DIVISOR: u64 = 4;
 
 impl SlowPeers {
-    /// What a machine with so much memory holds for them.
+    /// Limits for a machine with `memory_bytes` of memory.
     pub fn for_memory(memory_bytes: u64) -> Self {
         Self {
             held_bytes: memory_bytes / HELD_DIVISOR,
@@ -94,7 +95,7 @@
 }
 
 impl Default for SlowPeers {
-    /// Of a large machine. No client waits for longer than this for an answer.
+    /// Limits for a large machine. No client waits longer than `stall_ms` for a response.
     fn default() -> Self {
         Self {
             held_bytes: 128 << 20,
@@ -104,38 +105,37 @@
     }
 }
 
-/// Settings of a gateway, checked by the adapter that read them.
+/// Settings of a gateway. The adapter that reads them validates them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GatewaySettings {
-    /// Name of the machine, for logs.
+    /// Name of the machine, used in logs.
     pub name: String,
-    /// Zone that it stands in.
+    /// Zone of the machine.
     pub zone: String,
-    /// The zones of the deployment with their regions.
+    /// Zones of the deployment with their regions.
     pub zones: ZoneMap,
-    /// What the sheet bounds.
+    /// Bounds from the operator's sheet.
     pub bounds: Bounds,
-    /// Where clients connect.
+    /// Listening address for clients.
     pub clients: SocketAddr,
-    /// Where readiness is asked.
+    /// Listening address for readiness probes.
     pub readiness: SocketAddr,
-    /// Path of the readiness question.
+    /// Path of the readiness probe.
     pub readiness_path: String,
-    /// Where other daemons connect.
+    /// Listening address for other daemons.
     pub peers: SocketAddr,
-    /// Where metrics are served.
+    /// Listening address for metrics.
     pub metrics: SocketAddr,
-    /// Partitions of a topic.
+    /// Number of partitions of a topic.
     pub partitions: u32,
-    /// What the machine gives the process.
+    /// Resources that the machine gives the process.
     pub capacity: Capacity,
-    /// What it holds for peers that are slow to read.
+    /// Limits on the data buffered for slow peers.
     pub slow_peers: SlowPeers,
-    /// How limits of tenants are judged.
+    /// How strictly tenants' limits are enforced.
     pub quota: Quota,
-    /// Where keys that were taken away must not be served for longer than this, in
-    /// milliseconds: a daemon that could not confirm its configuration for so long serves no
-    /// keys at all.
+    /// Maximum time for which a revoked key may still be accepted, in milliseconds, if there is one.
+    /// A daemon that could not confirm its configuration for this time accepts no keys at all.
     pub revocation_ms: Option<u64>,
     /// Time between SIGTERM and SIGKILL, in milliseconds.
     pub grace_ms: u64,
--- a/crates/gateway/src/store_exchange.rs
+++ b/crates/gateway/src/store_exchange.rs
@@ -1,5 +1,5 @@
-//! Connections to the log service. A call that is left without an answer gives its
-//! connection up: the service says nothing more on it.
+//! HTTP connections to the log service. A connection is dropped when a call on it times out,
+//! because the service sends nothing more on it.
 
 use crate::http::body::{BodyDecoder, Piece};
 use crate::http::head::{ResponseHead, decode_response_head};
@@ -15,27 +15,27 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout};
 
-const CONNECT_LIMIT: Duration = Duration::from_millis(300);
-const HEAD_LIMIT: usize = 16 << 10;
-const BODY_LIMIT: usize = 64 << 20;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+const MAX_HEAD_BYTES: usize = 16 << 10;
+const MAX_BODY_BYTES: usize = 64 << 20;
 const READ_SIZE: usize = 16 << 10;
-const MOST_IDLE: usize = 8;
-/// Idle connections older than this are not used again.
-const IDLE_LIMIT: Duration = Duration::from_secs(2);
+const MAX_IDLE: usize = 8;
+/// Connections that were idle for longer than this are not reused.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(2);
 
-/// A call.
+/// A request to the log service.
 pub struct StoreRequest {
-    /// Method.
+    /// HTTP method.
     pub method: &'static str,
-    /// Head and body.
+    /// Encoded head and body.
     pub message: Vec<u8>,
-    /// How long to wait for the answer.
+    /// How long to wait for the response.
     pub timeout: Duration,
 }
 
-/// An answer of the service.
+/// A response of the log service.
 pub struct StoreResponse {
-    /// Status.
+    /// HTTP status.
     pub status: u16,
     /// Body.
     pub body: Bytes,
@@ -47,7 +47,7 @@
     idle_since: Instant,
 }
 
-/// Connections that wait for calls.
+/// A pool of connections to the log service.
 pub struct StoreConnections {
     address: SocketAddr,
     log_health: Rc<LogHealth>,
@@ -55,7 +55,7 @@
 }
 
 impl StoreConnections {
-    /// Connections to an address.
+    /// Creates an empty pool for an address.
     pub fn new(address: SocketAddr, log_health: Rc<LogHealth>) -> Self {
         Self {
             address,
@@ -64,25 +64,25 @@
         }
     }
 
-    /// Makes a call.
+    /// Sends a request and waits for the response.
     ///
     /// # Errors
-    /// Nothing was done, or nobody can tell.
-    pub async fn exchange(&self, exchange: StoreRequest) -> Result<StoreResponse, StoreError> {
-        let mut connection = match self.connection().await {
+    /// The call was not made, or its outcome is unknown.
+    pub async fn exchange(&self, request: StoreRequest) -> Result<StoreResponse, StoreError> {
+        let mut connection = match self.acquire().await {
             Ok(connection) => connection,
             Err(_) => {
                 self.log_health.record_failure();
                 return Err(StoreError::NotDone);
             }
         };
-        match timeout(exchange.timeout, connection.call(&exchange)).await {
-            Ok(Ok((answer, reusable))) => {
-                self.note(&answer);
+        match timeout(request.timeout, connection.call(&request)).await {
+            Ok(Ok((response, reusable))) => {
+                self.record_health(&response);
                 if reusable {
-                    self.keep(connection);
+                    self.release(connection);
                 }
-                Ok(answer)
+                Ok(response)
             }
             Ok(Err(error)) => {
                 self.log_health.record_failure();
@@ -91,35 +91,36 @@
             }
             Err(_) => {
                 self.log_health.record_failure();
-                // Where one connection fell silent, others may have: the next call is not
-                // to wait for that as well.
+                // If one connection has gone silent, others may have too. The next call must not
+                // run into another timeout because of them.
                 self.idle.borrow_mut().clear();
                 Err(StoreError::Unknown)
             }
         }
     }
 
-    /// A service that is busy answers, but does not serve.
-    fn note(&self, answer: &StoreResponse) {
-        if answer.status == 503 {
+    /// Records the health of the service by a response. A busy service responds with 503, which
+    /// counts as a failure.
+    fn record_health(&self, response: &StoreResponse) {
+        if response.status == 503 {
             self.log_health.record_failure();
         } else {
             self.log_health.record_answer();
         }
     }
 
-    async fn connection(&self) -> std::io::Result<Connection> {
+    async fn acquire(&self) -> std::io::Result<Connection> {
         loop {
             let idle = self.idle.borrow_mut().pop();
             match idle {
-                Some(connection) if connection.idle_since.elapsed() < IDLE_LIMIT => {
+                Some(connection) if connection.idle_since.elapsed() < MAX_IDLE_TIME => {
                     return Ok(connection);
                 }
                 Some(_) => {}
                 None => break,
             }
         }
-        let stream = timeout(CONNECT_LIMIT, TcpStream::connect(self.address))
+        let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address))
             .await
             .map_err(|_| std::io::Error::from(std::io::ErrorKind::TimedOut))??;
         configure_socket(&stream);
@@ -130,55 +131,55 @@
         })
     }
 
-    fn keep(&self, mut connection: Connection) {
+    fn release(&self, mut connection: Connection) {
         connection.idle_since = Instant::now();
         let mut idle = self.idle.borrow_mut();
-        if connection.buffer.is_empty() && idle.len() < MOST_IDLE {
+        if connection.buffer.is_empty() && idle.len() < MAX_IDLE {
             idle.push(connection);
         }
     }
 }
 
 impl Connection {
-    async fn call(&mut self, exchange: &StoreRequest) -> Result<(StoreResponse, bool), StoreError> {
-        // Without all bytes the service does nothing, but whether it has them all is
-        // known only from its answer.
+    async fn call(&mut self, request: &StoreRequest) -> Result<(StoreResponse, bool), StoreError> {
+        // The service acts only on a complete request, but only its response tells whether it
+        // received all bytes, so the outcome of a failed write is unknown.
         self.stream
-            .write_all(&exchange.message)
+            .write_all(&request.message)
             .await
             .map_err(|_| StoreError::Unknown)?;
-        let head = self.head(exchange.method).await?;
+        let head = self.read_head(request.method).await?;
         let mut decoder = BodyDecoder::new(head.framing);
         let mut body = BytesMut::new();
         loop {
             match decoder.next(&mut self.buffer) {
                 Ok(Piece::Data(data)) => body.extend_from_slice(&data),
                 Ok(Piece::End) => break,
-                Ok(Piece::Incomplete) => self.fill().await?,
+                Ok(Piece::Incomplete) => self.read_more().await?,
                 Err(_) => return Err(StoreError::Unknown),
             }
-            if body.len() > BODY_LIMIT {
+            if body.len() > MAX_BODY_BYTES {
                 return Err(StoreError::Unreadable);
             }
         }
-        let answer = StoreResponse {
+        let response = StoreResponse {
             status: head.status,
             body: body.freeze(),
         };
-        Ok((answer, head.keep_alive))
+        Ok((response, head.keep_alive))
     }
 
-    async fn head(&mut self, method: &str) -> Result<ResponseHead, StoreError> {
+    async fn read_head(&mut self, method: &str) -> Result<ResponseHead, StoreError> {
         loop {
-            match decode_response_head(&mut self.buffer, HEAD_LIMIT, method) {
+            match decode_response_head(&mut self.buffer, MAX_HEAD_BYTES, method) {
                 Ok(Some(head)) => return Ok(head),
-                Ok(None) => self.fill().await?,
+                Ok(None) => self.read_more().await?,
                 Err(_) => return Err(StoreError::Unknown),
             }
         }
     }
 
-    async fn fill(&mut self) -> Result<(), StoreError> {
+    async fn read_more(&mut self) -> Result<(), StoreError> {
         self.buffer.reserve(READ_SIZE);
         match self.stream.read_buf(&mut self.buffer).await {
             Ok(size) if size > 0 => Ok(()),
--- a/crates/gateway/src/zone_state.rs
+++ b/crates/gateway/src/zone_state.rs
@@ -1,5 +1,5 @@
-//! What this daemon knows of places: the zones of the deployment, and which are evacuated.
-//! docs/design/places.md tells who decides and what happens when the log is away.
+//! The zones of the deployment as this daemon knows them, and which of them are evacuated.
+//! docs/design/places.md describes who decides this and what happens while the log is unreachable.
 
 use crate::settings::GatewaySettings;
 use fieldhook_ledger::layout::Layout;
@@ -14,24 +14,24 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// Places as one daemon knows them.
+/// Zones, home regions and evacuations known to one daemon.
 pub struct ZoneState {
     /// Zone of this daemon.
     pub zone: Rc<str>,
     /// The zones of the deployment.
     pub map: ZoneMap,
-    /// Which partition keeps what.
+    /// Mapping of keys to ledger partitions.
     pub layout: Layout,
-    /// Regions that the configuration in force names as homes.
+    /// Regions that the current configuration names as homes.
     home_regions: RefCell<BTreeSet<Rc<str>>>,
     evacuations: RefCell<Evacuations>,
-    belief: RefCell<Freshness>,
+    freshness: RefCell<Freshness>,
     all_evacuated: Cell<bool>,
     started: Instant,
 }
 
 impl ZoneState {
-    /// Places by the settings, nothing evacuated.
+    /// Creates the state from the settings, with no zone evacuated.
     pub fn new(settings: &GatewaySettings) -> Self {
         Self {
             zone: Rc::from(settings.zone.as_str()),
@@ -39,23 +39,23 @@
             layout: Layout::new(settings.partitions, &settings.zones),
             home_regions: RefCell::default(),
             evacuations: RefCell::default(),
-            belief: RefCell::new(Freshness::new(settings.bounds.evacuation_ms)),
+            freshness: RefCell::new(Freshness::new(settings.bounds.evacuation_ms)),
             all_evacuated: Cell::new(false),
             started: Instant::now(),
         }
     }
 
-    /// Region of this daemon, where it was told.
+    /// Returns the region of this daemon, if the settings name one for its zone.
     pub fn region(&self) -> Option<&Rc<str>> {
         self.map.region(&self.zone)
     }
 
-    /// Takes in the regions that the configuration names as homes.
+    /// Sets the regions that the configuration names as homes.
     pub fn set_home_regions(&self, regions: BTreeSet<Rc<str>>) {
         self.home_regions.replace(regions);
     }
 
-    /// Whether the configuration names a region as a home.
+    /// Returns whether the configuration names a region as a home.
     pub fn is_home_region(&self, region: &str) -> bool {
         self.home_regions.borrow().contains(region)
     }
@@ -64,8 +64,8 @@
         self.started.elapsed().as_millis() as u64
     }
 
-    /// Decides by the rule of a request whose data may stay in `homes` and that comes through
-    /// `from`.
+    /// Calls `decide` with the zone rule of a request whose data may be kept in the regions `homes`
+    /// and that arrived in the zone `from`.
     pub fn with_rule<T>(
         &self,
         homes: &RegionSet,
@@ -81,19 +81,19 @@
         })
     }
 
-    /// Whether servers of a zone get nothing.
+    /// Returns whether a zone is evacuated: its servers get no requests.
     pub fn is_evacuated(&self, zone: &str) -> bool {
         self.evacuations.borrow().is_evacuated(zone)
     }
 
-    /// For how long this daemon knows that a zone which was evacuated takes part again, in
+    /// Returns how long ago this daemon learned that an evacuated zone was reopened, in
     /// milliseconds.
     pub fn ms_since_reopened(&self, zone: &str) -> Option<u64> {
         let since_ms = self.evacuations.borrow().opened_since_ms(zone)?;
         Some(self.now_ms().saturating_sub(since_ms))
     }
 
-    /// Takes in a record of the operator, read at a revision or told by another daemon.
+    /// Applies an evacuation record, read from the log at `revision` or received from a peer.
     pub fn apply(&self, zone: &str, state: State, revision: u64, source: &'static str) {
         let now_ms = self.now_ms();
         let is_change = self
@@ -106,8 +106,8 @@
         }
     }
 
-    /// Takes in which zones a listing of the operator's records names, read where the topic
-    /// ended at `end`.
+    /// Reopens the zones that a complete listing of evacuation records no longer names. `end` is
+    /// the end offset of the topic at the time of the listing.
     pub fn apply_listing(&self, listed: &[&str], end: u64) {
         let now_ms = self.now_ms();
         let opened = self
@@ -121,65 +121,67 @@
         }
     }
 
-    /// Says once that no server may serve any more, and once that some may again.
+    /// Logs once when all zones become evacuated, and once when they no longer are.
     fn log_all_evacuated(&self) {
         let evacuations = self.evacuations.borrow();
         let mut zones = self.map.zones().peekable();
-        let is_told = zones.peek().is_some();
-        let all = is_told && zones.all(|zone| evacuations.is_evacuated(zone));
+        let has_zones = zones.peek().is_some();
+        let all = has_zones && zones.all(|zone| evacuations.is_evacuated(zone));
         if self.all_evacuated.replace(all) == all {
             return;
         }
         match all {
             true => tracing::error!(
                 event = "all_zones_evacuated",
-                "no server may serve: every request is refused; withdraw an evacuation"
+                "all zones are evacuated and every request is refused; withdraw an evacuation"
             ),
             false => tracing::info!(event = "not_all_zones_evacuated"),
         }
     }
 
-    /// The process runs, and what it knows was the newest `age_ms` ago.
+    /// Records that the process runs and that its state was last confirmed `age_ms` ago. Logs a
+    /// warning if the process was suspended since the last call.
     pub fn record_run(&self, age_ms: u64) {
         let now_ms = self.now_ms();
-        if self.belief.borrow_mut().record_run(now_ms, age_ms) {
+        if self.freshness.borrow_mut().record_run(now_ms, age_ms) {
             tracing::warn!(
                 event = "process_was_stopped",
                 age_ms,
-                "what it knows of evacuations is confirmed before anything is sent"
+                "the process was suspended; evacuations are confirmed before requests are sent"
             );
         }
     }
 
-    /// Others were heard who know no more.
+    /// Accepts the known evacuations although the log did not confirm them: other daemons have
+    /// answered and know nothing newer.
     pub fn confirm(&self) {
-        self.belief.borrow_mut().accept_unconfirmed();
+        self.freshness.borrow_mut().accept_unconfirmed();
     }
 
-    /// Whether what is known is too old to send anything by it.
+    /// Returns whether the known evacuations are too old to send requests by them.
     pub fn is_evacuation_state_stale(&self, age_ms: u64, is_isolated: bool) -> bool {
         let now_ms = self.now_ms();
-        let belief = self.belief.borrow();
-        belief.is_stale(now_ms, age_ms, is_isolated)
+        let freshness = self.freshness.borrow();
+        freshness.is_stale(now_ms, age_ms, is_isolated)
     }
 
-    /// All that is known of evacuations, for daemons that cannot read it themselves.
+    /// Returns all known evacuation records, for daemons that cannot read the log.
     pub fn statuses(&self) -> Vec<EvacuationStatus> {
         let evacuations = self.evacuations.borrow();
-        let news = evacuations.records().map(|record| EvacuationStatus {
+        let statuses = evacuations.records().map(|record| EvacuationStatus {
             zone: record.zone.to_string(),
             is_evacuated: record.state == State::Evacuated,
             revision: record.revision,
         });
-        news.collect()
+        statuses.collect()
     }
 
-    /// Takes in what another daemon knows.
-    pub fn apply_peer_status(&self, news: &EvacuationStatus) {
-        let state = match news.is_evacuated {
+    /// Applies an evacuation record received from another daemon.
+    pub fn apply_peer_status(&self, status: &EvacuationStatus) {
+        let state = match status.is_evacuated {
             true => State::Evacuated,
             false => State::Open,
         };
-        self.apply(&news.zone, state, news.revision, "peer");
+        self.apply(&status.zone, state, status.revision, "peer");
     }
 }
--- a/crates/gateway/tests/gateway/cold.rs
+++ b/crates/gateway/tests/gateway/cold.rs
@@ -2,7 +2,7 @@
 
 use crate::support::{Act, CONFIG, Gateway, Reply, Server, World, config, run};
 use fieldhook_emulator::log::memory::LogFault;
-use fieldhook_gateway::settings::{Bounds, ColdTolerance};
+use fieldhook_gateway::settings::{Bounds, Cold as ColdTolerance};
 use fieldhook_traffic::config::ColdLimit;
 use futures_util::future::join_all;
 use std::rc::Rc;
