--- a/crates/gateway/src/cold.rs
+++ b/crates/gateway/src/cold.rs
@@ -1,6 +1,7 @@
-//! What this daemon knows of cold servers (docs/design/cold-servers.md).
+//! Cold servers: servers that for a time take only a limited rate of requests, for example after
+//! a start (docs/design/cold-servers.md).
 
-use crate::places::Places;
+use crate::zone_state::ZoneState;
 use fieldhook_traffic::cold::{ColdCause, ColdTracker, PermitDenials};
 use fieldhook_traffic::config::{ColdLimit, TrafficConfig};
 use fieldhook_traffic::directory::{Directory, ServerEntry};
@@ -9,29 +10,29 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// Cold servers as one daemon knows them.
+/// The cold servers known to one daemon.
 pub struct ColdServers {
-    places: Rc<Places>,
+    zone_state: Rc<ZoneState>,
     servers: RefCell<ColdTracker>,
     denials: RefCell<PermitDenials>,
-    /// What cold servers bear, by service.
+    /// Limits of cold servers, by service.
     services: RefCell<HashMap<String, ColdLimit>>,
     version: Cell<u64>,
-    /// Servers that were said to be cold: each is said once.
-    said: RefCell<HashSet<String>>,
+    /// Servers that were logged as cold: each is logged once per cold period.
+    logged: RefCell<HashSet<String>>,
     started: Instant,
 }
 
 impl ColdServers {
-    /// Nothing is known.
-    pub fn new(places: Rc<Places>) -> Self {
+    /// Creates an empty state.
+    pub fn new(zone_state: Rc<ZoneState>) -> Self {
         Self {
-            places,
+            zone_state,
             servers: RefCell::default(),
             denials: RefCell::default(),
             services: RefCell::default(),
             version: Cell::new(0),
-            said: RefCell::default(),
+            logged: RefCell::default(),
             started: Instant::now(),
         }
     }
@@ -40,7 +41,7 @@
         self.started.elapsed().as_millis() as u64
     }
 
-    /// This configuration is in force.
+    /// Applies a configuration.
     pub fn set_config(&self, config: &TrafficConfig) {
         let services = config.services.iter();
         let bounded = services.filter_map(|service| Some((service.name.clone(), service.cold?)));
@@ -53,112 +54,113 @@
         self.version.get()
     }
 
-    /// What a server bears, if it is cold now.
-    pub fn cold(&self, server: &ServerEntry) -> Option<ColdLimit> {
+    /// Returns the limits of a server if it is cold now.
+    pub fn cold_limits(&self, server: &ServerEntry) -> Option<ColdLimit> {
         let services = self.services.borrow();
         let cold = services.get(&server.service)?;
         self.cause(server, cold).map(|_| *cold)
     }
 
-    /// Why a server is cold and for how much longer, in milliseconds.
+    /// Returns why a server is cold and for how much longer, in milliseconds.
     fn cause(&self, server: &ServerEntry, cold: &ColdLimit) -> Option<(&'static str, u64)> {
         let now_ms = self.now_ms();
         if let Some((cause, left_ms)) = self.servers.borrow().cold_cause(&server.id, cold, now_ms) {
             return Some((name(cause), left_ms));
         }
-        // Servers of an evacuated zone may have turned cold before it takes part again.
-        let opened_for_ms = self.places.opened_for_ms(&server.zone)?;
+        // Servers of an evacuated zone may have gone cold by the time the zone is reopened.
+        let opened_for_ms = self.zone_state.ms_since_reopened(&server.zone)?;
         let left_ms = cold.duration_ms.checked_sub(opened_for_ms)?;
         (left_ms > 0).then_some(("zone_opened", left_ms))
     }
 
-    /// Time until a cold server may have a place, in milliseconds, where it has none now.
-    pub fn denied_ms(&self, id: &str) -> Option<u64> {
+    /// Returns how long a cold server accepts no further request, in milliseconds, if a permit
+    /// was denied for it.
+    pub fn denial_wait_ms(&self, id: &str) -> Option<u64> {
         self.denials.borrow().wait_ms(id, self.now_ms())
     }
 
-    /// Cold servers that have no place now, and the time until they may have one, in
+    /// Returns the cold servers for which permits are denied now, and for how much longer, in
     /// milliseconds.
-    pub fn denied(&self) -> Vec<(Rc<str>, u64)> {
+    pub fn denied_servers(&self) -> Vec<(Rc<str>, u64)> {
         let now_ms = self.now_ms();
         let denials = self.denials.borrow();
         denials.pending(now_ms).collect()
     }
 
-    /// A cold server has no place for so long.
-    pub fn deny(&self, id: &str, retry_after_ms: u64) {
+    /// Records that no permit for a cold server is granted within `retry_after_ms`.
+    pub fn record_denial(&self, id: &str, retry_after_ms: u64) {
         let now_ms = self.now_ms();
         self.denials
             .borrow_mut()
             .record_denial(id, retry_after_ms, now_ms);
     }
 
-    /// Takes in a record of a server.
-    pub fn told(&self, server: &ServerEntry) {
+    /// Records how much longer a server is cold by its own record.
+    pub fn record_report(&self, server: &ServerEntry) {
         let now_ms = self.now_ms();
         self.servers
             .borrow_mut()
             .record_reported(&server.id, server.cold_ms, now_ms);
-        self.say(server);
+        self.log_cold(server);
     }
 
-    /// The servers that existed at the start of this daemon are known.
-    pub fn listed(&self) {
+    /// Marks the first listing of servers as complete: servers that appear later are new.
+    pub fn finish_initial_listing(&self) {
         self.servers.borrow_mut().record_initial_listing();
     }
 
-    /// A server is gone from discovery.
-    pub fn forget(&self, id: &str) {
+    /// Removes a server that has left the directory.
+    pub fn remove(&self, id: &str) {
         self.servers.borrow_mut().forget(id);
-        self.said.borrow_mut().remove(id);
+        self.logged.borrow_mut().remove(id);
     }
 
-    /// No connection to a server came about.
-    pub fn unreachable(&self, server: &ServerEntry) {
+    /// Records a failed connection attempt to a server.
+    pub fn record_unreachable(&self, server: &ServerEntry) {
         self.servers.borrow_mut().record_unreachable(&server.id);
-        self.say(server);
+        self.log_cold(server);
     }
 
-    /// A connection to a server came about.
-    pub fn reached(&self, server: &ServerEntry) {
+    /// Records a successful connection to a server.
+    pub fn record_reachable(&self, server: &ServerEntry) {
         let now_ms = self.now_ms();
         if self
             .servers
             .borrow_mut()
             .record_connected(&server.id, now_ms)
         {
-            self.say(server);
+            self.log_cold(server);
         }
     }
 
-    /// A server broke off at once what was sent to it.
-    pub fn reset(&self, server: &ServerEntry) {
+    /// Records that a server reset a connection immediately after a request was sent.
+    pub fn record_reset(&self, server: &ServerEntry) {
         let now_ms = self.now_ms();
         self.servers.borrow_mut().record_reset(&server.id, now_ms);
-        self.say(server);
+        self.log_cold(server);
     }
 
-    /// How many servers are cold now. Those that are not any more are said again
-    /// when they become so.
-    pub fn count(&self, directory: &Directory) -> usize {
+    /// Counts the servers that are cold now. Servers that no longer are will be logged again when
+    /// they next become cold.
+    pub fn count_cold(&self, directory: &Directory) -> usize {
         if self.services.borrow().is_empty() {
             return 0;
         }
-        let mut said = self.said.borrow_mut();
+        let mut logged = self.logged.borrow_mut();
         let mut count = 0;
         for server in directory.entries() {
-            match self.cold(server) {
+            match self.cold_limits(server) {
                 Some(_) => count += 1,
                 None => {
-                    said.remove(&server.id);
+                    logged.remove(&server.id);
                 }
             }
         }
         count
     }
 
-    /// Writes that a server is cold, once for each time.
-    fn say(&self, server: &ServerEntry) {
+    /// Logs that a server is cold, once per cold period.
+    fn log_cold(&self, server: &ServerEntry) {
         let services = self.services.borrow();
         let Some(cold) = services.get(&server.service) else {
             return;
@@ -166,7 +168,7 @@
         let Some((cause, left_ms)) = self.cause(server, cold) else {
             return;
         };
-        if self.said.borrow_mut().insert(server.id.clone()) {
+        if self.logged.borrow_mut().insert(server.id.clone()) {
             tracing::info!(
                 event = "server_cold",
                 server = server.id,
--- a/crates/gateway/src/follow/config_cache.rs
+++ b/crates/gateway/src/follow/config_cache.rs
@@ -4,7 +4,7 @@
 //! Without it, a daemon that the log refuses while it serves others would keep accepting revoked
 //! API keys and reject new ones (docs/design/tenants.md).
 
-use crate::places::Places;
+use crate::zone_state::ZoneState;
 use fieldhook_ledger::message::ConfigUpdate;
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
@@ -80,7 +80,7 @@
     }
 
     /// Returns what a daemon that knows `version` has missed.
-    pub fn changes_since(&self, version: u64, places: &Places) -> ConfigUpdate {
+    pub fn changes_since(&self, version: u64, zone_state: &ZoneState) -> ConfigUpdate {
         let newest = self.newest.borrow();
         let newer = newest
             .as_ref()
@@ -88,7 +88,7 @@
         ConfigUpdate {
             document: newer.map(|document| document.bytes.to_vec()),
             age_ms: self.age_ms(),
-            evacuations: places.news(),
+            evacuations: zone_state.statuses(),
         }
     }
 }
--- a/crates/gateway/src/follow/servers.rs
+++ b/crates/gateway/src/follow/servers.rs
@@ -31,7 +31,7 @@
     };
     let mut follower = Follower::new(
         daemon.relay.clone(),
-        daemon.contact.clone(),
+        daemon.log_health.clone(),
         partition,
         super::long_poll::max_server_wait(&daemon.settings, PAUSE),
     );
@@ -41,7 +41,7 @@
             Update::Records(records) => DirectoryUpdate::new(&daemon).apply_all(&records),
         }
         let known = daemon.directory.borrow().len();
-        daemon.relay.note_servers(known);
+        daemon.relay.set_server_count(known);
         sleep(PAUSE).await;
     }
 }
@@ -55,11 +55,11 @@
         .borrow_mut()
         .retain(&|name| listed.contains(name), end);
     for id in gone {
-        daemon.cold.forget(&id);
+        daemon.cold.remove(&id);
         update.log_gone(&id, "not listed", end);
     }
     update.apply_all(records);
-    daemon.cold.listed();
+    daemon.cold.finish_initial_listing();
     daemon.servers_listed.set(true);
     tracing::info!(event = "servers_listed", listed = records.len(), end);
 }
@@ -124,9 +124,9 @@
         if !is_current {
             return;
         }
-        daemon.cold.told(&server);
+        daemon.cold.record_report(&server);
         if let Some(former) = former.filter(|_| change == DirectoryChange::Restarted) {
-            daemon.cold.forget(&former);
+            daemon.cold.remove(&former);
             tracing::info!(event = "server_restarted", server = id, former, offset);
         }
         if change != DirectoryChange::Unchanged {
@@ -156,7 +156,7 @@
     fn remove(&mut self, name: &str, offset: u64, cause: &'static str) {
         let removed = self.daemon.directory.borrow_mut().remove(name, offset);
         if let Some(id) = removed {
-            self.daemon.cold.forget(&id);
+            self.daemon.cold.remove(&id);
             self.log_gone(&id, cause, offset);
         }
     }
--- a/crates/gateway/src/ledger/client.rs
+++ b/crates/gateway/src/ledger/client.rs
@@ -205,7 +205,7 @@
         request: &OpenTurn,
         deadline: Instant,
     ) -> Result<Vec<u8>, OpenFailure> {
-        let layout = &self.owner.places.layout;
+        let layout = &self.owner.zone_state.layout;
         let own_partition = request
             .home_partition
             .unwrap_or_else(|| layout.program_partition(&request.program));
@@ -247,7 +247,7 @@
         deadline: Instant,
     ) -> Result<OpenedTurn, OpenFailure> {
         let request = LedgerRequest::Open(request.clone());
-        let partition = request.partition(self.owner.places.layout.global_count());
+        let partition = request.partition(self.owner.zone_state.layout.global_count());
         let answer = tokio::select! {
             biased;
             answer = self.ask_tracked(&request, in_doubt, deadline) => answer,
@@ -309,13 +309,13 @@
 
     /// Returns the partition that orders the turns of a program.
     pub fn partition_of(&self, program: &str) -> u32 {
-        self.owner.places.layout.program_partition(program)
+        self.owner.zone_state.layout.program_partition(program)
     }
 
     /// Returns the home partition that stores the contents of a program, if the program is
     /// restricted to home regions.
     pub fn home_partition(&self, program: &str, homes: &RegionSet) -> Option<u32> {
-        self.owner.places.layout.home_partition(program, homes)
+        self.owner.zone_state.layout.home_partition(program, homes)
     }
 
     /// Completes once this daemon is cut off from the log together with a minority of the zones,
@@ -329,7 +329,7 @@
     /// Records the end of a turn. Returns whether it is durable.
     pub async fn close(&self, request: &CloseTurn, deadline: Instant) -> bool {
         let request = LedgerRequest::Close(request.clone());
-        let partition = request.partition(self.owner.places.layout.global_count());
+        let partition = request.partition(self.owner.zone_state.layout.global_count());
         while Instant::now() < deadline {
             let answer = self.ask(&request, deadline).await;
             let Some((LedgerReply::Accepted, mut replies)) = answer else {
@@ -366,7 +366,7 @@
         in_doubt: &Cell<bool>,
         deadline: Instant,
     ) -> Option<(LedgerReply, mpsc::UnboundedReceiver<LedgerReply>)> {
-        let partition = request.partition(self.owner.places.layout.global_count());
+        let partition = request.partition(self.owner.zone_state.layout.global_count());
         loop {
             let exchange = self.exchange_tracked(partition, request, in_doubt, REPLY_TIMEOUT);
             let exchange = timeout_at(deadline, exchange).await;
--- a/crates/gateway/src/ledger/owner.rs
+++ b/crates/gateway/src/ledger/owner.rs
@@ -7,9 +7,9 @@
 use super::limits::{self, LimitCounters};
 use crate::follow::config_cache::ConfigCache;
 use crate::metrics::Metrics;
-use crate::places::Places;
 use crate::relay::Relay;
 use crate::settings::{GatewaySettings, Quota};
+use crate::zone_state::ZoneState;
 use fieldhook_ledger::message::{
     ClaimPartition, KnownOwner, LedgerReply, LedgerRequest, QuotaEvent, QuotaRequest,
 };
@@ -60,7 +60,7 @@
     /// The newest configuration document.
     pub config: Rc<ConfigCache>,
     /// Zones, regions and evacuations.
-    pub places: Rc<Places>,
+    pub zone_state: Rc<ZoneState>,
     /// Held while a partition is loaded, so that one at a time is.
     pub(super) load_lock: Mutex<()>,
     /// What this daemon can reach, updated by [`super::reach`].
@@ -77,17 +77,17 @@
         assigner: Rc<Assigner>,
         incarnation: u64,
     ) -> Rc<Self> {
-        let places = assigner.places.clone();
+        let zone_state = assigner.zone_state.clone();
         let store: Rc<dyn LogStore> = relay.clone();
         let claims = Claims::new(
             store.clone(),
             log_health.clone(),
             OWNERS_TOPIC,
-            places.layout.count(),
+            zone_state.layout.count(),
             settings.peers,
             incarnation,
         );
-        claims.eligibility.set(eligibility(places.clone()));
+        claims.eligibility.set(eligibility(zone_state.clone()));
         let owner = Rc::new(Self {
             claims: Rc::new(claims),
             relay,
@@ -100,7 +100,7 @@
             limits: LimitCounters::new(bounds(settings.quota)),
             cold_counters: ColdCounters::default(),
             config: Rc::default(),
-            places,
+            zone_state,
             assigner,
             load_lock: Mutex::default(),
             reach: Rc::default(),
@@ -149,7 +149,7 @@
         request: LedgerRequest,
         sender: mpsc::UnboundedSender<LedgerReply>,
     ) {
-        let partition = request.partition(self.places.layout.global_count());
+        let partition = request.partition(self.zone_state.layout.global_count());
         match request {
             LedgerRequest::HasRecentLogContact => {
                 let has_log = self.log_health.answered_within(RECENT_LOG_REPLY)
@@ -161,7 +161,7 @@
             }
             LedgerRequest::Config(version) => {
                 let _ = sender.send(LedgerReply::Config(
-                    self.config.changes_since(version, &self.places),
+                    self.config.changes_since(version, &self.zone_state),
                 ));
             }
             LedgerRequest::Claim(claim) => {
@@ -312,7 +312,7 @@
     pub(super) fn publish_held(&self, held: &HashMap<u32, HeldPartition>) {
         self.metrics.partitions_owned.set(held.len() as i64);
         // Engines are assigned by the owners of global partitions, which order the programs.
-        let global_count = self.places.layout.global_count();
+        let global_count = self.zone_state.layout.global_count();
         let global = held
             .keys()
             .copied()
@@ -325,7 +325,7 @@
         let usage = self
             .limits
             .usage(|partition| self.held.borrow().contains_key(&partition));
-        self.metrics.tell_tenants(&usage);
+        self.metrics.set_tenant_usage(&usage);
     }
 
     /// Returns the number of partitions that this daemon holds.
@@ -335,7 +335,7 @@
 
     /// Returns the partition of the log that stores the records of a ledger partition.
     pub(super) fn log_partition(&self, partition: u32) -> LogPartition {
-        let location = self.places.layout.location(partition);
+        let location = self.zone_state.layout.location(partition);
         LogPartition {
             topic: match location.region {
                 Some(region) => format!("{HOME_TOPIC}{region}"),
--- a/crates/gateway/src/ledger/reach.rs
+++ b/crates/gateway/src/ledger/reach.rs
@@ -32,7 +32,7 @@
         sleep(PERIOD).await;
         let away = ledger.reach.get() == Reach::Minority && changed.elapsed() >= AWAY_AFTER;
         daemon
-            .away
+            .close_idle
             .send_if_modified(|now| std::mem::replace(now, away) != away);
         let round = match ledger.log_health.is_lost() {
             true => ledger.poll_peers_for_log().await,
@@ -78,7 +78,7 @@
 
 /// Probes some servers of every other zone.
 async fn probe_zones(daemon: &Daemon) -> Look {
-    let own = daemon.places.zone.to_string();
+    let own = daemon.zone_state.zone.to_string();
     let mut by_zone: BTreeMap<String, Vec<ServerEntry>> = {
         let directory = daemon.directory.borrow();
         let sample = directory.sample_zones(PROBED_PER_ZONE, fastrand::u64(..));
--- a/crates/gateway/src/ledger/region.rs
+++ b/crates/gateway/src/ledger/region.rs
@@ -46,7 +46,7 @@
     }
 
     fn note_region_answered(&self, partition: u32) {
-        if self.owner.places.layout.region(partition).is_some() {
+        if self.owner.zone_state.layout.region(partition).is_some() {
             let mut activity = self.region_activity.borrow_mut();
             activity.answered.insert(partition, Instant::now());
         }
@@ -55,7 +55,7 @@
     /// Completes once no daemon of a home partition's region has answered for [`SILENCE_LIMIT`].
     /// Never completes for a global partition.
     pub(super) async fn wait_for_region_silence(&self, partition: u32) {
-        if self.owner.places.layout.region(partition).is_none() {
+        if self.owner.zone_state.layout.region(partition).is_none() {
             return pending().await;
         }
         let started = Instant::now();
@@ -135,7 +135,7 @@
     /// duplicates.
     pub(super) fn owners_in_region_of(&self, partition: u32) -> Vec<SocketAddr> {
         let claims = &self.owner.claims;
-        let layout = &self.owner.places.layout;
+        let layout = &self.owner.zone_state.layout;
         let region = layout.region(partition);
         let mut owners: Vec<SocketAddr> = layout
             .home_partitions()
--- a/crates/gateway/src/serve/cold.rs
+++ b/crates/gateway/src/serve/cold.rs
@@ -60,7 +60,7 @@
         age_ms = context.age_ms()
     );
     if let Some(wait_ms) = wait_ms {
-        daemon.cold.deny(&server.id, wait_ms);
+        daemon.cold.record_denial(&server.id, wait_ms);
     }
     wait_ms.is_none()
 }
@@ -71,10 +71,10 @@
     let daemon = &context.daemon;
     let service = context.service()?;
     let directory = daemon.directory.borrow();
-    let denied = daemon.cold.denied();
+    let denied = daemon.cold.denied_servers();
     daemon
-        .places
-        .with_rule(&context.homes, &daemon.places.zone, |rule| {
+        .zone_state
+        .with_rule(&context.homes, &daemon.zone_state.zone, |rule| {
             let may_serve = |id: &str| {
                 let server = directory.entry(id).filter(|server| !server.draining);
                 server.is_some_and(|server| {
--- a/crates/gateway/src/serve/local_response.rs
+++ b/crates/gateway/src/serve/local_response.rs
@@ -68,9 +68,11 @@
         request_id: Option<&str>,
         writer: &mut ClientWriter,
     ) -> io::Result<()> {
-        let headers = daemon.dialect.own_answer(request_id, self.retry_after_ms);
+        let headers = daemon
+            .dialect
+            .local_response_headers(request_id, self.retry_after_ms);
         let body = self.message.as_bytes();
-        let close = self.close || daemon.sends_away();
+        let close = self.close || daemon.closes_connections();
         let mut bytes = response_head(
             self.status,
             reason(self.status),
@@ -81,7 +83,7 @@
         bytes.extend_from_slice(body);
         daemon
             .metrics
-            .answers
+            .responses
             .with_label_values(&[&self.status.to_string()])
             .inc();
         writer.write(&bytes).await
--- a/crates/gateway/src/serve/request.rs
+++ b/crates/gateway/src/serve/request.rs
@@ -10,7 +10,7 @@
 use crate::daemon::Daemon;
 use crate::dialect::RequestMeta;
 use crate::http::headers::Headers;
-use crate::memory::Held;
+use crate::memory::MemoryAccount;
 use bytes::Bytes;
 use fieldhook_log::reach::Reach;
 use fieldhook_topology::region;
@@ -72,7 +72,7 @@
     /// Server that the request was last sent to.
     pub last_server: Rc<RefCell<Option<String>>>,
     /// Accounts for the memory of the request.
-    pub held: Held,
+    pub held: MemoryAccount,
     /// When the first byte arrived.
     pub started: Instant,
     /// When the response must be complete.
@@ -257,13 +257,16 @@
     request: ClientRequest,
 ) -> Result<RequestContext, (String, LocalResponse)> {
     let head = request.head;
-    let meta = daemon.dialect.request(&head.headers).map_err(|error| {
-        tracing::info!(event = "bad_field", target = head.target, problem = %error);
-        (
-            String::new(),
-            LocalResponse::new(400, "a field is missing or malformed"),
-        )
-    })?;
+    let meta = daemon
+        .dialect
+        .read_request(&head.headers)
+        .map_err(|error| {
+            tracing::info!(event = "bad_field", target = head.target, problem = %error);
+            (
+                String::new(),
+                LocalResponse::new(400, "a field is missing or malformed"),
+            )
+        })?;
     if daemon.is_refusing() {
         let response = LocalResponse::not_run("this daemon is about to stop", RETRY_SOON_MS);
         return Err((meta.id, response));
--- a/crates/gateway/tests/gateway/homes.rs
+++ b/crates/gateway/tests/gateway/homes.rs
@@ -1,7 +1,9 @@
 //! Home regions of data, with gateways in several regions: which of them store the contents of a
 //! program.
 
-use crate::support::{Act, Gateway, Lines, Server, World, config, config_of, run, tenant};
+use crate::support::{
+    Act, Gateway, LogCapture, Server, World, config, config_with_tenants, run, tenant,
+};
 use fieldhook_emulator::log::memory::LogFault;
 use fieldhook_gateway::ledger::owner::OWNERS_TOPIC;
 use fieldhook_log::api::{Append, LogStore, Partition};
@@ -97,7 +99,7 @@
         let storing = self
             .gateways
             .iter()
-            .filter(|(_, gateway)| gateway.spy.has_seen(text));
+            .filter(|(_, gateway)| gateway.spy.has_record_with(text));
         storing.map(|(zone, _)| *zone).collect()
     }
 
@@ -378,7 +380,7 @@
 #[test]
 fn log_line_of_a_refusal_names_the_placement_rule() {
     run(async {
-        let lines = Lines::start();
+        let lines = LogCapture::start();
         let mut initial = config(1);
         for route in &mut initial.routes {
             route.allowed_regions = RegionSet::from_names(["c"]);
@@ -388,13 +390,13 @@
         let reply = fleet.at("b1").ask("POST", "/safe/1", fields, "x").await;
         assert_eq!(reply.head.status, 503);
         assert!(reply.head.headers.has("come-back-ms"));
-        let logged = lines.of("no_server_in_place");
+        let logged = lines.with_event("no_server_in_place");
         assert_eq!(logged.len(), 1);
         assert!(
             logged[0].contains("\"not_home\":2") && logged[0].contains("region is not allowed")
         );
         assert_eq!([fleet.server_a.count(), fleet.server_b.count()], [0, 0]);
-        assert!(lines.of("homes_unservable").is_empty());
+        assert!(lines.with_event("homes_unservable").is_empty());
     });
 }
 
@@ -573,12 +575,12 @@
 #[test]
 fn disjoint_home_regions_are_refused_and_logged() {
     run(async {
-        let lines = Lines::start();
+        let lines = LogCapture::start();
         let mut red = tenant("red", "k1");
         red.allowed_regions = RegionSet::from_names(["b"]);
         let mut blue = tenant("blue", "k2");
         blue.allowed_regions = RegionSet::from_names(["a", "b"]);
-        let mut initial = config_of(1, vec![red, blue]);
+        let mut initial = config_with_tenants(1, vec![red, blue]);
         for route in &mut initial.routes {
             route.allowed_regions = RegionSet::from_names(["a"]);
         }
@@ -590,10 +592,10 @@
             assert!(reply.head.headers.has("come-back-ms"));
         }
         assert_eq!(fleet.server_a.count() + fleet.server_b.count(), 0);
-        let logged = lines.of("homes_unservable");
+        let logged = lines.with_event("homes_unservable");
         let names_both = |line: &String| line.contains("\"chat\"") && line.contains("\"red\"");
         assert!(logged.iter().any(names_both), "{logged:?}");
-        let refused = lines.of("refused_for_home");
+        let refused = lines.with_event("refused_for_home");
         assert_eq!(refused.len(), 3, "{refused:?}");
         let fields = "Request: r2\r\nProgram: p\r\nKey: k2\r\n";
         let reply = fleet.at("b1").ask("POST", "/chat/1", fields, "x").await;
--- a/crates/gateway/tests/gateway/outage.rs
+++ b/crates/gateway/tests/gateway/outage.rs
@@ -1,6 +1,6 @@
 //! Changes that have to take effect once an outage of the log is over.
 
-use crate::support::{Act, Gateway, SERVERS, Server, World, config_of, run, tenant};
+use crate::support::{Act, Gateway, SERVERS, Server, World, config_with_tenants, run, tenant};
 use fieldhook_emulator::log::memory::LogFault;
 use fieldhook_traffic::tenants::{Limit, Tenant};
 use std::time::Duration;
@@ -37,11 +37,11 @@
         let remaining = Server::start("s2", Act::Events(vec!["one".to_owned()], None)).await;
         let world = World::new().await;
         world.configs.borrow_mut()[0] =
-            config_of(1, vec![limited("k1", 100.0), tenant("blue", "k3")]);
-        world
-            .configs
-            .borrow_mut()
-            .push(config_of(2, vec![limited("k2", 3.0), tenant("blue", "k3")]));
+            config_with_tenants(1, vec![limited("k1", 100.0), tenant("blue", "k3")]);
+        world.configs.borrow_mut().push(config_with_tenants(
+            2,
+            vec![limited("k2", 3.0), tenant("blue", "k3")],
+        ));
         let a = world.ready(&[&draining, &remaining]).await;
         let b = world.gateway("g2").await;
         b.wait_ready(2).await;
--- a/crates/gateway/tests/gateway/ownership.rs
+++ b/crates/gateway/tests/gateway/ownership.rs
@@ -118,7 +118,7 @@
         cut.wait_ready(1).await;
         sleep(Duration::from_millis(100)).await;
         cut.store.set_fault(LogFault::Silent);
-        cut.daemon.contact.record_failure();
+        cut.daemon.log_health.record_failure();
         // The claim changes twice: the owner releases the partition in a planned stop, and the
         // other gateway claims it.
         fieldhook_gateway::drain::run(owner.daemon.clone()).await;
@@ -147,9 +147,9 @@
 /// Cuts a gateway off from the log and lets it notice.
 async fn cut_off_from_log(gateway: &Gateway) {
     gateway.store.set_fault(LogFault::Silent);
-    gateway.daemon.contact.record_failure();
+    gateway.daemon.log_health.record_failure();
     sleep(Duration::from_millis(850)).await;
-    gateway.daemon.contact.record_failure();
+    gateway.daemon.log_health.record_failure();
 }
 
 #[test]
@@ -159,10 +159,10 @@
         let world = World::new().await;
         let (owner, other) = two_gateways(&world, &server).await;
         // The in-memory log does not update a gateway's record of contact with the log.
-        let contact = other.daemon.contact.clone();
+        let log_health = other.daemon.log_health.clone();
         ntex::rt::spawn(async move {
             loop {
-                contact.record_answer();
+                log_health.record_answer();
                 sleep(Duration::from_millis(100)).await;
             }
         });
@@ -207,10 +207,10 @@
         let world = World::new().await;
         let (owner, other) = two_gateways(&world, &server).await;
         assert!(matches!(quota_reply(&owner).await, LedgerReply::Quota(_)));
-        let contact = other.daemon.contact.clone();
+        let log_health = other.daemon.log_health.clone();
         ntex::rt::spawn(async move {
             loop {
-                contact.record_answer();
+                log_health.record_answer();
                 sleep(Duration::from_millis(100)).await;
             }
         });
