--- a/crates/traffic/tests/assignment.rs
+++ b/crates/traffic/tests/assignment.rs
@@ -1,4 +1,5 @@
-//! The engine of a program: kept, shared by beginnings, and never far over its fair load.
+//! Assignment of engines: a program keeps its engine, programs with a common prompt prefix share
+//! engines, and no engine gets much more than its fair load.
 
 use fieldhook_topology::zone::Distance;
 use fieldhook_traffic::assignment::{AssignmentSettings, AssignmentTable, Engine, Turn};
@@ -6,8 +7,8 @@
 use std::collections::HashMap;
 
 const SLOTS: u32 = 8;
-/// For so long a turn whose end was not told weighs on its engine.
-const LONGEST_TURN_MS: u64 = 10_000;
+/// How long a turn whose end is not reported counts as open.
+const TURN_EXPIRY_MS: u64 = 10_000;
 
 fn engines(names: &[String]) -> Vec<Engine<'_>> {
     names
@@ -54,7 +55,7 @@
 }
 
 #[test]
-fn owners_that_never_spoke_assign_a_beginning_to_the_same_engine() {
+fn independent_owners_assign_a_prefix_to_the_same_engine() {
     let names = names(9);
     let engines = engines(&names);
     for prefix in 0..40 {
@@ -67,7 +68,7 @@
 }
 
 #[test]
-fn engines_of_the_programs_zone_come_first_while_they_have_room() {
+fn engines_of_the_programs_zone_are_preferred_while_available() {
     let names = names(8);
     let mut engines = engines(&names);
     for engine in engines.iter_mut().skip(4) {
@@ -77,8 +78,8 @@
     let mut table = AssignmentTable::new(AssignmentSettings::default());
     for number in 0..8 {
         let id = format!("t{number}");
-        let begun = turn(&id, &id, number);
-        let near = table.assign(&begun, &engines, 1.0, 0).expect("an engine");
+        let started = turn(&id, &id, number);
+        let near = table.assign(&started, &engines, 1.0, 0).expect("an engine");
         assert!(names[..4].contains(&near.to_string()));
     }
     for number in 8..64 {
@@ -90,7 +91,7 @@
 }
 
 #[test]
-fn a_beginning_spreads_when_its_engine_has_its_fair_load() {
+fn a_prefix_spreads_when_its_engine_has_its_fair_load() {
     let names = names(4);
     let engines = engines(&names);
     let mut table = AssignmentTable::new(AssignmentSettings::default());
@@ -105,7 +106,7 @@
 }
 
 #[test]
-fn a_program_follows_where_its_turn_ran() {
+fn a_program_moves_to_the_engine_that_ran_its_turn() {
     let names = names(6);
     let engines = engines(&names);
     let mut table = AssignmentTable::new(AssignmentSettings::default());
@@ -121,7 +122,7 @@
 }
 
 #[test]
-fn a_program_whose_engine_is_gone_gets_another() {
+fn a_program_whose_engine_is_removed_gets_another() {
     let names = names(3);
     let mut table = AssignmentTable::new(AssignmentSettings::default());
     let first = table
@@ -136,9 +137,9 @@
     assert_eq!(table.assign(&turn("t2", "p", 1), &[], 1.0, 0), None);
 }
 
-/// The daemon that began it is gone, or its end was told to another owner.
+/// A turn's end is not reported if its daemon failed, or if another owner got the report.
 #[test]
-fn a_turn_whose_end_nobody_tells_weighs_on_its_engine_for_a_while_only() {
+fn a_turn_without_a_reported_end_expires() {
     let names = names(1);
     let engines = engines(&names);
     let mut table = AssignmentTable::new(AssignmentSettings::default());
@@ -147,25 +148,21 @@
         table.assign(&turn(&id, &id, 1), &engines, 1.0, number);
     }
     assert_eq!(table.open_turns("e0"), SLOTS);
-    // The first three are over their time, and the second has begun anew since.
+    // The first three have expired, except for the second, which was started again.
     table.assign(&turn("t1", "t1", 1), &engines, 1.0, 5_000);
-    table.assign(&turn("next", "p", 1), &engines, 1.0, LONGEST_TURN_MS + 2);
+    table.assign(&turn("next", "p", 1), &engines, 1.0, TURN_EXPIRY_MS + 2);
     assert_eq!(table.open_turns("e0"), SLOTS - 1);
-    let late = 3 * LONGEST_TURN_MS;
+    let late = 3 * TURN_EXPIRY_MS;
     table.assign(&turn("last", "p", 1), &engines, 1.0, late);
     assert_eq!(table.open_turns("e0"), 1);
     table.end_turn("t1");
-    assert_eq!(
-        table.open_turns("e0"),
-        1,
-        "an end that comes late ends nothing"
-    );
+    assert_eq!(table.open_turns("e0"), 1, "a late end has no effect");
 }
 
-/// One thing that happens to an owner's table.
+/// An operation on an owner's table.
 #[derive(Clone, Debug)]
 enum Step {
-    Begin { program: u8, prefix: u8, share: u8 },
+    Start { program: u8, prefix: u8, share: u8 },
     End(u8),
     Engines(u8),
     Wait(u16),
@@ -174,7 +171,7 @@
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Self {
         match u8::arbitrary(g) % 10 {
-            0..=5 => Self::Begin {
+            0..=5 => Self::Start {
                 program: u8::arbitrary(g) % 24,
                 prefix: u8::arbitrary(g) % 4,
                 share: u8::arbitrary(g) % 8,
@@ -186,37 +183,37 @@
     }
 }
 
-struct UnderWay {
+struct OpenTurn {
     id: String,
     engine: String,
-    since_ms: u64,
+    start_ms: u64,
 }
 
-/// The plain oracle: turns under way and where each runs.
+/// Reference model: the open turns and the engine of each.
 #[derive(Default)]
 struct Oracle {
-    under_way: Vec<UnderWay>,
+    turns: Vec<OpenTurn>,
     engine_of: HashMap<u8, String>,
 }
 
 impl Oracle {
     fn open(&self, engine: &str) -> usize {
-        let at = |turn: &&UnderWay| turn.engine == engine;
-        self.under_way.iter().filter(at).count()
+        let at = |turn: &&OpenTurn| turn.engine == engine;
+        self.turns.iter().filter(at).count()
     }
 
-    /// Another turn begins: those that are over their time count no more.
-    fn forget(&mut self, now_ms: u64) {
-        self.under_way
-            .retain(|turn| now_ms < turn.since_ms + LONGEST_TURN_MS);
+    /// Drops the turns that have expired when another turn starts.
+    fn remove_expired(&mut self, now_ms: u64) {
+        self.turns
+            .retain(|turn| now_ms < turn.start_ms + TURN_EXPIRY_MS);
     }
 
-    /// Fair load of an engine once one more turn has begun.
-    fn fair(&self, names: &[String], share: f64) -> f64 {
-        let under_way: usize = names.iter().map(|name| self.open(name)).sum();
-        let mean = (under_way + 1) as f64 / names.len() as f64;
-        let light = f64::from(SLOTS) * share * AssignmentSettings::default().light_load;
-        mean.max(light)
+    /// Returns the fair load of an engine once one more turn has started.
+    fn fair_load(&self, names: &[String], share: f64) -> f64 {
+        let turns: usize = names.iter().map(|name| self.open(name)).sum();
+        let mean = (turns + 1) as f64 / names.len() as f64;
+        let light_load = f64::from(SLOTS) * share * AssignmentSettings::default().light_load;
+        mean.max(light_load)
     }
 }
 
@@ -230,22 +227,22 @@
         match step {
             Step::Wait(ms) => now_ms += u64::from(ms),
             Step::Engines(count) => names = self::names(count),
-            Step::End(which) if !oracle.under_way.is_empty() => {
-                let index = usize::from(which) % oracle.under_way.len();
-                table.end_turn(&oracle.under_way.swap_remove(index).id);
+            Step::End(which) if !oracle.turns.is_empty() => {
+                let index = usize::from(which) % oracle.turns.len();
+                table.end_turn(&oracle.turns.swap_remove(index).id);
             }
-            Step::End(_) => table.end_turn("never begun"),
-            Step::Begin {
+            Step::End(_) => table.end_turn("never started"),
+            Step::Start {
                 program,
                 prefix,
                 share,
             } => {
-                oracle.forget(now_ms);
+                oracle.remove_expired(now_ms);
                 let share = f64::from(share) / 8.0;
-                let fair = oracle.fair(&names, share);
+                let fair_load = oracle.fair_load(&names, share);
                 let (id, name) = (format!("t{number}"), format!("p{program}"));
-                let begun = turn(&id, &name, u64::from(prefix));
-                let assigned = table.assign(&begun, &engines(&names), share, now_ms);
+                let started = turn(&id, &name, u64::from(prefix));
+                let assigned = table.assign(&started, &engines(&names), share, now_ms);
                 let Some(engine) = assigned else {
                     if names.is_empty() {
                         continue;
@@ -260,14 +257,14 @@
                     settings.max_load_new
                 };
                 let least = names.iter().map(|name| oracle.open(name)).min();
-                let within = before < factor * fair || Some(before as usize) == least;
+                let within = before < factor * fair_load || Some(before as usize) == least;
                 if !names.iter().any(|name| **name == *engine) || !within {
                     return false;
                 }
-                oracle.under_way.push(UnderWay {
+                oracle.turns.push(OpenTurn {
                     id,
                     engine: engine.to_string(),
-                    since_ms: now_ms,
+                    start_ms: now_ms,
                 });
                 oracle.engine_of.insert(program, engine.to_string());
             }
@@ -283,16 +280,16 @@
 }
 
 #[test]
-fn no_engine_gets_more_than_its_bound() {
+fn no_engine_exceeds_its_load_limit() {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(120, 19))
         .tests(400)
         .quickcheck(holds as fn(Vec<Step>) -> bool);
 }
 
-/// Engines of another region get programs only where those of the own region have no room.
+/// Engines of another region get programs only if those of the own region are not available.
 #[test]
-fn engines_of_the_programs_region_come_before_those_of_others() {
+fn engines_of_the_programs_region_are_preferred() {
     let names = names(9);
     let mut engines = engines(&names);
     for (number, engine) in engines.iter_mut().enumerate() {
@@ -311,7 +308,7 @@
         let id = format!("t{number}");
         table.assign(&turn(&id, &id, number), &engines, 1.0, 0);
     }
-    // Half of the places of six engines, none anywhere else.
+    // Half of the slots of six engines are in use, and none elsewhere.
     assert_eq!(open(&table, 0..3), 12);
     assert_eq!(open(&table, 3..6), 12);
     assert_eq!(open(&table, 6..9), 0);
--- a/crates/traffic/tests/candidates.rs
+++ b/crates/traffic/tests/candidates.rs
@@ -1,5 +1,5 @@
-//! Servers in one order for all, and what is weighed of them: right, and no more with a fleet of
-//! thousands than with one of hundreds.
+//! The hash ring and the selection of candidates. The cost of a selection does not grow with the
+//! fleet.
 
 use fieldhook_traffic::candidates::{CandidateQuery, FULL_SCAN_MAX, select_candidates};
 use fieldhook_traffic::directory::{Directory, ServerEntry};
@@ -22,7 +22,7 @@
     }
 }
 
-/// So many servers of each of two services.
+/// Creates a directory with `each` servers of each of two services.
 fn fleet(each: usize) -> Directory {
     let mut directory = Directory::default();
     for number in 0..2 * each {
@@ -31,7 +31,7 @@
     directory
 }
 
-fn drawn(
+fn select(
     directory: &Directory,
     number: u64,
     usable: &dyn Fn(&ServerEntry) -> bool,
@@ -42,40 +42,41 @@
         start: number,
     };
     let serving = directory.active_servers("service0").expect("servers");
-    let drawn = select_candidates(serving, &place, usable);
-    let ids = drawn.servers.iter().map(|server| server.id.clone());
-    (drawn.examined, ids.collect())
+    let select = select_candidates(serving, &place, usable);
+    let ids = select.servers.iter().map(|server| server.id.clone());
+    (select.examined, ids.collect())
 }
 
-/// Each of ten thousand servers was looked at for each request.
+/// Guards against a selection that examines every server: with ten thousand servers, each request
+/// examined all of them.
 #[test]
-fn what_is_looked_at_for_a_request_does_not_grow_with_the_fleet() {
+fn examined_servers_do_not_grow_with_the_fleet() {
     let most = [100, 1_000, 10_000].map(|each| {
         let directory = fleet(each);
-        let looked = (0..50).map(|number| drawn(&directory, number << 58, &|_| true).0);
-        looked.max().expect("draws")
+        let examined = (0..50).map(|number| select(&directory, number << 58, &|_| true).0);
+        examined.max().expect("draws")
     });
     assert_eq!(most[0], 100, "all of a small service");
     assert!(most[1] <= FULL_SCAN_MAX, "{most:?}");
     assert_eq!(most[1], most[2]);
 }
 
-/// Half of the zones are evacuated, the own one among them.
+/// Half of the zones are evacuated, including the own zone.
 #[test]
-fn servers_are_found_beside_those_that_may_not_be_used() {
+fn usable_servers_are_found_among_unusable_ones() {
     let directory = fleet(5_000);
     let usable = |server: &ServerEntry| !["z1", "z2", "z3"].contains(&&*server.zone);
     for number in 0..50 {
-        let (looked_at, ids) = drawn(&directory, number << 58, &usable);
-        assert!(ids.len() >= 16, "{} drawn", ids.len());
-        assert!(looked_at <= FULL_SCAN_MAX, "{looked_at}");
+        let (examined, ids) = select(&directory, number << 58, &usable);
+        assert!(ids.len() >= 16, "{} selected", ids.len());
+        assert!(examined <= FULL_SCAN_MAX, "{examined}");
     }
 }
 
 #[test]
-fn a_key_draws_nearly_the_same_while_servers_come_and_go() {
+fn a_key_selects_mostly_the_same_servers_when_others_change() {
     let mut directory = fleet(2_000);
-    let before: BTreeSet<String> = drawn(&directory, 7 << 60, &|_| true)
+    let before: BTreeSet<String> = select(&directory, 7 << 60, &|_| true)
         .1
         .into_iter()
         .collect();
@@ -83,7 +84,7 @@
         directory.insert(server(number * 10, true), 100_000 + number as u64);
         directory.insert(server(10_000 + number, false), 200_000 + number as u64);
     }
-    let after: BTreeSet<String> = drawn(&directory, 7 << 60, &|_| true)
+    let after: BTreeSet<String> = select(&directory, 7 << 60, &|_| true)
         .1
         .into_iter()
         .collect();
@@ -92,15 +93,15 @@
 }
 
 #[test]
-fn arcs_divide_the_order_and_each_is_gone_through_once() {
+fn hash_ranges_partition_the_ring_and_are_iterated_once() {
     let directory = fleet(1_000);
     let all = &directory.active_servers("service0").expect("servers").all;
     for count in [1, 3, 16, 100] {
         let mut seen = BTreeSet::new();
         for index in 0..count {
-            let arc = HashRange::nth_of(index, count);
-            let ids: Vec<&str> = all.iter_from(arc, u64::MAX / 3).map(|s| &*s.id).collect();
-            assert!(ids.iter().all(|id| arc.contains(ring_position(id))));
+            let range = HashRange::nth_of(index, count);
+            let ids: Vec<&str> = all.iter_from(range, u64::MAX / 3).map(|s| &*s.id).collect();
+            assert!(ids.iter().all(|id| range.contains(ring_position(id))));
             let size = ids.len();
             seen.extend(ids);
             let even = 1_000 / count as usize;
@@ -109,7 +110,7 @@
                 "{size} of {even}"
             );
         }
-        assert_eq!(seen.len(), 1_000, "{count} arcs");
+        assert_eq!(seen.len(), 1_000, "{count} ranges");
     }
 }
 
@@ -131,8 +132,8 @@
     }
 }
 
-/// The servers of a service are those that take work, whatever came in which order.
-fn is_whole(steps: Vec<Step>) -> bool {
+/// The active servers of a service are those that accept work, for any order of updates.
+fn agrees_with_oracle(steps: Vec<Step>) -> bool {
     let mut directory = Directory::default();
     let mut oracle: BTreeMap<usize, bool> = BTreeMap::new();
     steps.into_iter().enumerate().all(|(at, step)| {
@@ -140,7 +141,7 @@
         match step {
             Step::Put(which, draining) => {
                 directory.insert(server(which, draining), revision);
-                // Leaving is final while the name is known.
+                // Draining is final while the name is known.
                 let known = oracle.entry(which).or_insert(draining);
                 *known |= draining;
             }
@@ -155,7 +156,7 @@
             }
         }
         ["service0", "service1"].iter().all(|service| {
-            let wanted: BTreeSet<String> = oracle
+            let expected: BTreeSet<String> = oracle
                 .iter()
                 .filter(|(which, draining)| {
                     !**draining && server(**which, false).service == *service
@@ -163,7 +164,7 @@
                 .map(|(which, _)| format!("s{which}"))
                 .collect();
             let Some(serving) = directory.active_servers(service) else {
-                return wanted.is_empty();
+                return expected.is_empty();
             };
             let all: BTreeSet<String> = serving
                 .all
@@ -179,15 +180,15 @@
                 })
                 .map(|s| s.id.clone())
                 .collect();
-            all == wanted && by_zone == wanted
+            all == expected && by_zone == expected
         })
     })
 }
 
 #[test]
-fn servers_of_a_service_are_those_that_take_work() {
+fn active_servers_are_those_that_accept_work() {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(60, 3))
         .tests(500)
-        .quickcheck(is_whole as fn(Vec<Step>) -> bool);
+        .quickcheck(agrees_with_oracle as fn(Vec<Step>) -> bool);
 }
--- a/crates/traffic/tests/groups.rs
+++ b/crates/traffic/tests/groups.rs
@@ -1,4 +1,4 @@
-//! Groups of engines: as even as can be, few moves, right with few engines and with many.
+//! Engine groups are even for any number of engines, and an engine that leaves moves few others.
 
 use fieldhook_topology::zone::Distance;
 use fieldhook_traffic::assignment::{AssignmentSettings, AssignmentTable, Engine, Turn};
@@ -48,7 +48,7 @@
     most - sizes.iter().min().copied().unwrap_or(0)
 }
 
-/// A fleet and the number of partitions that assign it.
+/// A fleet, and the number of partitions whose owners assign its engines.
 #[derive(Clone, Debug)]
 struct Case {
     engines: usize,
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn groups_are_as_even_as_can_be() {
+fn groups_are_even() {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(60, 31))
         .tests(300)
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn few_engines_are_one_group_and_many_are_as_many_as_leave_each_six() {
+fn each_group_has_at_least_six_engines_unless_there_is_only_one_group() {
     let count = |engines, partitions| {
         EngineGroups::divide(&Fleet::new(engines, 3).engines(), partitions).count()
     };
@@ -128,10 +128,10 @@
     let fleet = Fleet::new(102, 6);
     let before = EngineGroups::divide(&fleet.engines(), 16);
     for gone in 0..102 {
-        let mut left = fleet.clone();
-        left.0.remove(gone);
-        let after = EngineGroups::divide(&left.engines(), 16);
-        let moved = left
+        let mut remaining = fleet.clone();
+        remaining.0.remove(gone);
+        let after = EngineGroups::divide(&remaining.engines(), 16);
+        let moved = remaining
             .0
             .iter()
             .filter(|(id, _)| before.engine_group(id) != after.engine_group(id));
@@ -147,7 +147,7 @@
     }
 }
 
-/// Turns under way at each engine where sixteen owners assign without a word between them.
+/// Returns the open turns of each engine when the owners assign turns independently.
 fn loads(fleet: &Fleet, partitions: u32, programs: u32) -> HashMap<String, u32> {
     let groups = EngineGroups::divide(&fleet.engines(), partitions);
     let mut owners: Vec<AssignmentTable> = (0..partitions)
@@ -182,16 +182,16 @@
 }
 
 #[test]
-fn owners_that_see_nothing_of_each_other_load_all_engines_alike() {
+fn independent_owners_load_all_engines_evenly() {
     let fleet = Fleet::new(102, 6);
     let loads = loads(&fleet, 16, 306);
     let most = loads.values().max().copied().unwrap_or(0);
-    // Three turns an engine; each may have three before the next one is taken.
+    // There are three turns per engine, and an engine gets three before the next one is chosen.
     assert!(most <= 4, "{most} turns at one engine, 3 on average");
 }
 
 #[test]
-fn what_a_full_group_cannot_take_goes_to_other_groups() {
+fn programs_beyond_a_full_group_go_to_other_groups() {
     let fleet = Fleet::new(24, 6);
     let groups = EngineGroups::divide(&fleet.engines(), 4);
     assert_eq!(groups.count(), 4);
@@ -218,7 +218,7 @@
             .map(|engine| owner.open_turns(engine.id))
             .sum::<u32>()
     };
-    // Six engines of six places, and half as many turns that wait there.
+    // Six engines with six slots each, and half as many queued turns.
     assert_eq!(at(true), 54);
     assert_eq!(at(false), 46);
 }
--- a/crates/traffic/tests/servers.rs
+++ b/crates/traffic/tests/servers.rs
@@ -1,4 +1,4 @@
-//! Which server gets a request.
+//! The server directory, the health of servers, and the choice of a server.
 
 use fieldhook_topology::zone::Distance;
 use fieldhook_traffic::balance::{Candidate, Request, choose};
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_program_keeps_its_engine_when_others_come_and_go() {
+fn a_program_keeps_its_engine_when_others_change() {
     let servers: Vec<ServerEntry> = (0..8).map(|n| server(&format!("s{n}"), "z1")).collect();
     for program in 0..50 {
         let key = format!("p{program}");
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn engines_of_the_own_zone_come_first_until_they_are_busy() {
+fn engines_of_the_own_zone_are_preferred_until_they_are_busy() {
     let near = server("near", "z1");
     let far = server("far", "z2");
     let mut candidates = vec![candidate(&near), candidate(&far)];
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn failing_and_tried_servers_come_last() {
+fn failing_and_tried_servers_are_avoided() {
     let (a, b) = (server("a", "z1"), server("b", "z1"));
     let mut candidates = vec![candidate(&a), candidate(&b)];
     candidates[0].is_in_backoff = true;
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn plain_requests_go_where_the_load_is_least() {
+fn requests_without_affinity_go_to_the_least_loaded_server() {
     let (a, b) = (server("a", "z1"), server("b", "z1"));
     let mut candidates = vec![candidate(&a), candidate(&b)];
     candidates[0].in_flight = 3;
@@ -95,19 +95,19 @@
 }
 
 #[test]
-fn leaving_is_final_for_an_identity() {
+fn draining_is_final_for_an_identity() {
     let mut directory = Directory::default();
     assert_eq!(
         directory.insert(server("a", "z1"), 1),
         DirectoryChange::Added
     );
-    let leaving = ServerEntry {
+    let draining = ServerEntry {
         draining: true,
         ..server("a", "z1")
     };
-    assert_eq!(directory.insert(leaving, 2), DirectoryChange::Draining);
+    assert_eq!(directory.insert(draining, 2), DirectoryChange::Draining);
     assert!(!directory.accepts_work("a"));
-    // An older entry, read again.
+    // An older entry that is read again, and a newer one that is not draining.
     directory.insert(server("a", "z1"), 1);
     directory.insert(server("a", "z1"), 3);
     assert!(!directory.accepts_work("a"));
@@ -116,35 +116,35 @@
 }
 
 /// An incarnation of server `a`.
-fn born(born_ms: u64, draining: bool) -> ServerEntry {
+fn incarnation(started_ms: u64, draining: bool) -> ServerEntry {
     ServerEntry {
-        id: identity("a", Some(born_ms)),
+        id: identity("a", Some(started_ms)),
         draining,
         ..server("a", "z1")
     }
 }
 
 #[test]
-fn a_server_that_starts_again_is_another_incarnation() {
+fn a_restarted_server_is_a_new_incarnation() {
     let mut directory = Directory::default();
-    directory.insert(born(100, false), 1);
-    directory.insert(born(100, true), 2);
+    directory.insert(incarnation(100, false), 1);
+    directory.insert(incarnation(100, true), 2);
     assert_eq!(
-        directory.insert(born(200, false), 3),
+        directory.insert(incarnation(200, false), 3),
         DirectoryChange::Restarted
     );
     assert!(directory.accepts_work("a~200"));
     assert!(!directory.accepts_work("a~100"));
     assert_eq!(directory.len(), 1);
-    // A listing from before it started again changes nothing.
+    // An entry from before the restart changes nothing.
     assert_eq!(
-        directory.insert(born(100, false), 1),
+        directory.insert(incarnation(100, false), 1),
         DirectoryChange::Unchanged
     );
     assert!(directory.accepts_work("a~200"));
-    // Its clock was set back before the next start.
+    // The server's clock was set back before the next restart.
     assert_eq!(
-        directory.insert(born(50, false), 4),
+        directory.insert(incarnation(50, false), 4),
         DirectoryChange::Restarted
     );
     assert_eq!(directory.current_identity("a"), Some("a~50"));
@@ -153,47 +153,50 @@
 }
 
 #[test]
-fn what_a_complete_listing_leaves_out_is_gone() {
+fn servers_missing_from_a_complete_listing_are_removed() {
     let mut directory = Directory::default();
     directory.insert(server("a", "z1"), 1);
     directory.insert(server("b", "z1"), 2);
-    let gone = directory.retain(&|id| id == "b", 3);
-    assert_eq!(gone, vec!["a".to_owned()]);
+    let removed = directory.retain(&|id| id == "b", 3);
+    assert_eq!(removed, vec!["a".to_owned()]);
     assert!(!directory.accepts_work("a"));
     assert!(directory.accepts_work("b"));
 }
 
 #[test]
-fn a_listing_from_before_a_server_came_does_not_drop_it() {
+fn a_listing_older_than_a_server_does_not_remove_it() {
     let mut directory = Directory::default();
     directory.insert(server("a", "z1"), 1);
     directory.insert(server("b", "z1"), 7);
-    let gone = directory.retain(&|_| false, 5);
-    assert_eq!(gone, vec!["a".to_owned()]);
+    let removed = directory.retain(&|_| false, 5);
+    assert_eq!(removed, vec!["a".to_owned()]);
     assert!(directory.accepts_work("b"));
 }
 
 #[test]
-fn an_older_record_neither_ends_a_server_nor_brings_it_back() {
+fn an_older_record_neither_removes_nor_adds_a_server() {
     let mut directory = Directory::default();
-    directory.insert(born(1, false), 5);
+    directory.insert(incarnation(1, false), 5);
     assert_eq!(directory.remove("a", 4), None);
     assert!(directory.accepts_work("a~1"));
     assert_eq!(directory.remove("a", 6), Some("a~1".to_owned()));
     assert!(!directory.is_newer("a", 6) && directory.is_newer("a", 7));
-    directory.insert(born(1, false), 5);
+    directory.insert(incarnation(1, false), 5);
     assert!(!directory.accepts_work("a~1"));
     assert_eq!(directory.current_identity("a"), None);
-    assert_eq!(directory.insert(born(1, false), 7), DirectoryChange::Added);
+    assert_eq!(
+        directory.insert(incarnation(1, false), 7),
+        DirectoryChange::Added
+    );
     assert!(directory.accepts_work("a~1"));
 }
 
 #[test]
-fn names_that_are_gone_do_not_fill_the_memory() {
+fn removed_names_do_not_fill_the_memory() {
     let mut directory = Directory::default();
     directory.insert(server("a", "z1"), 1);
     for number in 0..30_000_u64 {
-        directory.remove(&format!("gone{number}"), number);
+        directory.remove(&format!("removed{number}"), number);
     }
     assert!(directory.known_names() <= 10_001);
     assert!(directory.accepts_work("a"));
@@ -202,7 +205,7 @@
 }
 
 #[test]
-fn pauses_grow_with_failures_and_end_with_an_answer() {
+fn backoff_grows_with_failures_and_ends_with_an_answer() {
     let mut health = Health::default();
     health.observe(0, Observation::Failed);
     assert!(health.is_in_backoff(100) && !health.is_in_backoff(400));
@@ -213,7 +216,7 @@
 }
 
 #[test]
-fn a_stale_connection_is_not_held_against_its_server() {
+fn a_stale_connection_does_not_affect_the_health() {
     let mut health = Health::default();
     health.observe(100, Observation::Stale);
     assert!(!health.is_in_backoff(101));
@@ -221,26 +224,26 @@
 }
 
 #[test]
-fn connections_rest_shorter_after_one_was_gone() {
-    let mut rest = IdleLimit::default();
-    assert_eq!(rest.limit_ms(0), None);
-    rest.record_stale(1_000, 700);
-    let first = rest.limit_ms(1_001).expect("learned");
+fn the_idle_limit_shrinks_after_a_stale_connection() {
+    let mut idle_limit = IdleLimit::default();
+    assert_eq!(idle_limit.limit_ms(0), None);
+    idle_limit.record_stale(1_000, 700);
+    let first = idle_limit.limit_ms(1_001).expect("a limit");
     assert!(first < 700);
-    rest.record_stale(1_100, 300);
-    let second = rest.limit_ms(1_101).expect("learned");
+    idle_limit.record_stale(1_100, 300);
+    let second = idle_limit.limit_ms(1_101).expect("a limit");
     assert!(second < first);
-    rest.record_stale(1_200, 5_000);
+    idle_limit.record_stale(1_200, 5_000);
     assert_eq!(
-        rest.limit_ms(1_201),
+        idle_limit.limit_ms(1_201),
         Some(second),
-        "never longer by a reset"
+        "a reset never raises the limit"
     );
-    assert_eq!(rest.limit_ms(60_000), None, "forgotten after a while");
+    assert_eq!(idle_limit.limit_ms(60_000), None, "the limit expires");
 }
 
 #[test]
-fn servers_of_another_region_come_last() {
+fn servers_of_the_same_region_are_preferred() {
     let zone = server("same-region", "z2");
     let region = server("other-region", "z3");
     let far = Candidate {
