--- a/crates/traffic/tests/attempts.rs
+++ b/crates/traffic/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! What may follow a failed attempt, against a plain oracle.
+//! What follows a failed attempt, compared with a reference model.
 
 use fieldhook_traffic::attempt::{AttemptFailure, Attempts, NextStep, TimeLeft};
 use fieldhook_traffic::config::RouteKind;
@@ -30,27 +30,27 @@
     enough_for_wait: true,
 };
 
-fn holds(failures: Vec<Failure>, kind: usize, most: u8, for_attempt: bool) -> bool {
+fn holds(failures: Vec<Failure>, kind: usize, max_attempts: u8, for_attempt: bool) -> bool {
     let time = TimeLeft {
         enough_for_attempt: for_attempt,
-        enough_for_wait: most.is_multiple_of(2),
+        enough_for_wait: max_attempts.is_multiple_of(2),
     };
     let kind = KINDS[kind % KINDS.len()];
-    let most = u32::from(most % 5);
+    let max_attempts = u32::from(max_attempts % 5);
     let mut attempts = Attempts::default();
     let mut ran = 0;
     for Failure(failure) in failures {
         ran += u32::from(failure == AttemptFailure::MayHaveRun);
-        match attempts.on_failure(kind, most, failure, time) {
+        match attempts.on_failure(kind, max_attempts, failure, time) {
             NextStep::Wait(_) if !time.enough_for_wait => return false,
             NextStep::Retry | NextStep::Wait(_) => {
                 let at_most_once = ran == 0 || kind.is_repeatable();
-                let within_attempts = ran < most.max(1);
+                let within_attempts = ran < max_attempts.max(1);
                 if !at_most_once || !within_attempts || !for_attempt {
                     return false;
                 }
             }
-            // A promise not to have run has to be true.
+            // A refusal tells the client that the request has not run.
             NextStep::Refuse => return ran == 0,
             NextStep::BadGateway => return ran > 0,
         }
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn nothing_runs_twice_and_refusals_are_true() {
+fn unrepeatable_requests_never_run_twice_and_refused_requests_never_run() {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(12, 5))
         .tests(5_000)
@@ -67,24 +67,24 @@
 }
 
 #[test]
-fn a_full_service_is_not_asked_without_end() {
+fn a_full_service_is_not_tried_endlessly() {
     let mut attempts = Attempts::default();
-    let asked = (0..100)
+    let tries = (0..100)
         .take_while(|_| {
             attempts.on_failure(RouteKind::Safe, 3, AttemptFailure::NotRun, AMPLE)
                 == NextStep::Retry
         })
         .count();
-    assert!(asked < 10, "asked {asked} times");
+    assert!(tries < 10, "{tries} attempts");
 }
 
-/// Waits grow, and end: by their number where time does not end them.
+/// The waits grow, and their number is limited even if the time is not.
 #[test]
-fn a_place_is_waited_for_with_growing_pauses_and_not_without_end() {
+fn waits_for_a_free_slot_grow_and_end() {
     let mut attempts = Attempts::default();
-    let (mut asked, mut waited_ms, mut last) = (0, 0, 0);
+    let (mut tries, mut waited_ms, mut last) = (0, 0, 0);
     loop {
-        asked += 1;
+        tries += 1;
         match attempts.on_failure(RouteKind::Unsafe, 1, AttemptFailure::NotRun, AMPLE) {
             NextStep::Retry => {}
             NextStep::Wait(pause_ms) => {
@@ -98,12 +98,12 @@
             }
         }
     }
-    assert!(asked <= 28, "asked {asked} times");
+    assert!(tries <= 28, "{tries} attempts");
     assert!((300..=450).contains(&waited_ms), "waited {waited_ms} ms");
 }
 
 #[test]
-fn without_time_to_wait_a_full_service_is_a_refusal() {
+fn without_time_to_wait_the_request_is_refused() {
     let time = TimeLeft {
         enough_for_attempt: true,
         enough_for_wait: false,
--- a/crates/traffic/tests/cold.rs
+++ b/crates/traffic/tests/cold.rs
@@ -1,4 +1,4 @@
-//! Which servers count as cold, and until when.
+//! Which servers count as cold, and for how long.
 
 use fieldhook_traffic::cold::{ColdCause, ColdTracker, PermitDenials, cold_slots, permit_request};
 use fieldhook_traffic::config::ColdLimit;
@@ -10,7 +10,7 @@
 };
 
 #[test]
-fn a_record_counts_from_when_it_is_read_and_a_newer_one_takes_its_place() {
+fn a_record_counts_from_when_it_is_read_and_a_newer_one_replaces_it() {
     let mut servers = ColdTracker::default();
     servers.record_reported("s", 2_000, 100);
     assert_eq!(
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn an_incarnation_that_appears_while_traffic_flows_is_cold_whatever_it_says() {
+fn an_incarnation_that_appears_after_the_first_listing_is_cold() {
     let mut servers = ColdTracker::default();
     servers.record_reported("first", 0, 0);
     servers.record_initial_listing();
@@ -36,7 +36,7 @@
     assert_eq!(servers.cold_cause("first", &COLD, 1_000), None);
     let cold = servers.cold_cause("later", &COLD, 1_000);
     assert_eq!(cold, Some((ColdCause::New, 3_000)));
-    // What it says next does not end that, nor does a lapse of its entry begin it anew.
+    // Its next record does not end that, and an expired entry that returns does not restart it.
     servers.record_reported("later", 0, 2_000);
     assert!(servers.cold_cause("later", &COLD, 3_999).is_some());
     servers.forget("later");
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_server_that_took_no_connections_is_cold_from_when_it_does() {
+fn a_server_that_was_unreachable_is_cold_once_it_accepts_connections() {
     let mut servers = ColdTracker::default();
     servers.record_reported("s", 0, 0);
     assert!(!servers.record_connected("s", 100));
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_server_that_breaks_off_at_once_may_have_become_cold() {
+fn a_server_that_resets_a_request_counts_as_cold() {
     let mut servers = ColdTracker::default();
     servers.record_reported("s", 0, 0);
     servers.record_reset("s", 500);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn nobody_asks_before_a_place_may_be_free() {
+fn no_permit_is_requested_before_the_denial_ends() {
     let mut denials = PermitDenials::default();
     denials.record_denial("s", 50, 1_000);
     assert_eq!(denials.wait_ms("s", 1_020), Some(30));
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn the_last_place_is_left_for_the_most_urgent() {
+fn the_last_permit_is_reserved_for_the_most_urgent() {
     let mut book = QuotaTracker::new(
         fieldhook_traffic::cold::PERMIT_BOUNDS,
         PreviousOwner::None,
@@ -95,7 +95,7 @@
     assert!(less_urgent > 0);
     assert!(granted(0));
     assert!(!granted(1));
-    // A server that bears very little has no place to leave.
+    // A server with a very low rate reserves no permit.
     let mut small = QuotaTracker::new(
         fieldhook_traffic::cold::PERMIT_BOUNDS,
         PreviousOwner::None,
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_cold_engine_has_the_places_that_its_rate_fills() {
+fn a_cold_engine_has_the_slots_that_its_rate_fills() {
     assert_eq!(cold_slots(&COLD), 6);
     let slow = ColdLimit {
         rate_per_s: 0.5,
@@ -115,16 +115,16 @@
     assert_eq!(cold_slots(&slow), 1);
 }
 
-/// From the 8,192nd server on each new one had all of them looked through, so that a record took
-/// longer than the pause between two reads.
+/// Guards against a sweep over all servers for each new one. From the 8,192nd server on, every new
+/// server caused a sweep, so that applying a record took longer than the interval between reads.
 #[test]
-fn a_fleet_of_servers_is_not_looked_through_for_each_new_one() {
+fn a_new_server_does_not_sweep_the_whole_fleet() {
     for count in [1_000, 10_000, 20_000, 40_000] {
         let mut servers = ColdTracker::default();
         for number in 0..count {
             servers.record_reported(&format!("s{number}"), 0, 0);
         }
         let swept = servers.swept_entries();
-        assert!(swept <= 2 * count, "{swept} looked through for {count}");
+        assert!(swept <= 2 * count, "{swept} examined for {count}");
     }
 }
--- a/crates/traffic/tests/homes.rs
+++ b/crates/traffic/tests/homes.rs
@@ -1,4 +1,4 @@
-//! Homes of routes and tenants, both together, and what is wrong with them.
+//! Allowed regions of routes and tenants, and mistakes in their configuration.
 
 use fieldhook_topology::region::RegionSet;
 use fieldhook_topology::zone::ZoneMap;
@@ -7,7 +7,7 @@
 use fieldhook_traffic::tenants::Tenant;
 use std::rc::Rc;
 
-fn route(name: &str, homes: RegionSet) -> Route {
+fn route(name: &str, regions: RegionSet) -> Route {
     Route {
         name: name.to_owned(),
         host: "test.example".to_owned(),
@@ -21,22 +21,22 @@
         retains_context: false,
         retention_ms: 0,
         is_public: false,
-        allowed_regions: homes,
+        allowed_regions: regions,
     }
 }
 
-fn tenant(name: &str, homes: RegionSet) -> Tenant {
+fn tenant(name: &str, regions: RegionSet) -> Tenant {
     Tenant {
         name: Rc::from(name),
         keys: Vec::new(),
         priority: None,
         limit: None,
-        allowed_regions: homes,
+        allowed_regions: regions,
     }
 }
 
 #[test]
-fn both_bind_and_each_fault_names_whose_it_is() {
+fn allowed_regions_intersect_and_each_problem_names_its_route_or_tenant() {
     let map = ZoneMap::new([("a1", "a"), ("b1", "b")]);
     let config = TrafficConfig {
         routes: vec![
@@ -73,18 +73,18 @@
             .collect();
     let owned = |name: &str| Some(name.to_owned());
     let unknown = |name: &str| ProblemKind::UnknownRegion(Rc::from(name));
-    let wanted = [
+    let expected = [
         (owned("typo"), None, unknown("bb")),
         (None, owned("lost"), unknown("x")),
         (owned("north"), owned("red"), ProblemKind::NoCommonRegion),
         (owned("north"), owned("lost"), ProblemKind::NoCommonRegion),
         (owned("typo"), owned("lost"), ProblemKind::NoCommonRegion),
     ];
-    assert_eq!(problems, wanted);
+    assert_eq!(problems, expected);
 }
 
 #[test]
-fn no_homes_are_no_fault() {
+fn unrestricted_regions_are_no_problem() {
     let config = TrafficConfig {
         routes: vec![route("anywhere", RegionSet::All)],
         tenants: Some(vec![tenant("free", RegionSet::All)]),
--- a/crates/traffic/tests/room.rs
+++ b/crates/traffic/tests/room.rs
@@ -1,4 +1,4 @@
-//! Memory for slow peers: never over its bound, and taken only from those who take nothing.
+//! Memory for slow peers never exceeds its limit, and only buffers of stalled clients are dropped.
 
 use fieldhook_traffic::buffer_memory::{BufferId, BufferMemory, GrowResult, Purpose, STALLED_MS};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -7,47 +7,47 @@
 const LIMIT: u64 = 1_000;
 
 #[test]
-fn the_client_that_took_nothing_for_longest_gives_way_first() {
-    let mut room = BufferMemory::new(LIMIT);
-    let early = room.open(Purpose::Outgoing, 0);
-    let late = room.open(Purpose::Outgoing, 0);
-    assert_eq!(room.grow(early, 400, 0), GrowResult::Granted);
-    assert_eq!(room.grow(late, 400, 100), GrowResult::Granted);
-    room.shrink(late, 10, 200);
-    let new = room.open(Purpose::Outgoing, STALLED_MS);
-    let verdict = room.grow(new, 500, STALLED_MS);
-    assert_eq!(verdict, GrowResult::GrantedByDropping(vec![early]));
-    assert_eq!(room.held(), 890);
+fn the_longest_stalled_client_is_dropped_first() {
+    let mut memory = BufferMemory::new(LIMIT);
+    let early = memory.open(Purpose::Outgoing, 0);
+    let late = memory.open(Purpose::Outgoing, 0);
+    assert_eq!(memory.grow(early, 400, 0), GrowResult::Granted);
+    assert_eq!(memory.grow(late, 400, 100), GrowResult::Granted);
+    memory.shrink(late, 10, 200);
+    let new = memory.open(Purpose::Outgoing, STALLED_MS);
+    let result = memory.grow(new, 500, STALLED_MS);
+    assert_eq!(result, GrowResult::GrantedByDropping(vec![early]));
+    assert_eq!(memory.held(), 890);
 }
 
 #[test]
-fn nobody_gives_way_who_takes_something_and_no_request_does() {
-    let mut room = BufferMemory::new(LIMIT);
-    let request = room.open(Purpose::Incoming, 0);
-    assert_eq!(room.grow(request, 600, 0), GrowResult::Granted);
-    let reading = room.open(Purpose::Outgoing, 0);
-    assert_eq!(room.grow(reading, 400, 0), GrowResult::Granted);
+fn reading_clients_and_requests_are_never_dropped() {
+    let mut memory = BufferMemory::new(LIMIT);
+    let request = memory.open(Purpose::Incoming, 0);
+    assert_eq!(memory.grow(request, 600, 0), GrowResult::Granted);
+    let reading = memory.open(Purpose::Outgoing, 0);
+    assert_eq!(memory.grow(reading, 400, 0), GrowResult::Granted);
     let now_ms = STALLED_MS * 4;
-    room.shrink(reading, 1, now_ms - 10);
-    let new = room.open(Purpose::Outgoing, now_ms);
-    assert_eq!(room.grow(new, 2, now_ms), GrowResult::Refused);
-    assert_eq!(room.grow(new, 1, now_ms), GrowResult::Granted);
-    room.close(request);
-    assert_eq!(room.grow(new, 600, now_ms), GrowResult::Granted);
+    memory.shrink(reading, 1, now_ms - 10);
+    let new = memory.open(Purpose::Outgoing, now_ms);
+    assert_eq!(memory.grow(new, 2, now_ms), GrowResult::Refused);
+    assert_eq!(memory.grow(new, 1, now_ms), GrowResult::Granted);
+    memory.close(request);
+    assert_eq!(memory.grow(new, 600, now_ms), GrowResult::Granted);
 }
 
 #[test]
-fn an_answer_that_still_comes_gives_way_only_once_its_client_takes_nothing_of_it() {
-    let mut room = BufferMemory::new(LIMIT);
-    let answer = room.open(Purpose::Incoming, 0);
-    assert_eq!(room.grow(answer, LIMIT, 0), GrowResult::Granted);
-    let new = room.open(Purpose::Incoming, 0);
-    let begun_ms = STALLED_MS * 2;
-    assert_eq!(room.grow(new, 1, begun_ms), GrowResult::Refused);
-    room.start_delivery(answer, begun_ms);
-    assert_eq!(room.grow(new, 1, begun_ms + 1), GrowResult::Refused);
-    let verdict = room.grow(new, 1, begun_ms + STALLED_MS);
-    assert_eq!(verdict, GrowResult::GrantedByDropping(vec![answer]));
+fn an_incoming_answer_is_dropped_only_after_its_client_stalls() {
+    let mut memory = BufferMemory::new(LIMIT);
+    let answer = memory.open(Purpose::Incoming, 0);
+    assert_eq!(memory.grow(answer, LIMIT, 0), GrowResult::Granted);
+    let new = memory.open(Purpose::Incoming, 0);
+    let delivery_ms = STALLED_MS * 2;
+    assert_eq!(memory.grow(new, 1, delivery_ms), GrowResult::Refused);
+    memory.start_delivery(answer, delivery_ms);
+    assert_eq!(memory.grow(new, 1, delivery_ms + 1), GrowResult::Refused);
+    let result = memory.grow(new, 1, delivery_ms + STALLED_MS);
+    assert_eq!(result, GrowResult::GrantedByDropping(vec![answer]));
 }
 
 #[derive(Clone, Debug)]
@@ -75,11 +75,11 @@
     }
 }
 
-/// What each holds by its own count: purpose, bytes, when something was taken.
+/// Reference model: purpose, bytes and time of the last read of each buffer.
 type Oracle = HashMap<BufferId, (Purpose, u64, u64)>;
 
 fn holds(steps: Vec<Step>) -> bool {
-    let mut room = BufferMemory::new(LIMIT);
+    let mut memory = BufferMemory::new(LIMIT);
     let mut oracle = Oracle::new();
     let mut ids = Vec::new();
     let mut now_ms = 0;
@@ -91,26 +91,26 @@
                     true => Purpose::Outgoing,
                     false => Purpose::Incoming,
                 };
-                let id = room.open(purpose, now_ms);
+                let id = memory.open(purpose, now_ms);
                 ids.push(id);
                 oracle.insert(id, (purpose, 0, now_ms));
             }
             Step::Close(which) => {
                 if let Some(id) = id(which) {
-                    room.close(id);
+                    memory.close(id);
                     oracle.remove(&id);
                 }
             }
             Step::Grow(which, bytes) => {
                 if let Some(id) = id(which)
-                    && !grown_rightly(&mut room, &mut oracle, id, *bytes, now_ms)
+                    && !grow_agrees_with_oracle(&mut memory, &mut oracle, id, *bytes, now_ms)
                 {
                     return false;
                 }
             }
             Step::Shrink(which, bytes) => {
                 if let Some(id) = id(which) {
-                    room.shrink(id, *bytes, now_ms);
+                    memory.shrink(id, *bytes, now_ms);
                     if let Some(known) = oracle.get_mut(&id) {
                         *known = (known.0, known.1.saturating_sub(*bytes), now_ms);
                     }
@@ -118,7 +118,7 @@
             }
             Step::HandOut(which) => {
                 if let Some(id) = id(which) {
-                    room.start_delivery(id, now_ms);
+                    memory.start_delivery(id, now_ms);
                     let known = oracle.get_mut(&id);
                     if let Some(known) = known {
                         *known = (Purpose::Outgoing, known.1, now_ms);
@@ -128,12 +128,12 @@
             Step::Wait(time_ms) => now_ms += time_ms,
         }
         let held: u64 = oracle.values().map(|known| known.1).sum();
-        room.held() == held && held <= LIMIT
+        memory.held() == held && held <= LIMIT
     })
 }
 
-fn grown_rightly(
-    room: &mut BufferMemory,
+fn grow_agrees_with_oracle(
+    memory: &mut BufferMemory,
     oracle: &mut Oracle,
     id: BufferId,
     bytes: u64,
@@ -143,14 +143,14 @@
     let stalled = |known: &(Purpose, u64, u64)| {
         known.0 == Purpose::Outgoing && known.1 > 0 && now_ms >= known.2 + STALLED_MS
     };
-    let may_go: u64 = oracle
+    let droppable: u64 = oracle
         .iter()
         .filter(|(other, known)| **other != id && stalled(known))
         .map(|(_, known)| known.1)
         .sum();
     let fits = held + bytes <= LIMIT;
-    match room.grow(id, bytes, now_ms) {
-        GrowResult::Refused => !oracle.contains_key(&id) || held + bytes > LIMIT + may_go,
+    match memory.grow(id, bytes, now_ms) {
+        GrowResult::Refused => !oracle.contains_key(&id) || held + bytes > LIMIT + droppable,
         GrowResult::Granted => {
             oracle.entry(id).and_modify(|known| known.1 += bytes);
             fits
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn the_bound_holds_whatever_comes() {
+fn the_limit_always_holds() {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(120, 5))
         .tests(2_000)
--- a/crates/traffic/tests/routes.rs
+++ b/crates/traffic/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Looking up routes and dividing them among services.
+//! Route lookup, and distribution of requests over services.
 
 use fieldhook_traffic::config::{Route, RouteKind, TrafficConfig, WeightedService};
 use fieldhook_traffic::round_robin::WeightedRoundRobin;
@@ -75,34 +75,34 @@
 }
 
 #[test]
-fn versions_only_rise() {
+fn only_higher_versions_replace_a_configuration() {
     assert!(supersedes(None, 1));
     assert!(supersedes(Some(4), 9));
     assert!(!supersedes(Some(4), 4));
     assert!(!supersedes(Some(4), 3));
 }
 
-/// After any number of requests no part is off its share by more than one request
-/// for each part.
+/// After any number of requests, the count of each service differs from its share by at most the
+/// number of services.
 #[test]
 fn shares_follow_weights_over_short_runs() {
     fn holds(weights: Vec<u8>, requests: u16, random: u64) -> bool {
         let weights: Vec<u32> = weights.iter().take(6).map(|w| u32::from(*w)).collect();
         let total: u32 = weights.iter().sum();
-        let mut split = WeightedRoundRobin::new(weights.clone(), random);
+        let mut round_robin = WeightedRoundRobin::new(weights.clone(), random);
         if total == 0 {
-            return split.next().is_none();
+            return round_robin.next().is_none();
         }
         let mut counts = vec![0_u32; weights.len()];
         for _ in 0..requests {
-            match split.next() {
+            match round_robin.next() {
                 Some(index) => counts[index] += 1,
                 None => return false,
             }
         }
         counts.iter().zip(&weights).all(|(count, weight)| {
-            let wanted = f64::from(*weight) * f64::from(requests) / f64::from(total);
-            (f64::from(*count) - wanted).abs() <= weights.len() as f64
+            let expected = f64::from(*weight) * f64::from(requests) / f64::from(total);
+            (f64::from(*count) - expected).abs() <= weights.len() as f64
         })
     }
     QuickCheck::new()
@@ -111,20 +111,21 @@
         .quickcheck(holds as fn(Vec<u8>, u16, u64) -> bool);
 }
 
-/// Parts that got the requests, where each of so many daemons divides so many of them.
-fn divided(daemons: u64, each: u32, weights: &[u32]) -> Vec<u32> {
+/// Returns how many requests each service gets when each daemon distributes `each` of them.
+fn distribute(daemons: u64, each: u32, weights: &[u32]) -> Vec<u32> {
     let mut counts = vec![0; weights.len()];
     let mut random = fastrand::Rng::with_seed(daemons);
     for _ in 0..daemons {
-        let mut split = WeightedRoundRobin::new(weights.to_vec(), random.u64(..));
+        let mut round_robin = WeightedRoundRobin::new(weights.to_vec(), random.u64(..));
         for _ in 0..each {
-            counts[split.next().expect("a part")] += 1;
+            counts[round_robin.next().expect("a part")] += 1;
         }
     }
     counts
 }
 
-/// Daemons that each began at the heaviest part sent it all of these requests.
+/// Guards against daemons that all start at the same position of the cycle: the service with the
+/// largest weight then got all of these requests.
 #[test]
 fn a_thousand_daemons_with_a_request_each_follow_the_weights() {
     for daemons in [300, 1_000, 2_000] {
@@ -132,15 +133,15 @@
             for each in [1, 2, 3] {
                 let total: u32 = weights.iter().sum();
                 let requests = daemons as u32 * each;
-                let counts = divided(daemons, each, weights);
+                let counts = distribute(daemons, each, weights);
                 for (count, weight) in counts.iter().zip(weights) {
                     let share = f64::from(*count) / f64::from(requests);
-                    let wanted = f64::from(*weight) / f64::from(total);
-                    // Four standard deviations of independent draws, the most there may be.
-                    let spread = 4.0 * (wanted * (1.0 - wanted) / f64::from(requests)).sqrt();
+                    let expected = f64::from(*weight) / f64::from(total);
+                    // Allows four standard deviations of independent random choices.
+                    let spread = 4.0 * (expected * (1.0 - expected) / f64::from(requests)).sqrt();
                     assert!(
-                        (share - wanted).abs() <= spread,
-                        "{daemons} daemons, {each} each: {counts:?} by {weights:?}"
+                        (share - expected).abs() <= spread,
+                        "{daemons} daemons, {each} each: {counts:?} for weights {weights:?}"
                     );
                 }
             }
@@ -149,7 +150,7 @@
 }
 
 #[test]
-fn a_new_configuration_divides_a_route_on_from_where_it_was() {
+fn a_new_configuration_continues_the_round_robin_of_a_route() {
     let parts = [("one", 1), ("two", 1)];
     let routes = || vec![route("r", "a.example", "/x/", &parts)];
     let mut table = RouteTable::new(config(1, routes()), None, 7);
