--- a/crates/program/src/admission.rs
+++ b/crates/program/src/admission.rs
@@ -1,5 +1,5 @@
-//! How a request stands to what is recorded: next in order, recorded before, or
-//! refused. Reads only.
+//! Admission of a request for a call: it is the next call of its program, a
+//! repetition of a recorded one, or refused.
 
 use crate::call::Call;
 use crate::program::Program;
@@ -7,22 +7,22 @@
 use fieldhook_model::error::{CallError, ErrorKind};
 use fieldhook_model::ids::ProgramId;
 
-/// How a request for a call stands to what is recorded.
+/// Result of checking a request for a call against the recorded calls.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is the next call and may begin.
+    /// The request is the next call and may begin.
     Next,
-    /// It is the next call, but the one before is still running.
+    /// The request is the next call, but the previous one is still running.
     PreviousRunning,
-    /// It is recorded under the same key.
+    /// The call is already recorded under the same key.
     AlreadyRecorded,
 }
 
 impl ShardState {
-    /// A program that may be asked about.
+    /// Returns the record of a program, open or ended.
     ///
     /// # Errors
-    /// No record of the program.
+    /// There is no record of the program.
     pub fn program(&self, id: ProgramId) -> Result<&Program, CallError> {
         self.programs.get(&id).ok_or_else(|| {
             CallError::not_run(
@@ -32,7 +32,8 @@
         })
     }
 
-    pub(crate) fn open_program(&self, id: ProgramId) -> Result<&Program, CallError> {
+    /// Returns the record of a program that accepts calls.
+    pub(crate) fn require_open(&self, id: ProgramId) -> Result<&Program, CallError> {
         let program = self.program(id)?;
         if !program.is_open() {
             return Err(CallError::not_run(
@@ -43,11 +44,11 @@
         Ok(program)
     }
 
-    /// How a request stands to what is recorded. Reads only; `BeginCall` applies
-    /// the same rule.
+    /// Checks a request for a call against the recorded calls, without changing
+    /// anything. `BeginCall` makes the same check when it is applied.
     ///
     /// # Errors
-    /// The refusal that the caller gets; the request has not run.
+    /// The error for the caller if the request is refused; it has not run.
     pub fn check_admission(
         &self,
         id: ProgramId,
@@ -56,9 +57,9 @@
     ) -> Result<Admission, CallError> {
         let program = self.program(id)?;
         if let Some(call) = program.call(number) {
-            return recorded(call, key);
+            return check_recorded(call, key);
         }
-        let program = self.open_program(id)?;
+        let program = self.require_open(id)?;
         check_key(program, key)?;
         let next = program.calls.len() as u64 + 1;
         if number != next {
@@ -89,7 +90,8 @@
     }
 }
 
-fn recorded(call: &Call, key: &str) -> Result<Admission, CallError> {
+/// Checks a request that has the number of a recorded call.
+fn check_recorded(call: &Call, key: &str) -> Result<Admission, CallError> {
     if call.request_key == key {
         return Ok(Admission::AlreadyRecorded);
     }
@@ -99,6 +101,7 @@
     ))
 }
 
+/// Checks that a key is neither refused nor in use by another call.
 fn check_key(program: &Program, key: &str) -> Result<(), CallError> {
     if program.refused_keys.contains(key) {
         return Err(CallError::not_run(
--- a/crates/program/src/budget.rs
+++ b/crates/program/src/budget.rs
@@ -1,36 +1,38 @@
-//! Cost and the budget ledger.
+//! Cost of calls and the budget of a program.
 //!
-//! Unit: one per prompt token, one per generated token, one per server
-//! request. The highest possible cost is reserved before a request leaves and
-//! settled when its usage is known; an attempt whose usage was never seen
-//! counts in full (brief, "A program never spends beyond its budget").
+//! A prompt token, a generated token and a server request cost one unit each.
+//! The maximum cost of an attempt is reserved before it is dispatched and
+//! settled when its usage is known. An attempt whose usage never becomes known
+//! is charged its full reservation, so that a program never spends more than
+//! its budget.
 
 use fieldhook_model::api::{CallSpec, Message, Usage};
 use nanoserde::{DeBin, SerBin};
 
-/// Tokens that a model's chat template adds to a message, at most.
+/// Upper bound of the tokens that a model's chat template adds to a message.
 pub(crate) const TEMPLATE_TOKENS: u64 = 8;
-/// Cost of a request to a tool or application server.
+/// Cost units of a request to a tool or application server.
 const SERVER_REQUEST_COST: u64 = 1;
 
-/// Ledger of a root program and its sub-agents.
+/// Budget account of a root program and its sub-agents, in cost units.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct Budget {
-    /// Most that may ever be spent.
+    /// Total that may be spent.
     pub limit: u64,
-    /// Spent for good.
+    /// Settled cost.
     pub spent: u64,
-    /// Set aside for calls under way.
+    /// Reserved for running calls.
     pub reserved: u64,
 }
 
 impl Budget {
-    /// What can still be reserved.
+    /// Returns the amount that can still be reserved.
     pub fn available(&self) -> u64 {
         self.limit - self.spent - self.reserved
     }
 
-    /// Sets an amount aside; false, with nothing changed, if it does not fit.
+    /// Reserves an amount. Returns false and changes nothing if it exceeds what
+    /// is available.
     pub(crate) fn reserve(&mut self, amount: u64) -> bool {
         let fits = amount <= self.available();
         if fits {
@@ -39,21 +41,21 @@
         fits
     }
 
-    /// Ends a reservation. A server that reports more than the highest
-    /// possible cost is not believed: the ledger never exceeds its limit.
+    /// Replaces a reservation by the actual cost. A reported cost above the
+    /// reservation is capped at it, so that the limit is never exceeded.
     pub(crate) fn settle(&mut self, reservation: u64, cost: u64) {
         self.reserved -= reservation;
         self.spent += cost.min(reservation);
     }
 }
 
-/// Upper bound of the tokens of some messages: a token is at least one byte.
+/// Returns an upper bound of the tokens of messages: a token is at least one byte.
 pub fn max_prompt_tokens(messages: &[Message]) -> u64 {
     let bytes = |message: &Message| message.content.len() as u64 + TEMPLATE_TOKENS;
     messages.iter().map(bytes).sum()
 }
 
-/// Highest possible cost of a call whose history has `history_tokens` at most.
+/// Returns the maximum cost of a call whose history has at most `history_tokens`.
 pub fn max_cost(spec: &CallSpec, history_tokens: u64) -> u64 {
     match spec {
         CallSpec::Model(model) => {
@@ -63,8 +65,8 @@
     }
 }
 
-/// Cost of a finished attempt.
-pub(crate) fn cost_of(spec: &CallSpec, usage: &Usage) -> u64 {
+/// Returns the cost of a finished attempt.
+pub(crate) fn actual_cost(spec: &CallSpec, usage: &Usage) -> u64 {
     match spec {
         CallSpec::Model(_) => usage.prompt_tokens + usage.completion_tokens,
         CallSpec::Server(_) => SERVER_REQUEST_COST,
--- a/crates/program/src/call.rs
+++ b/crates/program/src/call.rs
@@ -4,51 +4,51 @@
 use fieldhook_model::error::CallError;
 use nanoserde::{DeBin, SerBin};
 
-/// One dispatch of a call.
+/// One dispatch of a call to an engine or server.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct Attempt {
     /// Number of the attempt, from 1.
     pub number: u32,
     /// Address of the engine or server.
     pub target: String,
-    /// Cost set aside.
+    /// Cost units reserved for the attempt.
     pub reservation: u64,
-    /// The attempt from which the text descends: attempts that continue a
-    /// delivered text keep it, one that starts over gets a new one. Text of two
-    /// lineages must never be joined.
+    /// Number of the attempt that began the text. An attempt that continues
+    /// delivered text keeps the lineage; one that starts over gets a new one.
+    /// Text of different lineages must never be joined.
     pub lineage: u32,
-    /// Text that earlier attempts delivered and that this one continues.
+    /// Text that earlier attempts delivered and this one continues.
     pub prefix: String,
 }
 
-/// Where a call stands.
+/// State of a call.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum CallState {
-    /// Its intent is recorded; it may have been dispatched.
+    /// The intent is recorded; the newest attempt may have been dispatched.
     Running,
-    /// It was answered.
+    /// The call was answered.
     Answered(Answer),
-    /// It ended without an answer.
+    /// The call ended without an answer.
     Failed(CallError),
 }
 
 /// The record of one call.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct Call {
-    /// The caller's key.
+    /// Idempotency key that the caller chose.
     pub request_key: String,
-    /// What was asked.
+    /// What the caller asked for.
     pub spec: CallSpec,
-    /// Whether it may run again.
+    /// Whether the call may run more than once.
     pub repeatable: bool,
     /// The newest attempt.
     pub attempt: Attempt,
-    /// Where it stands.
+    /// State of the call.
     pub state: CallState,
 }
 
 impl Call {
-    /// Whether the call has neither been answered nor failed.
+    /// Returns whether the call has been neither answered nor failed.
     pub fn is_running(&self) -> bool {
         self.state == CallState::Running
     }
--- a/crates/program/src/command.rs
+++ b/crates/program/src/command.rs
@@ -1,4 +1,4 @@
-//! Commands that an owner applies, and what applying them says.
+//! Commands that change a shard's state, and the replies to them.
 
 use crate::call::Attempt;
 use fieldhook_model::api::{Answer, CallSpec};
@@ -10,97 +10,97 @@
 /// Opens a program.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct OpenProgram {
-    /// Its identifier.
+    /// Identifier of the new program.
     pub program: ProgramId,
-    /// The program that spawns it, on the same shard.
+    /// The program that spawns it as a sub-agent, on the same shard.
     pub parent: Option<ProgramId>,
-    /// Owner.
+    /// Tenant that the program belongs to.
     pub tenant: String,
-    /// Labels.
+    /// Labels that selectors match.
     pub labels: Labels,
-    /// Cost units; ignored for a sub-agent, which spends its root's.
+    /// Budget in cost units; ignored for a sub-agent, which spends its root's.
     pub budget: u64,
-    /// Milliseconds until it must be over.
+    /// Milliseconds from now until the deadline.
     pub deadline_ms: u64,
-    /// Most calls.
+    /// Maximum number of calls.
     pub max_turns: u32,
 }
 
-/// Records the intent to run a call, before anything is dispatched.
+/// Records the intent to run a call, before its first attempt is dispatched.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct BeginCall {
     /// The program.
     pub program: ProgramId,
-    /// Place in the program's order, from 1.
+    /// Position in the program's sequence of calls, from 1.
     pub call_number: u64,
-    /// The caller's key.
+    /// Idempotency key that the caller chose.
     pub request_key: String,
-    /// What is asked.
+    /// What the caller asks for.
     pub spec: CallSpec,
-    /// Whether it may run again.
+    /// Whether the call may run more than once.
     pub repeatable: bool,
-    /// Address of the engine or server.
+    /// Address of the engine or server of the first attempt.
     pub target: String,
 }
 
-/// What an abandoned attempt counts.
+/// What an abandoned attempt is charged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum AttemptCost {
-    /// It surely did not run.
+    /// Nothing: it certainly did not run.
     NotRun,
-    /// It may have run: its reservation counts in full.
+    /// Its full reservation: it may have run.
     Full,
 }
 
-/// Records another attempt of a running call.
+/// Abandons the newest attempt of a running call and records the next one.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct NextAttempt {
     /// The program.
     pub program: ProgramId,
-    /// The call.
+    /// Number of the call.
     pub call_number: u64,
-    /// The attempt that is given up.
+    /// Number of the attempt that is abandoned.
     pub abandoned_attempt: u32,
-    /// What the given-up attempt counts.
+    /// What the abandoned attempt is charged.
     pub cost: AttemptCost,
-    /// Address of the new engine or server.
+    /// Address of the engine or server of the new attempt.
     pub target: String,
-    /// Text that callers have seen and that the new attempt continues.
+    /// Text already delivered to callers, which the new attempt continues.
     pub prefix: String,
 }
 
 /// How a call ended.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum Outcome {
-    /// With this answer.
+    /// The engine or server answered.
     Answered(Answer),
-    /// Without one.
+    /// The call ended without an answer.
     Failed(CallError),
 }
 
-/// Records the end of an attempt and of its call.
+/// Records the outcome of an attempt, which ends its call.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct FinishCall {
     /// The program.
     pub program: ProgramId,
-    /// The call.
+    /// Number of the call.
     pub call_number: u64,
-    /// The attempt; others than the newest are ignored.
+    /// Number of the attempt; only the outcome of the newest one counts.
     pub attempt: u32,
-    /// How it ended.
+    /// Outcome of the call.
     pub outcome: Outcome,
 }
 
 /// Why a program ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum EndReason {
-    /// The caller ended it.
+    /// The caller ended the program.
     Caller,
-    /// An operator cancelled it.
+    /// An operator cancelled the program.
     Operator,
-    /// Its deadline passed.
+    /// The program's deadline passed.
     Deadline,
-    /// Its parent ended.
+    /// The program's parent ended.
     Parent,
 }
 
@@ -109,59 +109,62 @@
 pub enum Command {
     /// Opens a program.
     OpenProgram(OpenProgram),
-    /// Records an intent.
+    /// Records the intent to run a call.
     BeginCall(BeginCall),
-    /// Records another attempt.
+    /// Replaces the attempt of a running call.
     NextAttempt(NextAttempt),
-    /// Records an end.
+    /// Records the outcome of a call.
     FinishCall(FinishCall),
-    /// Refuses a key for good, so that no late copy of the request can run.
+    /// Refuses a request key permanently, so that a delayed duplicate of the
+    /// request cannot run.
     RefuseKey {
         /// The program.
         program: ProgramId,
-        /// The call number the request had.
+        /// Call number of the request.
         call_number: u64,
-        /// The key.
+        /// The key to refuse.
         request_key: String,
     },
     /// Ends a program and its sub-agents.
     EndProgram {
         /// The program.
         program: ProgramId,
-        /// Why.
+        /// Why the program ends.
         reason: EndReason,
     },
-    /// An engine acknowledged that it holds nothing more for a program.
+    /// An engine confirmed that it no longer holds cache for a program.
     CacheReleased {
         /// The program.
         program: ProgramId,
         /// Address of the engine.
         engine: String,
     },
-    /// Drops ended programs whose retention is over.
+    /// Drops the records of ended programs whose retention time is over.
     PurgeExpired,
 }
 
-/// A command with the owner's time.
+/// A command with the time at which the owner issued it.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct TimedCommand {
-    /// Milliseconds of the shard's own clock, which only moves by commands.
+    /// Milliseconds on the shard's clock, which only commands advance.
     pub at_ms: u64,
-    /// The change.
+    /// The command.
     pub command: Command,
 }
 
-/// What applying a command says.
+/// Result of applying a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// Done.
+    /// The command was applied.
     Done,
-    /// The attempt may be dispatched now.
+    /// The attempt is recorded and may be dispatched.
     Dispatch(Attempt),
-    /// The call was recorded before, under the same key.
+    /// The state already holds what the command records: the program, the call
+    /// under the same key, or the end of the program.
     AlreadyRecorded,
-    /// The command names an attempt or program that is no longer current.
+    /// The command refers to a program or an attempt that is no longer current.
     Stale,
-    /// Refused; nothing changed but what the error says.
+    /// The command was refused. A call whose next attempt does not fit the
+    /// budget is closed with the same error; otherwise nothing changed.
     Refused(CallError),
 }
--- a/crates/program/src/lib.rs
+++ b/crates/program/src/lib.rs
@@ -1,6 +1,8 @@
-//! The state machine of a shard: its programs, their order, history, budget
-//! and answers. Pure: an owner that applies the same commands in the same order
-//! holds the same state.
+//! The replicated state machine of a shard: its programs with their calls,
+//! history, budget and answers.
+//!
+//! It is deterministic and does no I/O: owners that apply the same commands in
+//! the same order hold the same state.
 
 mod admission;
 mod budget;
--- a/crates/program/src/lifecycle.rs
+++ b/crates/program/src/lifecycle.rs
@@ -1,4 +1,5 @@
-//! Opening and ending programs, releasing engines, and dropping old records.
+//! Opening and ending programs, releasing their cache on engines, and dropping
+//! expired records.
 
 use crate::budget::Budget;
 use crate::command::{EndReason, FinishCall, OpenProgram, Outcome, Reply};
@@ -8,7 +9,7 @@
 use fieldhook_model::ids::ProgramId;
 use std::collections::BTreeMap;
 
-/// How long an ended program's answers can still be asked for.
+/// How long the record of an ended program, with its answers, is kept.
 pub const RETENTION_MS: u64 = 60_000;
 
 impl ShardState {
@@ -27,7 +28,7 @@
 
     pub(crate) fn new_program(&self, open: &OpenProgram) -> Result<Program, CallError> {
         let parent = match open.parent {
-            Some(id) => Some((id, self.open_program(id)?)),
+            Some(id) => Some((id, self.require_open(id)?)),
             None => None,
         };
         let own_deadline_ms = self.clock_ms.saturating_add(open.deadline_ms);
@@ -55,8 +56,9 @@
         })
     }
 
-    /// Whatever made the owner refuse may pass; the key stays refused, or a
-    /// late copy of the request would run after the caller was told it had not.
+    /// Refuses a request key permanently. The reason for the refusal may pass,
+    /// but without this record a delayed duplicate of the request could then run
+    /// after the caller was told that it did not.
     pub(crate) fn refuse_key(&mut self, id: ProgramId, number: u64, key: String) -> Reply {
         let Some(program) = self.programs.get_mut(&id) else {
             return Reply::Stale;
@@ -78,7 +80,7 @@
         if !program.is_open() {
             return Reply::AlreadyRecorded;
         }
-        self.cancel_running(id);
+        self.cancel_running_call(id);
         let at_ms = self.clock_ms;
         if let Some(program) = self.programs.get_mut(&id) {
             program.phase = Phase::Ended { reason, at_ms };
@@ -89,7 +91,7 @@
         Reply::Done
     }
 
-    pub(crate) fn cancel_running(&mut self, id: ProgramId) {
+    pub(crate) fn cancel_running_call(&mut self, id: ProgramId) {
         let Some(number) = self.programs.get(&id).and_then(Program::running_call) else {
             return;
         };
@@ -131,16 +133,18 @@
         Reply::Done
     }
 
-    /// Ended programs whose records may go at a time of the shard's clock.
+    /// Ended programs whose records can be dropped at `now_ms` on the shard's
+    /// clock.
     pub(crate) fn expired_programs(&self, now_ms: u64) -> impl Iterator<Item = ProgramId> + '_ {
         let over = self
             .programs
             .iter()
-            .filter(move |(_, item)| retention_over(item, now_ms));
+            .filter(move |(_, item)| is_expired(item, now_ms));
         over.map(|(id, _)| *id).filter(|id| !self.has_children(*id))
     }
 
-    /// Whether `Command::PurgeExpired` would drop anything at that time.
+    /// Returns whether [`Command::PurgeExpired`](crate::Command::PurgeExpired)
+    /// would drop anything at `now_ms` on the shard's clock.
     pub fn has_expired_programs(&self, now_ms: u64) -> bool {
         self.expired_programs(now_ms).next().is_some()
     }
@@ -153,8 +157,9 @@
         Reply::Done
     }
 
-    /// A root's ledger and a parent's history are needed until the last
-    /// sub-agent's record is gone.
+    /// Whether the state holds sub-agents of a program. The record of the program
+    /// has to stay as long as it does: sub-agents spend the root's budget and
+    /// inherit the parent's history.
     pub(crate) fn has_children(&self, id: ProgramId) -> bool {
         self.programs
             .values()
@@ -162,7 +167,7 @@
     }
 }
 
-fn retention_over(program: &Program, clock_ms: u64) -> bool {
+fn is_expired(program: &Program, clock_ms: u64) -> bool {
     match program.phase {
         Phase::Open => false,
         Phase::Ended { at_ms, .. } => {
--- a/crates/program/src/program.rs
+++ b/crates/program/src/program.rs
@@ -8,85 +8,88 @@
 use nanoserde::{DeBin, SerBin};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Where a sub-agent's history begins.
+/// Point of the parent's history at which a sub-agent was spawned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct ForkPoint {
-    /// The parent.
+    /// The program that spawned the sub-agent.
     pub parent: ProgramId,
-    /// Number of the parent's calls that the sub-agent inherits.
+    /// Number of the parent's calls whose history the sub-agent inherits.
     pub after_call: u64,
 }
 
-/// Whether a program is under way.
+/// Lifecycle phase of a program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum Phase {
-    /// It takes calls.
+    /// The program accepts calls.
     Open,
-    /// It takes none; its record is kept for late questions.
+    /// The program accepts no calls; its record is kept so that late requests
+    /// still get their answers.
     Ended {
-        /// Why.
+        /// Why the program ended.
         reason: EndReason,
-        /// When, on the shard's clock.
+        /// When it ended, on the shard's clock.
         at_ms: u64,
     },
 }
 
-/// Tokens of the prompt so far, as an engine counted them.
+/// Size of the conversation so far, as counted by an engine.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct CountedPrompt {
-    /// The model whose tokens these are.
+    /// The model whose tokenizer counted.
     pub model: String,
-    /// Prompt and answer of the last turn.
+    /// Tokens of the last turn's prompt and answer.
     pub tokens: u64,
 }
 
 /// The record of one program.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct Program {
-    /// Owner.
+    /// Tenant that the program belongs to.
     pub tenant: String,
-    /// Labels.
+    /// Labels that selectors match.
     pub labels: Labels,
-    /// The root whose budget it spends; itself for a root.
+    /// The root program whose budget is spent; the program itself if it is a root.
     pub root: ProgramId,
-    /// Where its history begins, for a sub-agent.
+    /// Where the inherited history ends; `None` for a root program.
     pub fork: Option<ForkPoint>,
-    /// The ledger; used on roots only.
+    /// The budget account; used on root programs only.
     pub budget: Budget,
-    /// When it must be over, on the shard's clock.
+    /// Deadline on the shard's clock.
     pub deadline_ms: u64,
-    /// Most calls.
+    /// Maximum number of calls.
     pub max_turns: u32,
-    /// Calls in order; call number n is at n - 1.
+    /// Calls in order; call number `n` is at index `n - 1`.
     pub calls: Vec<Call>,
-    /// Keys that were refused for good.
+    /// Request keys that were refused permanently.
     pub refused_keys: BTreeSet<String>,
-    /// Whether it is under way.
+    /// Lifecycle phase.
     pub phase: Phase,
-    /// Engines that may hold cache for it, with the tokens they last reported.
+    /// Engines that may hold cache for the program, with the tokens of the last
+    /// turn that each of them answered; 0 until it has answered one.
     pub held_by: BTreeMap<String, u64>,
-    /// Size of the prompt so far.
+    /// Size of the conversation so far; `None` until an engine has counted it.
     pub counted_prompt: Option<CountedPrompt>,
 }
 
 impl Program {
-    /// Whether it takes calls.
+    /// Returns whether the program accepts calls.
     pub fn is_open(&self) -> bool {
         self.phase == Phase::Open
     }
 
-    /// A call by its number.
+    /// Returns the call with a number, if it has been issued.
     pub fn call(&self, call_number: u64) -> Option<&Call> {
-        let place = usize::try_from(call_number.checked_sub(1)?).ok()?;
-        self.calls.get(place)
+        let index = usize::try_from(call_number.checked_sub(1)?).ok()?;
+        self.calls.get(index)
     }
 
     pub(crate) fn call_mut(&mut self, call_number: u64) -> Option<&mut Call> {
-        let place = usize::try_from(call_number.checked_sub(1)?).ok()?;
-        self.calls.get_mut(place)
+        let index = usize::try_from(call_number.checked_sub(1)?).ok()?;
+        self.calls.get_mut(index)
     }
 
-    /// Number of the call that is running; at most the newest one is.
+    /// Returns the number of the running call, if any. Only the newest call can
+    /// be running.
     pub fn running_call(&self) -> Option<u64> {
         let newest = self.calls.last()?;
         newest.is_running().then_some(self.calls.len() as u64)
--- a/crates/program/src/shard_state.rs
+++ b/crates/program/src/shard_state.rs
@@ -1,11 +1,15 @@
-//! Applying commands to a shard's state.
+//! The state of a shard and the application of commands to it.
 //!
-//! Invariants: calls of one program are numbered without gaps and at most the
-//! newest is running; spent plus reserved never exceed the limit; a call that
-//! is not repeatable gets a second attempt only if the first surely did not run.
+//! Invariants:
+//!
+//! - Calls of a program are numbered without gaps, and only the newest may be
+//!   running.
+//! - Spent plus reserved cost never exceeds the budget's limit.
+//! - A call that is not repeatable gets another attempt only if the previous one
+//!   certainly did not run.
 
 use crate::admission::Admission;
-use crate::budget::{Budget, TEMPLATE_TOKENS, cost_of, max_cost, max_prompt_tokens};
+use crate::budget::{Budget, TEMPLATE_TOKENS, actual_cost, max_cost, max_prompt_tokens};
 use crate::call::{Attempt, Call, CallState};
 use crate::command::{
     AttemptCost, BeginCall, Command, FinishCall, NextAttempt, Outcome, Reply, TimedCommand,
@@ -17,20 +21,21 @@
 use nanoserde::{DeBin, SerBin};
 use std::collections::BTreeMap;
 
-/// When to ask again while an earlier call of the program runs.
+/// Delay after which a caller should retry while an earlier call is running or
+/// has not been issued.
 pub(crate) const RUNNING_RETRY_MS: u64 = 50;
 
-/// All programs of one shard.
+/// State of one shard: all its programs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct ShardState {
-    /// The shard's clock: the greatest time that a command carried.
+    /// The shard's clock: the latest time that any applied command carried.
     pub clock_ms: u64,
     /// Programs by identifier.
     pub programs: BTreeMap<ProgramId, Program>,
 }
 
 impl ShardState {
-    /// Applies one command.
+    /// Applies a command.
     pub fn apply(&mut self, timed: TimedCommand) -> Reply {
         self.clock_ms = self.clock_ms.max(timed.at_ms);
         match timed.command {
@@ -67,7 +72,7 @@
             .budget_mut(begin.program)
             .is_some_and(|budget| budget.reserve(reservation))
         {
-            return Reply::Refused(over_budget(reservation));
+            return Reply::Refused(budget_exhausted(reservation));
         }
         let attempt = Attempt {
             number: 1,
@@ -79,7 +84,7 @@
         let Some(program) = self.programs.get_mut(&begin.program) else {
             return Reply::Stale;
         };
-        note_hold(program, &begin.spec, &attempt.target);
+        record_cache_holder(program, &begin.spec, &attempt.target);
         program.calls.push(Call {
             request_key: begin.request_key,
             spec: begin.spec,
@@ -90,12 +95,13 @@
         Reply::Dispatch(attempt)
     }
 
+    /// Returns the cost to reserve for an attempt of a call.
     fn reservation(&self, id: ProgramId, spec: &CallSpec) -> u64 {
         max_cost(spec, self.max_history_tokens(id, spec))
     }
 
-    /// Most tokens the history can have: what an engine of the same model
-    /// counted, or else a bound from its bytes.
+    /// Returns an upper bound of the tokens of the history: the count of an engine
+    /// of the same model if there is one, otherwise a bound from the bytes.
     fn max_history_tokens(&self, id: ProgramId, spec: &CallSpec) -> u64 {
         let CallSpec::Model(model) = spec else {
             return 0;
@@ -110,6 +116,7 @@
         }
     }
 
+    /// Returns the budget that a program spends, which is that of its root.
     fn budget_mut(&mut self, id: ProgramId) -> Option<&mut Budget> {
         let root = self.programs.get(&id)?.root;
         self.programs
@@ -117,13 +124,15 @@
             .map(|program| &mut program.budget)
     }
 
-    fn running(&self, id: ProgramId, number: u64, attempt: u32) -> Option<&Call> {
+    /// Returns the call if it is running and `attempt` is its newest attempt.
+    fn running_call_with_attempt(&self, id: ProgramId, number: u64, attempt: u32) -> Option<&Call> {
         let call = self.programs.get(&id)?.call(number)?;
         (call.is_running() && call.attempt.number == attempt).then_some(call)
     }
 
     fn next_attempt(&mut self, next: NextAttempt) -> Reply {
-        let Some(call) = self.running(next.program, next.call_number, next.abandoned_attempt)
+        let Some(call) =
+            self.running_call_with_attempt(next.program, next.call_number, next.abandoned_attempt)
         else {
             return Reply::Stale;
         };
@@ -133,20 +142,20 @@
                     .executed(Executed::Unknown),
             );
         }
-        let (spec, old) = (call.spec.clone(), call.attempt.clone());
-        let prefix_bound = next.prefix.len() as u64;
-        let reservation = self.reservation(next.program, &spec) + prefix_bound;
-        let counted = if next.cost == AttemptCost::Full {
-            old.reservation
+        let (spec, previous) = (call.spec.clone(), call.attempt.clone());
+        let max_prefix_tokens = next.prefix.len() as u64;
+        let reservation = self.reservation(next.program, &spec) + max_prefix_tokens;
+        let cost = if next.cost == AttemptCost::Full {
+            previous.reservation
         } else {
             0
         };
         let Some(budget) = self.budget_mut(next.program) else {
             return Reply::Stale;
         };
-        budget.settle(old.reservation, counted);
+        budget.settle(previous.reservation, cost);
         if !budget.reserve(reservation) {
-            let error = over_budget(reservation).executed(Executed::Unknown);
+            let error = budget_exhausted(reservation).executed(Executed::Unknown);
             self.close_call(
                 next.program,
                 next.call_number,
@@ -162,14 +171,14 @@
             lineage: if next.prefix.is_empty() {
                 number
             } else {
-                old.lineage
+                previous.lineage
             },
             prefix: next.prefix,
         };
         let Some(program) = self.programs.get_mut(&next.program) else {
             return Reply::Stale;
         };
-        note_hold(program, &spec, &attempt.target);
+        record_cache_holder(program, &spec, &attempt.target);
         if let Some(call) = program.call_mut(next.call_number) {
             call.attempt = attempt.clone();
         }
@@ -177,12 +186,14 @@
     }
 
     pub(crate) fn finish(&mut self, finish: FinishCall) -> Reply {
-        let Some(call) = self.running(finish.program, finish.call_number, finish.attempt) else {
+        let Some(call) =
+            self.running_call_with_attempt(finish.program, finish.call_number, finish.attempt)
+        else {
             return Reply::Stale;
         };
         let reservation = call.attempt.reservation;
         let cost = match &finish.outcome {
-            Outcome::Answered(answer) => cost_of(&call.spec, &answer.usage),
+            Outcome::Answered(answer) => actual_cost(&call.spec, &answer.usage),
             Outcome::Failed(error) if error.executed == Executed::No => 0,
             Outcome::Failed(_) => reservation,
         };
@@ -191,7 +202,7 @@
         }
         let state = match finish.outcome {
             Outcome::Answered(answer) => {
-                self.note_usage(finish.program, finish.call_number, &answer);
+                self.record_usage(finish.program, finish.call_number, &answer);
                 CallState::Answered(answer)
             }
             Outcome::Failed(error) => CallState::Failed(error),
@@ -200,7 +211,9 @@
         Reply::Done
     }
 
-    fn note_usage(&mut self, id: ProgramId, number: u64, answer: &Answer) {
+    /// Records the token usage of an answered model call: the size of the
+    /// conversation, and what the engine holds in its cache.
+    fn record_usage(&mut self, id: ProgramId, number: u64, answer: &Answer) {
         let Some(program) = self.programs.get_mut(&id) else {
             return;
         };
@@ -211,7 +224,8 @@
             return;
         };
         let tokens = answer.usage.prompt_tokens + answer.usage.completion_tokens;
-        // The next prompt wraps this answer into a message of its own.
+        // The next prompt contains this answer as a message of its own, which the
+        // chat template adds tokens to.
         let counted = CountedPrompt {
             model: model.model.clone(),
             tokens: tokens + TEMPLATE_TOKENS,
@@ -229,15 +243,16 @@
     }
 }
 
-fn over_budget(reservation: u64) -> CallError {
+fn budget_exhausted(reservation: u64) -> CallError {
     CallError::not_run(
         ErrorKind::BudgetExhausted,
         format!("the call may cost {reservation}; shorten it or open a program with more budget"),
     )
 }
 
-/// From its dispatch on an engine may hold cache for the program.
-fn note_hold(program: &mut Program, spec: &CallSpec, target: &str) {
+/// Records that an engine may hold cache for the program, which is the case from
+/// the dispatch of a model call on.
+fn record_cache_holder(program: &mut Program, spec: &CallSpec, target: &str) {
     if matches!(spec, CallSpec::Model(_)) {
         program.held_by.entry(target.to_owned()).or_insert(0);
     }
--- a/crates/program/src/view.rs
+++ b/crates/program/src/view.rs
@@ -1,4 +1,4 @@
-//! What callers and operators see of a program.
+//! The public view of a program, for callers and operators.
 
 use crate::program::Program;
 use crate::shard_state::ShardState;
@@ -7,10 +7,10 @@
 use fieldhook_model::ids::ProgramId;
 
 impl ShardState {
-    /// The public view of a program.
+    /// Returns the public view of a program.
     ///
     /// # Errors
-    /// No record of the program.
+    /// There is no record of the program.
     pub fn view(&self, id: ProgramId) -> Result<ProgramView, CallError> {
         let program = self.program(id)?;
         let budget = self
--- a/crates/program/tests/machine_fuzz.rs
+++ b/crates/program/tests/machine_fuzz.rs
@@ -1,6 +1,7 @@
-//! The program state machine against a simple oracle: lists of what was asked
-//! and answered, a ledger of what really ran, and a set of keys that were told
-//! that they did not run.
+//! Runs random operations on the shard's state machine and compares it with a
+//! reference model: the requests and answers of every program, the cost of what
+//! actually ran, and the keys of requests whose callers were told that they did
+//! not run.
 
 #[path = "support/operations.rs"]
 mod operations;
@@ -17,31 +18,33 @@
 use quickcheck::{Gen, QuickCheck};
 use std::collections::{BTreeMap, BTreeSet};
 
-const LIMIT: u64 = 400;
+/// Budget of each root program.
+const BUDGET_LIMIT: u64 = 400;
 
-/// What the oracle knows of one program.
+/// One program in the reference model.
 #[derive(Clone, Default)]
-struct Record {
+struct ProgramModel {
     root: u8,
     inherited: Vec<Message>,
     turns: Vec<Message>,
     keys: Vec<String>,
 }
 
-/// What really happened outside the machine.
+/// Reference model: what happened outside of the state machine.
 #[derive(Default)]
-struct Oracle {
-    records: BTreeMap<u8, Record>,
-    really_spent: BTreeMap<u8, u64>,
+struct ReferenceModel {
+    records: BTreeMap<u8, ProgramModel>,
+    actual_cost: BTreeMap<u8, u64>,
     executed: BTreeMap<(u8, String), u32>,
-    told_not_run: BTreeSet<(u8, String)>,
+    reported_not_run: BTreeSet<(u8, String)>,
 }
 
-struct Fuzz {
+/// The state machine and the reference model, driven by operations.
+struct Harness {
     state: ShardState,
-    oracle: Oracle,
+    model: ReferenceModel,
     now_ms: u64,
-    last: Option<TimedCommand>,
+    last_command: Option<TimedCommand>,
 }
 
 fn id(program: u8) -> ProgramId {
@@ -72,13 +75,13 @@
     })
 }
 
-impl Fuzz {
+impl Harness {
     fn new() -> Self {
         Self {
             state: ShardState::default(),
-            oracle: Oracle::default(),
+            model: ReferenceModel::default(),
             now_ms: 0,
-            last: None,
+            last_command: None,
         }
     }
 
@@ -87,7 +90,7 @@
             at_ms: self.now_ms,
             command,
         };
-        self.last = Some(timed.clone());
+        self.last_command = Some(timed.clone());
         self.state.apply(timed)
     }
 
@@ -111,22 +114,22 @@
             } => {
                 self.finish(program, stale, tokens, failed);
             }
-            Operation::Next {
+            Operation::NextAttempt {
                 program,
                 ran,
                 prefix,
-            } => self.next(program, ran, prefix),
-            Operation::RefuseKey { program, key } => self.refuse(program, key),
+            } => self.next_attempt(program, ran, prefix),
+            Operation::RefuseKey { program, key } => self.refuse_key(program, key),
             Operation::End { program } => {
                 self.apply(Command::EndProgram {
                     program: id(program),
                     reason: EndReason::Caller,
                 });
             }
-            Operation::Release { program } => self.release(program),
-            Operation::Advance { span_ms } => self.now_ms += u64::from(span_ms),
-            Operation::Forget => self.forget(),
-            Operation::Repeat => self.repeat(),
+            Operation::ReleaseCache { program } => self.release_cache(program),
+            Operation::Advance { duration_ms } => self.now_ms += u64::from(duration_ms),
+            Operation::PurgeExpired => self.purge_expired(),
+            Operation::Repeat => self.repeat_last_command(),
             Operation::Snapshot => {
                 let bytes = self.state.serialize_bin();
                 self.state = ShardState::deserialize_bin(&bytes).expect("snapshot decodes");
@@ -137,7 +140,7 @@
 
     fn open(&mut self, program: u8, parent: u8) {
         let parent = (parent < PROGRAMS && parent != program).then_some(parent);
-        let known = self.state.programs.contains_key(&id(program));
+        let exists = self.state.programs.contains_key(&id(program));
         let inherited = parent
             .map(|parent| self.state.history(id(parent)))
             .unwrap_or_default();
@@ -146,29 +149,30 @@
             parent: parent.map(id),
             tenant: "tenant".to_owned(),
             labels: BTreeMap::new(),
-            budget: LIMIT,
+            budget: BUDGET_LIMIT,
             deadline_ms: 1_000_000,
             max_turns: 6,
         }));
-        assert_eq!(reply == Reply::AlreadyRecorded, known);
+        assert_eq!(reply == Reply::AlreadyRecorded, exists);
         if reply == Reply::Done {
-            let root = parent.map_or(program, |parent| self.oracle.records[&parent].root);
-            // A new life of the number: what ran in the old one is over.
-            self.oracle
+            let root = parent.map_or(program, |parent| self.model.records[&parent].root);
+            // The record of an earlier program of this number was purged; what ran
+            // for it doesn't count for the new one.
+            self.model
                 .executed
                 .retain(|(owner, _), _| *owner != program);
-            self.oracle
-                .told_not_run
+            self.model
+                .reported_not_run
                 .retain(|(owner, _)| *owner != program);
             if root == program {
-                self.oracle.really_spent.insert(program, 0);
+                self.model.actual_cost.insert(program, 0);
             }
-            let record = Record {
+            let record = ProgramModel {
                 root,
                 inherited,
-                ..Record::default()
+                ..ProgramModel::default()
             };
-            self.oracle.records.insert(program, record);
+            self.model.records.insert(program, record);
         }
     }
 
@@ -178,7 +182,7 @@
             .programs
             .get(&id(program))
             .map_or(0, |item| item.calls.len());
-        // Mostly the next number; sometimes an old one or one too far.
+        // Mostly the next call number; sometimes the previous one or one too high.
         let number = match skip {
             0 => calls as u64,
             1 => calls as u64 + 2,
@@ -194,18 +198,22 @@
         }));
         match reply {
             Reply::Dispatch(_) => {
-                assert_eq!(number, calls as u64 + 1, "a call jumped the order");
-                self.note_dispatch(program, key_name(key), repeatable);
-                if let Some(record) = self.oracle.records.get_mut(&program) {
+                assert_eq!(
+                    number,
+                    calls as u64 + 1,
+                    "a call was dispatched out of order"
+                );
+                self.record_dispatch(program, key_name(key), repeatable);
+                if let Some(record) = self.model.records.get_mut(&program) {
                     record.keys.push(key_name(key));
                 }
             }
             Reply::AlreadyRecorded => {
-                let record = &self.oracle.records[&program];
+                let record = &self.model.records[&program];
                 assert_eq!(
                     record.keys[number as usize - 1],
                     key_name(key),
-                    "answers crossed"
+                    "a request was taken for the call of another request key"
                 );
             }
             Reply::Refused(error) => assert_eq!(error.executed, Executed::No),
@@ -213,21 +221,21 @@
         }
     }
 
-    fn note_dispatch(&mut self, program: u8, key: String, repeatable: bool) {
+    fn record_dispatch(&mut self, program: u8, key: String, repeatable: bool) {
         let entry = (program, key);
         assert!(
-            !self.oracle.told_not_run.contains(&entry),
-            "ran after it was refused"
+            !self.model.reported_not_run.contains(&entry),
+            "a request was dispatched after it was refused"
         );
-        let count = self.oracle.executed.entry(entry).or_insert(0);
+        let count = self.model.executed.entry(entry).or_insert(0);
         *count += 1;
         assert!(
             repeatable || *count == 1,
-            "a request that is not repeatable ran twice"
+            "a request that is not repeatable was dispatched twice"
         );
     }
 
-    /// The running call of a program, with its attempt and reservation.
+    /// Returns the running call of a program and its number.
     fn running(&self, program: u8) -> Option<(u64, fieldhook_program::Call)> {
         let record = self.state.programs.get(&id(program))?;
         let number = record.running_call()?;
@@ -271,7 +279,7 @@
         assert_eq!(
             reply == Reply::Stale,
             stale,
-            "an outcome of another attempt counted"
+            "the outcome of an attempt that is not the newest was accepted"
         );
         if stale {
             return;
@@ -282,7 +290,7 @@
         };
         self.spend(program, cost);
         if let (CallSpec::Model(model), false) = (&call.spec, failed) {
-            let record = self.oracle.records.get_mut(&program).expect("recorded");
+            let record = self.model.records.get_mut(&program).expect("recorded");
             record.turns.extend(model.messages.clone());
             let role = "assistant".to_owned();
             record.turns.push(Message {
@@ -293,11 +301,11 @@
     }
 
     fn spend(&mut self, program: u8, cost: u64) {
-        let root = self.oracle.records[&program].root;
-        *self.oracle.really_spent.entry(root).or_insert(0) += cost;
+        let root = self.model.records[&program].root;
+        *self.model.actual_cost.entry(root).or_insert(0) += cost;
     }
 
-    fn next(&mut self, program: u8, ran: bool, prefix: u8) {
+    fn next_attempt(&mut self, program: u8, ran: bool, prefix: u8) {
         let Some((number, call)) = self.running(program) else {
             return;
         };
@@ -308,8 +316,8 @@
         };
         let key = call.request_key.clone();
         if !ran {
-            // The truth: this dispatch never reached anyone.
-            if let Some(count) = self.oracle.executed.get_mut(&(program, key.clone())) {
+            // The attempt did not run, so its dispatch doesn't count as an execution.
+            if let Some(count) = self.model.executed.get_mut(&(program, key.clone())) {
                 *count -= 1;
             }
         }
@@ -321,30 +329,30 @@
             target: "engine-b".to_owned(),
             prefix: "x".repeat(usize::from(prefix)),
         }));
-        let refused_unrepeatable = ran && !call.repeatable;
-        if ran && !refused_unrepeatable {
+        let must_be_refused = ran && !call.repeatable;
+        if ran && !must_be_refused {
             self.spend(program, call.attempt.reservation);
         }
         match reply {
             Reply::Dispatch(attempt) => {
                 assert!(
-                    !refused_unrepeatable,
-                    "a request that is not repeatable went out again"
+                    !must_be_refused,
+                    "a request that is not repeatable was dispatched again"
                 );
                 let continues = prefix > 0;
                 assert_eq!(
                     attempt.lineage == call.attempt.lineage,
                     continues,
-                    "texts spliced"
+                    "texts of different lineages were joined"
                 );
-                self.note_dispatch(program, key, call.repeatable);
+                self.record_dispatch(program, key, call.repeatable);
             }
             Reply::Refused(error) => assert_eq!(error.executed, Executed::Unknown),
             other => panic!("unexpected {other:?}"),
         }
     }
 
-    fn refuse(&mut self, program: u8, key: u8) {
+    fn refuse_key(&mut self, program: u8, key: u8) {
         let calls = self
             .state
             .programs
@@ -356,12 +364,12 @@
             request_key: key_name(key),
         });
         let entry = (program, key_name(key));
-        if reply == Reply::Done && !self.oracle.executed.contains_key(&entry) {
-            self.oracle.told_not_run.insert(entry);
+        if reply == Reply::Done && !self.model.executed.contains_key(&entry) {
+            self.model.reported_not_run.insert(entry);
         }
     }
 
-    fn release(&mut self, program: u8) {
+    fn release_cache(&mut self, program: u8) {
         for engine in ["engine-a", "engine-b"] {
             self.apply(Command::CacheReleased {
                 program: id(program),
@@ -374,68 +382,68 @@
                 let held = &self.state.programs[&id(program)].held_by;
                 assert!(
                     held.contains_key(engine),
-                    "a running engine was taken off the list"
+                    "the engine of a running call was removed from held_by"
                 );
             }
         }
     }
 
-    fn forget(&mut self) {
+    fn purge_expired(&mut self) {
         let before: Vec<ProgramId> = self.state.programs.keys().copied().collect();
         let open: Vec<ProgramId> = before
             .iter()
             .filter(|program| self.state.programs[program].is_open())
             .copied()
             .collect();
-        let owing: Vec<ProgramId> = before
+        let cached: Vec<ProgramId> = before
             .iter()
             .filter(|program| !self.state.programs[program].held_by.is_empty())
             .copied()
             .collect();
         self.apply(Command::PurgeExpired);
-        for program in open.iter().chain(&owing) {
+        for program in open.iter().chain(&cached) {
             assert!(
                 self.state.programs.contains_key(program),
-                "forgot a program too early"
+                "the record of a program was purged too early"
             );
         }
         self.now_ms += RETENTION_MS / 4;
     }
 
-    /// The same command once more, as after a lost answer.
-    fn repeat(&mut self) {
-        let Some(last) = self.last.clone() else {
+    /// Applies the last command again, as happens when its reply was lost.
+    fn repeat_last_command(&mut self) {
+        let Some(command) = self.last_command.clone() else {
             return;
         };
-        let repeats_harmlessly = matches!(
-            last.command,
+        let is_idempotent = matches!(
+            command.command,
             Command::BeginCall(_) | Command::FinishCall(_) | Command::OpenProgram(_)
         );
-        if repeats_harmlessly {
+        if is_idempotent {
             let before = self.state.clone();
-            let reply = self.state.apply(last);
+            let reply = self.state.apply(command);
             let unchanged = before.programs == self.state.programs;
             assert!(unchanged, "a repeated command changed something: {reply:?}");
         }
     }
 
     fn check(&self) {
-        for (number, record) in &self.oracle.records {
+        for (number, record) in &self.model.records {
             let Some(program) = self.state.programs.get(&id(*number)) else {
                 continue;
             };
             let older = program.calls.iter().rev().skip(1);
             assert!(
                 older.clone().all(|call| !call.is_running()),
-                "two calls run at once"
+                "two calls of a program are running"
             );
             let keys: Vec<&String> = program.calls.iter().map(|call| &call.request_key).collect();
             assert_eq!(
                 keys,
                 record.keys.iter().collect::<Vec<_>>(),
-                "order of calls changed"
+                "the order of calls changed"
             );
-            let wanted: Vec<Message> = record
+            let expected: Vec<Message> = record
                 .inherited
                 .iter()
                 .chain(&record.turns)
@@ -443,24 +451,24 @@
                 .collect();
             assert_eq!(
                 self.state.history(id(*number)),
-                wanted,
-                "history lost or mixed"
+                expected,
+                "the history differs from the reference model"
             );
             let budget = program.budget;
             assert!(
                 budget.spent + budget.reserved <= budget.limit,
-                "the ledger overspent"
+                "spent plus reserved cost exceeds the limit"
             );
             if record.root == *number {
-                let spent = self.oracle.really_spent.get(number).copied().unwrap_or(0);
+                let spent = self.model.actual_cost.get(number).copied().unwrap_or(0);
                 assert!(
                     spent <= budget.limit,
-                    "really spent {spent} of {}",
+                    "actual cost {spent} exceeds the limit {}",
                     budget.limit
                 );
                 assert!(
                     spent <= budget.spent,
-                    "spent {spent}, booked {}",
+                    "actual cost {spent} exceeds the recorded cost {}",
                     budget.spent
                 );
             }
@@ -468,30 +476,31 @@
     }
 }
 
-fn setting(name: &str, default: u64) -> u64 {
+/// Reads a number from the environment.
+fn env_or(name: &str, default: u64) -> u64 {
     std::env::var(name)
         .ok()
         .and_then(|text| text.parse().ok())
         .unwrap_or(default)
 }
 
-fn holds(operations: Vec<Operation>) -> bool {
-    let mut fuzz = Fuzz::new();
+fn run_operations(operations: Vec<Operation>) -> bool {
+    let mut harness = Harness::new();
     for operation in operations {
-        fuzz.perform(operation);
+        harness.perform(operation);
     }
     true
 }
 
 #[test]
-fn fuzz_machine_agrees_with_the_oracle() {
-    let cases = setting("FIELDHOOK_FUZZ_CASES", 2_000);
+fn fuzz_shard_state_matches_the_reference_model() {
+    let cases = env_or("FIELDHOOK_FUZZ_CASES", 2_000);
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(
             120,
-            setting("FIELDHOOK_FUZZ_SEED", 11),
+            env_or("FIELDHOOK_FUZZ_SEED", 11),
         ))
         .tests(cases)
         .max_tests(cases * 2)
-        .quickcheck(holds as fn(Vec<Operation>) -> bool);
+        .quickcheck(run_operations as fn(Vec<Operation>) -> bool);
 }
--- a/crates/program/tests/support/operations.rs
+++ b/crates/program/tests/support/operations.rs
@@ -1,10 +1,11 @@
-//! What may happen to the program machine.
+//! Random operations for the fuzz test of the shard's state machine.
 
 use quickcheck::{Arbitrary, Gen};
 
-/// Programs that the operations choose from.
+/// Number of different programs that the operations use.
 pub const PROGRAMS: u8 = 4;
 
+/// One step of a fuzz case; most translate to a command.
 #[derive(Clone, Copy, Debug)]
 pub enum Operation {
     Open {
@@ -24,7 +25,7 @@
         tokens: u8,
         failed: bool,
     },
-    Next {
+    NextAttempt {
         program: u8,
         ran: bool,
         prefix: u8,
@@ -36,13 +37,13 @@
     End {
         program: u8,
     },
-    Release {
+    ReleaseCache {
         program: u8,
     },
     Advance {
-        span_ms: u16,
+        duration_ms: u16,
     },
-    Forget,
+    PurgeExpired,
     Repeat,
     Snapshot,
 }
@@ -77,18 +78,18 @@
                     failed: flag && tokens < 20,
                 }
             }
-            12..=13 => Self::Next {
+            12..=13 => Self::NextAttempt {
                 program,
                 ran: flag,
                 prefix: tokens % 8,
             },
             14 => Self::RefuseKey { program, key },
             15 => Self::End { program },
-            16 => Self::Release { program },
+            16 => Self::ReleaseCache { program },
             17 => Self::Advance {
-                span_ms: u16::arbitrary(generator),
+                duration_ms: u16::arbitrary(generator),
             },
-            18 => Self::Forget,
+            18 => Self::PurgeExpired,
             _ if flag => Self::Repeat,
             _ => Self::Snapshot,
         }
