--- a/crates/placement/src/cost.rs
+++ b/crates/placement/src/cost.rs
@@ -1,66 +1,69 @@
-//! Expected time until an engine has generated an answer.
+//! Cost model: the expected time until an engine has generated an answer.
 //!
 //! ```text
-//! finish  = wait + prefill + decode + others               [us]
-//! wait    = sequences beyond the batch / places x typical answer x step time
-//! prefill = tokens that the engine lacks / tokens per step x step time
-//! decode  = tokens to generate x step time x (1 + sequences / places)
-//! others  = prefill x (RECOMPUTE_WEIGHT + sequences that it delays / places)
-//! switch  = MIGRATION_PENALTY_STEPS x step time, where another engine holds some of it
+//! total        = wait + prefill + decode + interference + migration   [us]
+//! wait         = sequences beyond the batch / slots x typical remaining tokens x step time
+//! prefill      = prompt tokens not in the cache / tokens per step x step time
+//! decode       = tokens to generate x step time x (1 + sequences / slots)
+//! interference = prefill x (RECOMPUTE_WEIGHT + delayed sequences / slots)
+//! migration    = MIGRATION_PENALTY_STEPS x step time, if only other engines have some
+//!                of the program in their cache
 //! ```
 //!
-//! The last factor of `decode` makes calls spread before batches are full: each
-//! further sequence lengthens the steps of all. Recomputing what another engine
-//! holds is waste that the users count by itself; its weight keeps a program at
+//! The last factor of `decode` spreads calls before batches are full, because each
+//! further sequence lengthens the steps of all. Recomputing what another engine has
+//! cached is waste that users account for separately; its weight keeps a program on
 //! its engine unless the queue there costs clearly more.
 
 use fieldhook_model::platform::EngineLoad;
 
-/// Step time assumed of an engine that has not reported, in microseconds.
+/// Step time assumed for an engine that has not reported one, in microseconds.
 const DEFAULT_STEP_US: u64 = 5_000;
-/// How many times its own time a recomputed prefill counts as waste.
+/// Weight of recomputed prefill as waste, relative to its own time.
 const RECOMPUTE_WEIGHT: u64 = 1;
-/// Steps by which another engine must be better than one that holds some of the
-/// program, so that small differences do not move programs to and fro.
+/// Steps by which another engine has to be better than one that has some of the
+/// program in its cache, so that small differences don't move programs back and
+/// forth.
 const MIGRATION_PENALTY_STEPS: u64 = 6;
-/// Tokens that a running sequence is taken to have left.
+/// Tokens that a running sequence is assumed to have left to generate.
 const TYPICAL_REMAINING_TOKENS: u64 = 32;
 
 /// Parts of the expected finish time, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Estimate {
-    /// Until a place in the batch is free.
+    /// Wait for a free slot in the batch.
     pub wait_us: u64,
-    /// For the prompt tokens that the engine lacks.
+    /// Prefill of the prompt tokens that are not in the engine's cache.
     pub prefill_us: u64,
-    /// For the tokens to generate.
+    /// Generation of the answer.
     pub decode_us: u64,
-    /// Cost of the prefill to others, and of the cache it wastes.
+    /// Delay that the prefill causes to other sequences, and wasted recomputation.
     pub interference_us: u64,
-    /// Cost of leaving an engine that holds some of the program.
+    /// Penalty for leaving the engines that have some of the program cached.
     pub migration_us: u64,
 }
 
 impl Estimate {
-    /// The figure by which engines are compared.
+    /// Returns the sum by which engines are compared.
     pub fn total_us(&self) -> u64 {
         self.wait_us + self.prefill_us + self.decode_us + self.interference_us + self.migration_us
     }
 }
 
-/// What a call needs of an engine.
+/// What a call demands of a particular engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallDemand {
-    /// Prompt tokens that the engine lacks.
+    /// Prompt tokens that are not in the engine's cache.
     pub uncached_tokens: u64,
     /// Tokens to generate.
     pub new_tokens: u64,
-    /// Whether another engine holds some of the program and this one does not.
+    /// Whether another engine has some of the program cached and this one does
+    /// not.
     pub migrates: bool,
 }
 
-/// Estimates a call. `assigned` counts calls sent there that the lagging load
-/// report may not show yet.
+/// Estimates the cost of a call on an engine. `assigned` is the number of calls that
+/// this daemon has running there; the load report lags and may not include them yet.
 pub fn estimate(load: &EngineLoad, assigned: u32, demand: CallDemand) -> Estimate {
     let step_us = if load.step_us == 0 {
         DEFAULT_STEP_US
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,5 +1,5 @@
-//! Which engine serves a call: rules bound the choice, expected finish time
-//! decides it. Pure.
+//! Placement of calls on engines: rules decide which engines are allowed, the
+//! expected finish time decides among them. Performs no I/O.
 
 mod cost;
 mod rotation;
--- a/crates/placement/src/rotation.rs
+++ b/crates/placement/src/rotation.rs
@@ -1,37 +1,39 @@
-//! Going round a large fleet a few machines at a time.
+//! Random round-robin over a large fleet, a few machines at a time.
 //!
-//! A daemon that read the load of every engine would cost the fleet (daemons x
-//! engines) requests a round: 350 x 740 at the size planned for. A few engines at
-//! a time, in random order, keep the cost for each daemon constant; choosing the
-//! best of a random sample is nearly as good as choosing the best of all
+//! If every daemon read the load of every engine, a round would take (daemons x
+//! engines) requests: 350 x 740 at the planned size. Reading a few engines at a
+//! time in random order keeps the cost per daemon constant, and selecting the best
+//! of a random sample is nearly as good as selecting the best of all
 //! (Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", 2001).
 
-/// Goes round a changing set of addresses, a few at a time, each once a round.
+/// Iterates over a changing set of addresses in batches, returning each address
+/// once per round.
 #[derive(Clone, Debug, Default)]
 pub struct Rotation {
-    rest: Vec<String>,
+    /// Addresses that the current round has not returned yet.
+    remaining: Vec<String>,
 }
 
 impl Rotation {
-    /// The next `count` of `all`. `pick` chooses an index below its argument and
-    /// makes the order random.
+    /// Returns the next `count` addresses of `all`, fewer if there are fewer.
+    /// `random_index` returns an index below its argument.
     pub fn next_batch(
         &mut self,
         all: &[String],
         count: usize,
-        mut pick: impl FnMut(usize) -> usize,
+        mut random_index: impl FnMut(usize) -> usize,
     ) -> Vec<String> {
-        let wanted = count.min(all.len());
-        let mut taken = Vec::new();
-        self.rest.retain(|address| all.contains(address));
-        while taken.len() < wanted {
-            if self.rest.is_empty() {
-                self.rest = all.to_vec();
-                self.rest.retain(|address| !taken.contains(address));
+        let size = count.min(all.len());
+        let mut batch = Vec::new();
+        self.remaining.retain(|address| all.contains(address));
+        while batch.len() < size {
+            if self.remaining.is_empty() {
+                self.remaining = all.to_vec();
+                self.remaining.retain(|address| !batch.contains(address));
             }
-            let place = pick(self.rest.len());
-            taken.push(self.rest.swap_remove(place));
+            let index = random_index(self.remaining.len());
+            batch.push(self.remaining.swap_remove(index));
         }
-        taken
+        batch
     }
 }
--- a/crates/placement/src/rules.rs
+++ b/crates/placement/src/rules.rs
@@ -1,34 +1,36 @@
-//! What the configuration says of one program and one machine.
+//! Evaluation of the configuration's rules for a program and a machine.
 
 use fieldhook_model::config::{ConfigDocument, DEFAULT_PRIORITY, Effect, Rule};
 use fieldhook_model::labels::Labels;
 
-/// What the configuration says of one program and one machine.
+/// Result of evaluating the rules for a program and a machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RuleEvaluation {
-    /// Whether the work may go there.
+    /// Whether the machine may serve the program.
     pub allowed: bool,
-    /// Priority of the work there.
+    /// Priority of the program's calls on the machine.
     pub priority: u8,
-    /// Names of the rules that matched, in the document's order.
+    /// Names of the rules that matched, in the order of the document.
     pub matched: Vec<String>,
 }
 
-/// Evaluates all rules. `deny` and `drain` win over `allow`. A program that
-/// some `allow` rule selects may only go where one of these rules points.
+/// Evaluates all rules for a program and a machine, given by their labels.
+///
+/// `deny` and `drain` take precedence over `allow`. A program that is selected by
+/// any `allow` rule may only run on machines that one of these rules selects.
 pub fn evaluate_rules(
     document: &ConfigDocument,
     program: &Labels,
     machine: &Labels,
 ) -> RuleEvaluation {
     let mut matched = Vec::new();
-    let mut barred = false;
-    let mut confined = false;
+    let mut denied = false;
+    let mut restricted = false;
     let mut priority = None;
     for rule in &document.rules {
-        let for_program = rule.programs.matches(program);
-        confined |= for_program && rule.effect == Effect::Allow;
-        if !applies(rule, for_program, machine) {
+        let selects_program = rule.programs.matches(program);
+        restricted |= selects_program && rule.effect == Effect::Allow;
+        if !applies(rule, selects_program, machine) {
             continue;
         }
         matched.push(rule.name.clone());
@@ -36,18 +38,18 @@
             Effect::Allow => {
                 priority = priority.max(Some(rule.priority.unwrap_or(DEFAULT_PRIORITY)))
             }
-            Effect::Deny | Effect::Drain => barred = true,
+            Effect::Deny | Effect::Drain => denied = true,
         }
     }
     RuleEvaluation {
-        allowed: !barred && (!confined || priority.is_some()),
+        allowed: !denied && (!restricted || priority.is_some()),
         priority: priority.unwrap_or(DEFAULT_PRIORITY),
         matched,
     }
 }
 
-/// Draining concerns the machine alone, whoever asks.
-fn applies(rule: &Rule, for_program: bool, machine: &Labels) -> bool {
-    let program_fits = for_program || rule.effect == Effect::Drain;
-    program_fits && rule.machines.matches(machine)
+/// Whether a rule applies; a `drain` rule applies to a machine for all programs.
+fn applies(rule: &Rule, selects_program: bool, machine: &Labels) -> bool {
+    let program_matches = selects_program || rule.effect == Effect::Drain;
+    program_matches && rule.machines.matches(machine)
 }
--- a/crates/placement/src/selection.rs
+++ b/crates/placement/src/selection.rs
@@ -1,4 +1,4 @@
-//! The choice among the engines that the rules leave.
+//! Selection of an engine among those that the rules allow.
 
 use crate::cost::{CallDemand, Estimate, estimate};
 use crate::rules::{RuleEvaluation, evaluate_rules};
@@ -7,126 +7,133 @@
 use fieldhook_model::platform::EngineLoad;
 use std::collections::BTreeMap;
 
-/// Label by which the platform says what an engine has loaded.
+/// Label with which the platform names the model that an engine has loaded.
 const MODEL_LABEL: &str = "model";
 
-/// What is known here of an engine.
+/// An engine as this daemon knows it.
 #[derive(Clone, Debug)]
 pub struct EngineView {
     /// IP and port.
     pub address: String,
-    /// All its labels.
+    /// Labels of the platform and of the configuration.
     pub labels: Labels,
-    /// Its last report.
+    /// Last reported load.
     pub load: EngineLoad,
-    /// Calls that this daemon has running there.
+    /// Calls that this daemon has running on the engine.
     pub assigned: u32,
-    /// Whether it goes away.
+    /// Whether the platform announced that the engine is leaving.
     pub leaving: bool,
-    /// Whether it answered lately.
+    /// Whether the engine answered recently.
     pub reachable: bool,
 }
 
-/// What is to be placed.
+/// A call to place.
 #[derive(Clone, Debug)]
 pub struct PlacementRequest {
-    /// Labels of the program, with its tenant.
+    /// Labels of the program, including its tenant.
     pub labels: Labels,
-    /// Model asked for.
+    /// Requested model.
     pub model: String,
-    /// Tokens of the whole prompt, as far as known.
+    /// Estimated tokens of the whole prompt.
     pub prompt_tokens: u64,
-    /// Tokens to generate at most.
+    /// Maximum number of tokens to generate.
     pub new_tokens: u64,
-    /// Tokens of this program that engines are thought to hold.
+    /// Tokens of the program that each engine is expected to have cached, by
+    /// address.
     pub cached_tokens: BTreeMap<String, u64>,
-    /// Engines that failed this call already.
+    /// Addresses of engines on which this call already failed.
     pub excluded: Vec<String>,
 }
 
-/// The engine chosen.
+/// The selected engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Selection {
     /// IP and port.
     pub address: String,
-    /// Priority by the rules.
+    /// Priority given by the rules.
     pub priority: u8,
-    /// The expectation that decided.
+    /// Cost estimate that decided the selection.
     pub estimate: Estimate,
 }
 
-/// Why there is no choice.
+/// Why no engine could be selected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlacementError {
-    /// No live engine has the model and is allowed.
+    /// No available engine has the model and is allowed by the rules.
     NoEngine,
-    /// All allowed engines have long queues; when to come back, in milliseconds.
+    /// The queues of all allowed engines are full. Carries the time after which
+    /// to retry, in milliseconds.
     Overloaded(u64),
 }
 
-/// Batches that may wait at an engine before work is refused.
+/// Limit of running and waiting calls on an engine, in full batches.
 const QUEUE_LIMIT_BATCHES: u32 = 4;
 
-/// Chooses the engine with the earliest expected finish.
+/// Selects the engine with the earliest expected finish time.
 ///
 /// # Errors
-/// No engine may or can take the work.
+/// No engine is allowed, or all are overloaded.
 pub fn select_engine(
     document: &ConfigDocument,
     engines: &[EngineView],
-    work: &PlacementRequest,
+    request: &PlacementRequest,
 ) -> Result<Selection, PlacementError> {
-    let able = engines.iter().filter(|engine| can_serve(engine, work));
-    let judged = able.map(|engine| {
+    let capable = engines.iter().filter(|engine| can_serve(engine, request));
+    let evaluated = capable.map(|engine| {
         (
             engine,
-            evaluate_rules(document, &work.labels, &engine.labels),
+            evaluate_rules(document, &request.labels, &engine.labels),
         )
     });
-    let allowed: Vec<(&EngineView, RuleEvaluation)> =
-        judged.filter(|(_, verdict)| verdict.allowed).collect();
+    let allowed: Vec<(&EngineView, RuleEvaluation)> = evaluated
+        .filter(|(_, evaluation)| evaluation.allowed)
+        .collect();
     if allowed.is_empty() {
         return Err(PlacementError::NoEngine);
     }
-    let open: Vec<&(&EngineView, RuleEvaluation)> = allowed
+    let candidates: Vec<&(&EngineView, RuleEvaluation)> = allowed
         .iter()
-        .filter(|(engine, _)| has_room(engine))
+        .filter(|(engine, _)| has_capacity(engine))
         .collect();
-    let best = open
+    let best = candidates
         .into_iter()
-        .map(|(engine, verdict)| candidate(engine, verdict, work))
-        .min_by_key(|choice| (choice.estimate.total_us(), choice.address.clone()));
+        .map(|(engine, evaluation)| candidate(engine, evaluation, request))
+        .min_by_key(|selection| (selection.estimate.total_us(), selection.address.clone()));
     best.ok_or_else(|| PlacementError::Overloaded(shortest_wait_ms(&allowed)))
 }
 
-fn can_serve(engine: &EngineView, work: &PlacementRequest) -> bool {
+fn can_serve(engine: &EngineView, request: &PlacementRequest) -> bool {
     engine.reachable
         && !engine.leaving
         && !engine.load.leaving
-        && !work.excluded.contains(&engine.address)
-        && engine.labels.get(MODEL_LABEL) == Some(&work.model)
+        && !request.excluded.contains(&engine.address)
+        && engine.labels.get(MODEL_LABEL) == Some(&request.model)
 }
 
-fn has_room(engine: &EngineView) -> bool {
+fn has_capacity(engine: &EngineView) -> bool {
     let slots = engine.load.max_running.max(1);
-    let queued = (engine.load.running + engine.load.waiting).max(engine.assigned);
-    queued < slots * QUEUE_LIMIT_BATCHES
+    let present = (engine.load.running + engine.load.waiting).max(engine.assigned);
+    present < slots * QUEUE_LIMIT_BATCHES
 }
 
-fn candidate(engine: &EngineView, verdict: &RuleEvaluation, work: &PlacementRequest) -> Selection {
-    let held = work
+fn candidate(
+    engine: &EngineView,
+    evaluation: &RuleEvaluation,
+    request: &PlacementRequest,
+) -> Selection {
+    let cached_tokens = request
         .cached_tokens
         .get(&engine.address)
         .copied()
         .unwrap_or(0);
     let demand = CallDemand {
-        uncached_tokens: work.prompt_tokens.saturating_sub(held),
-        new_tokens: work.new_tokens,
-        migrates: held == 0 && work.cached_tokens.values().any(|tokens| *tokens > 0),
+        uncached_tokens: request.prompt_tokens.saturating_sub(cached_tokens),
+        new_tokens: request.new_tokens,
+        migrates: cached_tokens == 0 && request.cached_tokens.values().any(|tokens| *tokens > 0),
     };
     Selection {
         address: engine.address.clone(),
-        priority: verdict.priority,
+        priority: evaluation.priority,
         estimate: estimate(&engine.load, engine.assigned, demand),
     }
 }
--- a/crates/placement/tests/choice.rs
+++ b/crates/placement/tests/choice.rs
@@ -1,4 +1,5 @@
-//! Rules against a simple oracle, and what the cost model must prefer.
+//! Tests of the rules against a reference model, of the selection of engines, and
+//! of the rotation.
 
 use fieldhook_model::config::{ConfigDocument, Effect, Rule};
 use fieldhook_model::labels::{Labels, Operator, Requirement, Selector};
@@ -8,7 +9,7 @@
 };
 use quickcheck::{Gen, QuickCheck};
 
-fn labelled(value: u8) -> Labels {
+fn labels(value: u8) -> Labels {
     Labels::from([("group".to_owned(), (value % 3).to_string())])
 }
 
@@ -33,12 +34,13 @@
     }
 }
 
-fn fits(value: u8, own: u8) -> bool {
-    value.is_multiple_of(4) || value % 3 == own % 3
+fn matches(value: u8, label: u8) -> bool {
+    value.is_multiple_of(4) || value % 3 == label % 3
 }
 
-/// The oracle works on the numbers that the rules were made from.
-fn holds(rules: Vec<(u8, u8, u8)>, program: u8, machine: u8) -> bool {
+/// Compares `evaluate_rules` with a reference model that works on the numbers from
+/// which the rules are generated.
+fn rules_match_reference(rules: Vec<(u8, u8, u8)>, program: u8, machine: u8) -> bool {
     let document = ConfigDocument {
         labels: Vec::new(),
         rules: rules
@@ -48,25 +50,25 @@
             .map(|(index, it)| rule(index, it))
             .collect(),
     };
-    let verdict = evaluate_rules(&document, &labelled(program), &labelled(machine));
+    let evaluation = evaluate_rules(&document, &labels(program), &labels(machine));
     let of = |effect: u8| rules.iter().filter(move |rule| rule.0 % 3 == effect);
-    let confined = of(0).any(|rule| fits(rule.1, program));
-    let granted = of(0).any(|rule| fits(rule.1, program) && fits(rule.2, machine));
-    let denied = of(1).any(|rule| fits(rule.1, program) && fits(rule.2, machine));
-    let drained = of(2).any(|rule| fits(rule.2, machine));
+    let restricted = of(0).any(|rule| matches(rule.1, program));
+    let allowed = of(0).any(|rule| matches(rule.1, program) && matches(rule.2, machine));
+    let denied = of(1).any(|rule| matches(rule.1, program) && matches(rule.2, machine));
+    let drained = of(2).any(|rule| matches(rule.2, machine));
     assert_eq!(
-        verdict.allowed,
-        !denied && !drained && (!confined || granted)
+        evaluation.allowed,
+        !denied && !drained && (!restricted || allowed)
     );
     true
 }
 
 #[test]
-fn fuzz_rules_agree_with_the_oracle() {
+fn fuzz_rules_match_the_reference_model() {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(6, 29))
         .tests(2_000)
-        .quickcheck(holds as fn(Vec<(u8, u8, u8)>, u8, u8) -> bool);
+        .quickcheck(rules_match_reference as fn(Vec<(u8, u8, u8)>, u8, u8) -> bool);
 }
 
 fn engine(address: &str, running: u32) -> EngineView {
@@ -87,13 +89,13 @@
     }
 }
 
-fn work(held: &[(&str, u64)]) -> PlacementRequest {
+fn request(cached: &[(&str, u64)]) -> PlacementRequest {
     PlacementRequest {
         labels: Labels::new(),
         model: "chat".to_owned(),
         prompt_tokens: 5_000,
         new_tokens: 20,
-        cached_tokens: held
+        cached_tokens: cached
             .iter()
             .map(|(name, tokens)| ((*name).to_owned(), *tokens))
             .collect(),
@@ -101,19 +103,19 @@
     }
 }
 
-fn chosen(engines: &[EngineView], work: &PlacementRequest) -> Result<String, PlacementError> {
-    select_engine(&ConfigDocument::default(), engines, work).map(|choice| choice.address)
+fn selected(engines: &[EngineView], request: &PlacementRequest) -> Result<String, PlacementError> {
+    select_engine(&ConfigDocument::default(), engines, request).map(|selection| selection.address)
 }
 
 #[test]
-fn cache_is_followed_until_the_queue_there_costs_more() {
-    let work = work(&[("a", 4_900)]);
+fn an_engine_with_cached_tokens_is_preferred_until_its_queue_costs_more() {
+    let request = request(&[("a", 4_900)]);
     assert_eq!(
-        chosen(&[engine("a", 3), engine("b", 0)], &work),
+        selected(&[engine("a", 3), engine("b", 0)], &request),
         Ok("a".to_owned())
     );
     assert_eq!(
-        chosen(&[engine("a", 15), engine("b", 0)], &work),
+        selected(&[engine("a", 15), engine("b", 0)], &request),
         Ok("b".to_owned())
     );
 }
@@ -124,75 +126,78 @@
     for engine in &mut engines {
         engine.load.max_running = 16;
     }
-    // A short prompt: nothing but the batches tells the engines apart.
+    // With a short prompt the engines differ in nothing but their batches.
     let short = PlacementRequest {
         prompt_tokens: 50,
-        ..work(&[])
+        ..request(&[])
     };
     for _ in 0..12 {
-        let address = chosen(&engines, &short).expect("a choice");
-        let taken = engines.iter_mut().find(|engine| engine.address == address);
-        taken.expect("listed").assigned += 1;
+        let address = selected(&engines, &short).expect("an engine is available");
+        let target = engines.iter_mut().find(|engine| engine.address == address);
+        target.expect("listed").assigned += 1;
     }
     let assigned: Vec<u32> = engines.iter().map(|engine| engine.assigned).collect();
     assert_eq!(assigned, [4, 4, 4]);
 }
 
 #[test]
-fn a_short_conversation_stays_where_it_is_held() {
+fn a_short_conversation_stays_on_the_engine_that_has_it_cached() {
     let short = PlacementRequest {
         prompt_tokens: 100,
-        ..work(&[("b", 60)])
+        ..request(&[("b", 60)])
     };
     assert_eq!(
-        chosen(&[engine("a", 0), engine("b", 1)], &short),
+        selected(&[engine("a", 0), engine("b", 1)], &short),
         Ok("b".to_owned())
     );
 }
 
 #[test]
-fn leaving_lost_and_full_engines_get_nothing() {
-    let work = work(&[("a", 5_000)]);
+fn leaving_and_full_engines_are_not_selected() {
+    let request = request(&[("a", 5_000)]);
     let mut leaving = engine("a", 0);
     leaving.leaving = true;
     assert_eq!(
-        chosen(&[leaving.clone(), engine("b", 2)], &work),
+        selected(&[leaving.clone(), engine("b", 2)], &request),
         Ok("b".to_owned())
     );
-    assert_eq!(chosen(&[leaving], &work), Err(PlacementError::NoEngine));
-    let full = chosen(&[engine("a", 16), engine("b", 20)], &work);
+    assert_eq!(
+        selected(&[leaving], &request),
+        Err(PlacementError::NoEngine)
+    );
+    let full = selected(&[engine("a", 16), engine("b", 20)], &request);
     assert!(
         matches!(full, Err(PlacementError::Overloaded(wait_ms)) if wait_ms > 0),
         "{full:?}"
     );
 }
 
-/// Every machine comes once a round, never more than asked for, also while the
-/// list changes.
-fn rotation_holds(size: u8, count: u8, lost: u8) -> bool {
+/// Checks that every round returns every address, in batches of the requested size,
+/// and that an address that was removed from the list is not returned again.
+fn rotation_covers_all(size: u8, count: u8, removed: u8) -> bool {
     let all: Vec<String> = (0..size).map(|index| index.to_string()).collect();
     let count = usize::from(count % 9) + 1;
     let mut rotation = Rotation::default();
-    let mut seen = Vec::new();
+    let mut returned = Vec::new();
     let rounds = all.len().div_ceil(count);
     for round in 0..rounds {
-        let taken = rotation.next_batch(&all, count, |limit| (round * 7 + 3) % limit);
-        assert_eq!(taken.len(), count.min(all.len()));
-        seen.extend(taken);
+        let batch = rotation.next_batch(&all, count, |limit| (round * 7 + 3) % limit);
+        assert_eq!(batch.len(), count.min(all.len()));
+        returned.extend(batch);
     }
     assert!(
-        all.iter().all(|address| seen.contains(address)),
-        "one was passed over"
+        all.iter().all(|address| returned.contains(address)),
+        "an address was not returned in a round"
     );
-    let fewer: Vec<String> = all
+    let remaining: Vec<String> = all
         .iter()
-        .filter(|item| **item != lost.to_string())
+        .filter(|item| **item != removed.to_string())
         .cloned()
         .collect();
-    let taken = rotation.next_batch(&fewer, count, |_| 0);
+    let batch = rotation.next_batch(&remaining, count, |_| 0);
     assert!(
-        taken.iter().all(|address| fewer.contains(address)),
-        "a lost one came again"
+        batch.iter().all(|address| remaining.contains(address)),
+        "a removed address was returned"
     );
     true
 }
@@ -202,5 +207,5 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(100, 31))
         .tests(500)
-        .quickcheck(rotation_holds as fn(u8, u8, u8) -> bool);
+        .quickcheck(rotation_covers_all as fn(u8, u8, u8) -> bool);
 }
