--- a/crates/model/src/address.rs
+++ b/crates/model/src/address.rs
@@ -1,4 +1,4 @@
-//! Network identity of a daemon: where it listens and which process answers.
+//! Network identity of a daemon: its address and its process.
 
 use nanoserde::{DeBin, SerBin};
 use std::fmt;
@@ -14,7 +14,7 @@
 }
 
 impl Address {
-    /// Builds an address from its socket form.
+    /// Creates an address from a socket address.
     pub fn new(socket: SocketAddrV4) -> Self {
         Self {
             ip: u32::from(*socket.ip()),
@@ -22,7 +22,7 @@
         }
     }
 
-    /// The form that sockets take.
+    /// Returns the address as a socket address.
     pub fn socket(self) -> SocketAddrV4 {
         SocketAddrV4::new(Ipv4Addr::from(self.ip), self.port)
     }
@@ -48,15 +48,15 @@
     }
 }
 
-/// One life of one process. A daemon keeps no disk, so a restart at the same
-/// address is a new process with a higher incarnation and none of the state
-/// of the old one.
+/// Identity of a daemon's process. A daemon stores nothing on disk, so after a
+/// restart at the same address it is a new process with a higher incarnation and
+/// none of the previous state.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct ProcessId {
-    /// Where the process listens.
+    /// Address on which the process listens.
     pub address: Address,
-    /// Start of the process in milliseconds since the Unix epoch; it only has
-    /// to grow from one life to the next.
+    /// Start of the process in milliseconds since the Unix epoch. It only has to
+    /// increase from one process at an address to the next.
     pub incarnation: u64,
 }
 
--- a/crates/model/src/api.rs
+++ b/crates/model/src/api.rs
@@ -1,4 +1,4 @@
-//! The caller interface: JSON bodies of `/v1/programs` and its calls.
+//! The callers' API: JSON bodies of `/v1/programs` and its calls.
 
 use crate::error::CallError;
 use crate::labels::Labels;
@@ -11,7 +11,7 @@
 pub struct Message {
     /// `system`, `user`, `assistant` or `tool`.
     pub role: String,
-    /// The text.
+    /// Text of the message.
     pub content: String,
 }
 
@@ -19,42 +19,42 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OpenProgramRequest {
-    /// Who pays and shares fairly with others.
+    /// Tenant to which the program's cost and share of capacity are attributed.
     pub tenant: String,
     /// Labels that selectors match.
     #[serde(default)]
     pub labels: Labels,
-    /// Cost units the program may spend: one per prompt token, one per
+    /// Cost units that the program may spend: one per prompt token, one per
     /// generated token and one per server request.
     pub budget: i64,
-    /// Time until the program must be over, in milliseconds from now.
+    /// Deadline of the program, in milliseconds from now.
     pub deadline_ms: u64,
-    /// Makes opening repeatable: the same tenant and key give the same program.
+    /// Idempotency key: the same tenant and key give the same program.
     pub request_key: String,
-    /// Highest number of calls; absent for the default.
+    /// Maximum number of calls; the default applies if absent.
     #[serde(default)]
     pub max_turns: Option<u32>,
-    /// The program that spawns this one as a sub-agent.
+    /// Identifier of the program that spawns this one as a sub-agent.
     #[serde(default)]
     pub parent: Option<String>,
 }
 
-/// Answer to `POST /v1/programs`.
+/// Response to `POST /v1/programs`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct OpenProgramResponse {
-    /// Identifier for all further requests.
+    /// Identifier of the program, for all further requests.
     pub program: String,
 }
 
-/// A turn at a model engine.
+/// A turn of a conversation, served by a model engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, SerBin, DeBin)]
 #[serde(deny_unknown_fields)]
 pub struct ModelCall {
     /// Name of the model.
     pub model: String,
-    /// Only the new messages; fieldhook keeps the history.
+    /// New messages of this turn; fieldhook keeps the history.
     pub messages: Vec<Message>,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
 }
 
@@ -62,22 +62,22 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, SerBin, DeBin)]
 #[serde(deny_unknown_fields)]
 pub struct ServerCall {
-    /// Name of the server as labelled in the configuration (`service`).
+    /// Name of the service; servers that offer it have it as label `service`.
     pub service: String,
-    /// Path at the server.
+    /// Path of the request to the server.
     pub path: String,
-    /// Body to send, as text.
+    /// Body of the request to the server, as text.
     #[serde(default)]
     pub body: String,
 }
 
-/// What a call asks for.
+/// Content of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, SerBin, DeBin)]
 #[serde(rename_all = "snake_case")]
 pub enum CallSpec {
-    /// A turn at a model engine.
+    /// A turn served by a model engine.
     Model(ModelCall),
-    /// A request to a server.
+    /// A request to a tool or application server.
     Server(ServerCall),
 }
 
@@ -85,106 +85,108 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallRequest {
-    /// Place of this call in the program's order, from 1.
+    /// Position in the program's sequence of calls, from 1.
     pub call_number: u64,
-    /// Key under which this call may be asked again.
+    /// Idempotency key: repeating the request under it doesn't make a new call.
     pub request_key: String,
-    /// What is asked for.
+    /// What the caller asks for.
     pub call: CallSpec,
-    /// Whether running it twice does no harm. Model calls default to true,
-    /// server calls to false.
+    /// Whether the call may run more than once. The default is true for model
+    /// calls and false for server calls.
     #[serde(default)]
     pub repeatable: Option<bool>,
-    /// Whether the answer comes as server-sent events.
+    /// Whether the answer is streamed as server-sent events.
     #[serde(default)]
     pub stream: bool,
 }
 
 impl CallRequest {
-    /// The stated or default repeatability.
+    /// Returns whether the call may run more than once, by request or by default.
     pub fn is_repeatable(&self) -> bool {
         self.repeatable
             .unwrap_or(matches!(self.call, CallSpec::Model(_)))
     }
 }
 
-/// Cost and cache use of one answer, in tokens.
+/// Token usage of an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, SerBin, DeBin)]
 pub struct Usage {
-    /// Tokens of the whole prompt.
+    /// Tokens in the whole prompt.
     pub prompt_tokens: u64,
     /// Prompt tokens that the engine found in its cache.
     pub cached_tokens: u64,
-    /// Tokens generated.
+    /// Generated tokens.
     pub completion_tokens: u64,
 }
 
-/// A whole answer; also the data of the closing `done` event of a stream.
+/// The complete answer to a call; also the data of a stream's final `done` event.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, SerBin, DeBin)]
 pub struct Answer {
-    /// Place of the call in the program's order.
+    /// Position of the call in the program's sequence.
     pub call_number: u64,
-    /// The whole text.
+    /// Complete text of the answer.
     pub content: String,
     /// HTTP status of the server; 200 for model calls.
     pub status: u16,
-    /// Engine or server that served the last attempt.
+    /// Address of the engine or server that served the last attempt.
     pub served_by: String,
-    /// Attempts that were dispatched.
+    /// Number of attempts dispatched.
     pub attempts: u32,
-    /// Cost of the last attempt.
+    /// Token usage of the last attempt.
     pub usage: Usage,
 }
 
-/// One event between the deciding owner, the gateway and the caller.
+/// An event of a call's stream, from the shard's owner through the gateway to the
+/// caller.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum StreamEvent {
-    /// More text, beginning at a byte offset of the whole answer.
+    /// More text of the answer.
     Delta {
         /// Lineage of the text; see `Attempt::lineage`.
         lineage: u32,
-        /// Byte offset of `text` in the answer.
+        /// Byte offset of `text` in the complete answer.
         offset: u64,
         /// The text.
         text: String,
     },
-    /// Text sent so far does not belong to the answer: discard it.
+    /// The text sent so far is not part of the answer; the receiver discards it.
     Reset,
-    /// Nothing new; the sender is alive.
+    /// The sender is alive but has no new text.
     KeepAlive,
-    /// The whole answer. Nothing follows.
+    /// The complete answer. Ends the stream.
     Done(Answer),
-    /// The sender does not own the shard and dropped the call. Nothing follows.
+    /// The sender does not own the shard and dropped the call. Ends the stream.
     NotOwner,
-    /// The owner was lost on the way: the call may be recorded. Nothing follows.
+    /// The connection to the owner was lost; the call may have been recorded. Ends
+    /// the stream.
     OwnerLost,
-    /// The call failed or was refused. Nothing follows.
+    /// The call failed or was refused. Ends the stream.
     Failed(CallError),
 }
 
-/// Answer to `GET /v1/programs/{id}`.
+/// Response to `GET /v1/programs/{id}`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, SerBin, DeBin)]
 pub struct ProgramView {
     /// Identifier.
     pub program: String,
-    /// Owner.
+    /// Tenant that the program belongs to.
     pub tenant: String,
-    /// Labels.
+    /// Labels that selectors match.
     pub labels: Labels,
     /// `open` or `ended`.
     pub phase: String,
     /// Calls issued so far.
     pub calls: u64,
-    /// Number of the call that is running, if one is.
+    /// Number of the running call, if any.
     pub running_call: Option<u64>,
     /// Budget of the root program.
     pub budget: u64,
-    /// Units spent by the root program and its sub-agents.
+    /// Cost units spent by the root program and its sub-agents.
     pub spent: u64,
-    /// Units reserved for calls under way.
+    /// Cost units reserved for running calls.
     pub reserved: u64,
-    /// Engines that may hold cache for the program.
+    /// Addresses of engines that may hold cache for the program.
     pub held_by: Vec<String>,
-    /// The conversation.
+    /// The conversation so far.
     pub history: Vec<Message>,
 }
--- a/crates/model/src/config.rs
+++ b/crates/model/src/config.rs
@@ -1,79 +1,81 @@
-//! The configuration document that operators publish: labels and rules.
+//! The configuration document that operators publish: labels and placement rules.
 
 use crate::labels::{Labels, Operator, Requirement, Selector};
 use nanoserde::{DeBin, SerBin};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Highest priority a rule may give; 0 is the lowest.
+/// Highest priority that a rule may set; 0 is the lowest.
 pub const MAX_PRIORITY: u8 = 100;
-/// Priority of work that no rule matches.
+/// Priority of calls for which no rule sets one.
 pub const DEFAULT_PRIORITY: u8 = 50;
 
-/// Extra labels for machines by name, on top of the platform's own.
+/// Additional labels for machines, selected by name.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, SerBin, DeBin)]
 #[serde(deny_unknown_fields)]
 pub struct MachineLabels {
     /// Names of machines.
     pub machines: Vec<String>,
-    /// Labels to add; they replace equal names.
+    /// Labels to add; they override the platform's labels of the same name.
     pub labels: Labels,
 }
 
-/// What a rule does with engines that it selects.
+/// Effect of a rule on the programs and machines that it selects.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, SerBin, DeBin)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
-    /// Matching programs may go to matching engines, with the rule's priority.
+    /// Selected programs may run on selected machines, with the rule's priority.
     #[default]
     Allow,
-    /// Matching programs may not go to matching engines.
+    /// Selected programs may not run on selected machines.
     Deny,
-    /// Matching engines get no new work.
+    /// Selected machines get no new work from any program.
     Drain,
 }
 
-/// Which programs may go to which machines, and how urgently.
+/// A placement rule: which programs may run on which machines, and with which
+/// priority.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, SerBin, DeBin)]
 #[serde(deny_unknown_fields)]
 pub struct Rule {
     /// Unique name, shown by `fieldhook explain`.
     pub name: String,
-    /// What the rule does.
+    /// Effect of the rule.
     #[serde(default)]
     pub effect: Effect,
-    /// Programs that the rule applies to (labels of the program and `tenant`).
+    /// Programs that the rule selects, by the program's labels and `tenant`.
     #[serde(default)]
     pub programs: Selector,
-    /// Engines or servers that the rule applies to.
+    /// Engines and servers that the rule selects, by their labels.
     #[serde(default)]
     pub machines: Selector,
-    /// Priority of the work, 0 to 100; the highest of the matching rules counts.
+    /// Priority of the calls, 0 to 100; the highest of all matching rules applies.
     #[serde(default)]
     pub priority: Option<u8>,
 }
 
-/// The whole document.
+/// The configuration document.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, SerBin, DeBin)]
 #[serde(deny_unknown_fields)]
 pub struct ConfigDocument {
-    /// Labels of machines.
+    /// Additional labels of machines.
     #[serde(default)]
     pub labels: Vec<MachineLabels>,
-    /// Rules. Without any `allow` rule for a machine, everything may go there.
+    /// Placement rules. A program that no `allow` rule selects may run on every
+    /// machine that no other rule denies or drains.
     #[serde(default)]
     pub rules: Vec<Rule>,
 }
 
-/// Why a document is not valid; the message names the place and the remedy.
+/// Why a document is not valid. The message names the location and the remedy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConfigError {
-    /// Not TOML, or unknown or missing keys. Carries the parser's message with
-    /// line and column.
+    /// The document is not TOML, or keys are unknown or missing. Carries the
+    /// parser's message with line and column.
     Syntax(String),
-    /// Two rules share a name.
+    /// Two rules have the same name, which is given here.
     DuplicateRule(String),
-    /// A requirement cannot be evaluated.
+    /// A requirement is not valid.
     Requirement {
         /// Name of the rule.
         rule: String,
@@ -118,7 +120,7 @@
     /// Parses and validates a TOML document.
     ///
     /// # Errors
-    /// The first problem found, with its place and the remedy.
+    /// The first problem found, with its location and the remedy.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let document: Self =
             toml::from_str(text).map_err(|error| ConfigError::Syntax(error.to_string()))?;
@@ -126,7 +128,7 @@
         Ok(document)
     }
 
-    /// Checks what the syntax alone does not.
+    /// Checks what parsing alone doesn't: names, requirements and priorities.
     ///
     /// # Errors
     /// The first problem found.
@@ -143,21 +145,21 @@
         Ok(())
     }
 
-    /// Adds a rule in place of one of the same name.
+    /// Adds a rule, replacing any rule of the same name.
     pub fn upsert_rule(&mut self, rule: Rule) {
         self.remove_rule(&rule.name);
         self.rules.push(rule);
     }
 
-    /// Removes the rule of a name, if there is one.
+    /// Removes the rule with a name, if there is one.
     pub fn remove_rule(&mut self, name: &str) {
         self.rules.retain(|rule| rule.name != name);
     }
 
-    /// Labels of a machine: the platform's own, its name and zone, and the
-    /// document's.
-    pub fn machine_labels(&self, name: &str, zone: &str, own: &Labels) -> Labels {
-        let mut labels = own.clone();
+    /// Returns the labels of a machine: those of the platform, its name and zone,
+    /// and those of this document.
+    pub fn machine_labels(&self, name: &str, zone: &str, platform_labels: &Labels) -> Labels {
+        let mut labels = platform_labels.clone();
         labels.insert("name".to_owned(), name.to_owned());
         labels.insert("zone".to_owned(), zone.to_owned());
         for entry in &self.labels {
@@ -170,7 +172,7 @@
 }
 
 impl Rule {
-    /// A rule that gives no new work to machines with this label.
+    /// Creates a rule that drains the machines with a label.
     pub fn drain(name: &str, label: &str, value: &str) -> Self {
         let requirement = Requirement {
             key: label.to_owned(),
--- a/crates/model/src/config_log.rs
+++ b/crates/model/src/config_log.rs
@@ -1,58 +1,62 @@
-//! Which published changes count: a pure function of the log's prefix.
+//! The log of configuration changes, and which of them are accepted.
 //!
-//! Every reader folds the same records in the same order and so accepts the
-//! same ones; racing operators get exactly one winner without a coordinator.
+//! Acceptance is a pure function of the log's prefix. All readers apply the same
+//! records in the same order and so accept the same ones. If operators publish
+//! concurrently, exactly one of them wins, without a coordinator.
 
 use crate::config::ConfigDocument;
 use nanoserde::{DeBin, SerBin};
 use serde::{Deserialize, Serialize};
 
-/// Name of the stream that carries the changes.
+/// Name of the log stream that holds the configuration changes.
 pub const CONFIG_STREAM: &str = "config";
 
-/// One record of the stream.
+/// A record of the stream: a new version of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ConfigChange {
-    /// Version that the operator saw when editing.
+    /// Version that the operator edited. The change is accepted only if this is
+    /// still the version in force.
     pub based_on: u64,
-    /// Unique key of this attempt, by which a lost answer is settled.
+    /// Unique key of the change, by which its publisher finds the outcome if the
+    /// answer to the append was lost.
     pub change_key: String,
-    /// Who published it.
+    /// Author of the change.
     pub author: String,
-    /// The whole new document, TOML.
+    /// The whole new document in TOML.
     pub document: String,
 }
 
-/// What became of one record.
+/// Outcome of a record of the stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeOutcome {
-    /// In force as this version.
+    /// The change was accepted as this version.
     Accepted(u64),
-    /// Another change came first; the version now in force.
+    /// The change is based on another version than the one in force, which is
+    /// given here.
     OutOfDate(u64),
-    /// Not a valid change.
+    /// The record or its document is not valid, for the given reason.
     Invalid(String),
 }
 
-/// State after folding a prefix of the stream.
+/// State after applying a prefix of the stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct ConfigState {
     /// Number of accepted changes.
     pub version: u64,
-    /// Offset of the next record to fold.
+    /// Offset of the next record to apply.
     pub next_offset: u64,
-    /// Key of the change in force.
+    /// Key of the change that made the version in force.
     pub change_key: String,
-    /// The document's text, as published.
+    /// Text of the document in force, as published.
     pub text: String,
-    /// The document in force.
+    /// The document in force, parsed.
     pub document: ConfigDocument,
 }
 
 impl ConfigState {
-    /// Folds the record at `offset`. Records out of sequence are ignored,
-    /// which makes repeated delivery harmless.
+    /// Applies the record at `offset`. Records out of sequence are ignored and
+    /// return `None`, which makes repeated delivery harmless.
     pub fn apply_record(&mut self, offset: u64, data: &str) -> Option<ChangeOutcome> {
         if offset != self.next_offset {
             return None;
@@ -81,13 +85,14 @@
         }
     }
 
-    /// Takes over a peer's state if it folds a longer prefix. Prefixes of one
-    /// log cannot disagree, so the longer one is the newer one.
+    /// Replaces this state by a peer's if that covers a longer prefix of the log.
+    /// Prefixes of one log cannot disagree, so the longer one is newer. Returns
+    /// whether the state was replaced.
     pub fn adopt_if_newer(&mut self, other: ConfigState) -> bool {
-        let newer = other.next_offset > self.next_offset;
-        if newer {
+        let is_newer = other.next_offset > self.next_offset;
+        if is_newer {
             *self = other;
         }
-        newer
+        is_newer
     }
 }
--- a/crates/model/src/error.rs
+++ b/crates/model/src/error.rs
@@ -1,22 +1,22 @@
-//! Errors that callers and operators see.
+//! Errors that are returned to callers and operators.
 
 use nanoserde::{DeBin, SerBin};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Whether a refused or failed request ran at its engine or server.
+/// Whether a refused or failed request was executed by its engine or server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, SerBin, DeBin)]
 #[serde(rename_all = "snake_case")]
 pub enum Executed {
     /// It did not run and will not.
     No,
-    /// It may have run; nobody here knows.
+    /// It may have run.
     Unknown,
     /// It ran.
     Yes,
 }
 
-/// Kind of a refusal or failure; part of the caller interface.
+/// Kind of an error; part of the callers' API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, SerBin, DeBin)]
 #[serde(rename_all = "snake_case")]
 pub enum ErrorKind {
@@ -28,51 +28,51 @@
     ProgramUnknown,
     /// The program has ended.
     ProgramEnded,
-    /// An earlier call number has not been issued yet.
+    /// An earlier call number has not been issued yet, or its call is running.
     CallNumberTooEarly,
     /// The call number is taken by a request with another key.
     CallNumberConflict,
     /// The request key was used for another call of the program.
     RequestKeyConflict,
-    /// The request key was refused for good; a new key is needed.
+    /// The request key was refused permanently; a new key is needed.
     RequestKeyRefused,
-    /// The highest possible cost does not fit the remaining budget.
+    /// The maximum cost of the call exceeds the available budget.
     BudgetExhausted,
     /// The program's deadline has passed.
     DeadlineExceeded,
-    /// The program has made as many calls as it may.
+    /// The program has reached its maximum number of calls.
     TurnLimit,
     /// No engine or server may serve this call under the configuration.
     NoTarget,
     /// Queues are full.
     Overloaded,
-    /// This daemon serves no new work now.
+    /// This daemon accepts no new work at present.
     NotReady,
-    /// The deciding owner could not be reached in time.
+    /// The owner of the program's shard could not be reached in time.
     Unavailable,
     /// A request that is not repeatable may or may not have run.
     OutcomeUnknown,
-    /// The engine or server answered with an error or was lost too often.
+    /// The engine or server answered with an error, or all attempts failed.
     TargetFailed,
     /// The program ended while the call was running.
     Cancelled,
 }
 
-/// The body of every error answer.
+/// Body of every error response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, SerBin, DeBin)]
 pub struct CallError {
     /// Kind of the error.
     pub kind: ErrorKind,
     /// Whether the request ran.
     pub executed: Executed,
-    /// When to come back, in milliseconds; absent if coming back is no use.
+    /// Time after which to retry, in milliseconds; absent if a retry cannot help.
     pub retry_after_ms: Option<u64>,
-    /// What to do about it.
+    /// What the caller or operator can do about it.
     pub remedy: String,
 }
 
 impl CallError {
-    /// An error for a request that did not run.
+    /// Creates an error for a request that did not run.
     pub fn not_run(kind: ErrorKind, remedy: impl Into<String>) -> Self {
         Self {
             kind,
@@ -82,19 +82,19 @@
         }
     }
 
-    /// The same error with the time to come back.
+    /// Sets the time after which to retry.
     pub fn retry_after(mut self, delay_ms: u64) -> Self {
         self.retry_after_ms = Some(delay_ms);
         self
     }
 
-    /// The same error with another statement about execution.
+    /// Sets whether the request ran.
     pub fn executed(mut self, executed: Executed) -> Self {
         self.executed = executed;
         self
     }
 
-    /// HTTP status that goes with this error.
+    /// Returns the HTTP status of the response.
     pub fn status(&self) -> u16 {
         match self.kind {
             ErrorKind::InvalidRequest => 400,
--- a/crates/model/src/labels.rs
+++ b/crates/model/src/labels.rs
@@ -1,14 +1,14 @@
-//! Labels and the selectors that match them.
+//! Labels, and selectors that match them.
 
 use nanoserde::{DeBin, SerBin};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Labels of an engine, a machine or a program: name to value.
+/// Labels of a machine or a program, from name to value.
 pub type Labels = BTreeMap<String, String>;
 
-/// How one requirement compares a label, as operators know it from label
-/// selectors elsewhere.
+/// How a requirement compares a label. The operators are those of Kubernetes label
+/// selectors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, SerBin, DeBin)]
 #[serde(rename_all = "snake_case")]
 pub enum Operator {
@@ -22,21 +22,21 @@
     DoesNotExist,
 }
 
-/// One condition on one label.
+/// A condition on a label.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, SerBin, DeBin)]
 #[serde(deny_unknown_fields)]
 pub struct Requirement {
     /// Name of the label.
     pub key: String,
-    /// The comparison.
+    /// How the label is compared.
     pub operator: Operator,
-    /// Values for `in` and `not_in`.
+    /// Values for `in` and `not_in`; empty for the other operators.
     #[serde(default)]
     pub values: Vec<String>,
 }
 
 impl Requirement {
-    /// Whether the labels meet this condition.
+    /// Returns whether the labels meet this condition.
     pub fn matches(&self, labels: &Labels) -> bool {
         let value = labels.get(&self.key);
         let listed = value.is_some_and(|value| self.values.contains(value));
@@ -48,20 +48,20 @@
         }
     }
 
-    /// What is wrong with this condition, if anything.
+    /// Returns why this requirement is not valid, or `None` if it is.
     pub fn validation_error(&self) -> Option<String> {
         let needs_values = matches!(self.operator, Operator::In | Operator::NotIn);
         if self.key.is_empty() {
             return Some("a requirement has an empty key".to_owned());
         }
         if needs_values == self.values.is_empty() {
-            let wanted = if needs_values {
+            let expected = if needs_values {
                 "at least one value"
             } else {
                 "no values"
             };
             return Some(format!(
-                "the operator on label {:?} takes {wanted}",
+                "the operator on label {:?} takes {expected}",
                 self.key
             ));
         }
@@ -69,13 +69,14 @@
     }
 }
 
-/// A selector: all requirements must hold; an empty selector matches everything.
+/// A list of requirements that labels have to meet all. An empty selector matches
+/// everything.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, SerBin, DeBin)]
 #[serde(transparent)]
 pub struct Selector(pub Vec<Requirement>);
 
 impl Selector {
-    /// Whether the labels meet every requirement.
+    /// Returns whether the labels meet every requirement.
     pub fn matches(&self, labels: &Labels) -> bool {
         self.0.iter().all(|requirement| requirement.matches(labels))
     }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,6 +1,8 @@
-//! Shared vocabulary of fieldhook: addresses, identifiers, labels, selectors,
-//! the configuration document with its acceptance rule, the caller interface
-//! and the errors. Everything here is pure: no clock, no socket, no thread.
+//! Data types that the other crates share: addresses, identifiers, labels,
+//! selectors, the configuration document and its change log, the callers' API and
+//! its errors, the operators' API and the platform's messages.
+//!
+//! Nothing in this crate does I/O, reads a clock or starts threads.
 
 pub mod address;
 pub mod api;
--- a/crates/model/src/operator.rs
+++ b/crates/model/src/operator.rs
@@ -1,65 +1,65 @@
-//! What operators see: answers of the daemon's operator routes.
+//! The operators' API: JSON bodies of the daemon's operator routes.
 
 use crate::labels::Labels;
 use serde::{Deserialize, Serialize};
 
-/// One daemon, as another sees it.
+/// Status of a daemon, as the answering daemon sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DaemonStatus {
     /// IP and port.
     pub address: String,
-    /// Zone.
+    /// Zone of the daemon.
     pub zone: String,
     /// `alive`, `suspect`, `dead` or `left`.
     pub state: String,
 }
 
-/// One shard, as a daemon knows it.
+/// Status of a shard, as the answering daemon knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardStatus {
     /// The shard.
     pub shard: u16,
-    /// Epoch of its ownership.
+    /// Epoch of the current ownership.
     pub epoch: u64,
-    /// IP and port of its owner; none while it is released.
+    /// IP and port of the owner; absent while the shard has none.
     pub owner: Option<String>,
 }
 
-/// One engine, as a daemon sees it.
+/// Status of an engine, as the answering daemon sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineStatus {
     /// IP and port.
     pub address: String,
-    /// Its labels.
+    /// Labels of the platform and of the configuration.
     pub labels: Labels,
-    /// Sequences in its batch.
+    /// Sequences in the running batch.
     pub running: u32,
-    /// Sequences in its queue.
+    /// Sequences in the queue.
     pub waiting: u32,
-    /// Cached tokens.
+    /// Tokens in the cache.
     pub cached_tokens: u64,
-    /// Whether it answered lately.
+    /// Whether the engine answered recently.
     pub reachable: bool,
-    /// Whether it gets no new work.
+    /// Whether the engine is leaving and gets no new work.
     pub leaving: bool,
 }
 
 /// Answer to `GET /v1/status`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// The daemon that answers.
+    /// IP and port of the answering daemon.
     pub address: String,
-    /// Its process: address and incarnation.
+    /// Process of the answering daemon: address and incarnation.
     pub process: String,
-    /// Version of the configuration in force there.
+    /// Version of the configuration in force on this daemon.
     pub config_version: u64,
-    /// Commands of shards owned there that the platform's log does not have yet.
+    /// Commands of the daemon's own shards that are not in the platform's log yet.
     pub commands_waiting: i64,
-    /// All daemons.
+    /// All known daemons.
     pub daemons: Vec<DaemonStatus>,
     /// All shards.
     pub shards: Vec<ShardStatus>,
-    /// All engines.
+    /// All known engines.
     pub engines: Vec<EngineStatus>,
 }
 
@@ -68,26 +68,26 @@
 pub struct ConfigStatus {
     /// Version in force.
     pub version: u64,
-    /// Key of the change that made it.
+    /// Key of the change that made this version.
     pub change_key: String,
-    /// Offset after the last folded record of the log.
+    /// Offset after the last applied record of the configuration log.
     pub next_offset: u64,
-    /// The document.
+    /// Text of the document.
     pub document: String,
 }
 
-/// One program in the list of a daemon that owns its shard.
+/// Entry of a program in the list of the daemon that owns its shard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProgramSummary {
     /// Identifier.
     pub program: String,
-    /// Owner.
+    /// Tenant that the program belongs to.
     pub tenant: String,
     /// `open` or `ended`.
     pub phase: String,
     /// Calls issued.
     pub calls: u64,
-    /// Number of the call that runs, if one does.
+    /// Number of the running call, if any.
     pub running_call: Option<u64>,
 }
 
@@ -96,31 +96,31 @@
 pub struct PlacementExplanation {
     /// IP and port of the machine.
     pub machine: String,
-    /// Its labels.
+    /// Labels of the platform and of the configuration.
     pub labels: Labels,
-    /// Whether the rules allow it.
+    /// Whether the rules allow the machine to serve the program.
     pub allowed: bool,
-    /// Rules that matched.
+    /// Names of the rules that matched.
     pub rules: Vec<String>,
-    /// Priority that the work would have.
+    /// Priority that the program's calls would have on the machine.
     pub priority: u8,
-    /// Whether it answered lately and is not leaving.
+    /// Whether the machine answered recently and is not leaving.
     pub available: bool,
-    /// Expected time until a typical answer is there, in milliseconds.
+    /// Expected time to a typical answer, in milliseconds.
     pub expected_ms: u64,
-    /// Tokens of the program that it is thought to hold.
+    /// Estimated tokens of the program in the machine's cache.
     pub held_tokens: u64,
 }
 
-/// One shard owned by the daemon that answers.
+/// Status of a shard that the answering daemon owns.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OwnedShardStatus {
     /// The shard.
     pub shard: u16,
     /// Epoch of the ownership.
     pub epoch: u64,
-    /// Index of the newest durable and applied command.
+    /// Index of the newest command that is durable and applied.
     pub applied: u64,
-    /// Commands that the log does not have yet.
+    /// Commands that are not in the log yet.
     pub waiting: u64,
 }
--- a/crates/model/tests/config_document.rs
+++ b/crates/model/tests/config_document.rs
@@ -1,16 +1,16 @@
-//! Documents: what is wrong is named with its place and the remedy.
+//! Validation errors of the configuration document, and selectors.
 
 use fieldhook_model::config::{ConfigDocument, ConfigError};
 use fieldhook_model::labels::{Labels, Operator, Requirement, Selector};
 
 #[test]
-fn errors_name_the_place_and_the_remedy() {
+fn errors_name_the_location_and_the_remedy() {
     let unknown = ConfigDocument::parse("[[rules]]\nname = \"a\"\ncolour = 1\n").unwrap_err();
     assert!(unknown.to_string().contains("line 3"), "{unknown}");
     assert!(unknown.to_string().contains("remedy"), "{unknown}");
-    let twice = "[[rules]]\nname = \"a\"\n[[rules]]\nname = \"a\"\n";
+    let duplicate = "[[rules]]\nname = \"a\"\n[[rules]]\nname = \"a\"\n";
     assert_eq!(
-        ConfigDocument::parse(twice),
+        ConfigDocument::parse(duplicate),
         Err(ConfigError::DuplicateRule("a".to_owned()))
     );
     let priority = ConfigDocument::parse("[[rules]]\nname = \"a\"\npriority = 101\n");
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn selectors_compare_as_operators_know_them() {
+fn requirements_compare_labels() {
     let labels = Labels::from([("app".to_owned(), "checkout".to_owned())]);
     let requirement = |key: &str, operator, values: &[&str]| Requirement {
         key: key.to_owned(),
@@ -42,8 +42,8 @@
         (requirement("none", Operator::Exists, &[]), false),
         (requirement("none", Operator::DoesNotExist, &[]), true),
     ];
-    for (requirement, wanted) in cases {
-        assert_eq!(requirement.matches(&labels), wanted, "{requirement:?}");
+    for (requirement, expected) in cases {
+        assert_eq!(requirement.matches(&labels), expected, "{requirement:?}");
     }
     assert!(Selector::default().matches(&labels));
 }
--- a/crates/model/tests/config_fuzz.rs
+++ b/crates/model/tests/config_fuzz.rs
@@ -1,5 +1,5 @@
-//! Configuration: many readers that fold, miss, repeat, restart and learn from
-//! each other, against one fold in order.
+//! Readers of the configuration log that skip and repeat records, restart and copy
+//! state from each other always agree with one that applies the log in order.
 
 use fieldhook_model::config_log::{ChangeOutcome, ConfigChange, ConfigState};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -8,17 +8,17 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Operation {
-    /// An operator publishes on the version that a reader shows.
+    /// An operator publishes a change based on the version that a reader has.
     Publish {
         reader: u8,
         valid: bool,
         twice: bool,
     },
-    /// A reader folds some records, perhaps some of them again.
+    /// A reader applies some records, possibly some of them again.
     Read { reader: u8, records: u8, back: u8 },
-    /// A reader takes another's state.
-    Learn { reader: u8, from: u8 },
-    /// A reader starts anew.
+    /// A reader adopts another's state if it is newer.
+    Adopt { reader: u8, from: u8 },
+    /// A reader restarts without state.
     Restart { reader: u8 },
 }
 
@@ -37,7 +37,7 @@
                 records: other + 1,
                 back: other % 3,
             },
-            6 => Self::Learn {
+            6 => Self::Adopt {
                 reader,
                 from: other,
             },
@@ -47,19 +47,19 @@
 }
 
 #[derive(Default)]
-struct Fuzz {
+struct Harness {
     log: Vec<String>,
     readers: Vec<ConfigState>,
-    /// Highest version that each reader has shown since its start.
-    shown: Vec<u64>,
+    /// Highest version that each reader has had since its start.
+    highest_version: Vec<u64>,
     published: u32,
 }
 
-impl Fuzz {
+impl Harness {
     fn new() -> Self {
         Self {
             readers: vec![ConfigState::default(); READERS],
-            shown: vec![0; READERS],
+            highest_version: vec![0; READERS],
             ..Self::default()
         }
     }
@@ -76,13 +76,13 @@
                 records,
                 back,
             } => self.read(reader, records, back),
-            Operation::Learn { reader, from } => {
+            Operation::Adopt { reader, from } => {
                 let other = self.readers[usize::from(from)].clone();
                 self.readers[usize::from(reader)].adopt_if_newer(other);
             }
             Operation::Restart { reader } => {
                 self.readers[usize::from(reader)] = ConfigState::default();
-                self.shown[usize::from(reader)] = 0;
+                self.highest_version[usize::from(reader)] = 0;
             }
         }
         self.check();
@@ -118,7 +118,8 @@
         }
     }
 
-    /// The oracle: accepted is what is valid and based on the version before.
+    /// Reference model: returns the version and change key after a prefix of the log.
+    /// A change is accepted if it is valid and based on the version in force.
     fn expected(&self, prefix: u64) -> (u64, String) {
         let mut version = 0;
         let mut key = String::new();
@@ -138,23 +139,27 @@
             assert_eq!(
                 (state.version, state.change_key.clone()),
                 expected,
-                "folds differ"
+                "a reader differs from the reference model"
             );
-            assert!(state.version >= self.shown[reader], "a reader went back");
-            self.shown[reader] = state.version;
+            assert!(
+                state.version >= self.highest_version[reader],
+                "the version of a reader decreased"
+            );
+            self.highest_version[reader] = state.version;
         }
     }
 }
 
-fn holds(operations: Vec<Operation>) -> bool {
-    let mut fuzz = Fuzz::new();
+fn run_operations(operations: Vec<Operation>) -> bool {
+    let mut harness = Harness::new();
     for operation in operations {
-        fuzz.perform(operation);
+        harness.perform(operation);
     }
     true
 }
 
-fn setting(name: &str, default: u64) -> u64 {
+/// Reads a number from the environment.
+fn env_or(name: &str, default: u64) -> u64 {
     std::env::var(name)
         .ok()
         .and_then(|text| text.parse().ok())
@@ -162,20 +167,20 @@
 }
 
 #[test]
-fn fuzz_configuration_agrees_with_one_fold() {
-    let cases = setting("FIELDHOOK_FUZZ_CASES", 500);
+fn fuzz_config_readers_agree_with_the_reference_model() {
+    let cases = env_or("FIELDHOOK_FUZZ_CASES", 500);
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(
             60,
-            setting("FIELDHOOK_FUZZ_SEED", 3),
+            env_or("FIELDHOOK_FUZZ_SEED", 3),
         ))
         .tests(cases)
         .max_tests(cases * 2)
-        .quickcheck(holds as fn(Vec<Operation>) -> bool);
+        .quickcheck(run_operations as fn(Vec<Operation>) -> bool);
 }
 
 #[test]
-fn racing_changes_have_one_winner() {
+fn only_one_of_two_concurrent_changes_is_accepted() {
     let change = |key: &str| ConfigChange {
         based_on: 0,
         change_key: key.to_owned(),
