--- a/crates/daemon/src/drain.rs
+++ b/crates/daemon/src/drain.rs
@@ -8,51 +8,57 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-const CHECK: Millis = Millis(20);
+const POLL_INTERVAL: Millis = Millis(20);
 /// Time for which new calls are held back until requests to servers that are
 /// not repeatable have answered here.
-const HOLD_LIMIT: Duration = Duration::from_secs(12);
+const MAX_HANDOVER_TIME: Duration = Duration::from_secs(12);
 /// Time in which others learn that this daemon goes.
-const FAREWELL: Millis = Millis(700);
+const LEAVE_NOTICE_TIME: Millis = Millis(700);
 /// Longest planned stop; streams of engines end well within it.
-const STOP_LIMIT: Duration = Duration::from_secs(120);
+const MAX_DRAIN_TIME: Duration = Duration::from_secs(120);
 
 /// Does all of a planned stop but ending the process.
 pub async fn drain(node: Rc<Node>) {
     tracing::info!("planned stop begins");
     node.set_phase(Phase::Draining);
-    let begun = Instant::now();
+    let started = Instant::now();
     node.claims.stop_claiming();
     let handovers = node
         .hosts()
         .into_iter()
         .map(|host| hand_over(node.clone(), host));
     futures_util::future::join_all(handovers).await;
-    while node.metrics.in_flight.get() > 0 && begun.elapsed() < STOP_LIMIT {
-        sleep(CHECK).await;
+    while node.metrics.in_flight.get() > 0 && started.elapsed() < MAX_DRAIN_TIME {
+        sleep(POLL_INTERVAL).await;
     }
     node.detector.borrow_mut().leave();
-    sleep(FAREWELL).await;
-    tracing::info!(seconds = begun.elapsed().as_secs_f64(), "planned stop done");
+    sleep(LEAVE_NOTICE_TIME).await;
+    tracing::info!(
+        seconds = started.elapsed().as_secs_f64(),
+        "planned stop done"
+    );
 }
 
 /// Hands a shard over. Streams of engines go on at the next owner; a request that
 /// must not run twice has to end here first, because its answer can only be recorded
 /// by the owner that waits for it.
 async fn hand_over(node: Rc<Node>, host: Rc<ShardHost>) {
-    let begun = Instant::now();
-    host.holding.set(true);
-    while host.owns() && runs_unrepeatable(&host) && begun.elapsed() < HOLD_LIMIT {
-        sleep(CHECK).await;
+    let started = Instant::now();
+    host.handing_over.set(true);
+    while host.is_owned()
+        && runs_non_repeatable_call(&host)
+        && started.elapsed() < MAX_HANDOVER_TIME
+    {
+        sleep(POLL_INTERVAL).await;
     }
-    while host.owns() && begun.elapsed() < HOLD_LIMIT {
+    while host.is_owned() && started.elapsed() < MAX_HANDOVER_TIME {
         // Another claim may have moved the end of the topic: the next try knows it.
         let _ = node.claims.release(u32::from(host.shard), None).await;
-        sleep(CHECK).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-fn runs_unrepeatable(host: &ShardHost) -> bool {
+fn runs_non_repeatable_call(host: &ShardHost) -> bool {
     let state = host.state.borrow();
     let running = host.live.borrow();
     running.keys().any(|(program, number)| {
--- a/crates/daemon/src/gateway/calls.rs
+++ b/crates/daemon/src/gateway/calls.rs
@@ -1,7 +1,7 @@
 //! `POST /v1/programs/{id}/calls`: one call, whole or as server-sent events.
 
 use crate::gateway::input::{
-    check_admission, check_key, failure, invalid, parse_program, read_json,
+    check_admission, check_key, error_response, invalid_request, parse_program, read_json,
 };
 use crate::gateway::relay::relay;
 use crate::gateway::source::EVENT_BACKLOG;
@@ -56,26 +56,26 @@
     node.metrics.requests.inc();
     let node: Rc<Node> = (*node).clone();
     let in_flight = InFlight::new(&node);
-    let (call, streams) = match checked_call(&node, &request, &id, payload).await {
+    let (call, is_streaming) = match parse_call(&node, &request, &id, payload).await {
         Ok(checked) => checked,
-        Err(error) => return failure(&node, &error),
+        Err(error) => return error_response(&node, &error),
     };
     let (out, mut events) = mpsc::channel(EVENT_BACKLOG);
     ntex::rt::spawn(relay(node.clone(), call, out));
-    if streams {
-        return stream_answer(node, in_flight, events).await;
+    if is_streaming {
+        return stream_response(node, in_flight, events).await;
     }
     loop {
         match events.recv().await {
             Some(StreamEvent::Done(answer)) => return json(200, &answer),
-            Some(StreamEvent::Failed(error)) => return failure(&node, &error),
+            Some(StreamEvent::Failed(error)) => return error_response(&node, &error),
             Some(_) => {}
-            None => return failure(&node, &lost()),
+            None => return error_response(&node, &relay_lost_error()),
         }
     }
 }
 
-async fn checked_call(
+async fn parse_call(
     node: &Rc<Node>,
     request: &HttpRequest,
     id: &str,
@@ -85,7 +85,7 @@
     let program = parse_program(node, id)?;
     let body: CallRequest = read_json(node, payload).await?;
     check_key(&body.request_key)?;
-    check_spec(&body)?;
+    validate_spec(&body)?;
     let position = match request.headers().get(LAST_EVENT_ID) {
         Some(value) => parse_event_id(value.to_str().unwrap_or_default())?,
         None => Position::default(),
@@ -98,21 +98,21 @@
         spec: body.call,
         repeatable,
         position,
-        seen: None,
-        copied: false,
+        delivered: None,
+        has_earlier_copy: false,
     };
     Ok((message, body.stream))
 }
 
-fn check_spec(body: &CallRequest) -> Result<(), CallError> {
+fn validate_spec(body: &CallRequest) -> Result<(), CallError> {
     if body.call_number == 0 {
-        return Err(invalid("call numbers start at 1"));
+        return Err(invalid_request("call numbers start at 1"));
     }
     match &body.call {
         CallSpec::Model(model) if model.max_tokens == 0 || model.messages.is_empty() => Err(
-            invalid("send at least one message and a max_tokens of at least 1"),
+            invalid_request("send at least one message and a max_tokens of at least 1"),
         ),
-        CallSpec::Model(_) if !body.is_repeatable() => Err(invalid(
+        CallSpec::Model(_) if !body.is_repeatable() => Err(invalid_request(
             "leave repeatable out of model calls; they change nothing outside",
         )),
         _ => Ok(()),
@@ -130,12 +130,12 @@
             offset: offset.parse().ok()?,
         })
     });
-    parsed.ok_or_else(|| invalid("send the id of the last event received as Last-Event-ID"))
+    parsed.ok_or_else(|| invalid_request("send the id of the last event received as Last-Event-ID"))
 }
 
 /// Answers with events. A call that is refused before its first event gets the
 /// refusal's status instead.
-async fn stream_answer(
+async fn stream_response(
     node: Rc<Node>,
     in_flight: InFlight,
     mut events: mpsc::Receiver<StreamEvent>,
@@ -143,9 +143,9 @@
     let first = loop {
         match events.recv().await {
             Some(StreamEvent::KeepAlive) => {}
-            Some(StreamEvent::Failed(error)) => return failure(&node, &error),
+            Some(StreamEvent::Failed(error)) => return error_response(&node, &error),
             Some(event) => break event,
-            None => return failure(&node, &lost()),
+            None => return error_response(&node, &relay_lost_error()),
         }
     };
     let state = (events, Some(first), in_flight);
@@ -183,7 +183,7 @@
     }
 }
 
-fn lost() -> CallError {
+fn relay_lost_error() -> CallError {
     CallError::not_run(
         ErrorKind::Unavailable,
         "ask again under the same request key",
--- a/crates/daemon/src/gateway/commands.rs
+++ b/crates/daemon/src/gateway/commands.rs
@@ -1,6 +1,6 @@
 //! Opening, ending and showing programs at their owner.
 
-use crate::gateway::routing::OwnerSearch;
+use crate::gateway::owner_lookup::OwnerLookup;
 use crate::node::Node;
 use crate::sequencer::{CommandMessage, CommandReply, serve_command};
 use fieldhook_http::SendError;
@@ -10,30 +10,32 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-const ASK_TIMEOUT: Duration = Duration::from_millis(2_000);
-const RETRY_PAUSE: Millis = Millis(25);
-const GIVE_UP_RETRY_MS: u64 = 1_000;
+const COMMAND_TIMEOUT: Duration = Duration::from_millis(2_000);
+const RETRY_INTERVAL: Millis = Millis(25);
+const RETRY_AFTER_MS: u64 = 1_000;
 
 /// Asks the owner, through changes of owner. All these messages are
 /// repeatable, so an unanswered one is simply asked again.
 ///
 /// # Errors
 /// The owner's refusal, or that none answered in time.
-pub async fn ask_owner(
+pub async fn send_command(
     node: &Rc<Node>,
     message: CommandMessage,
 ) -> Result<Option<ProgramView>, CallError> {
-    let search = OwnerSearch::new(node.clone(), message.program().shard);
-    let begun = Instant::now();
+    let lookup = OwnerLookup::new(node.clone(), message.program().shard);
+    let started = Instant::now();
     let give_up = Duration::from_millis(node.settings.limits.give_up_ms);
-    let mut sent = false;
-    while begun.elapsed() < give_up {
-        if let Some(owner) = search.next() {
+    let mut may_have_arrived = false;
+    while started.elapsed() < give_up {
+        if let Some(owner) = lookup.current_owner() {
             let reply = if owner == node.id.address {
                 Ok(serve_command(node, message.clone()).await)
             } else {
                 let url = node.url(owner, "/internal/command");
-                node.client.post_binary(&url, &message, ASK_TIMEOUT).await
+                node.client
+                    .post_binary(&url, &message, COMMAND_TIMEOUT)
+                    .await
             };
             match reply {
                 Ok(CommandReply::Done) => return Ok(None),
@@ -41,13 +43,13 @@
                 Ok(CommandReply::Failed(error)) => return Err(error),
                 Ok(CommandReply::NotOwner) => {}
                 Err(SendError::NotSent(_)) => {}
-                Err(_) => sent = true,
+                Err(_) => may_have_arrived = true,
             }
         }
         node.metrics.owner_retries.inc();
-        sleep(RETRY_PAUSE).await;
+        sleep(RETRY_INTERVAL).await;
     }
-    let executed = if sent {
+    let executed = if may_have_arrived {
         Executed::Unknown
     } else {
         Executed::No
@@ -57,5 +59,5 @@
         "ask again; the program's shard has no owner now",
     )
     .executed(executed)
-    .retry_after(GIVE_UP_RETRY_MS))
+    .retry_after(RETRY_AFTER_MS))
 }
--- a/crates/daemon/src/gateway/input.rs
+++ b/crates/daemon/src/gateway/input.rs
@@ -8,17 +8,17 @@
 use ntex::web::{HttpResponse, types};
 use serde::de::DeserializeOwned;
 
-const KEY_LENGTH: usize = 128;
+const MAX_KEY_LENGTH: usize = 128;
 const NOT_READY_RETRY_MS: u64 = 500;
 
 /// Answers with an error.
-pub fn failure(node: &Node, error: &CallError) -> HttpResponse {
+pub fn error_response(node: &Node, error: &CallError) -> HttpResponse {
     node.metrics.errors.inc();
     json(error.status(), error)
 }
 
 /// An error for a request of the wrong form.
-pub fn invalid(remedy: impl Into<String>) -> CallError {
+pub fn invalid_request(remedy: impl Into<String>) -> CallError {
     CallError::not_run(ErrorKind::InvalidRequest, remedy)
 }
 
@@ -49,7 +49,7 @@
     let limit = node.settings.limits.body_bytes;
     let mut body = Vec::new();
     while let Some(chunk) = payload.next().await {
-        let chunk = chunk.map_err(|_| invalid("send the whole body"))?;
+        let chunk = chunk.map_err(|_| invalid_request("send the whole body"))?;
         if body.len() + chunk.len() > limit {
             return Err(CallError::not_run(
                 ErrorKind::BodyTooLarge,
@@ -59,7 +59,7 @@
         body.extend_from_slice(&chunk);
     }
     serde_json::from_slice(&body)
-        .map_err(|error| invalid(format!("correct the JSON body (docs/API.md): {error}")))
+        .map_err(|error| invalid_request(format!("correct the JSON body (docs/API.md): {error}")))
 }
 
 /// Checks a program identifier from a path.
@@ -83,10 +83,10 @@
 /// # Errors
 /// Empty, too long, or with characters that do not fit into a path.
 pub fn check_key(key: &str) -> Result<(), CallError> {
-    let fits = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
-    if key.is_empty() || key.len() > KEY_LENGTH || !key.bytes().all(fits) {
-        return Err(invalid(format!(
-            "use a request_key of 1 to {KEY_LENGTH} letters, digits, '-', '_' or '.'"
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
+    if key.is_empty() || key.len() > MAX_KEY_LENGTH || !key.bytes().all(is_allowed) {
+        return Err(invalid_request(format!(
+            "use a request_key of 1 to {MAX_KEY_LENGTH} letters, digits, '-', '_' or '.'"
         )));
     }
     Ok(())
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -4,13 +4,13 @@
 mod calls;
 mod commands;
 mod input;
+mod owner_lookup;
 mod programs;
 mod relay;
-mod routing;
 mod source;
 
 pub use calls::post_call;
-pub use commands::ask_owner;
-pub use input::{failure, parse_program};
+pub use commands::send_command;
+pub use input::{error_response, parse_program};
 pub use programs::{delete_program, post_program, show_program};
 pub use source::encode_frame;
--- a/crates/daemon/src/gateway/routing.rs
+++ b/crates/daemon/src/gateway/owner_lookup.rs
@@ -7,19 +7,19 @@
 use std::rc::Rc;
 
 /// Where to ask for a shard's owner: the newest claim known here says so.
-pub struct OwnerSearch {
+pub struct OwnerLookup {
     node: Rc<Node>,
     shard: ShardId,
 }
 
-impl OwnerSearch {
+impl OwnerLookup {
     /// Starts from what this daemon knows.
     pub fn new(node: Rc<Node>, shard: ShardId) -> Self {
         Self { node, shard }
     }
 
     /// Whom to ask next.
-    pub fn next(&self) -> Option<Address> {
+    pub fn current_owner(&self) -> Option<Address> {
         let claim = self.node.claims.claim(u32::from(self.shard))?;
         owner_of(&claim).map(|owner| owner.address)
     }
--- a/crates/daemon/src/gateway/programs.rs
+++ b/crates/daemon/src/gateway/programs.rs
@@ -1,8 +1,8 @@
 //! Routes to open, show and end programs.
 
-use crate::gateway::commands::ask_owner;
+use crate::gateway::commands::send_command;
 use crate::gateway::input::{
-    check_admission, check_key, failure, invalid, parse_program, read_json,
+    check_admission, check_key, error_response, invalid_request, parse_program, read_json,
 };
 use crate::node::Node;
 use crate::sequencer::CommandMessage;
@@ -16,7 +16,7 @@
 use std::rc::Rc;
 
 /// Longest deadline: a week, in milliseconds.
-const LONGEST_DEADLINE_MS: u64 = 7 * 24 * 3_600_000;
+const MAX_DEADLINE_MS: u64 = 7 * 24 * 3_600_000;
 
 #[derive(Serialize)]
 struct ProgramEnded {
@@ -34,28 +34,29 @@
                 program: program.to_string(),
             },
         ),
-        Err(error) => failure(&node, &error),
+        Err(error) => error_response(&node, &error),
     }
 }
 
 async fn open_program(node: &Rc<Node>, payload: types::Payload) -> Result<ProgramId, CallError> {
     check_admission(node)?;
     let request: OpenProgram = read_json(node, payload).await?;
-    let open = checked_open(node, request)?;
+    let open = validate_open(node, request)?;
     let program = open.program;
-    ask_owner(node, CommandMessage::Open(open)).await?;
+    send_command(node, CommandMessage::Open(open)).await?;
     Ok(program)
 }
 
-fn checked_open(node: &Node, request: OpenProgram) -> Result<Open, CallError> {
+fn validate_open(node: &Node, request: OpenProgram) -> Result<Open, CallError> {
     check_key(&request.request_key)?;
     if request.tenant.is_empty() {
-        return Err(invalid("name the tenant"));
+        return Err(invalid_request("name the tenant"));
     }
-    let budget = u64::try_from(request.budget).map_err(|_| invalid("use a budget of 0 or more"))?;
-    if !(1..=LONGEST_DEADLINE_MS).contains(&request.deadline_ms) {
-        return Err(invalid(format!(
-            "use a deadline_ms of 1 to {LONGEST_DEADLINE_MS}"
+    let budget =
+        u64::try_from(request.budget).map_err(|_| invalid_request("use a budget of 0 or more"))?;
+    if !(1..=MAX_DEADLINE_MS).contains(&request.deadline_ms) {
+        return Err(invalid_request(format!(
+            "use a deadline_ms of 1 to {MAX_DEADLINE_MS}"
         )));
     }
     let parent = match &request.parent {
@@ -79,30 +80,30 @@
 
 /// `GET /v1/programs/{id}`.
 pub async fn show_program(node: types::State<Rc<Node>>, id: types::Path<String>) -> HttpResponse {
-    let asked = match parse_program(&node, &id) {
-        Ok(program) => ask_owner(&node, CommandMessage::View(program)).await,
+    let result = match parse_program(&node, &id) {
+        Ok(program) => send_command(&node, CommandMessage::View(program)).await,
         Err(error) => Err(error),
     };
-    match asked {
+    match result {
         Ok(view) => json(200, &view),
-        Err(error) => failure(&node, &error),
+        Err(error) => error_response(&node, &error),
     }
 }
 
 /// `DELETE /v1/programs/{id}`.
 pub async fn delete_program(node: types::State<Rc<Node>>, id: types::Path<String>) -> HttpResponse {
     node.metrics.requests.inc();
-    let asked = match parse_program(&node, &id) {
+    let result = match parse_program(&node, &id) {
         Ok(program) => {
             let message = CommandMessage::End {
                 program,
                 reason: EndReason::Caller,
             };
-            ask_owner(&node, message).await
+            send_command(&node, message).await
         }
         Err(error) => Err(error),
     };
-    match asked {
+    match result {
         Ok(_) => json(
             200,
             &ProgramEnded {
@@ -110,6 +111,6 @@
                 phase: "ended",
             },
         ),
-        Err(error) => failure(&node, &error),
+        Err(error) => error_response(&node, &error),
     }
 }
--- a/crates/daemon/src/gateway/relay.rs
+++ b/crates/daemon/src/gateway/relay.rs
@@ -4,7 +4,7 @@
 //! is never joined; `executed: no` is only said where no copy of the message
 //! can still run.
 
-use crate::gateway::routing::OwnerSearch;
+use crate::gateway::owner_lookup::OwnerLookup;
 use crate::gateway::source::EventSource;
 use crate::node::Node;
 use crate::sequencer::{CallMessage, Position};
@@ -16,38 +16,38 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 
-const RETRY_PAUSE: Millis = Millis(25);
-const GIVE_UP_RETRY_MS: u64 = 1_000;
+const RETRY_INTERVAL: Millis = Millis(25);
+const RETRY_AFTER_MS: u64 = 1_000;
 
 /// How following one owner ended.
-enum Followed {
+enum FollowEnd {
     /// With the closing event, which the reader has.
     Closed,
     /// The reader is gone.
     ReaderGone,
     /// The daemon asked does not own the shard, or was lost.
-    AskAgain,
+    Retry,
 }
 
 struct Relay {
     node: Rc<Node>,
     call: CallMessage,
     out: mpsc::Sender<StreamEvent>,
-    search: OwnerSearch,
+    lookup: OwnerLookup,
     last_contact: Instant,
-    sent_before: bool,
+    may_have_arrived: bool,
 }
 
 /// Relays a call until its closing event or until the reader is gone.
 pub async fn relay(node: Rc<Node>, call: CallMessage, out: mpsc::Sender<StreamEvent>) {
-    let search = OwnerSearch::new(node.clone(), call.program.shard);
+    let lookup = OwnerLookup::new(node.clone(), call.program.shard);
     let mut relay = Relay {
         node,
         call,
         out,
-        search,
+        lookup,
         last_contact: Instant::now(),
-        sent_before: false,
+        may_have_arrived: false,
     };
     relay.run().await;
 }
@@ -56,65 +56,65 @@
     async fn run(&mut self) {
         let give_up = Duration::from_millis(self.node.settings.limits.give_up_ms);
         while self.last_contact.elapsed() < give_up {
-            match self.ask_once().await {
-                Followed::Closed | Followed::ReaderGone => return,
-                Followed::AskAgain => {}
+            match self.try_owner().await {
+                FollowEnd::Closed | FollowEnd::ReaderGone => return,
+                FollowEnd::Retry => {}
             }
             if self.out.is_closed() {
                 return;
             }
             self.node.metrics.owner_retries.inc();
-            sleep(RETRY_PAUSE).await;
+            sleep(RETRY_INTERVAL).await;
         }
-        let error = self.gave_up();
+        let error = self.no_owner_error();
         let _ = self.out.send(StreamEvent::Failed(error)).await;
     }
 
-    async fn ask_once(&mut self) -> Followed {
-        let Some(owner) = self.search.next() else {
-            return Followed::AskAgain;
+    async fn try_owner(&mut self) -> FollowEnd {
+        let Some(owner) = self.lookup.current_owner() else {
+            return FollowEnd::Retry;
         };
-        self.call.copied = self.sent_before;
+        self.call.has_earlier_copy = self.may_have_arrived;
         match EventSource::open(&self.node, owner, &self.call).await {
             Ok(source) => self.follow(source).await,
-            Err(SendError::NotSent(_)) => Followed::AskAgain,
+            Err(SendError::NotSent(_)) => FollowEnd::Retry,
             Err(_) => {
-                self.sent_before = true;
-                Followed::AskAgain
+                self.may_have_arrived = true;
+                FollowEnd::Retry
             }
         }
     }
 
-    async fn follow(&mut self, mut source: EventSource) -> Followed {
+    async fn follow(&mut self, mut source: EventSource) -> FollowEnd {
         loop {
             match source.next().await {
                 // The message was read and dropped.
-                Some(StreamEvent::NotOwner) => return Followed::AskAgain,
+                Some(StreamEvent::NotOwner) => return FollowEnd::Retry,
                 Some(StreamEvent::OwnerLost) => {
-                    self.sent_before = true;
-                    return Followed::AskAgain;
+                    self.may_have_arrived = true;
+                    return FollowEnd::Retry;
                 }
                 Some(event) => {
                     self.last_contact = Instant::now();
-                    self.note(&event);
+                    self.record_progress(&event);
                     let closes = matches!(event, StreamEvent::Done(_) | StreamEvent::Failed(_));
                     if self.out.send(event).await.is_err() {
-                        return Followed::ReaderGone;
+                        return FollowEnd::ReaderGone;
                     }
                     if closes {
-                        return Followed::Closed;
+                        return FollowEnd::Closed;
                     }
                 }
                 None => {
-                    self.sent_before = true;
-                    return Followed::AskAgain;
+                    self.may_have_arrived = true;
+                    return FollowEnd::Retry;
                 }
             }
         }
     }
 
     /// Keeps what the reader has, for the next owner to go on from.
-    fn note(&mut self, event: &StreamEvent) {
+    fn record_progress(&mut self, event: &StreamEvent) {
         match event {
             StreamEvent::Delta {
                 lineage,
@@ -122,10 +122,10 @@
                 text,
             } => {
                 if *offset == 0 {
-                    self.call.seen = Some(String::new());
+                    self.call.delivered = Some(String::new());
                 }
-                if let Some(seen) = &mut self.call.seen {
-                    seen.push_str(text);
+                if let Some(delivered) = &mut self.call.delivered {
+                    delivered.push_str(text);
                 }
                 let offset = offset + text.len() as u64;
                 self.call.position = Position {
@@ -134,23 +134,23 @@
                 };
             }
             StreamEvent::Reset => {
-                self.call.seen = None;
+                self.call.delivered = None;
                 self.call.position = Position::default();
             }
             _ => {}
         }
     }
 
-    fn gave_up(&self) -> CallError {
+    fn no_owner_error(&self) -> CallError {
         let error = CallError::not_run(
             ErrorKind::Unavailable,
             "ask again under the same request key; the program's shard has no owner now",
         );
-        let executed = if self.sent_before {
+        let executed = if self.may_have_arrived {
             Executed::Unknown
         } else {
             Executed::No
         };
-        error.executed(executed).retry_after(GIVE_UP_RETRY_MS)
+        error.executed(executed).retry_after(RETRY_AFTER_MS)
     }
 }
--- a/crates/daemon/src/gateway/source.rs
+++ b/crates/daemon/src/gateway/source.rs
@@ -17,7 +17,7 @@
 /// Events of one call that may wait for a slow reader.
 pub const EVENT_BACKLOG: usize = 64;
 /// Silence after which an owner counts as lost; it sends keep-alives sooner.
-const SILENCE: Duration = Duration::from_millis(1_200);
+const OWNER_TIMEOUT: Duration = Duration::from_millis(1_200);
 const LENGTH_BYTES: usize = 4;
 
 /// A call's events from its owner.
@@ -61,7 +61,7 @@
         let body = call.serialize_bin();
         let response = node
             .client
-            .send(Method::POST, &url, &[], body, SILENCE)
+            .send(Method::POST, &url, &[], body, OWNER_TIMEOUT)
             .await?;
         if !response.status().is_success() {
             return Err(SendError::Unknown(format!("status {}", response.status())));
@@ -80,7 +80,7 @@
                 Self::Remote(reader) => reader.next().await,
             }
         };
-        timeout(SILENCE, next).await.unwrap_or(None)
+        timeout(OWNER_TIMEOUT, next).await.unwrap_or(None)
     }
 }
 
@@ -96,8 +96,8 @@
     }
 
     fn take_frame(&mut self) -> Option<Vec<u8>> {
-        let head: [u8; LENGTH_BYTES] = self.pending.get(..LENGTH_BYTES)?.try_into().ok()?;
-        let end = LENGTH_BYTES + u32::from_le_bytes(head) as usize;
+        let length: [u8; LENGTH_BYTES] = self.pending.get(..LENGTH_BYTES)?.try_into().ok()?;
+        let end = LENGTH_BYTES + u32::from_le_bytes(length) as usize;
         if self.pending.len() < end {
             return None;
         }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -3,11 +3,11 @@
 
 use fieldhook_daemon::drain::drain;
 use fieldhook_daemon::node::{Node, Phase};
-use fieldhook_daemon::platform::{config_follow, fleet};
-use fieldhook_daemon::sequencer::run_upkeep;
+use fieldhook_daemon::platform::{config_sync, fleet};
+use fieldhook_daemon::sequencer::run_maintenance;
 use fieldhook_daemon::server;
 use fieldhook_daemon::settings::{Flags, Settings, SettingsError};
-use fieldhook_daemon::shard::{act_on_claim, run_management};
+use fieldhook_daemon::shard::{apply_claim, run_claiming};
 use fieldhook_daemon::transport::run_datagrams;
 use fieldhook_http::HttpClient;
 use gumdrop::Options;
@@ -21,13 +21,13 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::oneshot;
 
-const BAD_SETTINGS: u8 = 2;
+const EXIT_BAD_SETTINGS: u8 = 2;
 /// What is logged unless the environment variable `FIELDHOOK_LOG` says otherwise.
-const DEFAULT_LOG: &str = "warn,fieldhookd=info,fieldhook_daemon=info";
-const CANNOT_SERVE: u8 = 1;
+const DEFAULT_LOG_FILTER: &str = "warn,fieldhookd=info,fieldhook_daemon=info";
+const EXIT_CANNOT_SERVE: u8 = 1;
 /// Longer than any client of the project keeps an idle connection.
 const KEEP_ALIVE: Seconds = Seconds(75);
-const READY_CHECK: Millis = Millis(50);
+const READY_POLL_INTERVAL: Millis = Millis(50);
 
 #[ntex::main]
 async fn main() -> ExitCode {
@@ -36,7 +36,7 @@
         .json()
         .with_env_filter(
             tracing_subscriber::EnvFilter::try_from_env("FIELDHOOK_LOG")
-                .unwrap_or_else(|_| tracing_subscriber::EnvFilter::new(DEFAULT_LOG)),
+                .unwrap_or_else(|_| tracing_subscriber::EnvFilter::new(DEFAULT_LOG_FILTER)),
         )
         .with_writer(std::io::stderr)
         .init();
@@ -44,7 +44,7 @@
         Ok(settings) => settings,
         Err(error) => {
             tracing::error!(%error, "settings are not valid");
-            return ExitCode::from(BAD_SETTINGS);
+            return ExitCode::from(EXIT_BAD_SETTINGS);
         }
     };
     if flags.check {
@@ -58,14 +58,14 @@
                 cause,
                 "cannot serve; check that the address is free and is this machine's"
             );
-            ExitCode::from(CANNOT_SERVE)
+            ExitCode::from(EXIT_CANNOT_SERVE)
         }
     }
 }
 
 async fn serve(settings: Settings) -> Result<(), String> {
     let address = settings.address.clone();
-    let (drained, on_drained) = oneshot::channel::<()>();
+    let (drained, drain_finished) = oneshot::channel::<()>();
     let drained = std::sync::Arc::new(std::sync::Mutex::new(Some(drained)));
     let http = HttpServiceConfig::new().set_keepalive(KEEP_ALIVE);
     let running = HttpServer::new(async move || {
@@ -91,14 +91,14 @@
     .run();
     let stop = running.clone();
     ntex::rt::spawn(async move {
-        let _ = on_drained.await;
+        let _ = drain_finished.await;
         stop.stop(true).await;
     });
     running.await.map_err(|error| error.to_string())
 }
 
 async fn start_node(settings: &Settings) -> Result<Rc<Node>, SettingsError> {
-    let address = settings.own_address()?;
+    let address = settings.listen_address()?;
     let seeds = settings.seed_addresses()?;
     let client = HttpClient::new().await;
     let node = Rc::new(Node::new(settings.clone(), address, seeds, client));
@@ -106,33 +106,34 @@
     if let Err(error) = run_datagrams(node.clone()).await {
         tracing::error!(%error, "cannot bind UDP; check that the port is free");
     }
-    let claimed = node.clone();
-    node.claims
-        .set_on_change(Rc::new(move |shard| act_on_claim(&claimed, shard as u16)));
+    let callback_node = node.clone();
+    node.claims.set_on_change(Rc::new(move |shard| {
+        apply_claim(&callback_node, shard as u16)
+    }));
     ntex::rt::spawn(node.claims.clone().run_follow());
     ntex::rt::spawn(node.claims.clone().run_claim_unowned(Duration::ZERO));
-    ntex::rt::spawn(run_management(node.clone()));
-    ntex::rt::spawn(run_upkeep(node.clone()));
-    ntex::rt::spawn(config_follow::run_config_from_log(node.clone()));
-    ntex::rt::spawn(config_follow::run_config_from_peers(node.clone()));
+    ntex::rt::spawn(run_claiming(node.clone()));
+    ntex::rt::spawn(run_maintenance(node.clone()));
+    ntex::rt::spawn(config_sync::run_config_from_log(node.clone()));
+    ntex::rt::spawn(config_sync::run_config_from_peers(node.clone()));
     ntex::rt::spawn(fleet::run_machine_list(node.clone()));
     ntex::rt::spawn(fleet::run_load_reports(node.clone()));
-    ntex::rt::spawn(become_ready(node.clone()));
+    ntex::rt::spawn(wait_until_ready(node.clone()));
     Ok(node)
 }
 
 /// Serves once the configuration is known and every shard has a known owner. A
 /// daemon that starts while the log is down has its configuration from peers and
 /// cannot know owners yet; calls wait for them.
-async fn become_ready(node: Rc<Node>) {
-    while !(node.config_known.get() && owners_are_known(&node)) {
-        sleep(READY_CHECK).await;
+async fn wait_until_ready(node: Rc<Node>) {
+    while !(node.config_known.get() && are_owners_known(&node)) {
+        sleep(READY_POLL_INTERVAL).await;
     }
     node.set_phase(Phase::Serving);
     tracing::info!("serves");
 }
 
-fn owners_are_known(node: &Node) -> bool {
+fn are_owners_known(node: &Node) -> bool {
     let is_owned = |shard| {
         let claim = node.claims.claim(u32::from(shard));
         claim.is_some_and(|claim| claim.address.is_some())
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -20,7 +20,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// How long a daemon without the log and without most peers admits new work.
-const ISOLATION_LIMIT: Duration = Duration::from_secs(5);
+const MAX_ISOLATION: Duration = Duration::from_secs(5);
 
 /// Where the daemon's life stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -60,11 +60,11 @@
     /// Machines and their load.
     pub fleet: RefCell<Fleet>,
     /// When the log last answered.
-    pub log_contact: Rc<LogHealth>,
+    pub log_health: Rc<LogHealth>,
     /// When most peers were last in touch.
-    pub peer_contact: Cell<Instant>,
+    pub last_majority: Cell<Instant>,
     phase: Cell<Phase>,
-    started: Instant,
+    started_at: Instant,
 }
 
 impl Node {
@@ -82,19 +82,25 @@
             address,
             incarnation: since_epoch.as_millis() as u64,
         };
-        let log_contact = Rc::new(LogHealth::default());
-        let log = HttpLog::new(&settings.platform.log, client.clone(), log_contact.clone());
+        let log_health = Rc::new(LogHealth::default());
+        let log = HttpLog::new(&settings.platform.log, client.clone(), log_health.clone());
         let store: Rc<dyn LogStore> = Rc::new(log);
         let claims = Claims::new(
             store.clone(),
-            log_contact.clone(),
+            log_health.clone(),
             SHARD_OWNERS_TOPIC,
             u32::from(settings.shards),
             address.socket().into(),
             id.incarnation,
         );
         let seed = fastrand::u64(..);
-        let detector = Detector::new(id, &settings.zone, seeds, settings.membership_core(), seed);
+        let detector = Detector::new(
+            id,
+            &settings.zone,
+            seeds,
+            settings.membership_settings(),
+            seed,
+        );
         Self {
             id,
             client,
@@ -106,17 +112,17 @@
             store,
             claims: Rc::new(claims),
             fleet: RefCell::default(),
-            log_contact,
-            peer_contact: Cell::new(Instant::now()),
+            log_health,
+            last_majority: Cell::new(Instant::now()),
             phase: Cell::new(Phase::Starting),
-            started: Instant::now(),
+            started_at: Instant::now(),
             settings,
         }
     }
 
     /// Milliseconds since the process started; the clock of all cores.
     pub fn now_ms(&self) -> u64 {
-        self.started.elapsed().as_millis() as u64
+        self.started_at.elapsed().as_millis() as u64
     }
 
     /// Where the daemon's life stands.
@@ -150,13 +156,13 @@
     /// touch with the log or with most peers, from whom it would have heard of
     /// a newer configuration.
     pub fn may_admit(&self) -> bool {
-        let log_recent = self.log_contact.answered_within(ISOLATION_LIMIT);
-        let peers_recent = self.peer_contact.get().elapsed() < ISOLATION_LIMIT;
+        let log_recent = self.log_health.answered_within(MAX_ISOLATION);
+        let peers_recent = self.last_majority.get().elapsed() < MAX_ISOLATION;
         self.phase() == Phase::Serving && (log_recent || peers_recent)
     }
 
     /// Notes whether most known daemons are held alive.
-    pub fn check_peers(&self) {
+    pub fn update_last_majority(&self) {
         let detector = self.detector.borrow();
         let known = detector
             .table()
@@ -164,7 +170,7 @@
             .filter(|member| member.state != fieldhook_membership::MemberState::Left);
         let live = detector.table().live().count();
         if live * 2 > known.count() {
-            self.peer_contact.set(Instant::now());
+            self.last_majority.set(Instant::now());
         }
         self.metrics.live_members.set(live as i64);
     }
--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -1,6 +1,6 @@
 //! Routes for the operators' client. They show; they place nothing.
 
-use crate::gateway::{ask_owner, failure, parse_program};
+use crate::gateway::{error_response, parse_program, send_command};
 use crate::node::Node;
 use crate::platform::fleet::engine_views;
 use crate::sequencer::CommandMessage;
@@ -18,7 +18,7 @@
 use std::rc::Rc;
 
 /// Tokens of the answer that an explanation reckons with.
-const TYPICAL_ANSWER_TOKENS: u64 = 64;
+const ASSUMED_OUTPUT_TOKENS: u64 = 64;
 
 /// Adds the routes.
 pub fn configure(config: &mut ServiceConfig) {
@@ -135,26 +135,26 @@
                 program,
                 reason: EndReason::Operator,
             };
-            ask_owner(&node, message).await
+            send_command(&node, message).await
         }
         Err(error) => Err(error),
     };
     match ended {
         Ok(_) => json(200, &"ended"),
-        Err(error) => failure(&node, &error),
+        Err(error) => error_response(&node, &error),
     }
 }
 
 async fn explain_program(node: types::State<Rc<Node>>, id: types::Path<String>) -> HttpResponse {
     match find_program(&node, &id).await {
         Ok(view) => json(200, &explain(&node, &view)),
-        Err(error) => failure(&node, &error),
+        Err(error) => error_response(&node, &error),
     }
 }
 
 async fn find_program(node: &Rc<Node>, id: &str) -> Result<ProgramView, CallError> {
     let program = parse_program(node, id)?;
-    let view = ask_owner(node, CommandMessage::View(program)).await?;
+    let view = send_command(node, CommandMessage::View(program)).await?;
     view.ok_or_else(|| {
         CallError::not_run(
             fieldhook_model::error::ErrorKind::ProgramUnknown,
@@ -178,7 +178,7 @@
         let held = if holds { bytes as u64 / 4 } else { 0 };
         let need = Need {
             missing_tokens: bytes as u64 / 4 - held,
-            new_tokens: TYPICAL_ANSWER_TOKENS,
+            new_tokens: ASSUMED_OUTPUT_TOKENS,
             switches: !holds && !program.held_by.is_empty(),
         };
         let expected = estimate(&engine.load, engine.assigned, need);
@@ -205,7 +205,7 @@
             shard: host.shard,
             epoch: host.epoch,
             applied: host.applied(),
-            waiting: host.waiting(),
+            waiting: host.pending_commands(),
         })
         .collect();
     json(200, &owned)
--- a/crates/daemon/src/platform/config_follow.rs
+++ b/crates/daemon/src/platform/config_sync.rs
@@ -9,31 +9,31 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-const READ_WAIT_MS: u64 = 2_000;
-const RETRY: Millis = Millis(200);
-const PEER_CHECK: Millis = Millis(250);
+const LONG_POLL_MS: u64 = 2_000;
+const RETRY_DELAY: Millis = Millis(200);
+const PEER_CHECK_INTERVAL: Millis = Millis(250);
 const PEER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Folds the log's records as they come.
 pub async fn run_config_from_log(node: Rc<Node>) {
     loop {
         let from = node.config.borrow().next_offset;
-        match log_client::read(&node, CONFIG_STREAM, from, READ_WAIT_MS).await {
+        match log_client::read(&node, CONFIG_STREAM, from, LONG_POLL_MS).await {
             Ok(page) => {
                 for record in &page.records {
                     let verdict = node.config.borrow_mut().fold(record.offset, &record.data);
-                    report(verdict);
+                    log_verdict(verdict);
                 }
-                announce(&node);
+                announce_offset(&node);
                 node.config_known
                     .set(node.config.borrow().next_offset >= page.end);
             }
-            Err(_) => sleep(RETRY).await,
+            Err(_) => sleep(RETRY_DELAY).await,
         }
     }
 }
 
-fn report(verdict: Option<Verdict>) {
+fn log_verdict(verdict: Option<Verdict>) {
     match verdict {
         Some(Verdict::Accepted(version)) => tracing::info!(version, "configuration in force"),
         Some(refused) => tracing::info!(?refused, "configuration change not accepted"),
@@ -41,7 +41,7 @@
     }
 }
 
-fn announce(node: &Node) {
+fn announce_offset(node: &Node) {
     let config = node.config.borrow();
     node.metrics.config_version.set(config.version as i64);
     node.announce(Fact::ConfigOffset(config.next_offset));
@@ -52,15 +52,15 @@
 /// before it serves.
 pub async fn run_config_from_peers(node: Rc<Node>) {
     loop {
-        sleep(PEER_CHECK).await;
-        let wanted = node.detector.borrow().table().config_offset();
-        if wanted > node.config.borrow().next_offset || !node.config_known.get() {
-            ask_peers(&node, wanted).await;
+        sleep(PEER_CHECK_INTERVAL).await;
+        let newest_offset = node.detector.borrow().table().config_offset();
+        if newest_offset > node.config.borrow().next_offset || !node.config_known.get() {
+            query_peers(&node, newest_offset).await;
         }
     }
 }
 
-async fn ask_peers(node: &Rc<Node>, wanted: u64) {
+async fn query_peers(node: &Rc<Node>, newest_offset: u64) {
     let mut peers: Vec<_> = {
         let detector = node.detector.borrow();
         detector.table().live().map(|member| member.id).collect()
@@ -68,28 +68,28 @@
     fastrand::shuffle(&mut peers);
     for peer in peers.into_iter().filter(|peer| *peer != node.id) {
         let url = node.url(peer.address, "/internal/config");
-        let reply = node
+        let response = node
             .client
-            .post_binary::<u64, PeerConfig>(&url, &wanted, PEER_TIMEOUT)
+            .post_binary::<u64, PeerConfig>(&url, &newest_offset, PEER_TIMEOUT)
             .await;
-        match reply {
-            Ok(reply) if reply.known => take_from_peer(node, reply.state),
+        match response {
+            Ok(response) if response.known => adopt_from_peer(node, response.state),
             Ok(_) => {}
             Err(error) => tracing::warn!(%peer, %error, "peer does not tell its configuration"),
         }
-        if node.config_known.get() && node.config.borrow().next_offset >= wanted {
+        if node.config_known.get() && node.config.borrow().next_offset >= newest_offset {
             return;
         }
     }
 }
 
-fn take_from_peer(node: &Node, state: ConfigState) {
+fn adopt_from_peer(node: &Node, state: ConfigState) {
     if node.config.borrow_mut().adopt(state) {
         let version = node.config.borrow().version;
         tracing::info!(version, "configuration taken from a peer");
     }
     node.config_known.set(true);
-    announce(node);
+    announce_offset(node);
 }
 
 /// What a daemon tells a peer of its configuration.
--- a/crates/daemon/src/platform/fleet.rs
+++ b/crates/daemon/src/platform/fleet.rs
@@ -10,16 +10,16 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-const LIST_PAUSE: Millis = Millis(500);
-const LOAD_PAUSE: Millis = Millis(250);
-const TIMEOUT: Duration = Duration::from_secs(1);
+const LIST_INTERVAL: Millis = Millis(500);
+const LOAD_INTERVAL: Millis = Millis(250);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 /// Engines whose load is read in a round, besides those with work from here. In
-/// `REPORT_LIMIT` a daemon so knows up to 12 times as many well enough to choose.
-const SAMPLE: usize = 16;
+/// `MAX_REPORT_AGE` a daemon so knows up to 12 times as many well enough to choose.
+const SAMPLE_SIZE: usize = 16;
 /// Age of the last report after which an engine counts as not reachable.
-const REPORT_LIMIT: Duration = Duration::from_secs(3);
+const MAX_REPORT_AGE: Duration = Duration::from_secs(3);
 /// Time for which a failed connection keeps work away from an engine.
-const FAILURE_PAUSE: Duration = Duration::from_secs(2);
+const FAILURE_BACKOFF: Duration = Duration::from_secs(2);
 
 /// What is known here of engines and servers.
 #[derive(Default)]
@@ -49,7 +49,7 @@
         let busy = self.assigned.iter().filter(|(_, count)| **count > 0);
         let loads = &self.loads;
         busy.map(|(address, _)| address.clone())
-            .filter(|item| loads.contains_key(item))
+            .filter(|machine| loads.contains_key(machine))
             .collect()
     }
 
@@ -66,7 +66,7 @@
     }
 
     /// Notes that a machine did not answer.
-    pub fn note_failure(&mut self, address: &str) {
+    pub fn record_failure(&mut self, address: &str) {
         self.failed.insert(address.to_owned(), Instant::now());
     }
 
@@ -77,18 +77,18 @@
             .map_or(0, |(_, load)| load.incarnation)
     }
 
-    fn reachable(&self, address: &str) -> bool {
+    fn is_reachable(&self, address: &str) -> bool {
         let reported = self
             .loads
             .get(address)
-            .is_some_and(|(at, _)| at.elapsed() < REPORT_LIMIT);
-        reported && !self.failed_lately(address)
+            .is_some_and(|(at, _)| at.elapsed() < MAX_REPORT_AGE);
+        reported && !self.failed_recently(address)
     }
 
-    fn failed_lately(&self, address: &str) -> bool {
+    fn failed_recently(&self, address: &str) -> bool {
         self.failed
             .get(address)
-            .is_some_and(|at| at.elapsed() < FAILURE_PAUSE)
+            .is_some_and(|at| at.elapsed() < FAILURE_BACKOFF)
     }
 }
 
@@ -120,7 +120,7 @@
                 load,
                 assigned: fleet.assigned.get(&machine.address).copied().unwrap_or(0),
                 leaving: machine.leaving || marked,
-                reachable: fleet.reachable(&machine.address),
+                reachable: fleet.is_reachable(&machine.address),
             }
         })
         .collect()
@@ -141,7 +141,7 @@
     let mut servers: Vec<Machine> = fleet.machines.iter().filter(offers).cloned().collect();
     servers.sort_by_key(|machine| {
         let assigned = fleet.assigned.get(&machine.address).copied().unwrap_or(0);
-        (fleet.failed_lately(&machine.address), assigned)
+        (fleet.failed_recently(&machine.address), assigned)
     });
     servers
 }
@@ -151,21 +151,25 @@
 pub async fn run_machine_list(node: Rc<Node>) {
     let url = format!("http://{}/v1/machines", node.settings.platform.machines);
     loop {
-        if let Ok(machines) = node.client.get_json::<Vec<Machine>>(&url, TIMEOUT).await {
+        if let Ok(machines) = node
+            .client
+            .get_json::<Vec<Machine>>(&url, REQUEST_TIMEOUT)
+            .await
+        {
             node.fleet.borrow_mut().machines = machines;
-            mark_leaving(&node);
+            announce_leaving(&node);
         }
-        sleep(LIST_PAUSE).await;
+        sleep(LIST_INTERVAL).await;
     }
 }
 
 /// Reads the load of engines for as long as the process lives: of those with
-/// work from here, and of a sample that goes round the fleet.
+/// work from here, and of a sample that is_leaving round the fleet.
 pub async fn run_load_reports(node: Rc<Node>) {
     let mut rotation = Rotation::default();
     loop {
         let all = node.fleet.borrow().engines();
-        let mut engines = rotation.take(&all, SAMPLE, |limit| fastrand::usize(..limit));
+        let mut engines = rotation.take(&all, SAMPLE_SIZE, |limit| fastrand::usize(..limit));
         for busy in node.fleet.borrow().engines_with_work() {
             if !engines.contains(&busy) {
                 engines.push(busy);
@@ -175,14 +179,18 @@
             .into_iter()
             .map(|address| read_load(node.clone(), address));
         futures_util::future::join_all(reads).await;
-        mark_leaving(&node);
-        sleep(LOAD_PAUSE).await;
+        announce_leaving(&node);
+        sleep(LOAD_INTERVAL).await;
     }
 }
 
 async fn read_load(node: Rc<Node>, address: String) {
     let url = format!("http://{address}/v1/load");
-    if let Ok(load) = node.client.get_json::<EngineLoad>(&url, TIMEOUT).await {
+    if let Ok(load) = node
+        .client
+        .get_json::<EngineLoad>(&url, REQUEST_TIMEOUT)
+        .await
+    {
         node.fleet
             .borrow_mut()
             .loads
@@ -192,18 +200,18 @@
 
 /// Spreads the word of engines that leave. The mark sticks to the engine's
 /// incarnation, however the lagging list wavers.
-fn mark_leaving(node: &Node) {
+fn announce_leaving(node: &Node) {
     let leaving: Vec<LeavingMachine> = {
         let fleet = node.fleet.borrow();
         let engines = fleet
             .machines
             .iter()
-            .filter(|item| item.kind == MachineKind::Engine);
+            .filter(|machine| machine.kind == MachineKind::Engine);
         engines
             .filter_map(|machine| {
                 let (_, load) = fleet.loads.get(&machine.address)?;
-                let goes = machine.leaving || load.leaving;
-                goes.then(|| LeavingMachine {
+                let is_leaving = machine.leaving || load.leaving;
+                is_leaving.then(|| LeavingMachine {
                     address: machine.address.clone(),
                     incarnation: load.incarnation,
                 })
--- a/crates/daemon/src/platform/log_client.rs
+++ b/crates/daemon/src/platform/log_client.rs
@@ -9,9 +9,9 @@
 const APPEND_TIMEOUT: Duration = Duration::from_secs(5);
 const READ_MARGIN: Duration = Duration::from_secs(3);
 
-fn note_contact<T>(node: &Node, result: &Result<T, SendError>) {
+fn record_answer<T>(node: &Node, result: &Result<T, SendError>) {
     if result.is_ok() {
-        node.log_contact.record_answer();
+        node.log_health.record_answer();
     }
 }
 
@@ -21,17 +21,17 @@
 /// No answer: the record may stand in the stream or not.
 pub async fn append(node: &Node, stream: &str, data: String) -> Result<u64, SendError> {
     let url = format!("http://{}/v1/streams/{stream}", node.settings.platform.log);
-    let reply = node
+    let response = node
         .client
         .fetch(Method::POST, &url, &[], data.into_bytes(), APPEND_TIMEOUT)
         .await?;
-    let appended = serde_json::from_str::<Appended>(&reply.body)
+    let appended = serde_json::from_str::<Appended>(&response.body)
         .map(|appended| appended.offset)
         .map_err(|_| SendError::Status {
-            status: reply.status,
-            body: reply.body,
+            status: response.status,
+            body: response.body,
         });
-    note_contact(node, &appended);
+    record_answer(node, &appended);
     appended
 }
 
@@ -49,6 +49,6 @@
     let url = format!("http://{log}/v1/streams/{stream}?from={from}&wait_ms={wait_ms}");
     let timeout = Duration::from_millis(wait_ms) + READ_MARGIN;
     let page = node.client.get_json(&url, timeout).await;
-    note_contact(node, &page);
+    record_answer(node, &page);
     page
 }
--- a/crates/daemon/src/platform/log_store.rs
+++ b/crates/daemon/src/platform/log_store.rs
@@ -14,16 +14,16 @@
 pub struct HttpLog {
     url: String,
     client: HttpClient,
-    contact: Rc<LogHealth>,
+    health: Rc<LogHealth>,
 }
 
 impl HttpLog {
     /// A client of the log.
-    pub fn new(address: &str, client: HttpClient, contact: Rc<LogHealth>) -> Self {
+    pub fn new(address: &str, client: HttpClient, health: Rc<LogHealth>) -> Self {
         Self {
             url: format!("http://{address}/v1/topics"),
             client,
-            contact,
+            health,
         }
     }
 
@@ -34,15 +34,15 @@
             .await;
         match reply {
             Ok(reply) => {
-                self.contact.record_answer();
+                self.health.record_answer();
                 Ok(reply)
             }
             Err(SendError::NotSent(_) | SendError::Status { .. }) => {
-                self.contact.record_failure();
+                self.health.record_failure();
                 Err(StoreError::NotDone)
             }
             Err(SendError::Unknown(_)) => {
-                self.contact.record_failure();
+                self.health.record_failure();
                 Err(StoreError::Unknown)
             }
         }
--- a/crates/daemon/src/sequencer/admission.rs
+++ b/crates/daemon/src/sequencer/admission.rs
@@ -4,8 +4,8 @@
 use crate::sequencer::attempt::start_call;
 use crate::sequencer::follow::follow;
 use crate::sequencer::message::CallMessage;
-use crate::sequencer::place::place;
-use crate::shard::{ShardHost, Unsettled};
+use crate::sequencer::placement::choose_target;
+use crate::shard::{ProposeError, ShardHost};
 use fieldhook_model::api::StreamEvent;
 use fieldhook_model::error::{CallError, Executed};
 use fieldhook_program::{Admission, Begin, Command, Reply};
@@ -14,10 +14,10 @@
 use tokio::sync::mpsc;
 
 /// How often a waiting call looks again whether it still should wait.
-const WAIT_CHECK: Millis = Millis(200);
+const WAIT_RECHECK_INTERVAL: Millis = Millis(200);
 
 /// Why a call is not followed here.
-enum Stop {
+enum AdmitError {
     /// Refused; the refusal may still have to be recorded.
     Refused(CallError),
     /// Ask the owner.
@@ -26,11 +26,11 @@
     OwnerLost,
 }
 
-impl From<Unsettled> for Stop {
-    fn from(unsettled: Unsettled) -> Self {
-        match unsettled {
-            Unsettled::NotOwner => Self::NotOwner,
-            Unsettled::Lost => Self::OwnerLost,
+impl From<ProposeError> for AdmitError {
+    fn from(error: ProposeError) -> Self {
+        match error {
+            ProposeError::NotOwner => Self::NotOwner,
+            ProposeError::OwnershipLost => Self::OwnerLost,
         }
     }
 }
@@ -43,11 +43,11 @@
     };
     let closing = match admit(&node, &host, &call, &out).await {
         Ok(()) => return follow(&host, &call, &out).await,
-        Err(Stop::NotOwner) => StreamEvent::NotOwner,
-        Err(Stop::OwnerLost) => StreamEvent::OwnerLost,
+        Err(AdmitError::NotOwner) => StreamEvent::NotOwner,
+        Err(AdmitError::OwnerLost) => StreamEvent::OwnerLost,
         // What a former owner believes is no reason to refuse anything.
-        Err(Stop::Refused(_)) if !host.confirm().await => StreamEvent::NotOwner,
-        Err(Stop::Refused(error)) => match settle_refusal(&host, &call, error).await {
+        Err(AdmitError::Refused(_)) if !host.confirm_ownership().await => StreamEvent::NotOwner,
+        Err(AdmitError::Refused(error)) => match record_refusal(&host, &call, error).await {
             Ok(event) => event,
             Err(()) => return follow(&host, &call, &out).await,
         },
@@ -61,33 +61,38 @@
     host: &Rc<ShardHost>,
     call: &CallMessage,
     out: &mpsc::Sender<StreamEvent>,
-) -> Result<(), Stop> {
+) -> Result<(), AdmitError> {
     loop {
-        if !host.owns() {
-            return Err(Stop::NotOwner);
+        if !host.is_owned() {
+            return Err(AdmitError::NotOwner);
         }
         let ended = host.call_ended.notified();
         let admission =
             host.state
                 .borrow()
                 .admit(call.program, call.call_number, &call.request_key);
-        match admission.map_err(Stop::Refused)? {
+        match admission.map_err(AdmitError::Refused)? {
             Admission::Recorded => return Ok(()),
             Admission::AfterRunning => {
-                let _ = timeout(WAIT_CHECK, ended).await;
+                let _ = timeout(WAIT_RECHECK_INTERVAL, ended).await;
                 // Says that this owner lives; fails once the reader is gone.
                 if out.send(StreamEvent::KeepAlive).await.is_err() {
-                    return Err(Stop::NotOwner);
+                    return Err(AdmitError::NotOwner);
                 }
             }
-            Admission::Next if host.holding.get() => return Err(Stop::NotOwner),
+            Admission::Next if host.handing_over.get() => return Err(AdmitError::NotOwner),
             Admission::Next => return begin(node, host, call).await,
         }
     }
 }
 
-async fn begin(node: &Rc<Node>, host: &Rc<ShardHost>, call: &CallMessage) -> Result<(), Stop> {
-    let target = place(node, host, call.program, &call.spec, &[]).map_err(Stop::Refused)?;
+async fn begin(
+    node: &Rc<Node>,
+    host: &Rc<ShardHost>,
+    call: &CallMessage,
+) -> Result<(), AdmitError> {
+    let target =
+        choose_target(node, host, call.program, &call.spec, &[]).map_err(AdmitError::Refused)?;
     let command = Command::Begin(Begin {
         program: call.program,
         call_number: call.call_number,
@@ -108,7 +113,7 @@
             );
             Ok(())
         }
-        Reply::Refused(error) => Err(Stop::Refused(error)),
+        Reply::Refused(error) => Err(AdmitError::Refused(error)),
         Reply::Known | Reply::Done | Reply::Stale => Ok(()),
     }
 }
@@ -116,12 +121,12 @@
 /// Makes sure that a refused call never runs. If another copy of the message
 /// may be under way, only a recorded refusal of its key does that. `Err` says
 /// that the call is recorded after all.
-async fn settle_refusal(
+async fn record_refusal(
     host: &Rc<ShardHost>,
     call: &CallMessage,
     error: CallError,
 ) -> Result<StreamEvent, ()> {
-    if !call.copied || error.executed != Executed::No {
+    if !call.has_earlier_copy || error.executed != Executed::No {
         return Ok(StreamEvent::Failed(error));
     }
     let command = Command::RefuseKey {
@@ -132,7 +137,7 @@
     match host.propose(command).await {
         Ok(Reply::Known) => Err(()),
         Ok(_) => Ok(StreamEvent::Failed(error)),
-        Err(Unsettled::NotOwner) => Ok(StreamEvent::NotOwner),
-        Err(Unsettled::Lost) => Ok(StreamEvent::OwnerLost),
+        Err(ProposeError::NotOwner) => Ok(StreamEvent::NotOwner),
+        Err(ProposeError::OwnershipLost) => Ok(StreamEvent::OwnerLost),
     }
 }
--- a/crates/daemon/src/sequencer/attempt.rs
+++ b/crates/daemon/src/sequencer/attempt.rs
@@ -1,8 +1,8 @@
 //! Running a recorded call: attempt by attempt until it has an outcome.
 
 use crate::node::Node;
-use crate::sequencer::model_attempt::{self, Start};
-use crate::sequencer::place::place;
+use crate::sequencer::model_attempt::{self, AttemptStart};
+use crate::sequencer::placement::choose_target;
 use crate::sequencer::server_attempt;
 use crate::shard::{LiveCall, ShardHost};
 use fieldhook_model::api::{Answer, CallSpec, StreamEvent, Usage};
@@ -15,9 +15,9 @@
 use ntex::time::{Millis, sleep};
 use std::rc::Rc;
 
-const PLACE_RETRY: Millis = Millis(100);
-const PLACE_TRIES: u32 = 20;
-const FAILED_RETRY_MS: u64 = 1_000;
+const PLACEMENT_RETRY_DELAY: Millis = Millis(100);
+const MAX_PLACEMENT_TRIES: u32 = 20;
+const RETRY_AFTER_FAILURE_MS: u64 = 1_000;
 
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -34,11 +34,11 @@
     /// It surely did not run.
     NotRun,
     /// It may have run; what was delivered so far.
-    Lost,
+    MayHaveRun,
     /// A request that is not repeatable may have run, and nobody can say.
-    Unknown,
+    OutcomeUnknown,
     /// This daemon no longer owns the shard: the next owner goes on.
-    Deposed,
+    OwnershipLost,
 }
 
 /// What every attempt of one call needs.
@@ -66,9 +66,9 @@
 impl RunningCall {
     /// Whether this daemon surely owns the shard and the call still runs here. A
     /// process that was frozen asks the log first.
-    pub async fn may_act(&self) -> bool {
+    pub async fn confirm_running(&self) -> bool {
         let runs_here = || self.host.live_call(self.program, self.number).is_some();
-        runs_here() && self.host.confirm().await && runs_here()
+        runs_here() && self.host.confirm_ownership().await && runs_here()
     }
 }
 
@@ -81,14 +81,14 @@
     attempt: Attempt,
     priority: u8,
 ) {
-    if let Some(call) = running_call(node, host, program, number, priority) {
-        ntex::rt::spawn(run(call, attempt, Start::Fresh));
+    if let Some(call) = prepare_call(node, host, program, number, priority) {
+        ntex::rt::spawn(run(call, attempt, AttemptStart::New));
     }
 }
 
 /// Goes on with the calls that a former owner left running.
-pub fn take_over(node: &Rc<Node>, host: &Rc<ShardHost>) {
-    let left: Vec<(ProgramId, u64, Attempt)> = {
+pub fn resume_calls(node: &Rc<Node>, host: &Rc<ShardHost>) {
+    let running: Vec<(ProgramId, u64, Attempt)> = {
         let state = host.state.borrow();
         let open = state
             .programs
@@ -101,14 +101,14 @@
         })
         .collect()
     };
-    for (program, number, attempt) in left {
-        if let Some(call) = running_call(node, host, program, number, DEFAULT_PRIORITY) {
-            ntex::rt::spawn(run(call, attempt, Start::TakeOver));
+    for (program, number, attempt) in running {
+        if let Some(call) = prepare_call(node, host, program, number, DEFAULT_PRIORITY) {
+            ntex::rt::spawn(run(call, attempt, AttemptStart::TakenOver));
         }
     }
 }
 
-fn running_call(
+fn prepare_call(
     node: &Rc<Node>,
     host: &Rc<ShardHost>,
     program: ProgramId,
@@ -135,7 +135,7 @@
     })
 }
 
-async fn run(call: RunningCall, mut attempt: Attempt, mut start: Start) {
+async fn run(call: RunningCall, mut attempt: Attempt, mut start: AttemptStart) {
     let mut avoid: Vec<String> = Vec::new();
     loop {
         call.node.fleet.borrow_mut().assign(&attempt.target);
@@ -155,26 +155,26 @@
                     attempts: attempt.number,
                     usage,
                 };
-                return conclude(&call, &attempt, Outcome::Answered(answer)).await;
+                return record_outcome(&call, &attempt, Outcome::Answered(answer)).await;
             }
-            AttemptEnd::Unknown => {
-                return conclude(&call, &attempt, Outcome::Failed(unknown_outcome())).await;
+            AttemptEnd::OutcomeUnknown => {
+                return record_outcome(&call, &attempt, Outcome::Failed(unknown_outcome())).await;
             }
-            AttemptEnd::Deposed => return call.live.wake(),
+            AttemptEnd::OwnershipLost => return call.live.wake(),
             AttemptEnd::NotRun => AttemptCost::NotRun,
-            AttemptEnd::Lost => AttemptCost::Full,
+            AttemptEnd::MayHaveRun => AttemptCost::Full,
         };
-        call.node.fleet.borrow_mut().note_failure(&attempt.target);
+        call.node.fleet.borrow_mut().record_failure(&attempt.target);
         avoid.push(attempt.target.clone());
         match next_attempt(&call, &attempt, cost, &avoid).await {
             Some(next) => attempt = next,
             None => return,
         }
-        start = Start::Fresh;
+        start = AttemptStart::New;
     }
 }
 
-async fn run_attempt(call: &RunningCall, attempt: &Attempt, start: Start) -> AttemptEnd {
+async fn run_attempt(call: &RunningCall, attempt: &Attempt, start: AttemptStart) -> AttemptEnd {
     match &call.spec {
         CallSpec::Model(model) => model_attempt::run(call, model, attempt, start).await,
         CallSpec::Server(server) => server_attempt::run(call, server, attempt, start).await,
@@ -192,24 +192,24 @@
 /// Records the next attempt and returns it, or concludes the call.
 async fn next_attempt(
     call: &RunningCall,
-    given_up: &Attempt,
+    previous: &Attempt,
     cost: AttemptCost,
     avoid: &[String],
 ) -> Option<Attempt> {
-    if given_up.number >= call.node.settings.limits.attempts {
-        fail(call, given_up, cost).await;
+    if previous.number >= call.node.settings.limits.attempts {
+        fail_call(call, previous, cost).await;
         return None;
     }
     let Some(target) = find_target(call, avoid).await else {
-        fail(call, given_up, cost).await;
+        fail_call(call, previous, cost).await;
         return None;
     };
     call.node.metrics.further_attempts.inc();
-    let prefix = delivered(call, given_up);
+    let prefix = delivered_text(call, previous);
     let command = Command::NextAttempt(NextAttempt {
         program: call.program,
         call_number: call.number,
-        given_up: given_up.number,
+        given_up: previous.number,
         cost,
         target,
         prefix,
@@ -217,7 +217,7 @@
     match call.host.propose(command).await {
         Ok(Reply::Dispatch(attempt)) => Some(attempt),
         Ok(Reply::Refused(error)) => {
-            close(call, StreamEvent::Failed(error));
+            finish_call(call, StreamEvent::Failed(error));
             None
         }
         Ok(_) => {
@@ -235,33 +235,38 @@
 
 /// Text that readers may have: what this owner delivered, or what a gateway
 /// brought along from a former one.
-fn delivered(call: &RunningCall, given_up: &Attempt) -> String {
+fn delivered_text(call: &RunningCall, previous: &Attempt) -> String {
     let own = call.live.text().clone();
-    let seen = call.live.seen().unwrap_or_default();
-    let longest = if seen.len() > own.len() { seen } else { own };
-    if longest.len() > given_up.prefix.len() {
+    let relayed = call.live.delivered().unwrap_or_default();
+    let longest = if relayed.len() > own.len() {
+        relayed
+    } else {
+        own
+    };
+    if longest.len() > previous.prefix.len() {
         longest
     } else {
-        given_up.prefix.clone()
+        previous.prefix.clone()
     }
 }
 
 async fn find_target(call: &RunningCall, avoid: &[String]) -> Option<String> {
-    for _ in 0..PLACE_TRIES {
-        let fresh = place(&call.node, &call.host, call.program, &call.spec, avoid);
-        let any = fresh.or_else(|_| place(&call.node, &call.host, call.program, &call.spec, &[]));
-        if let Ok(target) = any {
+    for _ in 0..MAX_PLACEMENT_TRIES {
+        let preferred = choose_target(&call.node, &call.host, call.program, &call.spec, avoid);
+        let target = preferred
+            .or_else(|_| choose_target(&call.node, &call.host, call.program, &call.spec, &[]));
+        if let Ok(target) = target {
             return Some(target.address);
         }
-        if !call.may_act().await {
+        if !call.confirm_running().await {
             return None;
         }
-        sleep(PLACE_RETRY).await;
+        sleep(PLACEMENT_RETRY_DELAY).await;
     }
     None
 }
 
-async fn fail(call: &RunningCall, attempt: &Attempt, cost: AttemptCost) {
+async fn fail_call(call: &RunningCall, attempt: &Attempt, cost: AttemptCost) {
     let executed = match cost {
         AttemptCost::NotRun if attempt.number == 1 => Executed::No,
         _ => Executed::Unknown,
@@ -270,12 +275,12 @@
         ErrorKind::TargetFailed,
         "issue the next call number with the same messages; engines or servers failed",
     );
-    let error = error.executed(executed).retry_after(FAILED_RETRY_MS);
-    conclude(call, attempt, Outcome::Failed(error)).await;
+    let error = error.executed(executed).retry_after(RETRY_AFTER_FAILURE_MS);
+    record_outcome(call, attempt, Outcome::Failed(error)).await;
 }
 
 /// Records the outcome; only then do readers get it.
-async fn conclude(call: &RunningCall, attempt: &Attempt, outcome: Outcome) {
+async fn record_outcome(call: &RunningCall, attempt: &Attempt, outcome: Outcome) {
     let event = match &outcome {
         Outcome::Answered(answer) => StreamEvent::Done(answer.clone()),
         Outcome::Failed(error) => StreamEvent::Failed(error.clone()),
@@ -287,7 +292,7 @@
         outcome,
     });
     match call.host.propose(command).await {
-        Ok(Reply::Done) => close(call, event),
+        Ok(Reply::Done) => finish_call(call, event),
         Ok(_) => {
             call.host.end_live(call.program, call.number);
             call.live.wake();
@@ -296,7 +301,7 @@
     }
 }
 
-fn close(call: &RunningCall, event: StreamEvent) {
+fn finish_call(call: &RunningCall, event: StreamEvent) {
     call.live.finish(event);
     call.host.end_live(call.program, call.number);
 }
--- a/crates/daemon/src/sequencer/commands.rs
+++ b/crates/daemon/src/sequencer/commands.rs
@@ -2,7 +2,7 @@
 
 use crate::node::Node;
 use crate::sequencer::message::{CommandMessage, CommandReply};
-use crate::shard::{ShardHost, Unsettled};
+use crate::shard::{ProposeError, ShardHost};
 use fieldhook_program::{Command, Reply};
 use std::rc::Rc;
 
@@ -16,7 +16,7 @@
         CommandMessage::End { program, reason } => {
             commit(&host, Command::End { program, reason }).await
         }
-        CommandMessage::View(_) if !host.confirm().await => CommandReply::NotOwner,
+        CommandMessage::View(_) if !host.confirm_ownership().await => CommandReply::NotOwner,
         CommandMessage::View(program) => match host.state.borrow().view(program) {
             Ok(view) => CommandReply::View(view),
             Err(error) => CommandReply::Failed(error),
@@ -30,6 +30,6 @@
         // Ending a program that is not recorded leaves nothing to end.
         Ok(_) => CommandReply::Done,
         // Opening and ending are repeatable: the gateway asks the next owner.
-        Err(Unsettled::NotOwner | Unsettled::Lost) => CommandReply::NotOwner,
+        Err(ProposeError::NotOwner | ProposeError::OwnershipLost) => CommandReply::NotOwner,
     }
 }
--- a/crates/daemon/src/sequencer/follow.rs
+++ b/crates/daemon/src/sequencer/follow.rs
@@ -9,7 +9,7 @@
 use tokio::sync::mpsc;
 
 /// Silence after which the reader is told that this owner lives.
-const KEEP_ALIVE: Millis = Millis(400);
+const KEEP_ALIVE_INTERVAL: Millis = Millis(400);
 
 /// The reader is gone.
 struct ReaderGone;
@@ -17,21 +17,21 @@
 /// Sends a recorded call's events until its closing one.
 pub async fn follow(host: &Rc<ShardHost>, call: &CallMessage, out: &mpsc::Sender<StreamEvent>) {
     let mut position = call.position;
-    offer_seen(host, call);
+    record_delivered(host, call);
     loop {
         let Some(live) = host.live_call(call.program, call.call_number) else {
             send_record(host, call, position, out).await;
             return;
         };
         let changed = live.changed();
-        if send_news(&live, &mut position, out).await.is_err() {
+        if send_new_text(&live, &mut position, out).await.is_err() {
             return;
         }
         if let Some(end) = live.end() {
             let _ = out.send(end).await;
             return;
         }
-        if timeout(KEEP_ALIVE, changed).await.is_err()
+        if timeout(KEEP_ALIVE_INTERVAL, changed).await.is_err()
             && out.send(StreamEvent::KeepAlive).await.is_err()
         {
             return;
@@ -41,9 +41,11 @@
 
 /// Passes on text that a former owner had delivered, for a new attempt to
 /// continue; only text of the recorded lineage may be continued.
-fn offer_seen(host: &ShardHost, call: &CallMessage) {
-    let (Some(seen), Some(live)) = (&call.seen, host.live_call(call.program, call.call_number))
-    else {
+fn record_delivered(host: &ShardHost, call: &CallMessage) {
+    let (Some(delivered), Some(live)) = (
+        &call.delivered,
+        host.live_call(call.program, call.call_number),
+    ) else {
         return;
     };
     let state = host.state.borrow();
@@ -52,11 +54,11 @@
         .get(&call.program)
         .and_then(|item| item.call(call.call_number));
     if record.is_some_and(|record| record.attempt.lineage == call.position.lineage) {
-        live.offer_seen(seen);
+        live.record_delivered(delivered);
     }
 }
 
-async fn send_news(
+async fn send_new_text(
     live: &LiveCall,
     position: &mut Position,
     out: &mpsc::Sender<StreamEvent>,
@@ -66,12 +68,12 @@
         return Ok(());
     }
     move_to_lineage(position, lineage, out).await?;
-    let fresh = live
+    let new_text = live
         .text()
         .get(position.offset as usize..)
         .unwrap_or_default()
         .to_owned();
-    send_text(position, fresh, out).await
+    send_text(position, new_text, out).await
 }
 
 async fn move_to_lineage(
@@ -122,9 +124,9 @@
             .and_then(|program| program.call(call.call_number))
             .cloned()
     };
-    let owns = host.owns();
+    let is_owned = host.is_owned();
     let closing = match record {
-        Some(record) if owns => match record.state {
+        Some(record) if is_owned => match record.state {
             CallState::Answered(answer) => {
                 let lineage = record.attempt.lineage;
                 if move_to_lineage(&mut position, lineage, out).await.is_err() {
--- a/crates/daemon/src/sequencer/upkeep.rs
+++ b/crates/daemon/src/sequencer/maintenance.rs
@@ -12,44 +12,44 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-const PAUSE: Millis = Millis(100);
+const INTERVAL: Millis = Millis(100);
 /// Rounds between two sweeps.
-const SWEEP_ROUNDS: u64 = 20;
+const ROUNDS_PER_SWEEP: u64 = 20;
 /// Engines looked at in a sweep; the next sweep looks at others.
-const SWEPT_ENGINES: usize = 4;
+const ENGINES_PER_SWEEP: usize = 4;
 const ENGINE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Looks after all shards owned here, for as long as the process lives.
-pub async fn run_upkeep(node: Rc<Node>) {
+pub async fn run_maintenance(node: Rc<Node>) {
     let mut round = 0_u64;
     let mut rotation = Rotation::default();
     loop {
         for host in node.hosts() {
-            if host.owns() {
-                end_overdue(&host).await;
-                release_ended(&node, &host);
-                forget_old(&host).await;
+            if host.is_owned() {
+                end_expired_programs(&host).await;
+                release_ended_programs(&node, &host);
+                drop_old_records(&host).await;
             }
         }
         round += 1;
-        if round.is_multiple_of(SWEEP_ROUNDS) {
-            sweep(&node, &mut rotation).await;
+        if round.is_multiple_of(ROUNDS_PER_SWEEP) {
+            sweep_orphaned_memory(&node, &mut rotation).await;
         }
-        sleep(PAUSE).await;
+        sleep(INTERVAL).await;
     }
 }
 
-async fn end_overdue(host: &Rc<ShardHost>) {
+async fn end_expired_programs(host: &Rc<ShardHost>) {
     let now_ms = host.shard_now_ms();
-    let overdue: Vec<ProgramId> = {
+    let expired: Vec<ProgramId> = {
         let state = host.state.borrow();
-        let late = state
+        let overdue = state
             .programs
             .iter()
             .filter(|(_, program)| program.is_open() && now_ms >= program.deadline_ms);
-        late.map(|(id, _)| *id).collect()
+        overdue.map(|(id, _)| *id).collect()
     };
-    for program in overdue {
+    for program in expired {
         let command = Command::End {
             program,
             reason: EndReason::Deadline,
@@ -60,8 +60,8 @@
 
 /// Tells engines to drop what they hold for ended programs, until each has
 /// acknowledged.
-fn release_ended(node: &Rc<Node>, host: &Rc<ShardHost>) {
-    let owed: Vec<(ProgramId, String)> = {
+fn release_ended_programs(node: &Rc<Node>, host: &Rc<ShardHost>) {
+    let held: Vec<(ProgramId, String)> = {
         let state = host.state.borrow();
         let ended = state
             .programs
@@ -71,7 +71,7 @@
             .flat_map(|(id, program)| program.held_by.keys().map(|engine| (*id, engine.clone())))
             .collect()
     };
-    for (program, engine) in owed {
+    for (program, engine) in held {
         if host
             .releasing
             .borrow_mut()
@@ -83,7 +83,7 @@
 }
 
 async fn release(node: Rc<Node>, host: Rc<ShardHost>, program: ProgramId, engine: String) {
-    if is_off_the_list(&node, &engine) || ask_release(&node, program, &engine).await {
+    if is_unlisted(&node, &engine) || request_release(&node, program, &engine).await {
         let command = Command::Released {
             program,
             engine: engine.clone(),
@@ -93,17 +93,17 @@
     host.releasing.borrow_mut().remove(&(program, engine));
 }
 
-async fn ask_release(node: &Node, program: ProgramId, engine: &str) -> bool {
+async fn request_release(node: &Node, program: ProgramId, engine: &str) -> bool {
     let url = format!("http://{engine}/v1/programs/{program}");
-    let reply = node
+    let response = node
         .client
         .fetch(Method::DELETE, &url, &[], Vec::new(), ENGINE_TIMEOUT)
         .await;
-    reply.is_ok_and(|reply| reply.status == 200)
+    response.is_ok_and(|response| response.status == 200)
 }
 
 /// A machine that the platform no longer lists holds nothing.
-fn is_off_the_list(node: &Node, engine: &str) -> bool {
+fn is_unlisted(node: &Node, engine: &str) -> bool {
     let fleet = node.fleet.borrow();
     !fleet.machines().is_empty()
         && !fleet
@@ -112,7 +112,7 @@
             .any(|machine| machine.address == engine)
 }
 
-async fn forget_old(host: &Rc<ShardHost>) {
+async fn drop_old_records(host: &Rc<ShardHost>) {
     let due = host.state.borrow().is_forget_due(host.shard_now_ms());
     if due {
         let _ = host.propose(Command::Forget).await;
@@ -121,9 +121,9 @@
 
 /// Compares what engines hold with what lives, which also catches the work of
 /// an owner that woke too late. Each owner answers for its own shards.
-async fn sweep(node: &Rc<Node>, rotation: &mut Rotation) {
+async fn sweep_orphaned_memory(node: &Rc<Node>, rotation: &mut Rotation) {
     let all = node.fleet.borrow().engines();
-    let engines = rotation.take(&all, SWEPT_ENGINES, |limit| fastrand::usize(..limit));
+    let engines = rotation.take(&all, ENGINES_PER_SWEEP, |limit| fastrand::usize(..limit));
     for engine in engines {
         let url = format!("http://{engine}/v1/programs");
         let held = node
@@ -137,7 +137,7 @@
         {
             if is_orphaned(node, program) {
                 tracing::info!(%program, engine, "sweeps memory of a program that has ended");
-                ask_release(node, program, &engine).await;
+                request_release(node, program, &engine).await;
             }
         }
     }
@@ -147,7 +147,7 @@
     let Some(host) = node.shard(program.shard) else {
         return false;
     };
-    if !host.owns() {
+    if !host.is_owned() {
         return false;
     }
     let state = host.state.borrow();
--- a/crates/daemon/src/sequencer/message.rs
+++ b/crates/daemon/src/sequencer/message.rs
@@ -31,9 +31,9 @@
     /// What the reader has of the answer.
     pub position: Position,
     /// The text that the reader has, where the gateway holds it whole.
-    pub seen: Option<String>,
+    pub delivered: Option<String>,
     /// Whether an earlier copy of this message may still arrive somewhere.
-    pub copied: bool,
+    pub has_earlier_copy: bool,
 }
 
 /// Anything else a gateway asks.
--- a/crates/daemon/src/sequencer/mod.rs
+++ b/crates/daemon/src/sequencer/mod.rs
@@ -5,14 +5,14 @@
 mod attempt;
 mod commands;
 mod follow;
+mod maintenance;
 mod message;
 mod model_attempt;
-mod place;
+mod placement;
 mod server_attempt;
-mod upkeep;
 
 pub use admission::serve_call;
-pub use attempt::take_over;
+pub use attempt::resume_calls;
 pub use commands::serve_command;
+pub use maintenance::run_maintenance;
 pub use message::{CallMessage, CommandMessage, CommandReply, Position};
-pub use upkeep::run_upkeep;
--- a/crates/daemon/src/sequencer/model_attempt.rs
+++ b/crates/daemon/src/sequencer/model_attempt.rs
@@ -15,19 +15,19 @@
 const RESUME_TIMEOUT: Duration = Duration::from_secs(1);
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time that gateways of a lost owner get to bring along what they delivered.
-const SEEN_WAIT: Millis = Millis(1_000);
-const SEEN_CHECK: Millis = Millis(20);
+const DELIVERED_TEXT_WAIT: Millis = Millis(1_000);
+const DELIVERED_TEXT_POLL_INTERVAL: Millis = Millis(20);
 
 /// How an attempt begins here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Start {
+pub enum AttemptStart {
     /// It has not been dispatched.
-    Fresh,
+    New,
     /// A former owner may have dispatched it.
-    TakeOver,
+    TakenOver,
 }
 
-enum Reading {
+enum ReadEnd {
     Complete(Usage),
     Broken,
 }
@@ -37,22 +37,22 @@
     call: &RunningCall,
     model: &ModelCall,
     attempt: &Attempt,
-    start: Start,
+    start: AttemptStart,
 ) -> AttemptEnd {
-    let opened = match start {
-        Start::Fresh => generate(call, model, attempt).await,
-        Start::TakeOver => take_over(call, attempt).await,
+    let response = match start {
+        AttemptStart::New => generate(call, model, attempt).await,
+        AttemptStart::TakenOver => take_over_stream(call, attempt).await,
     };
-    let mut response = match opened {
+    let mut response = match response {
         Ok(response) => response,
         Err(end) => return end,
     };
-    if start == Start::Fresh || call.live.lineage() == 0 {
+    if start == AttemptStart::New || call.live.lineage() == 0 {
         call.live.start(attempt.lineage, &attempt.prefix);
     }
     loop {
-        match read(call, &mut response).await {
-            Reading::Complete(usage) => {
+        match read_events(call, &mut response).await {
+            ReadEnd::Complete(usage) => {
                 let content = call.live.text().clone();
                 return AttemptEnd::Answered {
                     status: 200,
@@ -60,7 +60,7 @@
                     usage,
                 };
             }
-            Reading::Broken => match resume(call, attempt).await {
+            ReadEnd::Broken => match resume(call, attempt).await {
                 Ok(resumed) => response = resumed,
                 Err(end) => return end,
             },
@@ -72,7 +72,7 @@
     format!("{}.{}.{}", call.program, call.number, attempt.number)
 }
 
-fn words(text: &str) -> u32 {
+fn count_words(text: &str) -> u32 {
     text.split_whitespace().count() as u32
 }
 
@@ -82,7 +82,9 @@
     attempt: &Attempt,
 ) -> Result<ClientResponse, AttemptEnd> {
     // A word is at least a token, so the rest is never cut short by this.
-    let remaining = model.max_tokens.saturating_sub(words(&attempt.prefix));
+    let remaining = model
+        .max_tokens
+        .saturating_sub(count_words(&attempt.prefix));
     if remaining == 0 {
         call.live.start(attempt.lineage, &attempt.prefix);
         let content = attempt.prefix.clone();
@@ -104,8 +106,8 @@
     };
     let body = serde_json::to_vec(&request).unwrap_or_default();
     // The last look before the request leaves: a frozen owner wakes here.
-    if !call.may_act().await {
-        return Err(AttemptEnd::Deposed);
+    if !call.confirm_running().await {
+        return Err(AttemptEnd::OwnershipLost);
     }
     let url = format!("http://{}/v1/generate", attempt.target);
     let headers = [("content-type", "application/json")];
@@ -120,7 +122,7 @@
         Ok(_) | Err(SendError::NotSent(_) | SendError::Status { .. }) => Err(AttemptEnd::NotRun),
         Err(SendError::Unknown(_)) => {
             cancel(call, attempt);
-            Err(AttemptEnd::Lost)
+            Err(AttemptEnd::MayHaveRun)
         }
     }
 }
@@ -128,34 +130,37 @@
 /// Finds the stream of a former owner. Where the engine has lost it, gateways
 /// get a moment to say what they have delivered, so that the next attempt can
 /// continue that.
-async fn take_over(call: &RunningCall, attempt: &Attempt) -> Result<ClientResponse, AttemptEnd> {
+async fn take_over_stream(
+    call: &RunningCall,
+    attempt: &Attempt,
+) -> Result<ClientResponse, AttemptEnd> {
     match open_stream(call, attempt, 0).await {
         Some(response) => Ok(response),
         None => {
             let mut waited = Millis(0);
-            while call.live.seen().is_none() && waited.0 < SEEN_WAIT.0 {
-                sleep(SEEN_CHECK).await;
-                waited = Millis(waited.0 + SEEN_CHECK.0);
+            while call.live.delivered().is_none() && waited.0 < DELIVERED_TEXT_WAIT.0 {
+                sleep(DELIVERED_TEXT_POLL_INTERVAL).await;
+                waited = Millis(waited.0 + DELIVERED_TEXT_POLL_INTERVAL.0);
             }
-            if call.may_act().await {
-                Err(AttemptEnd::Lost)
+            if call.confirm_running().await {
+                Err(AttemptEnd::MayHaveRun)
             } else {
-                Err(AttemptEnd::Deposed)
+                Err(AttemptEnd::OwnershipLost)
             }
         }
     }
 }
 
 async fn resume(call: &RunningCall, attempt: &Attempt) -> Result<ClientResponse, AttemptEnd> {
-    if !call.may_act().await {
-        return Err(AttemptEnd::Deposed);
+    if !call.confirm_running().await {
+        return Err(AttemptEnd::OwnershipLost);
     }
     let from = call.live.text().len() - attempt.prefix.len();
     match open_stream(call, attempt, from).await {
         Some(response) => Ok(response),
         None => {
             cancel(call, attempt);
-            Err(AttemptEnd::Lost)
+            Err(AttemptEnd::MayHaveRun)
         }
     }
 }
@@ -171,19 +176,19 @@
     response.status().is_success().then_some(response)
 }
 
-async fn read(call: &RunningCall, response: &mut ClientResponse) -> Reading {
+async fn read_events(call: &RunningCall, response: &mut ClientResponse) -> ReadEnd {
     let limits = &call.node.settings.limits;
     let mut decoder = SseDecoder::default();
     let mut limit = limits.first_token();
     loop {
         let Ok(Some(Ok(chunk))) = timeout(limit, response.next()).await else {
-            return Reading::Broken;
+            return ReadEnd::Broken;
         };
         for event in decoder.push(&chunk) {
             match serde_json::from_str(&event.data) {
                 Ok(GenerateEvent::Text(text)) => call.live.push(&text),
-                Ok(GenerateEvent::Done(usage)) => return Reading::Complete(usage),
-                Err(_) => return Reading::Broken,
+                Ok(GenerateEvent::Done(usage)) => return ReadEnd::Complete(usage),
+                Err(_) => return ReadEnd::Broken,
             }
         }
         limit = limits.stall();
--- a/crates/daemon/src/sequencer/place.rs
+++ b/crates/daemon/src/sequencer/placement.rs
@@ -35,7 +35,7 @@
 ///
 /// # Errors
 /// Nothing may or can take it now; it has not run.
-pub fn place(
+pub fn choose_target(
     node: &Node,
     host: &ShardHost,
     program: ProgramId,
@@ -43,12 +43,12 @@
     avoid: &[String],
 ) -> Result<Target, CallError> {
     match spec {
-        CallSpec::Model(model) => place_model(node, host, program, model, avoid),
-        CallSpec::Server(server) => place_server(node, host, program, server, avoid),
+        CallSpec::Model(model) => choose_engine(node, host, program, model, avoid),
+        CallSpec::Server(server) => choose_server(node, host, program, server, avoid),
     }
 }
 
-fn place_model(
+fn choose_engine(
     node: &Node,
     host: &ShardHost,
     program: ProgramId,
@@ -99,7 +99,7 @@
     }
 }
 
-fn place_server(
+fn choose_server(
     node: &Node,
     host: &ShardHost,
     program: ProgramId,
@@ -109,10 +109,11 @@
     let labels = program_labels(host, program);
     let config = node.config.borrow();
     for machine in servers_for(node, &server.service) {
-        let own = config
-            .document
-            .machine_labels(&machine.name, &machine.zone, &machine.labels);
-        let verdict = judge(&config.document, &labels, &own);
+        let machine_labels =
+            config
+                .document
+                .machine_labels(&machine.name, &machine.zone, &machine.labels);
+        let verdict = judge(&config.document, &labels, &machine_labels);
         if verdict.allowed && !avoid.contains(&machine.address) {
             return Ok(Target {
                 address: machine.address,
--- a/crates/daemon/src/sequencer/server_attempt.rs
+++ b/crates/daemon/src/sequencer/server_attempt.rs
@@ -5,7 +5,7 @@
 //! otherwise the outcome stays unknown.
 
 use crate::sequencer::attempt::{AttemptEnd, RunningCall};
-use crate::sequencer::model_attempt::Start;
+use crate::sequencer::model_attempt::AttemptStart;
 use fieldhook_http::SendError;
 use fieldhook_model::api::{ServerCall, Usage};
 use fieldhook_model::platform::{Execution, KEY_HEADER};
@@ -15,23 +15,23 @@
 use std::time::Duration;
 
 const LOOKUP_TIMEOUT: Duration = Duration::from_secs(2);
-const LOOKUP_TRIES: u32 = 5;
-const LOOKUP_PAUSE: Millis = Millis(200);
+const MAX_LOOKUPS: u32 = 5;
+const LOOKUP_INTERVAL: Millis = Millis(200);
 
 /// Runs the attempt.
 pub async fn run(
     call: &RunningCall,
     server: &ServerCall,
     attempt: &Attempt,
-    start: Start,
+    start: AttemptStart,
 ) -> AttemptEnd {
     call.live.start(attempt.lineage, "");
-    if start == Start::TakeOver {
-        return settle_lost(call, attempt).await;
+    if start == AttemptStart::TakenOver {
+        return resolve_lost_response(call, attempt).await;
     }
     // The last look before the request leaves: a frozen owner wakes here.
-    if !call.may_act().await {
-        return AttemptEnd::Deposed;
+    if !call.confirm_running().await {
+        return AttemptEnd::OwnershipLost;
     }
     let key = server_key(call);
     let url = format!(
@@ -51,9 +51,9 @@
         .fetch(Method::POST, &url, &headers, body, limit)
         .await
     {
-        Ok(reply) => answered(call, reply.status, reply.body),
+        Ok(response) => complete(call, response.status, response.body),
         Err(SendError::NotSent(_)) => AttemptEnd::NotRun,
-        Err(_) => settle_lost(call, attempt).await,
+        Err(_) => resolve_lost_response(call, attempt).await,
     }
 }
 
@@ -62,7 +62,7 @@
     format!("{}.{}", call.program, call.request_key)
 }
 
-fn answered(call: &RunningCall, status: u16, content: String) -> AttemptEnd {
+fn complete(call: &RunningCall, status: u16, content: String) -> AttemptEnd {
     call.live.push(&content);
     AttemptEnd::Answered {
         status,
@@ -71,12 +71,12 @@
     }
 }
 
-async fn settle_lost(call: &RunningCall, attempt: &Attempt) -> AttemptEnd {
+async fn resolve_lost_response(call: &RunningCall, attempt: &Attempt) -> AttemptEnd {
     if call.repeatable {
-        return if call.may_act().await {
-            AttemptEnd::Lost
+        return if call.confirm_running().await {
+            AttemptEnd::MayHaveRun
         } else {
-            AttemptEnd::Deposed
+            AttemptEnd::OwnershipLost
         };
     }
     let url = format!(
@@ -84,24 +84,24 @@
         attempt.target,
         server_key(call)
     );
-    for _ in 0..LOOKUP_TRIES {
-        let reply = call
+    for _ in 0..MAX_LOOKUPS {
+        let response = call
             .node
             .client
             .fetch(Method::GET, &url, &[], Vec::new(), LOOKUP_TIMEOUT)
             .await;
-        match reply {
-            Ok(reply) if reply.status == 200 => {
-                if let Ok(execution) = serde_json::from_str::<Execution>(&reply.body) {
-                    return answered(call, 200, execution.answer);
+        match response {
+            Ok(response) if response.status == 200 => {
+                if let Ok(execution) = serde_json::from_str::<Execution>(&response.body) {
+                    return complete(call, 200, execution.answer);
                 }
             }
             // Not offered: asking again changes nothing.
-            Ok(reply) if reply.status != 404 => return AttemptEnd::Unknown,
+            Ok(response) if response.status != 404 => return AttemptEnd::OutcomeUnknown,
             // Not seen yet: it may still be on its way or at work.
             _ => {}
         }
-        sleep(LOOKUP_PAUSE).await;
+        sleep(LOOKUP_INTERVAL).await;
     }
-    AttemptEnd::Unknown
+    AttemptEnd::OutcomeUnknown
 }
--- a/crates/daemon/src/server.rs
+++ b/crates/daemon/src/server.rs
@@ -3,7 +3,7 @@
 use crate::gateway::{delete_program, post_call, post_program, show_program};
 use crate::node::{Node, Phase};
 use crate::operator;
-use crate::platform::config_follow::PeerConfig;
+use crate::platform::config_sync::PeerConfig;
 use crate::sequencer::{CallMessage, CommandMessage, serve_call, serve_command};
 use fieldhook_http::text;
 use futures_util::stream;
@@ -56,17 +56,17 @@
     text(200, node.metrics.render())
 }
 
-fn binary<T: SerBin>(value: &T) -> HttpResponse {
+fn binary_response<T: SerBin>(value: &T) -> HttpResponse {
     HttpResponse::Ok().body(value.serialize_bin())
 }
 
-fn undecodable() -> HttpResponse {
+fn undecodable_response() -> HttpResponse {
     text(400, "does not decode; run the same version on all daemons")
 }
 
 async fn internal_call(node: types::State<Rc<Node>>, body: Bytes) -> HttpResponse {
     let Ok(call) = CallMessage::deserialize_bin(&body) else {
-        return undecodable();
+        return undecodable_response();
     };
     let (out, events) = mpsc::channel(EVENT_BACKLOG);
     ntex::rt::spawn(serve_call((*node).clone(), call, out));
@@ -80,14 +80,14 @@
 
 async fn internal_command(node: types::State<Rc<Node>>, body: Bytes) -> HttpResponse {
     match CommandMessage::deserialize_bin(&body) {
-        Ok(message) => binary(&serve_command(&node, message).await),
-        Err(_) => undecodable(),
+        Ok(message) => binary_response(&serve_command(&node, message).await),
+        Err(_) => undecodable_response(),
     }
 }
 
 async fn internal_config(node: types::State<Rc<Node>>) -> HttpResponse {
     let state = node.config.borrow().clone();
-    binary(&PeerConfig {
+    binary_response(&PeerConfig {
         known: node.config_known.get(),
         state,
     })
--- a/crates/daemon/src/settings/flags.rs
+++ b/crates/daemon/src/settings/flags.rs
@@ -51,7 +51,7 @@
         };
         let mut table: Table =
             toml::from_str(&text).map_err(|error| SettingsError::Syntax(error.to_string()))?;
-        self.lay_over(&mut table);
+        self.apply_flags(&mut table);
         let settings: Settings = Value::Table(table)
             .try_into()
             .map_err(|error: toml::de::Error| SettingsError::Syntax(error.to_string()))?;
@@ -59,7 +59,7 @@
         Ok(settings)
     }
 
-    fn lay_over(&self, table: &mut Table) {
+    fn apply_flags(&self, table: &mut Table) {
         set(table, "address", self.address.clone());
         set(table, "zone", self.zone.clone());
         set(table, "shards", self.shards.map(i64::from));
--- a/crates/daemon/src/settings/mod.rs
+++ b/crates/daemon/src/settings/mod.rs
@@ -117,14 +117,14 @@
         for seed in &self.seeds {
             check_address("seeds", seed)?;
         }
-        check(
+        check_value(
             "zone",
             &self.zone,
             !self.zone.is_empty(),
             "a name",
             "set the machine's zone",
         )?;
-        check(
+        check_value(
             "shards",
             self.shards,
             (1..=4096).contains(&self.shards),
@@ -132,7 +132,7 @@
             "use the same number on every daemon",
         )?;
         self.check_limits()?;
-        let membership = self.membership_core();
+        let membership = self.membership_settings();
         membership
             .validate()
             .map_err(|error| SettingsError::Relation(format!("membership: {error}")))
@@ -140,28 +140,28 @@
 
     fn check_limits(&self) -> Result<(), SettingsError> {
         let limits = &self.limits;
-        check(
+        check_value(
             "limits.body_bytes",
             limits.body_bytes,
             (1024..=256 << 20).contains(&limits.body_bytes),
             "1024 to 268435456",
             "use at least the longest message that callers send",
         )?;
-        check(
+        check_value(
             "limits.attempts",
             limits.attempts,
             (1..=10).contains(&limits.attempts),
             "1 to 10",
             "use 4; every further attempt costs budget",
         )?;
-        check(
+        check_value(
             "limits.max_turns",
             limits.max_turns,
             limits.max_turns > 0,
             "1 or more",
             "use 200",
         )?;
-        check(
+        check_value(
             "limits.stall_ms",
             limits.stall_ms,
             limits.stall_ms >= 100,
@@ -171,7 +171,7 @@
     }
 
     /// Timing for the membership core.
-    pub fn membership_core(&self) -> fieldhook_membership::Settings {
+    pub fn membership_settings(&self) -> fieldhook_membership::Settings {
         fieldhook_membership::Settings {
             probe_ms: self.membership.probe_ms,
             answer_ms: self.membership.answer_ms,
@@ -184,7 +184,7 @@
     ///
     /// # Errors
     /// Not an IPv4 address with a port.
-    pub fn own_address(&self) -> Result<Address, SettingsError> {
+    pub fn listen_address(&self) -> Result<Address, SettingsError> {
         parse_address("address", &self.address)
     }
 
@@ -230,14 +230,14 @@
     parse_address(key, value).map(|_| ())
 }
 
-fn check<V: ToString>(
+fn check_value<V: ToString>(
     key: &'static str,
     value: V,
-    good: bool,
+    is_valid: bool,
     allowed: &'static str,
     remedy: &'static str,
 ) -> Result<(), SettingsError> {
-    if good {
+    if is_valid {
         return Ok(());
     }
     Err(SettingsError::Value {
--- a/crates/daemon/src/shard/host.rs
+++ b/crates/daemon/src/shard/host.rs
@@ -14,15 +14,15 @@
 
 /// Time since the log last took an append or a check under this epoch, up to which
 /// an owner acts without asking again. A process that was frozen is past it.
-const CHECKED_FOR: Duration = Duration::from_millis(400);
+const CONFIRMATION_VALID_FOR: Duration = Duration::from_millis(400);
 
 /// A command whose fate this daemon cannot tell, or that was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unsettled {
+pub enum ProposeError {
     /// Not taken: this daemon does not own the shard. It never happened.
     NotOwner,
     /// Taken, but the shard was lost before the log had it: it may yet stand there.
-    Lost,
+    OwnershipLost,
 }
 
 /// One shard owned here.
@@ -38,7 +38,7 @@
     /// Resolves waits for the end of any call.
     pub call_ended: Notify,
     /// Whether new calls are held back for a hand-over.
-    pub holding: Cell<bool>,
+    pub handing_over: Cell<bool>,
     /// Releases of engine memory under way.
     pub releasing: RefCell<BTreeSet<(ProgramId, String)>>,
     /// Records on their way to the log.
@@ -47,8 +47,8 @@
     applied: Cell<u64>,
     snapshot: RefCell<Snapshot>,
     lost: Cell<bool>,
-    checked: Cell<Instant>,
-    clock_read: Cell<Instant>,
+    confirmed_at: Cell<Instant>,
+    clock_updated_at: Cell<Instant>,
 }
 
 impl ShardHost {
@@ -60,43 +60,43 @@
             state: RefCell::new(recovered.state),
             live: RefCell::default(),
             call_ended: Notify::new(),
-            holding: Cell::new(false),
+            handing_over: Cell::new(false),
             releasing: RefCell::default(),
             appender,
             next_index: Cell::new(recovered.index + 1),
             applied: Cell::new(recovered.index),
             snapshot: RefCell::new(recovered.snapshot),
             lost: Cell::new(false),
-            checked: Cell::new(Instant::now()),
-            clock_read: Cell::new(Instant::now()),
+            confirmed_at: Cell::new(Instant::now()),
+            clock_updated_at: Cell::new(Instant::now()),
         }
     }
 
     /// Whether this daemon still owns the shard, as far as it knows.
-    pub fn owns(&self) -> bool {
+    pub fn is_owned(&self) -> bool {
         !self.lost.get()
     }
 
     /// Whether this daemon still owns the shard, asked of the log if the last answer
     /// is not recent. In an outage of the log nobody else can have taken it, but that
     /// cannot be seen from here: the question waits.
-    pub async fn confirm(&self) -> bool {
+    pub async fn confirm_ownership(&self) -> bool {
         if self.lost.get() {
             return false;
         }
-        if self.checked.get().elapsed() < CHECKED_FOR {
+        if self.confirmed_at.get().elapsed() < CONFIRMATION_VALID_FOR {
             return true;
         }
-        let (sender, checked) = oneshot::channel();
+        let (sender, outcome) = oneshot::channel();
         let done = move |outcome| {
             let _ = sender.send(outcome);
         };
         self.appender.push(Vec::new(), Urgency::Now, Box::new(done));
-        let holds = matches!(checked.await, Ok(Outcome::Durable)) && !self.lost.get();
-        if holds {
-            self.checked.set(Instant::now());
+        let confirmed = matches!(outcome.await, Ok(Outcome::Durable)) && !self.lost.get();
+        if confirmed {
+            self.confirmed_at.set(Instant::now());
         }
-        holds
+        confirmed
     }
 
     /// Index of the last applied command.
@@ -105,13 +105,13 @@
     }
 
     /// Commands that the log does not have yet.
-    pub fn waiting(&self) -> u64 {
+    pub fn pending_commands(&self) -> u64 {
         self.next_index.get() - 1 - self.applied.get()
     }
 
     /// The shard's clock: that of the last command, carried on by this machine.
     pub fn shard_now_ms(&self) -> u64 {
-        let elapsed = self.clock_read.get().elapsed().as_millis() as u64;
+        let elapsed = self.clock_updated_at.get().elapsed().as_millis() as u64;
         self.state.borrow().clock_ms + elapsed
     }
 
@@ -119,9 +119,9 @@
     ///
     /// # Errors
     /// Not taken here, or the shard was lost before it was durable.
-    pub async fn propose(self: &Rc<Self>, command: Command) -> Result<Reply, Unsettled> {
+    pub async fn propose(self: &Rc<Self>, command: Command) -> Result<Reply, ProposeError> {
         if self.lost.get() {
-            return Err(Unsettled::NotOwner);
+            return Err(ProposeError::NotOwner);
         }
         let command = TimedCommand {
             at_ms: self.shard_now_ms(),
@@ -139,18 +139,18 @@
         };
         self.appender
             .push(vec![record], Urgency::Now, Box::new(done));
-        let reply = reply.await.map_err(|_| Unsettled::Lost)?;
+        let reply = reply.await.map_err(|_| ProposeError::OwnershipLost)?;
         self.snapshot_if_due();
         Ok(reply)
     }
 
     fn apply(&self, index: u64, command: TimedCommand) -> Reply {
         self.applied.set(index);
-        self.checked.set(Instant::now());
+        self.confirmed_at.set(Instant::now());
         let before_ms = self.state.borrow().clock_ms;
         let reply = self.state.borrow_mut().apply(command);
         if self.state.borrow().clock_ms > before_ms {
-            self.clock_read.set(Instant::now());
+            self.clock_updated_at.set(Instant::now());
         }
         reply
     }
@@ -170,13 +170,13 @@
     }
 
     /// Gives up everything that only an owner may do.
-    pub fn lose(&self) {
+    pub fn mark_lost(&self) {
         self.lost.set(true);
         for live in std::mem::take(&mut *self.live.borrow_mut()).values() {
             live.wake();
         }
         self.appender.stop();
-        self.holding.set(false);
+        self.handing_over.set(false);
         self.call_ended.notify_waiters();
     }
 
--- a/crates/daemon/src/shard/live_call.rs
+++ b/crates/daemon/src/shard/live_call.rs
@@ -12,7 +12,7 @@
     lineage: Cell<u32>,
     end: RefCell<Option<StreamEvent>>,
     /// Text that a gateway had already passed on under a former owner.
-    seen: RefCell<Option<String>>,
+    delivered: RefCell<Option<String>>,
     changed: Notify,
 }
 
@@ -52,19 +52,22 @@
     }
 
     /// Notes text that was already passed on under a former owner.
-    pub fn offer_seen(&self, text: &str) {
-        let mut seen = self.seen.borrow_mut();
-        if seen.as_ref().is_none_or(|known| known.len() < text.len()) {
-            *seen = Some(text.to_owned());
+    pub fn record_delivered(&self, text: &str) {
+        let mut delivered = self.delivered.borrow_mut();
+        if delivered
+            .as_ref()
+            .is_none_or(|known| known.len() < text.len())
+        {
+            *delivered = Some(text.to_owned());
         }
-        drop(seen);
+        drop(delivered);
         self.changed.notify_waiters();
     }
 
     /// The longest text that was passed on under a former owner, if a gateway
     /// has asked again.
-    pub fn seen(&self) -> Option<String> {
-        self.seen.borrow().clone()
+    pub fn delivered(&self) -> Option<String> {
+        self.delivered.borrow().clone()
     }
 
     /// Wakes all readers, to look where the call runs now.
--- a/crates/daemon/src/shard/mod.rs
+++ b/crates/daemon/src/shard/mod.rs
@@ -3,14 +3,14 @@
 //!
 //! - [`host`]: one owned shard.
 //! - [`storage`]: how its state stands on the log.
-//! - [`manage`]: taking shards up, giving them up, claiming orphaned ones.
+//! - [`ownership`]: taking shards up, giving them up, claiming orphaned ones.
 //! - [`live_call`]: a call that runs under this owner.
 
 mod host;
 mod live_call;
-mod manage;
+mod ownership;
 pub mod storage;
 
-pub use host::{ShardHost, Unsettled};
+pub use host::{ProposeError, ShardHost};
 pub use live_call::LiveCall;
-pub use manage::{act_on_claim, owner_of, run_management};
+pub use ownership::{apply_claim, owner_of, run_claiming};
--- a/crates/daemon/src/shard/manage.rs
+++ b/crates/daemon/src/shard/ownership.rs
@@ -2,7 +2,7 @@
 //! those whose owner is gone.
 
 use crate::node::Node;
-use crate::sequencer::take_over;
+use crate::sequencer::resume_calls;
 use crate::shard::host::ShardHost;
 use crate::shard::storage::{SHARDS_TOPIC, recover};
 use fieldhook_log::api::{Partition, StoreError};
@@ -16,9 +16,9 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-const MANAGE: Millis = Millis(100);
+const CLAIM_CHECK_INTERVAL: Millis = Millis(100);
 const LOAD_TIMEOUT: Duration = Duration::from_secs(2);
-const LOAD_PAUSE: Millis = Millis(50);
+const LOAD_RETRY_DELAY: Millis = Millis(50);
 /// The process of an owner, as a claim names it.
 pub fn owner_of(claim: &Claim) -> Option<ProcessId> {
     let address = claim.address?.to_string().parse().ok()?;
@@ -28,7 +28,7 @@
     })
 }
 
-fn place(shard: ShardId) -> Partition {
+fn log_partition(shard: ShardId) -> Partition {
     Partition {
         topic: SHARDS_TOPIC.to_owned(),
         number: u32::from(shard),
@@ -36,42 +36,42 @@
 }
 
 /// Acts on the newest claim of a shard.
-pub fn act_on_claim(node: &Rc<Node>, shard: ShardId) {
+pub fn apply_claim(node: &Rc<Node>, shard: ShardId) {
     let Some(claim) = node.claims.claim(u32::from(shard)) else {
         return;
     };
     let held_epoch = node.shard(shard).map(|host| host.epoch);
-    let mine = node.claims.is_mine(&claim);
+    let is_mine = node.claims.is_mine(&claim);
     if held_epoch.is_some() && held_epoch != Some(claim.epoch) {
         tracing::info!(event = "shard_lost", shard, epoch = claim.epoch, owner = ?claim.address);
-        give_up(node, shard);
+        drop_shard(node, shard);
     }
-    if mine && held_epoch != Some(claim.epoch) && !node.claims.has_stopped_claiming() {
-        ntex::rt::spawn(hold(node.clone(), shard, claim.epoch));
+    if is_mine && held_epoch != Some(claim.epoch) && !node.claims.has_stopped_claiming() {
+        ntex::rt::spawn(load_and_serve(node.clone(), shard, claim.epoch));
     }
 }
 
-fn give_up(node: &Node, shard: ShardId) {
+fn drop_shard(node: &Node, shard: ShardId) {
     if let Some(host) = node.shards.borrow_mut().remove(&shard) {
-        host.lose();
+        host.mark_lost();
     }
 }
 
-fn is_claimed(node: &Node, shard: ShardId, epoch: u64) -> bool {
+fn is_current_claim(node: &Node, shard: ShardId, epoch: u64) -> bool {
     let claim = node.claims.claim(u32::from(shard));
     claim.is_some_and(|claim| claim.epoch == epoch)
 }
 
 /// Reads a claimed shard from the log and serves it until it is lost.
-async fn hold(node: Rc<Node>, shard: ShardId, epoch: u64) {
+async fn load_and_serve(node: Rc<Node>, shard: ShardId, epoch: u64) {
     let records = loop {
-        if !is_claimed(&node, shard, epoch) {
+        if !is_current_claim(&node, shard, epoch) {
             return;
         }
         match load(&node, shard, epoch).await {
             Ok(records) => break records,
             Err(StoreError::Fenced) => return,
-            Err(_) => sleep(LOAD_PAUSE).await,
+            Err(_) => sleep(LOAD_RETRY_DELAY).await,
         }
     };
     let recovered = recover(&records);
@@ -83,24 +83,24 @@
         programs = recovered.state.programs.len()
     );
     let appender = Rc::new(Appender::new(
-        place(shard),
+        log_partition(shard),
         epoch,
         node.store.clone(),
-        node.log_contact.clone(),
+        node.log_health.clone(),
     ));
     let host = Rc::new(ShardHost::new(shard, epoch, recovered, appender.clone()));
-    if !is_claimed(&node, shard, epoch) {
+    if !is_current_claim(&node, shard, epoch) {
         return;
     }
     node.shards.borrow_mut().insert(shard, host.clone());
     node.claims.changed.notify_waiters();
-    take_over(&node, &host);
+    resume_calls(&node, &host);
     let end = appender.run(|_took| {}).await;
-    host.lose();
+    host.mark_lost();
     if end == AppendEnd::Fenced {
         tracing::info!(event = "shard_fenced", shard, epoch);
-        let current = node.shard(shard).is_some_and(|held| held.epoch == epoch);
-        if current {
+        let is_current = node.shard(shard).is_some_and(|held| held.epoch == epoch);
+        if is_current {
             node.shards.borrow_mut().remove(&shard);
         }
         let _ = node.claims.refresh().await;
@@ -115,11 +115,13 @@
     epoch: u64,
 ) -> Result<Vec<fieldhook_log::api::KeyedRecord>, StoreError> {
     let store = node.store.as_ref();
-    fence(store, place(shard), epoch, LOAD_TIMEOUT).await?;
+    fence(store, log_partition(shard), epoch, LOAD_TIMEOUT).await?;
     let mut records = Vec::new();
     let mut after = None;
     loop {
-        let page = store.newest(place(shard), after, LOAD_TIMEOUT).await?;
+        let page = store
+            .newest(log_partition(shard), after, LOAD_TIMEOUT)
+            .await?;
         records.extend(page.records.into_iter().map(|(_, record)| record));
         after = page.more_after;
         if after.is_none() {
@@ -129,14 +131,14 @@
 }
 
 /// Claims shards whose owner is gone, for as long as the process lives.
-pub async fn run_management(node: Rc<Node>) {
+pub async fn run_claiming(node: Rc<Node>) {
     loop {
         for shard in 0..node.settings.shards {
             let claim = node.claims.claim(u32::from(shard));
-            let Some(claim) = claim.filter(|claim| is_orphaned(&node, claim)) else {
+            let Some(claim) = claim.filter(|claim| is_owner_gone(&node, claim)) else {
                 continue;
             };
-            if is_heir(&node, shard) {
+            if is_designated_claimant(&node, shard) {
                 let epoch = Some(claim.epoch);
                 if let Err(error) = node.claims.take_over(u32::from(shard), epoch).await {
                     tracing::debug!(event = "claim_failed", shard, ?error);
@@ -144,13 +146,13 @@
             }
         }
         update_metrics(&node);
-        sleep(MANAGE).await;
+        sleep(CLAIM_CHECK_INTERVAL).await;
     }
 }
 
 /// Whether a claim's owner is held dead, or is surely gone. A mistake costs a move
 /// of the shard, no more: the fence decides who owns it.
-fn is_orphaned(node: &Node, claim: &Claim) -> bool {
+fn is_owner_gone(node: &Node, claim: &Claim) -> bool {
     let Some(owner) = owner_of(claim) else {
         return false;
     };
@@ -164,7 +166,7 @@
 
 /// One daemon claims a shard, to spare the log a race: the live one that the shard
 /// hashes to. Racing claims would still have one winner.
-fn is_heir(node: &Node, shard: ShardId) -> bool {
+fn is_designated_claimant(node: &Node, shard: ShardId) -> bool {
     let detector = node.detector.borrow();
     let live = detector
         .table()
@@ -181,7 +183,7 @@
         .iter()
         .map(|host| host.state.borrow().programs.len())
         .sum();
-    let waiting: u64 = hosts.iter().map(|host| host.waiting()).sum();
+    let waiting: u64 = hosts.iter().map(|host| host.pending_commands()).sum();
     node.metrics.shards_owned.set(hosts.len() as i64);
     node.metrics.programs.set(programs as i64);
     node.metrics.commands_waiting.set(waiting as i64);
--- a/crates/daemon/src/shard/storage.rs
+++ b/crates/daemon/src/shard/storage.rs
@@ -50,18 +50,18 @@
     programs: BTreeMap<ProgramId, u64>,
 }
 
-fn keyed(kind: u8, rest: &[u8]) -> Vec<u8> {
+fn make_key(kind: u8, rest: &[u8]) -> Vec<u8> {
     let mut key = vec![kind];
     key.extend_from_slice(rest);
     key
 }
 
 fn command_key(index: u64) -> Vec<u8> {
-    keyed(COMMAND_KEY, &index.to_be_bytes())
+    make_key(COMMAND_KEY, &index.to_be_bytes())
 }
 
 fn program_key(id: ProgramId) -> Vec<u8> {
-    keyed(PROGRAM_KEY, id.to_string().as_bytes())
+    make_key(PROGRAM_KEY, id.to_string().as_bytes())
 }
 
 /// The record of a command.
@@ -94,7 +94,7 @@
             clock_ms: state.clock_ms,
         };
         records.push(KeyedRecord {
-            key: keyed(MARK_KEY, &[]),
+            key: make_key(MARK_KEY, &[]),
             value: mark.serialize_bin(),
         });
         records.extend((self.index + 1..=index).map(|covered| deletion(command_key(covered))));
--- a/crates/daemon/src/transport/datagram.rs
+++ b/crates/daemon/src/transport/datagram.rs
@@ -12,10 +12,10 @@
 use std::rc::Rc;
 use tokio::net::UdpSocket;
 
-const LARGEST_DATAGRAM: usize = 65_507;
+const MAX_DATAGRAM_BYTES: usize = 65_507;
 /// IP and UDP headers, which count as bytes on the network.
 const HEADER_BYTES: u64 = 28;
-const MEMBERSHIP_TICK: Millis = Millis(50);
+const TICK_INTERVAL: Millis = Millis(50);
 
 /// One datagram between daemons.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
@@ -54,7 +54,7 @@
 }
 
 async fn receive_datagrams(node: Rc<Node>, socket: Rc<UdpSocket>) {
-    let mut buffer = vec![0; LARGEST_DATAGRAM];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok((length, _)) = socket.recv_from(&mut buffer).await else {
             sleep(Millis(1)).await;
@@ -63,7 +63,7 @@
         match Datagram::deserialize_bin(&buffer[..length]) {
             Ok(Datagram::Membership(packet)) => {
                 let outgoing = node.detector.borrow_mut().receive(packet);
-                send_all(&node, outgoing);
+                send_packets(&node, outgoing);
             }
             Err(error) => tracing::debug!(%error, "datagram dropped"),
         }
@@ -73,13 +73,13 @@
 async fn tick_membership(node: Rc<Node>) {
     loop {
         let outgoing = node.detector.borrow_mut().tick(node.now_ms());
-        send_all(&node, outgoing);
-        node.check_peers();
-        sleep(MEMBERSHIP_TICK).await;
+        send_packets(&node, outgoing);
+        node.update_last_majority();
+        sleep(TICK_INTERVAL).await;
     }
 }
 
-fn send_all(node: &Node, outgoing: Vec<Outgoing>) {
+fn send_packets(node: &Node, outgoing: Vec<Outgoing>) {
     for Outgoing { to, packet } in outgoing {
         send_datagram(node, to, &Datagram::Membership(packet));
     }
