--- a/crates/daemon/src/drain.rs
+++ b/crates/daemon/src/drain.rs
@@ -1,5 +1,5 @@
-//! The planned stop: take nothing new, hand the shards over, finish what is
-//! under way, and only then go.
+//! Planned shutdown: refuse new requests, hand the shards over, complete the requests in flight,
+//! and only then leave the group.
 
 use crate::node::{Node, Phase};
 use crate::shard::ShardHost;
@@ -9,17 +9,17 @@
 use std::time::{Duration, Instant};
 
 const POLL_INTERVAL: Millis = Millis(20);
-/// Time for which new calls are held back until requests to servers that are
-/// not repeatable have answered here.
+/// Limit for handing over a shard. Until the shard is handed over, new calls are held back and
+/// non-repeatable requests to servers are waited for.
 const MAX_HANDOVER_TIME: Duration = Duration::from_secs(12);
-/// Time in which others learn that this daemon goes.
+/// Time for the other daemons to learn that this daemon leaves.
 const LEAVE_NOTICE_TIME: Millis = Millis(700);
-/// Longest planned stop; streams of engines end well within it.
+/// Limit for completing requests in flight. Streams of engines end well within it.
 const MAX_DRAIN_TIME: Duration = Duration::from_secs(120);
 
-/// Does all of a planned stop but ending the process.
+/// Performs a planned shutdown. The caller then stops the process.
 pub async fn drain(node: Rc<Node>) {
-    tracing::info!("planned stop begins");
+    tracing::info!("planned shutdown started");
     node.set_phase(Phase::Draining);
     let started = Instant::now();
     node.claims.stop_claiming();
@@ -35,13 +35,13 @@
     sleep(LEAVE_NOTICE_TIME).await;
     tracing::info!(
         seconds = started.elapsed().as_secs_f64(),
-        "planned stop done"
+        "planned shutdown completed"
     );
 }
 
-/// Hands a shard over. Streams of engines go on at the next owner; a request that
-/// must not run twice has to end here first, because its answer can only be recorded
-/// by the owner that waits for it.
+/// Hands a shard over. The next owner continues streams of engines. Non-repeatable requests to
+/// servers must complete first, because only the owner that sent such a request can record its
+/// response.
 async fn hand_over(node: Rc<Node>, host: Rc<ShardHost>) {
     let started = Instant::now();
     host.handing_over.set(true);
@@ -52,7 +52,8 @@
         sleep(POLL_INTERVAL).await;
     }
     while host.is_owned() && started.elapsed() < MAX_HANDOVER_TIME {
-        // Another claim may have moved the end of the topic: the next try knows it.
+        // The release fails if another claim was appended in the meantime; the next attempt takes
+        // that claim into account.
         let _ = node.claims.release(u32::from(host.shard), None).await;
         sleep(POLL_INTERVAL).await;
     }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,9 +1,9 @@
-//! `fieldhookd`: the daemon. The decisions are made in the pure crates; this
-//! one gives them sockets, clocks and tasks, all on one thread.
+//! `fieldhookd`, the daemon. Scheduling decisions are made in crates without I/O; this crate adds
+//! sockets, clocks and tasks, all on one thread.
 //!
-//! A call's way through the modules:
-//! `server` (routes) -> `gateway` (find the owner, relay) -> `sequencer`
-//! (admit, record, dispatch) -> `shard` (append) -> engine or server.
+//! A call passes through these modules: [`server`] (routes), [`gateway`] (finds the owner and
+//! relays its events), [`sequencer`] (admits, records and dispatches) and [`shard`] (appends to the
+//! log). The sequencer then sends it to an engine or a server.
 
 pub mod drain;
 pub mod gateway;
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,5 +1,5 @@
-//! `fieldhookd`: reads the settings, starts the node's tasks, serves, and stops
-//! in order on SIGTERM.
+//! `fieldhookd`: reads the settings, starts the daemon's tasks, serves requests, and shuts down
+//! gracefully on SIGTERM or SIGINT.
 
 use fieldhook_daemon::drain::drain;
 use fieldhook_daemon::node::{Node, Phase};
@@ -22,10 +22,10 @@
 use tokio::sync::oneshot;
 
 const EXIT_BAD_SETTINGS: u8 = 2;
-/// What is logged unless the environment variable `FIELDHOOK_LOG` says otherwise.
+/// Log filter if the environment variable `FIELDHOOK_LOG` is not set or not valid.
 const DEFAULT_LOG_FILTER: &str = "warn,fieldhookd=info,fieldhook_daemon=info";
 const EXIT_CANNOT_SERVE: u8 = 1;
-/// Longer than any client of the project keeps an idle connection.
+/// Longer than any client of the project keeps an idle connection open.
 const KEEP_ALIVE: Seconds = Seconds(75);
 const READY_POLL_INTERVAL: Millis = Millis(50);
 
@@ -43,7 +43,7 @@
     let settings = match flags.settings() {
         Ok(settings) => settings,
         Err(error) => {
-            tracing::error!(%error, "settings are not valid");
+            tracing::error!(%error, "invalid settings");
             return ExitCode::from(EXIT_BAD_SETTINGS);
         }
     };
@@ -56,7 +56,7 @@
         Err(cause) => {
             tracing::error!(
                 cause,
-                "cannot serve; check that the address is free and is this machine's"
+                "cannot serve; check that the address belongs to this machine and is not in use"
             );
             ExitCode::from(EXIT_CANNOT_SERVE)
         }
@@ -81,7 +81,7 @@
             }
         })
     })
-    // All decisions are made on one thread.
+    // The daemon's state is not thread-safe: all handlers and tasks run on one thread.
     .workers(1)
     .disable_signals()
     .shutdown_timeout(Seconds(5))
@@ -104,7 +104,7 @@
     let node = Rc::new(Node::new(settings.clone(), address, seeds, client));
     tracing::info!(id = %node.id, zone = settings.zone, "starts");
     if let Err(error) = run_datagrams(node.clone()).await {
-        tracing::error!(%error, "cannot bind UDP; check that the port is free");
+        tracing::error!(%error, "cannot bind the UDP socket; check that the port is not in use");
     }
     let callback_node = node.clone();
     node.claims.set_on_change(Rc::new(move |shard| {
@@ -122,9 +122,9 @@
     Ok(node)
 }
 
-/// Serves once the configuration is known and every shard has a known owner. A
-/// daemon that starts while the log is down has its configuration from peers and
-/// cannot know owners yet; calls wait for them.
+/// Switches to [`Phase::Serving`] once the configuration is known and every shard has a known
+/// owner. A daemon that starts while the log is down gets its configuration from peers but cannot
+/// know the owners yet. It serves anyway, and calls wait until the owners are known.
 async fn wait_until_ready(node: Rc<Node>) {
     while !(node.config_known.get() && are_owners_known(&node)) {
         sleep(READY_POLL_INTERVAL).await;
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics in Prometheus text form.
+//! Metrics in the Prometheus text format.
 
 use prometheus::{Encoder, IntCounter, IntGauge, Registry, TextEncoder};
 
@@ -7,25 +7,25 @@
     registry: Registry,
     /// Requests from callers.
     pub requests: IntCounter,
-    /// Requests under way for callers.
+    /// Requests from callers in flight.
     pub in_flight: IntGauge,
-    /// Answers that ended in an error.
+    /// Requests answered with an error.
     pub errors: IntCounter,
-    /// Calls asked again at another or a new owner.
+    /// Repeated attempts to reach the owner of a shard.
     pub owner_retries: IntCounter,
-    /// Attempts of calls after the first.
+    /// Attempts of calls, without the first of each call.
     pub further_attempts: IntCounter,
-    /// Shards owned here.
+    /// Shards that this daemon owns.
     pub shards_owned: IntGauge,
-    /// Commands that the platform's log does not have yet.
+    /// Commands that are not durable on the platform's log yet.
     pub commands_waiting: IntGauge,
-    /// Version of the configuration in force here.
+    /// Version of the configuration that this daemon uses.
     pub config_version: IntGauge,
-    /// Daemons held alive here.
+    /// Daemons that this daemon considers alive.
     pub live_members: IntGauge,
-    /// Bytes sent between daemons for control, without calls and their entries.
+    /// Bytes of datagrams sent to other daemons, including IP and UDP headers.
     pub control_bytes: IntCounter,
-    /// Programs in shards owned here.
+    /// Programs in the shards that this daemon owns.
     pub programs: IntGauge,
 }
 
@@ -79,7 +79,7 @@
 }
 
 impl Metrics {
-    /// All metrics as text.
+    /// Renders all metrics as text.
     pub fn render(&self) -> String {
         let mut buffer = Vec::new();
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut buffer);
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -1,4 +1,4 @@
-//! The daemon's shared state, on one thread.
+//! State that all handlers and tasks of the daemon share.
 
 use crate::metrics::Metrics;
 use crate::platform::fleet::Fleet;
@@ -19,56 +19,54 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// How long a daemon without the log and without most peers admits new work.
+/// How long a daemon admits new work without contact to the log or to a majority of daemons.
 const MAX_ISOLATION: Duration = Duration::from_secs(5);
 
-/// Where the daemon's life stands.
+/// Phase of the daemon's life cycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// Not all shards have a known owner yet.
     Starting,
-    /// Serves.
+    /// Requests are served.
     Serving,
-    /// Finishes what it has and takes nothing new.
+    /// Requests in flight are completed and new ones are refused.
     Draining,
 }
 
-/// The daemon's shared state. Handlers and tasks hold it by `Rc`; no borrow is
-/// kept across an await.
+/// Shared state of the daemon. Handlers and tasks hold it in an `Rc`. No borrow may be held across
+/// an `await`.
 pub struct Node {
-    /// Settings.
     pub settings: Settings,
-    /// This process.
+    /// Address and incarnation of this process.
     pub id: ProcessId,
-    /// Client for all outgoing requests.
+    /// HTTP client for all outgoing requests.
     pub client: HttpClient,
-    /// Metrics.
     pub metrics: Metrics,
-    /// Failure detector and known facts.
+    /// Failure detector and the facts it spreads.
     pub detector: RefCell<Detector>,
-    /// Shards owned here.
+    /// Shards that this daemon owns.
     pub shards: RefCell<BTreeMap<ShardId, Rc<ShardHost>>>,
     /// Configuration in force.
     pub config: RefCell<ConfigState>,
-    /// Whether that has been learnt from the log's end or from a peer; a daemon
-    /// that has just started must not serve by an empty one.
+    /// Whether `config` was read to the end of the log or taken from a peer. Until then it may be
+    /// empty, and the daemon must not serve with it.
     pub config_known: Cell<bool>,
-    /// The platform's log.
+    /// The platform's log service.
     pub store: Rc<dyn LogStore>,
-    /// Claims of shards, from the platform's log.
+    /// Claims on shards, followed on the platform's log.
     pub claims: Rc<Claims>,
-    /// Machines and their load.
+    /// Engines, servers and their load.
     pub fleet: RefCell<Fleet>,
-    /// When the log last answered.
+    /// Health of the log service.
     pub log_health: Rc<LogHealth>,
-    /// When most peers were last in touch.
+    /// When a majority of the known daemons was last considered alive.
     pub last_majority: Cell<Instant>,
     phase: Cell<Phase>,
     started_at: Instant,
 }
 
 impl Node {
-    /// The state of a new process.
+    /// Creates the state of a process that has just started.
     pub fn new(
         settings: Settings,
         address: Address,
@@ -120,48 +118,47 @@
         }
     }
 
-    /// Milliseconds since the process started; the clock of all cores.
+    /// Milliseconds since the process started. Used as the clock of the failure detector.
     pub fn now_ms(&self) -> u64 {
         self.started_at.elapsed().as_millis() as u64
     }
 
-    /// Where the daemon's life stands.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         self.phase.get()
     }
 
-    /// Moves on; a draining daemon never serves again.
+    /// Sets the phase. A draining daemon stays draining.
     pub fn set_phase(&self, phase: Phase) {
         if self.phase.get() != Phase::Draining {
             self.phase.set(phase);
         }
     }
 
-    /// A shard, if it is owned here.
+    /// Returns a shard if this daemon owns it.
     pub fn shard(&self, shard: ShardId) -> Option<Rc<ShardHost>> {
         self.shards.borrow().get(&shard).cloned()
     }
 
-    /// All shards owned here.
+    /// Returns all shards that this daemon owns.
     pub fn hosts(&self) -> Vec<Rc<ShardHost>> {
         self.shards.borrow().values().cloned().collect()
     }
 
-    /// Tells the others a fact.
+    /// Spreads a fact to the other daemons.
     pub fn announce(&self, fact: Fact) {
         self.detector.borrow_mut().learn(fact);
     }
 
-    /// Whether new work may be admitted: this daemon serves, and it has been in
-    /// touch with the log or with most peers, from whom it would have heard of
-    /// a newer configuration.
+    /// Whether new work may be admitted: the daemon is serving, and recently had contact to the log
+    /// or to a majority of the daemons, from which it would have learned of a newer configuration.
     pub fn may_admit(&self) -> bool {
         let log_recent = self.log_health.answered_within(MAX_ISOLATION);
         let peers_recent = self.last_majority.get().elapsed() < MAX_ISOLATION;
         self.phase() == Phase::Serving && (log_recent || peers_recent)
     }
 
-    /// Notes whether most known daemons are held alive.
+    /// Updates `last_majority` and the number of live members from the failure detector.
     pub fn update_last_majority(&self) {
         let detector = self.detector.borrow();
         let known = detector
@@ -175,7 +172,7 @@
         self.metrics.live_members.set(live as i64);
     }
 
-    /// URL of a path at another daemon.
+    /// Returns the URL of a path on another daemon.
     pub fn url(&self, address: Address, path: &str) -> String {
         format!("http://{address}{path}")
     }
--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -1,4 +1,4 @@
-//! Routes for the operators' client. They show; they place nothing.
+//! Routes for the operators' client.
 
 use crate::gateway::{error_response, parse_program, send_command};
 use crate::node::Node;
@@ -17,10 +17,10 @@
 use ntex::web::{self, HttpResponse, ServiceConfig, types};
 use std::rc::Rc;
 
-/// Tokens of the answer that an explanation reckons with.
+/// Number of output tokens that [`explain`] assumes for a call.
 const ASSUMED_OUTPUT_TOKENS: u64 = 64;
 
-/// Adds the routes.
+/// Registers the routes for operators.
 pub fn configure(config: &mut ServiceConfig) {
     config
         .route("/v1/status", web::get().to(show_status))
@@ -112,7 +112,7 @@
         .collect()
 }
 
-/// Programs of the shards owned here.
+/// Lists the programs in the shards that this daemon owns.
 async fn list_programs(node: types::State<Rc<Node>>) -> HttpResponse {
     let mut lines = Vec::new();
     for host in node.hosts() {
@@ -163,6 +163,8 @@
     })
 }
 
+/// Explains, for each engine, whether the rules allow a program to use it and how long a call would
+/// take there.
 fn explain(node: &Node, program: &ProgramView) -> Vec<Explanation> {
     let mut labels = program.labels.clone();
     labels.insert("tenant".to_owned(), program.tenant.clone());
@@ -196,7 +198,7 @@
     engine_views(node).into_iter().map(explain_engine).collect()
 }
 
-/// Shards owned by this daemon.
+/// Lists the shards that this daemon owns.
 async fn list_owned(node: types::State<Rc<Node>>) -> HttpResponse {
     let owned: Vec<OwnedShardStatus> = node
         .hosts()
--- a/crates/daemon/src/platform/config_sync.rs
+++ b/crates/daemon/src/platform/config_sync.rs
@@ -1,4 +1,4 @@
-//! Following the configuration: from the log, or from peers that have more.
+//! Keeps the configuration up to date, from the log or from peers that have read more of it.
 
 use crate::node::Node;
 use crate::platform::log_client;
@@ -14,7 +14,7 @@
 const PEER_CHECK_INTERVAL: Millis = Millis(250);
 const PEER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Folds the log's records as they come.
+/// Applies the records of the configuration's stream as they are appended.
 pub async fn run_config_from_log(node: Rc<Node>) {
     loop {
         let from = node.config.borrow().next_offset;
@@ -36,7 +36,7 @@
 fn log_verdict(verdict: Option<Verdict>) {
     match verdict {
         Some(Verdict::Accepted(version)) => tracing::info!(version, "configuration in force"),
-        Some(refused) => tracing::info!(?refused, "configuration change not accepted"),
+        Some(refused) => tracing::info!(?refused, "configuration change rejected"),
         None => {}
     }
 }
@@ -47,9 +47,8 @@
     node.announce(Fact::ConfigOffset(config.next_offset));
 }
 
-/// Takes the configuration from peers that have folded more of the log. A
-/// daemon that starts while the log is down has none at all, and asks a peer
-/// before it serves.
+/// Takes the configuration from peers that have read more of the log. A daemon that starts while
+/// the log is down has no configuration and must get one from a peer before it serves.
 pub async fn run_config_from_peers(node: Rc<Node>) {
     loop {
         sleep(PEER_CHECK_INTERVAL).await;
@@ -75,7 +74,7 @@
         match response {
             Ok(response) if response.known => adopt_from_peer(node, response.state),
             Ok(_) => {}
-            Err(error) => tracing::warn!(%peer, %error, "peer does not tell its configuration"),
+            Err(error) => tracing::warn!(%peer, %error, "cannot get the configuration from a peer"),
         }
         if node.config_known.get() && node.config.borrow().next_offset >= newest_offset {
             return;
@@ -92,11 +91,11 @@
     announce_offset(node);
 }
 
-/// What a daemon tells a peer of its configuration.
+/// Response of a daemon to a peer that asks for its configuration.
 #[derive(Clone, Debug, Default, SerBin, DeBin)]
 pub struct PeerConfig {
-    /// Whether the sender knows the configuration at all.
+    /// Whether the sender knows the configuration; otherwise `state` is empty or incomplete.
     pub known: bool,
-    /// Its fold of the log.
+    /// The configuration as the sender read it from the log.
     pub state: ConfigState,
 }
--- a/crates/daemon/src/platform/fleet.rs
+++ b/crates/daemon/src/platform/fleet.rs
@@ -1,5 +1,5 @@
-//! Engines and servers: the platform's list, their load reports, and the work
-//! that this daemon has running there.
+//! Engines and servers: the platform's list of machines, the load reports of engines, and the calls
+//! that this daemon runs on them.
 
 use crate::node::Node;
 use fieldhook_membership::{Fact, LeavingMachine};
@@ -13,15 +13,17 @@
 const LIST_INTERVAL: Millis = Millis(500);
 const LOAD_INTERVAL: Millis = Millis(250);
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
-/// Engines whose load is read in a round, besides those with work from here. In
-/// `MAX_REPORT_AGE` a daemon so knows up to 12 times as many well enough to choose.
+/// Number of engines whose load is read in each round, besides those that run calls of this daemon.
+/// With a round every `LOAD_INTERVAL`, up to 12 times as many engines have a report that is not
+/// older than `MAX_REPORT_AGE`.
 const SAMPLE_SIZE: usize = 16;
-/// Age of the last report after which an engine counts as not reachable.
+/// Age of the last report from which on an engine is considered unreachable.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(3);
-/// Time for which a failed connection keeps work away from an engine.
+/// How long a machine gets less work after a failed attempt: an engine is considered unreachable,
+/// and a server is tried last.
 const FAILURE_BACKOFF: Duration = Duration::from_secs(2);
 
-/// What is known here of engines and servers.
+/// Engines and servers as known to this daemon.
 #[derive(Default)]
 pub struct Fleet {
     machines: Vec<Machine>,
@@ -31,12 +33,12 @@
 }
 
 impl Fleet {
-    /// The platform's list, as last read.
+    /// The platform's list of machines as last read.
     pub fn machines(&self) -> &[Machine] {
         &self.machines
     }
 
-    /// Addresses of all listed engines.
+    /// Returns the addresses of all listed engines.
     pub fn engines(&self) -> Vec<String> {
         let engines = self
             .machines
@@ -53,24 +55,24 @@
             .collect()
     }
 
-    /// Notes that a call starts at a machine.
+    /// Records that an attempt starts on a machine.
     pub fn assign(&mut self, address: &str) {
         *self.assigned.entry(address.to_owned()).or_insert(0) += 1;
     }
 
-    /// Notes that a call ended at a machine.
+    /// Records that an attempt ended on a machine.
     pub fn unassign(&mut self, address: &str) {
         if let Some(count) = self.assigned.get_mut(address) {
             *count = count.saturating_sub(1);
         }
     }
 
-    /// Notes that a machine did not answer.
+    /// Records that an attempt failed on a machine.
     pub fn record_failure(&mut self, address: &str) {
         self.failed.insert(address.to_owned(), Instant::now());
     }
 
-    /// Incarnation of an engine by its last report.
+    /// Incarnation of an engine according to its last report, or 0 if there is none.
     pub fn incarnation(&self, address: &str) -> u64 {
         self.loads
             .get(address)
@@ -92,7 +94,7 @@
     }
 }
 
-/// All engines as placement sees them.
+/// Returns all engines as input for the placement.
 pub fn engine_views(node: &Node) -> Vec<EngineView> {
     let fleet = node.fleet.borrow();
     let config = node.config.borrow();
@@ -126,8 +128,8 @@
         .collect()
 }
 
-/// Servers that offer a service and are not leaving, those that failed lately
-/// last.
+/// Returns the servers that offer a service and are not leaving, least busy first. Servers that
+/// failed recently come last.
 pub fn servers_for(node: &Node, service: &str) -> Vec<Machine> {
     let fleet = node.fleet.borrow();
     let offers = |machine: &&Machine| {
@@ -146,8 +148,7 @@
     servers
 }
 
-/// Reads the platform's list for as long as the process lives. While it is
-/// down the last one counts.
+/// Polls the platform's list of machines. If it is unavailable, the last list stays in use.
 pub async fn run_machine_list(node: Rc<Node>) {
     let url = format!("http://{}/v1/machines", node.settings.platform.machines);
     loop {
@@ -163,8 +164,8 @@
     }
 }
 
-/// Reads the load of engines for as long as the process lives: of those with
-/// work from here, and of a sample that is_leaving round the fleet.
+/// Polls the load of engines: in each round, those that run calls of this daemon and a sample that
+/// rotates through the others.
 pub async fn run_load_reports(node: Rc<Node>) {
     let mut rotation = Rotation::default();
     loop {
@@ -198,8 +199,8 @@
     }
 }
 
-/// Spreads the word of engines that leave. The mark sticks to the engine's
-/// incarnation, however the lagging list wavers.
+/// Announces engines that are leaving to the other daemons. The announcement applies to an
+/// incarnation of the engine, so that it stays valid if the list is outdated or temporarily wrong.
 fn announce_leaving(node: &Node) {
     let leaving: Vec<LeavingMachine> = {
         let fleet = node.fleet.borrow();
--- a/crates/daemon/src/platform/log_client.rs
+++ b/crates/daemon/src/platform/log_client.rs
@@ -1,4 +1,4 @@
-//! Reading and appending streams of the platform's log.
+//! Reads and appends streams of the platform's log.
 
 use crate::node::Node;
 use fieldhook_http::SendError;
@@ -7,6 +7,7 @@
 use std::time::Duration;
 
 const APPEND_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time that a read may take in addition to the time it waits for records.
 const READ_MARGIN: Duration = Duration::from_secs(3);
 
 fn record_answer<T>(node: &Node, result: &Result<T, SendError>) {
@@ -18,7 +19,8 @@
 /// Appends a record and returns its offset.
 ///
 /// # Errors
-/// No answer: the record may stand in the stream or not.
+/// The append was not acknowledged. Unless the request was not sent, the record may have been
+/// appended.
 pub async fn append(node: &Node, stream: &str, data: String) -> Result<u64, SendError> {
     let url = format!("http://{}/v1/streams/{stream}", node.settings.platform.log);
     let response = node
@@ -35,10 +37,10 @@
     appended
 }
 
-/// Reads records from an offset on, waiting for some if there are none.
+/// Reads records from an offset on. If there are none, waits up to `wait_ms` for new ones.
 ///
 /// # Errors
-/// No answer.
+/// The log did not return a page.
 pub async fn read(
     node: &Node,
     stream: &str,
--- a/crates/daemon/src/platform/log_store.rs
+++ b/crates/daemon/src/platform/log_store.rs
@@ -1,4 +1,4 @@
-//! The log service as the product's own stand-in speaks it.
+//! Client for the log service in the protocol of the emulator: binary messages over HTTP.
 
 use fieldhook_http::{HttpClient, SendError};
 use fieldhook_log::api::{
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The log at an address.
+/// [`LogStore`] that sends calls to a log service over HTTP.
 pub struct HttpLog {
     url: String,
     client: HttpClient,
@@ -18,7 +18,7 @@
 }
 
 impl HttpLog {
-    /// A client of the log.
+    /// Creates a client for the log service at an address.
     pub fn new(address: &str, client: HttpClient, health: Rc<LogHealth>) -> Self {
         Self {
             url: format!("http://{address}/v1/topics"),
--- a/crates/daemon/src/platform/mod.rs
+++ b/crates/daemon/src/platform/mod.rs
@@ -1,5 +1,5 @@
-//! What the daemon reads from and writes to the platform: its log, its list of
-//! machines, and the engines' reports.
+//! Clients of the platform's services: the log, the list of machines, and the load reports of
+//! engines.
 
 pub mod config_sync;
 pub mod fleet;
--- a/crates/daemon/src/server.rs
+++ b/crates/daemon/src/server.rs
@@ -1,4 +1,4 @@
-//! Routes of the daemon.
+//! HTTP routes of the daemon.
 
 use crate::gateway::{delete_program, post_call, post_program, show_program};
 use crate::node::{Node, Phase};
@@ -14,11 +14,12 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// Largest message between daemons; snapshots are the large ones.
+/// Maximum size of a request body, in bytes. Applies to messages between daemons; bodies from
+/// callers have the lower limit `limits.body_bytes`.
 const INTERNAL_BODY_LIMIT: usize = 512 << 20;
 const EVENT_BACKLOG: usize = 64;
 
-/// Adds all routes.
+/// Registers all routes.
 pub fn configure(config: &mut ServiceConfig, node: Rc<Node>) {
     config
         .state(node)
--- a/crates/daemon/src/settings/error.rs
+++ b/crates/daemon/src/settings/error.rs
@@ -1,31 +1,31 @@
-//! What is wrong with the settings.
+//! Errors in the settings.
 
 use std::fmt;
 
-/// What is wrong with the settings; each message names the remedy.
+/// An error in the settings. Each message includes a remedy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsError {
     /// The file cannot be read.
     Unreadable {
         /// Path of the file.
         path: String,
-        /// Why.
+        /// Error of the operating system.
         cause: String,
     },
-    /// Not TOML, or a key is unknown, missing or of the wrong type.
+    /// The file is not valid TOML, or a key is unknown, missing or of the wrong type.
     Syntax(String),
-    /// A value is not allowed.
+    /// A value is out of range or malformed.
     Value {
-        /// The key.
+        /// Name of the setting.
         key: &'static str,
-        /// The value found.
+        /// The rejected value.
         value: String,
-        /// What is allowed.
+        /// Description of the allowed values.
         allowed: &'static str,
-        /// What to do.
+        /// How to correct the value.
         remedy: &'static str,
     },
-    /// Values do not fit together.
+    /// Values contradict each other.
     Relation(String),
 }
 
@@ -35,7 +35,7 @@
             Self::Unreadable { path, cause } => {
                 write!(
                     formatter,
-                    "{path}: {cause}; remedy: name a readable file with --config"
+                    "{path}: {cause}; remedy: pass a readable file with --config"
                 )
             }
             Self::Syntax(message) => write!(
--- a/crates/daemon/src/settings/flags.rs
+++ b/crates/daemon/src/settings/flags.rs
@@ -1,4 +1,4 @@
-//! Command line of the daemon: flags override the file.
+//! Command-line flags of the daemon. They override the settings file.
 
 use crate::settings::{Settings, SettingsError};
 use gumdrop::Options;
@@ -12,33 +12,33 @@
     /// Settings file (TOML).
     #[options(meta = "FILE")]
     pub config: Option<String>,
-    /// IP and port to listen on.
+    /// IP address and port to listen on.
     #[options(meta = "IP:PORT")]
     pub address: Option<String>,
     /// Zone of this machine.
     #[options(meta = "NAME")]
     pub zone: Option<String>,
-    /// Daemon to ask first; may be given again.
+    /// Address of a daemon to join through; can be given several times.
     #[options(meta = "IP:PORT")]
     pub seed: Vec<String>,
-    /// Platform log.
+    /// Address of the platform's log service.
     #[options(meta = "IP:PORT")]
     pub log: Option<String>,
-    /// Platform machine list.
+    /// Address of the platform's machine list.
     #[options(meta = "IP:PORT")]
     pub machines: Option<String>,
     /// Number of shards.
     #[options(meta = "N")]
     pub shards: Option<u16>,
-    /// Only check the settings and say what they are.
+    /// Check the settings, print them and exit.
     pub check: bool,
 }
 
 impl Flags {
-    /// Reads the file, lays the flags over it, and checks the result.
+    /// Reads the settings file, applies the flags and validates the result.
     ///
     /// # Errors
-    /// What is wrong with the file or a value.
+    /// The file cannot be read or parsed, or a value is not allowed.
     pub fn settings(&self) -> Result<Settings, SettingsError> {
         let text = match &self.config {
             None => String::new(),
--- a/crates/daemon/src/settings/mod.rs
+++ b/crates/daemon/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of a daemon: a TOML file, overridden by flags, checked at start.
+//! Settings of the daemon: a TOML file, overridden by flags and validated at startup.
 
 mod error;
 mod flags;
@@ -10,25 +10,25 @@
 use serde::Deserialize;
 use std::time::Duration;
 
-/// Where the platform's services are.
+/// Addresses of the platform's services.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// IP and port of the append-only log.
+    /// IP address and port of the append-only log.
     pub log: String,
-    /// IP and port of the machine list.
+    /// IP address and port of the machine list.
     pub machines: String,
 }
 
-/// Timing of the failure detector, in milliseconds.
+/// Timing of the failure detector.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct MembershipSettings {
-    /// Time between probes.
+    /// Time between probes, in milliseconds.
     pub probe_ms: u64,
-    /// Time to wait for a direct answer.
+    /// Time to wait for the answer to a direct probe, in milliseconds.
     pub answer_ms: u64,
-    /// Time that a suspected member has to object.
+    /// Time that a suspected member has to refute the suspicion, in milliseconds.
     pub suspicion_ms: u64,
 }
 
@@ -43,23 +43,23 @@
     }
 }
 
-/// Limits of what callers may ask and how long things may take.
+/// Limits for requests of callers, and timeouts.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitSettings {
-    /// Largest request body in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Calls of a program that states no limit.
+    /// Maximum number of calls of a program that does not set its own limit.
     pub max_turns: u32,
-    /// Longest time for a server request, in milliseconds.
+    /// Timeout of a request to a server, in milliseconds.
     pub server_timeout_ms: u64,
-    /// Longest time until an engine's first token, in milliseconds.
+    /// Timeout for the first token of an engine, in milliseconds.
     pub first_token_ms: u64,
-    /// Longest pause between an engine's tokens, in milliseconds.
+    /// Timeout between tokens of an engine, in milliseconds.
     pub stall_ms: u64,
-    /// Dispatches of one call.
+    /// Maximum number of attempts of a call.
     pub attempts: u32,
-    /// Time without an owner after which a call is given up, in milliseconds.
+    /// Time without contact to an owner after which a call fails, in milliseconds.
     pub give_up_ms: u64,
 }
 
@@ -77,26 +77,26 @@
     }
 }
 
-/// All settings of a daemon.
+/// All settings of the daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// IP and port to listen on: HTTP over TCP, membership over UDP.
+    /// IP address and port to listen on: TCP for HTTP, UDP for the failure detector.
     pub address: String,
     /// Zone of this machine.
     pub zone: String,
-    /// Daemons to ask first; this one may be among them.
+    /// Addresses of daemons to join through; may include this daemon's own.
     #[serde(default)]
     pub seeds: Vec<String>,
-    /// Number of shards; the same on every daemon, never changed.
+    /// Number of shards. Must be the same on every daemon and must never change.
     #[serde(default = "default_shards")]
     pub shards: u16,
-    /// The platform.
+    /// Addresses of the platform's services.
     pub platform: PlatformSettings,
     /// Timing of the failure detector.
     #[serde(default)]
     pub membership: MembershipSettings,
-    /// Limits.
+    /// Limits and timeouts.
     #[serde(default)]
     pub limits: LimitSettings,
 }
@@ -106,7 +106,7 @@
 }
 
 impl Settings {
-    /// Checks every value.
+    /// Validates all values.
     ///
     /// # Errors
     /// The first value that is not allowed.
@@ -121,8 +121,8 @@
             "zone",
             &self.zone,
             !self.zone.is_empty(),
-            "a name",
-            "set the machine's zone",
+            "a non-empty name",
+            "set it to the zone of this machine",
         )?;
         check_value(
             "shards",
@@ -145,14 +145,14 @@
             limits.body_bytes,
             (1024..=256 << 20).contains(&limits.body_bytes),
             "1024 to 268435456",
-            "use at least the longest message that callers send",
+            "use at least the size of the largest message that callers send",
         )?;
         check_value(
             "limits.attempts",
             limits.attempts,
             (1..=10).contains(&limits.attempts),
             "1 to 10",
-            "use 4; every further attempt costs budget",
+            "use 4; each further attempt uses up budget",
         )?;
         check_value(
             "limits.max_turns",
@@ -166,11 +166,11 @@
             limits.stall_ms,
             limits.stall_ms >= 100,
             "100 or more",
-            "use several times an engine's step time",
+            "use several times the step time of an engine",
         )
     }
 
-    /// Timing for the membership core.
+    /// Converts the timing into the settings of the failure detector.
     pub fn membership_settings(&self) -> fieldhook_membership::Settings {
         fieldhook_membership::Settings {
             probe_ms: self.membership.probe_ms,
@@ -180,18 +180,18 @@
         }
     }
 
-    /// The listening address in its checked form.
+    /// Parses the address to listen on.
     ///
     /// # Errors
-    /// Not an IPv4 address with a port.
+    /// The value is not an IPv4 address with a port.
     pub fn listen_address(&self) -> Result<Address, SettingsError> {
         parse_address("address", &self.address)
     }
 
-    /// The seeds in their checked form.
+    /// Parses the addresses of the seeds.
     ///
     /// # Errors
-    /// One is not an IPv4 address with a port.
+    /// A value is not an IPv4 address with a port.
     pub fn seed_addresses(&self) -> Result<Vec<Address>, SettingsError> {
         self.seeds
             .iter()
@@ -201,17 +201,17 @@
 }
 
 impl LimitSettings {
-    /// Longest time for a server request.
+    /// Timeout of a request to a server.
     pub fn server_timeout(&self) -> Duration {
         Duration::from_millis(self.server_timeout_ms)
     }
 
-    /// Longest time until the first token.
+    /// Timeout for the first token of an engine.
     pub fn first_token(&self) -> Duration {
         Duration::from_millis(self.first_token_ms)
     }
 
-    /// Longest pause between tokens.
+    /// Timeout between tokens of an engine.
     pub fn stall(&self) -> Duration {
         Duration::from_millis(self.stall_ms)
     }
@@ -221,8 +221,8 @@
     value.parse().map_err(|_| SettingsError::Value {
         key,
         value: value.to_owned(),
-        allowed: "an IPv4 address with a port, as 127.0.0.1:7001",
-        remedy: "use the machine's IP number; names are not resolved",
+        allowed: "an IPv4 address with a port, such as 127.0.0.1:7001",
+        remedy: "use the machine's IP address; host names are not resolved",
     })
 }
 
--- a/crates/daemon/src/transport/datagram.rs
+++ b/crates/daemon/src/transport/datagram.rs
@@ -1,5 +1,5 @@
-//! Datagrams: the failure detector's packets. Each may be lost, doubled or late;
-//! all are written to bear it.
+//! Sends and receives the packets of the failure detector as UDP datagrams. The failure detector
+//! tolerates lost, duplicated and delayed packets.
 
 use crate::node::Node;
 use fieldhook_membership::{Outgoing, Packet};
@@ -13,14 +13,14 @@
 use tokio::net::UdpSocket;
 
 const MAX_DATAGRAM_BYTES: usize = 65_507;
-/// IP and UDP headers, which count as bytes on the network.
+/// Size of the IP and UDP headers, which are counted as control traffic.
 const HEADER_BYTES: u64 = 28;
 const TICK_INTERVAL: Millis = Millis(50);
 
-/// One datagram between daemons.
+/// A datagram between daemons.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum Datagram {
-    /// Of the failure detector.
+    /// A packet of the failure detector.
     Membership(Packet),
 }
 
@@ -28,7 +28,7 @@
     static SOCKET: RefCell<Option<Rc<UdpSocket>>> = const { RefCell::new(None) };
 }
 
-/// Sends a datagram if the socket takes it at once; else it counts as lost.
+/// Sends a datagram if the socket accepts it without blocking. Otherwise the datagram is dropped.
 pub fn send_datagram(node: &Node, to: Address, datagram: &Datagram) {
     let bytes = datagram.serialize_bin();
     node.metrics
@@ -41,7 +41,7 @@
     });
 }
 
-/// Binds the socket and starts receiving and ticking.
+/// Binds the socket, and starts the tasks that receive packets and drive the failure detector.
 ///
 /// # Errors
 /// The address cannot be bound.
--- a/crates/daemon/src/transport/mod.rs
+++ b/crates/daemon/src/transport/mod.rs
@@ -1,4 +1,4 @@
-//! Messages of the failure detector, by datagram.
+//! UDP transport of the failure detector.
 
 mod datagram;
 
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -13,9 +13,9 @@
 const MAX_RESPONSE_BYTES: usize = 256 << 20;
 const KEEP_ALIVE_SECONDS: u16 = 10;
 /// More connections than a process can open, so in effect no limit. The library's own value for "no
-/// limit", 0, must not be used: with it, a request that is made while another connection to the same
-/// address is being opened waits forever (ntex 3.12, `client/pool.rs`: waiters are only woken while
-/// `acquired < limit`).
+/// limit", 0, must not be used: with it, a request that is made while another connection to the
+/// same address is being opened waits forever (ntex 3.12, `client/pool.rs`: waiters are only woken
+/// while `acquired < limit`).
 const MAX_CONNECTIONS: usize = 1 << 20;
 
 /// Why a request got no successful response.
--- a/crates/http/src/response.rs
+++ b/crates/http/src/response.rs
@@ -34,8 +34,8 @@
         .streaming(Box::pin(events))
 }
 
-/// Builds a response whose body is aborted, as if the connection was lost after the request had been
-/// executed.
+/// Builds a response whose body is aborted, as if the connection was lost after the request had
+/// been executed.
 pub fn aborted() -> HttpResponse {
     let error = Err::<Bytes, _>(io::Error::from(io::ErrorKind::ConnectionAborted));
     HttpResponse::Ok().streaming(Box::pin(stream::iter([error])))
--- a/crates/http/tests/client.rs
+++ b/crates/http/tests/client.rs
@@ -22,8 +22,8 @@
 
 const REQUESTS: usize = 20;
 
-/// With the connection limit 0, requests made while another connection to the same address was being
-/// opened waited forever.
+/// With the connection limit 0, requests made while another connection to the same address was
+/// being opened waited forever.
 #[test]
 fn requests_complete_while_another_connection_is_being_opened() {
     let system = ntex::rt::System::build().build(ntex::rt::DefaultRuntime);
