--- a/crates/daemon/src/gateway/calls.rs
+++ b/crates/daemon/src/gateway/calls.rs
@@ -1,4 +1,5 @@
-//! `POST /v1/programs/{id}/calls`: one call, whole or as server-sent events.
+//! `POST /v1/programs/{id}/calls`: runs a call. The response is JSON or a stream of server-sent
+//! events.
 
 use crate::gateway::input::{
     check_admission, check_key, error_response, invalid_request, parse_program, read_json,
@@ -17,7 +18,7 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// Header by which a reader says what it has, as event streams do it.
+/// Request header with the position of a reader, as defined for server-sent events.
 const LAST_EVENT_ID: &str = "last-event-id";
 
 /// Data of a `delta` event.
@@ -26,11 +27,11 @@
     text: String,
 }
 
-/// Data of an event without content.
+/// Data of a `reset` event.
 #[derive(Serialize)]
 struct EmptyData {}
 
-/// Counts a request as under way for as long as it lives.
+/// Guard that counts a request as in flight until it is dropped.
 struct InFlight(Rc<Node>);
 
 impl InFlight {
@@ -46,7 +47,7 @@
     }
 }
 
-/// `POST /v1/programs/{id}/calls`.
+/// Handles `POST /v1/programs/{id}/calls`.
 pub async fn post_call(
     node: types::State<Rc<Node>>,
     request: HttpRequest,
@@ -75,6 +76,7 @@
     }
 }
 
+/// Reads and validates a call. Returns it and whether the response is to be streamed.
 async fn parse_call(
     node: &Rc<Node>,
     request: &HttpRequest,
@@ -133,8 +135,8 @@
     parsed.ok_or_else(|| invalid_request("send the id of the last event received as Last-Event-ID"))
 }
 
-/// Answers with events. A call that is refused before its first event gets the
-/// refusal's status instead.
+/// Responds with server-sent events. A call that fails before its first event gets an error
+/// response instead.
 async fn stream_response(
     node: Rc<Node>,
     in_flight: InFlight,
@@ -176,13 +178,14 @@
         StreamEvent::Reset => encode_event("0:0", "reset", &EmptyData {}),
         StreamEvent::Done(answer) => encode_event("", "done", &answer),
         StreamEvent::Failed(error) => encode_event("", "error", &error),
-        // A comment, which event streams ignore.
+        // A comment line, which clients ignore.
         StreamEvent::KeepAlive | StreamEvent::NotOwner | StreamEvent::OwnerLost => {
             ": alive\n\n".to_owned()
         }
     }
 }
 
+/// Error for a relay that ended without a closing event.
 fn relay_lost_error() -> CallError {
     CallError::not_run(
         ErrorKind::Unavailable,
--- a/crates/daemon/src/gateway/commands.rs
+++ b/crates/daemon/src/gateway/commands.rs
@@ -1,4 +1,4 @@
-//! Opening, ending and showing programs at their owner.
+//! Sends commands (open, end and show a program) to the owner of the program.
 
 use crate::gateway::owner_lookup::OwnerLookup;
 use crate::node::Node;
@@ -14,11 +14,12 @@
 const RETRY_INTERVAL: Millis = Millis(25);
 const RETRY_AFTER_MS: u64 = 1_000;
 
-/// Asks the owner, through changes of owner. All these messages are
-/// repeatable, so an unanswered one is simply asked again.
+/// Sends a command to the owner of the program, and repeats it when the owner changes. All commands
+/// are idempotent, so one without a response is repeated as well. Returns the program if it was
+/// requested.
 ///
 /// # Errors
-/// The owner's refusal, or that none answered in time.
+/// The owner refused the command, or no owner responded in time.
 pub async fn send_command(
     node: &Rc<Node>,
     message: CommandMessage,
--- a/crates/daemon/src/gateway/input.rs
+++ b/crates/daemon/src/gateway/input.rs
@@ -1,4 +1,4 @@
-//! Reading and checking what callers send.
+//! Reads and validates requests of callers.
 
 use crate::node::{Node, Phase};
 use fieldhook_http::json;
@@ -11,21 +11,21 @@
 const MAX_KEY_LENGTH: usize = 128;
 const NOT_READY_RETRY_MS: u64 = 500;
 
-/// Answers with an error.
+/// Builds an error response and counts the error.
 pub fn error_response(node: &Node, error: &CallError) -> HttpResponse {
     node.metrics.errors.inc();
     json(error.status(), error)
 }
 
-/// An error for a request of the wrong form.
+/// Creates an error for an invalid request.
 pub fn invalid_request(remedy: impl Into<String>) -> CallError {
     CallError::not_run(ErrorKind::InvalidRequest, remedy)
 }
 
-/// Checks that this daemon takes new work.
+/// Checks that this daemon admits new work.
 ///
 /// # Errors
-/// It does not; ask another one.
+/// It does not; the caller should use another daemon.
 pub fn check_admission(node: &Node) -> Result<(), CallError> {
     if node.may_admit() {
         return Ok(());
@@ -38,10 +38,10 @@
     Err(CallError::not_run(ErrorKind::NotReady, remedy).retry_after(NOT_READY_RETRY_MS))
 }
 
-/// Reads a JSON body up to the limit.
+/// Reads a JSON body of at most `limits.body_bytes`.
 ///
 /// # Errors
-/// Too large, broken off, or not of the documented form.
+/// The body is too large, incomplete or invalid.
 pub async fn read_json<T: DeserializeOwned>(
     node: &Node,
     mut payload: types::Payload,
@@ -62,10 +62,10 @@
         .map_err(|error| invalid_request(format!("correct the JSON body (docs/API.md): {error}")))
 }
 
-/// Checks a program identifier from a path.
+/// Parses a program identifier from a path.
 ///
 /// # Errors
-/// Not one of this installation's identifiers.
+/// The identifier is malformed, or its shard does not exist.
 pub fn parse_program(node: &Node, text: &str) -> Result<ProgramId, CallError> {
     let parsed = text.parse::<ProgramId>().ok();
     parsed
@@ -78,10 +78,10 @@
         })
 }
 
-/// Checks a request key.
+/// Validates a request key.
 ///
 /// # Errors
-/// Empty, too long, or with characters that do not fit into a path.
+/// The key is empty, too long, or contains characters that would have to be escaped in a path.
 pub fn check_key(key: &str) -> Result<(), CallError> {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
     if key.is_empty() || key.len() > MAX_KEY_LENGTH || !key.bytes().all(is_allowed) {
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -1,5 +1,5 @@
-//! The caller's side: check a request, find the owner of its shard, and relay
-//! the answer, through changes of owner.
+//! The caller's side of a call: validates the request, finds the owner of the shard, and relays the
+//! response, also when the owner changes.
 
 mod calls;
 mod commands;
--- a/crates/daemon/src/gateway/programs.rs
+++ b/crates/daemon/src/gateway/programs.rs
@@ -1,4 +1,4 @@
-//! Routes to open, show and end programs.
+//! Route handlers that open, show and end programs.
 
 use crate::gateway::commands::send_command;
 use crate::gateway::input::{
@@ -15,7 +15,7 @@
 use serde::Serialize;
 use std::rc::Rc;
 
-/// Longest deadline: a week, in milliseconds.
+/// Maximum deadline: one week.
 const MAX_DEADLINE_MS: u64 = 7 * 24 * 3_600_000;
 
 #[derive(Serialize)]
@@ -24,7 +24,7 @@
     phase: &'static str,
 }
 
-/// `POST /v1/programs`.
+/// Handles `POST /v1/programs`.
 pub async fn post_program(node: types::State<Rc<Node>>, payload: types::Payload) -> HttpResponse {
     node.metrics.requests.inc();
     match open_program(&node, payload).await {
@@ -78,7 +78,7 @@
     })
 }
 
-/// `GET /v1/programs/{id}`.
+/// Handles `GET /v1/programs/{id}`.
 pub async fn show_program(node: types::State<Rc<Node>>, id: types::Path<String>) -> HttpResponse {
     let result = match parse_program(&node, &id) {
         Ok(program) => send_command(&node, CommandMessage::View(program)).await,
@@ -90,7 +90,7 @@
     }
 }
 
-/// `DELETE /v1/programs/{id}`.
+/// Handles `DELETE /v1/programs/{id}`.
 pub async fn delete_program(node: types::State<Rc<Node>>, id: types::Path<String>) -> HttpResponse {
     node.metrics.requests.inc();
     let result = match parse_program(&node, &id) {
--- a/crates/daemon/src/gateway/relay.rs
+++ b/crates/daemon/src/gateway/relay.rs
@@ -1,8 +1,10 @@
-//! Relaying one call, through changes of owner, to its closing event.
+//! Relays the events of a call from its owner to the reader, also when the owner changes.
 //!
-//! Invariants: the reader gets exactly one closing event; text of two lineages
-//! is never joined; `executed: no` is only said where no copy of the message
-//! can still run.
+//! Invariants:
+//!
+//! - The reader gets exactly one closing event.
+//! - Text of different lineages is never concatenated.
+//! - `executed: no` is reported only if no copy of the message can still be executed.
 
 use crate::gateway::owner_lookup::OwnerLookup;
 use crate::gateway::source::EventSource;
@@ -19,13 +21,13 @@
 const RETRY_INTERVAL: Millis = Millis(25);
 const RETRY_AFTER_MS: u64 = 1_000;
 
-/// How following one owner ended.
+/// How following the events of an owner ended.
 enum FollowEnd {
-    /// With the closing event, which the reader has.
+    /// The closing event was sent to the reader.
     Closed,
-    /// The reader is gone.
+    /// The reader closed its channel.
     ReaderGone,
-    /// The daemon asked does not own the shard, or was lost.
+    /// The daemon does not own the shard, or the connection to it was lost.
     Retry,
 }
 
@@ -35,10 +37,11 @@
     out: mpsc::Sender<StreamEvent>,
     lookup: OwnerLookup,
     last_contact: Instant,
+    /// Whether a copy of the message may have arrived at an owner.
     may_have_arrived: bool,
 }
 
-/// Relays a call until its closing event or until the reader is gone.
+/// Relays a call until its closing event, or until the reader is gone.
 pub async fn relay(node: Rc<Node>, call: CallMessage, out: mpsc::Sender<StreamEvent>) {
     let lookup = OwnerLookup::new(node.clone(), call.program.shard);
     let mut relay = Relay {
@@ -88,7 +91,7 @@
     async fn follow(&mut self, mut source: EventSource) -> FollowEnd {
         loop {
             match source.next().await {
-                // The message was read and dropped.
+                // The daemon received the message and discarded it.
                 Some(StreamEvent::NotOwner) => return FollowEnd::Retry,
                 Some(StreamEvent::OwnerLost) => {
                     self.may_have_arrived = true;
@@ -113,7 +116,7 @@
         }
     }
 
-    /// Keeps what the reader has, for the next owner to go on from.
+    /// Records what the reader has received, so that the next owner can continue from there.
     fn record_progress(&mut self, event: &StreamEvent) {
         match event {
             StreamEvent::Delta {
--- a/crates/daemon/src/gateway/source.rs
+++ b/crates/daemon/src/gateway/source.rs
@@ -1,4 +1,4 @@
-//! A call's events from its owner, here or on another daemon.
+//! Receives the events of a call from its owner, which may be this daemon or another one.
 
 use crate::node::Node;
 use crate::sequencer::{CallMessage, serve_call};
@@ -14,27 +14,29 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Events of one call that may wait for a slow reader.
+/// Maximum number of events of a call that are buffered for a slow reader.
 pub const EVENT_BACKLOG: usize = 64;
-/// Silence after which an owner counts as lost; it sends keep-alives sooner.
+/// Time without an event after which an owner is considered lost. Owners send keep-alive events
+/// more often.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Size of the length prefix of a frame.
 const LENGTH_BYTES: usize = 4;
 
-/// A call's events from its owner.
+/// Source of the events of a call.
 pub enum EventSource {
-    /// This daemon leads.
+    /// This daemon owns the shard.
     Local(mpsc::Receiver<StreamEvent>),
-    /// Another daemon leads.
+    /// Another daemon owns the shard.
     Remote(Box<FrameReader>),
 }
 
-/// Frames of an answer between daemons.
+/// Decodes the frames of a response from another daemon.
 pub struct FrameReader {
     response: ClientResponse,
     pending: Vec<u8>,
 }
 
-/// Encodes an event with its length before it.
+/// Encodes an event as a frame: its length as a little-endian `u32`, then its binary encoding.
 pub fn encode_frame(event: &StreamEvent) -> Vec<u8> {
     let body = event.serialize_bin();
     let mut frame = (body.len() as u32).to_le_bytes().to_vec();
@@ -43,10 +45,11 @@
 }
 
 impl EventSource {
-    /// Asks the daemon at an address to serve the call.
+    /// Sends the call to the daemon at an address.
     ///
     /// # Errors
-    /// Whether the message can have arrived.
+    /// The daemon did not respond with events. The error tells whether the message may have
+    /// arrived.
     pub async fn open(
         node: &Rc<Node>,
         owner: Address,
@@ -72,7 +75,7 @@
         })))
     }
 
-    /// The next event; nothing if the owner is lost or silent.
+    /// Returns the next event, or `None` if the owner is lost or silent.
     pub async fn next(&mut self) -> Option<StreamEvent> {
         let next = async {
             match self {
--- a/crates/daemon/src/sequencer/admission.rs
+++ b/crates/daemon/src/sequencer/admission.rs
@@ -1,4 +1,5 @@
-//! Admitting a call: exactly once into the program's order, or refused.
+//! Admission of calls. A call is either recorded exactly once in the order of its program, or
+//! refused.
 
 use crate::node::Node;
 use crate::sequencer::attempt::start_call;
@@ -13,16 +14,16 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// How often a waiting call looks again whether it still should wait.
+/// How often a waiting call checks whether it can be admitted.
 const WAIT_RECHECK_INTERVAL: Millis = Millis(200);
 
-/// Why a call is not followed here.
+/// Why a call was not admitted.
 enum AdmitError {
-    /// Refused; the refusal may still have to be recorded.
+    /// The call is refused. The refusal may have to be recorded, see [`record_refusal`].
     Refused(CallError),
-    /// Ask the owner.
+    /// This daemon does not own the shard.
     NotOwner,
-    /// The shard was lost on the way: the call may be recorded.
+    /// Ownership was lost while the call was being recorded, so it may be recorded or not.
     OwnerLost,
 }
 
@@ -35,7 +36,8 @@
     }
 }
 
-/// Serves a call as owner; the events end with a closing one.
+/// Serves a call as owner of its shard. Sends the events of the call to `out`; the last one says
+/// how it ended, or that this daemon is not the owner.
 pub async fn serve_call(node: Rc<Node>, call: CallMessage, out: mpsc::Sender<StreamEvent>) {
     let Some(host) = node.shard(call.program.shard) else {
         let _ = out.send(StreamEvent::NotOwner).await;
@@ -45,7 +47,7 @@
         Ok(()) => return follow(&host, &call, &out).await,
         Err(AdmitError::NotOwner) => StreamEvent::NotOwner,
         Err(AdmitError::OwnerLost) => StreamEvent::OwnerLost,
-        // What a former owner believes is no reason to refuse anything.
+        // The state of a previous owner may be outdated and must not lead to a refusal.
         Err(AdmitError::Refused(_)) if !host.confirm_ownership().await => StreamEvent::NotOwner,
         Err(AdmitError::Refused(error)) => match record_refusal(&host, &call, error).await {
             Ok(event) => event,
@@ -55,7 +57,7 @@
     let _ = out.send(closing).await;
 }
 
-/// Waits for the call's turn and records its intent.
+/// Waits until the previous call of the program has ended, then records the call and starts it.
 async fn admit(
     node: &Rc<Node>,
     host: &Rc<ShardHost>,
@@ -75,7 +77,7 @@
             Admission::Recorded => return Ok(()),
             Admission::AfterRunning => {
                 let _ = timeout(WAIT_RECHECK_INTERVAL, ended).await;
-                // Says that this owner lives; fails once the reader is gone.
+                // Shows the reader that the owner is alive; fails if the reader is gone.
                 if out.send(StreamEvent::KeepAlive).await.is_err() {
                     return Err(AdmitError::NotOwner);
                 }
@@ -86,6 +88,7 @@
     }
 }
 
+/// Chooses a target, records the call and starts its first attempt.
 async fn begin(
     node: &Rc<Node>,
     host: &Rc<ShardHost>,
@@ -118,9 +121,9 @@
     }
 }
 
-/// Makes sure that a refused call never runs. If another copy of the message
-/// may be under way, only a recorded refusal of its key does that. `Err` says
-/// that the call is recorded after all.
+/// Makes sure that a refused call never runs, and returns the closing event. If an earlier copy of
+/// the message may still arrive, the refusal of its request key has to be recorded. Returns `Err`
+/// if the call turns out to be recorded already.
 async fn record_refusal(
     host: &Rc<ShardHost>,
     call: &CallMessage,
--- a/crates/daemon/src/sequencer/attempt.rs
+++ b/crates/daemon/src/sequencer/attempt.rs
@@ -1,4 +1,4 @@
-//! Running a recorded call: attempt by attempt until it has an outcome.
+//! Runs a recorded call, with further attempts until it has an outcome.
 
 use crate::node::Node;
 use crate::sequencer::model_attempt::{self, AttemptStart};
@@ -22,57 +22,57 @@
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// With an answer.
+    /// The engine or server responded.
     Answered {
-        /// Status of the server; 200 for engines.
+        /// HTTP status of the server, or 200 for engines.
         status: u16,
-        /// The whole text.
+        /// The complete output or response body.
         content: String,
-        /// Its cost.
+        /// Tokens used.
         usage: Usage,
     },
-    /// It surely did not run.
+    /// It definitely did not run.
     NotRun,
-    /// It may have run; what was delivered so far.
+    /// It may have run, and the call may be repeated.
     MayHaveRun,
-    /// A request that is not repeatable may have run, and nobody can say.
+    /// A non-repeatable request may have run, and this cannot be determined.
     OutcomeUnknown,
-    /// This daemon no longer owns the shard: the next owner goes on.
+    /// This daemon no longer owns the shard. The next owner continues the call.
     OwnershipLost,
 }
 
-/// What every attempt of one call needs.
+/// Context of a running call, shared by its attempts.
 pub struct RunningCall {
-    /// The daemon.
+    /// State of the daemon.
     pub node: Rc<Node>,
     /// The owned shard.
     pub host: Rc<ShardHost>,
-    /// What readers follow.
+    /// Output of the call, followed by readers.
     pub live: Rc<LiveCall>,
     /// The program.
     pub program: ProgramId,
-    /// Place in its order.
+    /// Number of the call in its program.
     pub number: u64,
-    /// The caller's key.
+    /// Request key of the caller.
     pub request_key: String,
-    /// What is asked.
+    /// The request.
     pub spec: CallSpec,
-    /// Whether it may run again.
+    /// Whether the call may run more than once.
     pub repeatable: bool,
-    /// Priority of the work.
+    /// Priority for the engine.
     pub priority: u8,
 }
 
 impl RunningCall {
-    /// Whether this daemon surely owns the shard and the call still runs here. A
-    /// process that was frozen asks the log first.
+    /// Confirms that this daemon still owns the shard and that the call still runs here. After a
+    /// pause of the process this asks the log, because the shard may have got another owner.
     pub async fn confirm_running(&self) -> bool {
         let runs_here = || self.host.live_call(self.program, self.number).is_some();
         runs_here() && self.host.confirm_ownership().await && runs_here()
     }
 }
 
-/// Starts a call whose intent has just been recorded.
+/// Starts the first attempt of a call that has just been recorded.
 pub fn start_call(
     node: &Rc<Node>,
     host: &Rc<ShardHost>,
@@ -86,7 +86,7 @@
     }
 }
 
-/// Goes on with the calls that a former owner left running.
+/// Resumes the calls that the previous owner left running.
 pub fn resume_calls(node: &Rc<Node>, host: &Rc<ShardHost>) {
     let running: Vec<(ProgramId, u64, Attempt)> = {
         let state = host.state.borrow();
@@ -135,6 +135,7 @@
     })
 }
 
+/// Runs attempts until the call has an outcome or ownership is lost.
 async fn run(call: RunningCall, mut attempt: Attempt, mut start: AttemptStart) {
     let mut avoid: Vec<String> = Vec::new();
     loop {
@@ -189,7 +190,7 @@
     .executed(Executed::Unknown)
 }
 
-/// Records the next attempt and returns it, or concludes the call.
+/// Records the next attempt and returns it. Returns `None` if the call ended or ownership was lost.
 async fn next_attempt(
     call: &RunningCall,
     previous: &Attempt,
@@ -221,7 +222,7 @@
             None
         }
         Ok(_) => {
-            // The program ended meanwhile; readers find the record.
+            // The program ended in the meantime; readers get the outcome from the record.
             call.host.end_live(call.program, call.number);
             call.live.wake();
             None
@@ -233,8 +234,8 @@
     }
 }
 
-/// Text that readers may have: what this owner delivered, or what a gateway
-/// brought along from a former one.
+/// Returns the longest text that readers may already have: the output of this owner, or what
+/// gateways report as delivered under a previous owner.
 fn delivered_text(call: &RunningCall, previous: &Attempt) -> String {
     let own = call.live.text().clone();
     let relayed = call.live.delivered().unwrap_or_default();
@@ -250,6 +251,8 @@
     }
 }
 
+/// Chooses a target for the next attempt, if possible not one of `avoid`. Retries for a while if
+/// there is none.
 async fn find_target(call: &RunningCall, avoid: &[String]) -> Option<String> {
     for _ in 0..MAX_PLACEMENT_TRIES {
         let preferred = choose_target(&call.node, &call.host, call.program, &call.spec, avoid);
@@ -266,6 +269,7 @@
     None
 }
 
+/// Records that the call failed after its last attempt.
 async fn fail_call(call: &RunningCall, attempt: &Attempt, cost: AttemptCost) {
     let executed = match cost {
         AttemptCost::NotRun if attempt.number == 1 => Executed::No,
@@ -279,7 +283,7 @@
     record_outcome(call, attempt, Outcome::Failed(error)).await;
 }
 
-/// Records the outcome; only then do readers get it.
+/// Records the outcome. Readers get it only once it is durable.
 async fn record_outcome(call: &RunningCall, attempt: &Attempt, outcome: Outcome) {
     let event = match &outcome {
         Outcome::Answered(answer) => StreamEvent::Done(answer.clone()),
--- a/crates/daemon/src/sequencer/commands.rs
+++ b/crates/daemon/src/sequencer/commands.rs
@@ -1,4 +1,4 @@
-//! Opening, ending and showing programs.
+//! Opens, ends and shows programs on behalf of gateways.
 
 use crate::node::Node;
 use crate::sequencer::message::{CommandMessage, CommandReply};
@@ -6,7 +6,7 @@
 use fieldhook_program::{Command, Reply};
 use std::rc::Rc;
 
-/// Carries out a message at the owner.
+/// Executes a command as owner of the program's shard.
 pub async fn serve_command(node: &Rc<Node>, message: CommandMessage) -> CommandReply {
     let Some(host) = node.shard(message.program().shard) else {
         return CommandReply::NotOwner;
@@ -27,9 +27,9 @@
 async fn commit(host: &Rc<ShardHost>, command: Command) -> CommandReply {
     match host.propose(command).await {
         Ok(Reply::Refused(error)) => CommandReply::Failed(error),
-        // Ending a program that is not recorded leaves nothing to end.
+        // Also covers ending a program that does not exist, which is not an error.
         Ok(_) => CommandReply::Done,
-        // Opening and ending are repeatable: the gateway asks the next owner.
+        // Opening and ending are idempotent, so the gateway repeats them with the next owner.
         Err(ProposeError::NotOwner | ProposeError::OwnershipLost) => CommandReply::NotOwner,
     }
 }
--- a/crates/daemon/src/sequencer/follow.rs
+++ b/crates/daemon/src/sequencer/follow.rs
@@ -1,4 +1,4 @@
-//! Letting a reader follow a recorded call to its end, from wherever it is.
+//! Streams the events of a recorded call to a reader, starting at the reader's position.
 
 use crate::sequencer::message::{CallMessage, Position};
 use crate::shard::{LiveCall, ShardHost};
@@ -8,13 +8,13 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// Silence after which the reader is told that this owner lives.
+/// Interval of keep-alive events while there is no other event.
 const KEEP_ALIVE_INTERVAL: Millis = Millis(400);
 
-/// The reader is gone.
+/// Error: the reader closed its channel.
 struct ReaderGone;
 
-/// Sends a recorded call's events until its closing one.
+/// Sends the events of a recorded call up to and including its closing event.
 pub async fn follow(host: &Rc<ShardHost>, call: &CallMessage, out: &mpsc::Sender<StreamEvent>) {
     let mut position = call.position;
     record_delivered(host, call);
@@ -39,8 +39,8 @@
     }
 }
 
-/// Passes on text that a former owner had delivered, for a new attempt to
-/// continue; only text of the recorded lineage may be continued.
+/// Records text that was delivered under a previous owner, so that a new attempt can continue it.
+/// Text of another lineage than the recorded one is ignored, because it must not be continued.
 fn record_delivered(host: &ShardHost, call: &CallMessage) {
     let (Some(delivered), Some(live)) = (
         &call.delivered,
@@ -58,6 +58,7 @@
     }
 }
 
+/// Sends the output that the reader does not have yet.
 async fn send_new_text(
     live: &LiveCall,
     position: &mut Position,
@@ -76,6 +77,7 @@
     send_text(position, new_text, out).await
 }
 
+/// Resets the reader if it has text of another lineage.
 async fn move_to_lineage(
     position: &mut Position,
     lineage: u32,
@@ -110,7 +112,8 @@
     out.send(delta).await.map_err(|_| ReaderGone)
 }
 
-/// Answers from the record of a call that no longer runs.
+/// Sends the rest of the output and the closing event from the record of a call that no longer runs
+/// here.
 async fn send_record(
     host: &Rc<ShardHost>,
     call: &CallMessage,
--- a/crates/daemon/src/sequencer/maintenance.rs
+++ b/crates/daemon/src/sequencer/maintenance.rs
@@ -1,5 +1,5 @@
-//! What an owner does between calls: deadlines, release of engine memory,
-//! dropping old records, and the sweep for memory that nobody accounts for.
+//! Periodic maintenance of owned shards: ends programs at their deadline, releases engine memory of
+//! ended programs, drops old records, and sweeps engines for orphaned memory.
 
 use crate::node::Node;
 use crate::shard::ShardHost;
@@ -13,13 +13,13 @@
 use std::time::Duration;
 
 const INTERVAL: Millis = Millis(100);
-/// Rounds between two sweeps.
+/// Number of rounds from one sweep to the next.
 const ROUNDS_PER_SWEEP: u64 = 20;
-/// Engines looked at in a sweep; the next sweep looks at others.
+/// Number of engines checked in a sweep. The next sweep checks others.
 const ENGINES_PER_SWEEP: usize = 4;
 const ENGINE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Looks after all shards owned here, for as long as the process lives.
+/// Runs the maintenance of all shards that this daemon owns.
 pub async fn run_maintenance(node: Rc<Node>) {
     let mut round = 0_u64;
     let mut rotation = Rotation::default();
@@ -58,8 +58,8 @@
     }
 }
 
-/// Tells engines to drop what they hold for ended programs, until each has
-/// acknowledged.
+/// Requests the release of the memory that engines hold for ended programs. Repeated in each round
+/// until the release is recorded.
 fn release_ended_programs(node: &Rc<Node>, host: &Rc<ShardHost>) {
     let held: Vec<(ProgramId, String)> = {
         let state = host.state.borrow();
@@ -102,7 +102,7 @@
     response.is_ok_and(|response| response.status == 200)
 }
 
-/// A machine that the platform no longer lists holds nothing.
+/// Whether the platform no longer lists an engine. Its memory then counts as released.
 fn is_unlisted(node: &Node, engine: &str) -> bool {
     let fleet = node.fleet.borrow();
     !fleet.machines().is_empty()
@@ -119,8 +119,9 @@
     }
 }
 
-/// Compares what engines hold with what lives, which also catches the work of
-/// an owner that woke too late. Each owner answers for its own shards.
+/// Releases memory that engines hold for programs that have ended. Covers memory that no record
+/// mentions, such as that of a stream started by an owner that had already lost the shard. Each
+/// owner checks the programs of its own shards.
 async fn sweep_orphaned_memory(node: &Rc<Node>, rotation: &mut Rotation) {
     let all = node.fleet.borrow().engines();
     let engines = rotation.take(&all, ENGINES_PER_SWEEP, |limit| fastrand::usize(..limit));
@@ -136,13 +137,14 @@
             .filter_map(|text| text.parse::<ProgramId>().ok())
         {
             if is_orphaned(node, program) {
-                tracing::info!(%program, engine, "sweeps memory of a program that has ended");
+                tracing::info!(%program, engine, "releasing orphaned memory of an ended program");
                 request_release(node, program, &engine).await;
             }
         }
     }
 }
 
+/// Whether this daemon owns the shard of a program that has ended or does not exist.
 fn is_orphaned(node: &Node, program: ProgramId) -> bool {
     let Some(host) = node.shard(program.shard) else {
         return false;
--- a/crates/daemon/src/sequencer/message.rs
+++ b/crates/daemon/src/sequencer/message.rs
@@ -1,4 +1,4 @@
-//! What gateways ask of owners.
+//! Messages from gateways to owners of shards.
 
 use fieldhook_model::api::{CallSpec, ProgramView};
 use fieldhook_model::error::CallError;
@@ -6,37 +6,37 @@
 use fieldhook_program::{EndReason, Open};
 use nanoserde::{DeBin, SerBin};
 
-/// How much of an answer a reader has.
+/// Position of a reader in the output of a call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct Position {
-    /// Lineage of the text it has.
+    /// Lineage of the text that the reader has.
     pub lineage: u32,
-    /// Bytes it has.
+    /// Length of that text in bytes.
     pub offset: u64,
 }
 
-/// A call, on behalf of a caller.
+/// Request to run a call, or to follow it if it is already recorded.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct CallMessage {
     /// The program.
     pub program: ProgramId,
-    /// Place in its order.
+    /// Number of the call in its program.
     pub call_number: u64,
-    /// The caller's key.
+    /// Request key of the caller.
     pub request_key: String,
-    /// What is asked.
+    /// What to run.
     pub spec: CallSpec,
-    /// Whether it may run again.
+    /// Whether the call may run more than once.
     pub repeatable: bool,
-    /// What the reader has of the answer.
+    /// Position of the reader.
     pub position: Position,
-    /// The text that the reader has, where the gateway holds it whole.
+    /// The text that the reader has, if the gateway relayed all of it.
     pub delivered: Option<String>,
-    /// Whether an earlier copy of this message may still arrive somewhere.
+    /// Whether an earlier copy of this message may still arrive at some daemon.
     pub has_earlier_copy: bool,
 }
 
-/// Anything else a gateway asks.
+/// Any other request of a gateway.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum CommandMessage {
     /// Open a program.
@@ -45,7 +45,7 @@
     End {
         /// The program.
         program: ProgramId,
-        /// Why.
+        /// Reason that is recorded.
         reason: EndReason,
     },
     /// Show a program.
@@ -53,7 +53,7 @@
 }
 
 impl CommandMessage {
-    /// The program that the message is about.
+    /// Returns the program that the message concerns.
     pub fn program(&self) -> ProgramId {
         match self {
             Self::Open(open) => open.program,
@@ -62,14 +62,14 @@
     }
 }
 
-/// Answer to a `CommandMessage`.
+/// Reply to a [`CommandMessage`].
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum CommandReply {
-    /// Done, or it was done before.
+    /// The command was executed, now or earlier.
     Done,
-    /// The program.
+    /// The requested program.
     View(ProgramView),
-    /// Refused or failed.
+    /// The command was refused or failed.
     Failed(CallError),
     /// This daemon does not own the shard.
     NotOwner,
--- a/crates/daemon/src/sequencer/mod.rs
+++ b/crates/daemon/src/sequencer/mod.rs
@@ -1,5 +1,5 @@
-//! The owner's side of a call: admit it, record its intent, dispatch it,
-//! record its outcome, and let readers follow.
+//! The owner's side of a call: admits it, records that it is about to run, dispatches it, records
+//! its outcome, and streams its output to readers.
 
 mod admission;
 mod attempt;
--- a/crates/daemon/src/sequencer/model_attempt.rs
+++ b/crates/daemon/src/sequencer/model_attempt.rs
@@ -1,5 +1,5 @@
-//! One attempt of a model call: generate, resume after a broken connection,
-//! or take over the stream that a former owner started.
+//! A single attempt of a model call: starts a stream on an engine, resumes it after a broken
+//! connection, or takes over a stream that a previous owner started.
 
 use crate::sequencer::attempt::{AttemptEnd, RunningCall};
 use fieldhook_http::{SendError, SseDecoder};
@@ -14,25 +14,26 @@
 
 const RESUME_TIMEOUT: Duration = Duration::from_secs(1);
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time that gateways of a lost owner get to bring along what they delivered.
+/// How long to wait for gateways to report the text that they delivered under the previous owner.
 const DELIVERED_TEXT_WAIT: Millis = Millis(1_000);
 const DELIVERED_TEXT_POLL_INTERVAL: Millis = Millis(20);
 
-/// How an attempt begins here.
+/// How this daemon starts an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptStart {
-    /// It has not been dispatched.
+    /// The attempt has not been dispatched yet.
     New,
-    /// A former owner may have dispatched it.
+    /// A previous owner may have dispatched the attempt.
     TakenOver,
 }
 
+/// How reading a stream ended.
 enum ReadEnd {
     Complete(Usage),
     Broken,
 }
 
-/// Runs the attempt.
+/// Runs an attempt of a model call.
 pub async fn run(
     call: &RunningCall,
     model: &ModelCall,
@@ -81,7 +82,8 @@
     model: &ModelCall,
     attempt: &Attempt,
 ) -> Result<ClientResponse, AttemptEnd> {
-    // A word is at least a token, so the rest is never cut short by this.
+    // Subtracts the number of words in the prefix. A word has at least one token, so the output is
+    // never cut off too early.
     let remaining = model
         .max_tokens
         .saturating_sub(count_words(&attempt.prefix));
@@ -105,7 +107,7 @@
         continues: !attempt.prefix.is_empty(),
     };
     let body = serde_json::to_vec(&request).unwrap_or_default();
-    // The last look before the request leaves: a frozen owner wakes here.
+    // Checked right before sending, in case the process was paused and lost the shard.
     if !call.confirm_running().await {
         return Err(AttemptEnd::OwnershipLost);
     }
@@ -127,9 +129,8 @@
     }
 }
 
-/// Finds the stream of a former owner. Where the engine has lost it, gateways
-/// get a moment to say what they have delivered, so that the next attempt can
-/// continue that.
+/// Opens the stream that a previous owner started. If the engine no longer has it, waits for
+/// gateways to report the text that they have delivered, so that the next attempt can continue it.
 async fn take_over_stream(
     call: &RunningCall,
     attempt: &Attempt,
@@ -151,6 +152,7 @@
     }
 }
 
+/// Opens the stream again after the connection was lost, at the end of the text received so far.
 async fn resume(call: &RunningCall, attempt: &Attempt) -> Result<ClientResponse, AttemptEnd> {
     if !call.confirm_running().await {
         return Err(AttemptEnd::OwnershipLost);
@@ -195,8 +197,8 @@
     }
 }
 
-/// Frees the engine's place for a stream that is given up. If this is lost the
-/// stream runs to its end there, and the release at the program's end frees it.
+/// Cancels an abandoned stream to free its capacity on the engine. If the request is lost, the
+/// stream runs to its end, and its memory is released when the program ends.
 fn cancel(call: &RunningCall, attempt: &Attempt) {
     let client = call.node.client.clone();
     let url = format!(
--- a/crates/daemon/src/sequencer/placement.rs
+++ b/crates/daemon/src/sequencer/placement.rs
@@ -1,4 +1,4 @@
-//! Choosing an engine or a server for an attempt.
+//! Chooses the engine or server for an attempt.
 
 use crate::node::Node;
 use crate::platform::fleet::{engine_views, servers_for};
@@ -9,18 +9,19 @@
 use fieldhook_model::labels::Labels;
 use fieldhook_placement::{Refusal, Work, choose, judge};
 
-/// When to come back if nothing can serve a call now.
+/// Retry delay suggested to the caller if no engine or server is available.
 const NO_TARGET_RETRY_MS: u64 = 1_000;
 
-/// Where an attempt goes.
+/// The engine or server chosen for an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// IP and port.
+    /// IP address and port.
     pub address: String,
-    /// Priority of the work.
+    /// Priority according to the rules.
     pub priority: u8,
 }
 
+/// Returns the labels of a program, including its tenant.
 fn program_labels(host: &ShardHost, program: ProgramId) -> Labels {
     let state = host.state.borrow();
     let Some(program) = state.programs.get(&program) else {
@@ -31,10 +32,10 @@
     labels
 }
 
-/// Chooses where an attempt of a call goes.
+/// Chooses the engine or server for an attempt of a call.
 ///
 /// # Errors
-/// Nothing may or can take it now; it has not run.
+/// No engine or server is allowed and available. The error says that the call was not run.
 pub fn choose_target(
     node: &Node,
     host: &ShardHost,
--- a/crates/daemon/src/sequencer/server_attempt.rs
+++ b/crates/daemon/src/sequencer/server_attempt.rs
@@ -1,8 +1,8 @@
-//! One attempt of a request to a tool or application server.
+//! A single attempt of a request to a tool or application server.
 //!
-//! A request that is not repeatable is sent at most once after its intent. If
-//! its answer is lost, the server is asked by request key where it offers that;
-//! otherwise the outcome stays unknown.
+//! A non-repeatable request is recorded first and then sent at most once. If its response is lost,
+//! the server is asked for the result by request key, if it supports that. Otherwise the outcome is
+//! unknown.
 
 use crate::sequencer::attempt::{AttemptEnd, RunningCall};
 use crate::sequencer::model_attempt::AttemptStart;
@@ -18,7 +18,7 @@
 const MAX_LOOKUPS: u32 = 5;
 const LOOKUP_INTERVAL: Millis = Millis(200);
 
-/// Runs the attempt.
+/// Runs an attempt of a server call.
 pub async fn run(
     call: &RunningCall,
     server: &ServerCall,
@@ -29,7 +29,7 @@
     if start == AttemptStart::TakenOver {
         return resolve_lost_response(call, attempt).await;
     }
-    // The last look before the request leaves: a frozen owner wakes here.
+    // Checked right before sending, in case the process was paused and lost the shard.
     if !call.confirm_running().await {
         return AttemptEnd::OwnershipLost;
     }
@@ -57,7 +57,7 @@
     }
 }
 
-/// Key by which the server tells requests apart, unique among programs.
+/// Idempotency key of the request, unique among all programs.
 fn server_key(call: &RunningCall) -> String {
     format!("{}.{}", call.program, call.request_key)
 }
@@ -71,6 +71,7 @@
     }
 }
 
+/// Determines how an attempt ended whose response was lost or whose previous owner is gone.
 async fn resolve_lost_response(call: &RunningCall, attempt: &Attempt) -> AttemptEnd {
     if call.repeatable {
         return if call.confirm_running().await {
@@ -96,9 +97,9 @@
                     return complete(call, 200, execution.answer);
                 }
             }
-            // Not offered: asking again changes nothing.
+            // The server does not support the look-up.
             Ok(response) if response.status != 404 => return AttemptEnd::OutcomeUnknown,
-            // Not seen yet: it may still be on its way or at work.
+            // Not known to the server, which may not have received it or may still be executing it.
             _ => {}
         }
         sleep(LOOKUP_INTERVAL).await;
--- a/crates/daemon/src/shard/host.rs
+++ b/crates/daemon/src/shard/host.rs
@@ -1,5 +1,5 @@
-//! One shard owned here: its state, its commands on their way to the log, and the
-//! calls that run under this owner.
+//! A shard that this daemon owns: its state, its commands that are being appended to the log, and
+//! its running calls.
 
 use crate::shard::live_call::LiveCall;
 use crate::shard::storage::{Recovered, SNAPSHOT_COMMANDS, Snapshot, command_record};
@@ -12,36 +12,36 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{Notify, oneshot};
 
-/// Time since the log last took an append or a check under this epoch, up to which
-/// an owner acts without asking again. A process that was frozen is past it.
+/// How long an owner relies on the last append or check that the log accepted under its epoch. A
+/// process that was paused for longer than this asks the log again before it acts.
 const CONFIRMATION_VALID_FOR: Duration = Duration::from_millis(400);
 
-/// A command whose fate this daemon cannot tell, or that was not taken.
+/// Why a command was not applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProposeError {
-    /// Not taken: this daemon does not own the shard. It never happened.
+    /// This daemon does not own the shard. The command was not sent to the log.
     NotOwner,
-    /// Taken, but the shard was lost before the log had it: it may yet stand there.
+    /// The shard was lost before the append was acknowledged. The command may be on the log.
     OwnershipLost,
 }
 
-/// One shard owned here.
+/// A shard that this daemon owns.
 pub struct ShardHost {
-    /// The shard.
+    /// Number of the shard.
     pub shard: ShardId,
     /// Epoch of this ownership.
     pub epoch: u64,
     /// The state after the last durable command.
     pub state: RefCell<ShardState>,
-    /// Calls that run under this owner.
+    /// Running calls, by program and call number.
     pub live: RefCell<BTreeMap<(ProgramId, u64), Rc<LiveCall>>>,
-    /// Resolves waits for the end of any call.
+    /// Notified when a call ends, or when the shard is lost.
     pub call_ended: Notify,
-    /// Whether new calls are held back for a hand-over.
+    /// Whether the shard is being handed over. New calls are then held back.
     pub handing_over: Cell<bool>,
-    /// Releases of engine memory under way.
+    /// Releases of engine memory in progress, by program and engine.
     pub releasing: RefCell<BTreeSet<(ProgramId, String)>>,
-    /// Records on their way to the log.
+    /// Appends records to the log under this epoch.
     pub appender: Rc<Appender>,
     next_index: Cell<u64>,
     applied: Cell<u64>,
@@ -52,7 +52,8 @@
 }
 
 impl ShardHost {
-    /// A shard that was just read from the log, after its fence was set.
+    /// Creates a shard from the state recovered from the log. Previous owners must have been fenced
+    /// before the log was read.
     pub fn new(shard: ShardId, epoch: u64, recovered: Recovered, appender: Rc<Appender>) -> Self {
         Self {
             shard,
@@ -72,14 +73,14 @@
         }
     }
 
-    /// Whether this daemon still owns the shard, as far as it knows.
+    /// Whether this daemon still owns the shard as far as it knows. Does not ask the log.
     pub fn is_owned(&self) -> bool {
         !self.lost.get()
     }
 
-    /// Whether this daemon still owns the shard, asked of the log if the last answer
-    /// is not recent. In an outage of the log nobody else can have taken it, but that
-    /// cannot be seen from here: the question waits.
+    /// Confirms that this daemon still owns the shard. Asks the log unless the last confirmation is
+    /// recent. During an outage of the log no other daemon can claim the shard, but an outage
+    /// cannot be distinguished from being cut off, so this waits for the log.
     pub async fn confirm_ownership(&self) -> bool {
         if self.lost.get() {
             return false;
@@ -99,26 +100,28 @@
         confirmed
     }
 
-    /// Index of the last applied command.
+    /// Returns the index of the last applied command.
     pub fn applied(&self) -> u64 {
         self.applied.get()
     }
 
-    /// Commands that the log does not have yet.
+    /// Returns the number of commands that are not durable on the log yet.
     pub fn pending_commands(&self) -> u64 {
         self.next_index.get() - 1 - self.applied.get()
     }
 
-    /// The shard's clock: that of the last command, carried on by this machine.
+    /// Returns the time of the shard in milliseconds: the time of the last command plus the time
+    /// elapsed since then on this machine.
     pub fn shard_now_ms(&self) -> u64 {
         let elapsed = self.clock_updated_at.get().elapsed().as_millis() as u64;
         self.state.borrow().clock_ms + elapsed
     }
 
-    /// Sends a command to the log and applies it once it is durable, in order.
+    /// Appends a command to the log and applies it once it is durable. Commands are applied in
+    /// order.
     ///
     /// # Errors
-    /// Not taken here, or the shard was lost before it was durable.
+    /// This daemon does not own the shard, or lost it before the append was acknowledged.
     pub async fn propose(self: &Rc<Self>, command: Command) -> Result<Reply, ProposeError> {
         if self.lost.get() {
             return Err(ProposeError::NotOwner);
@@ -155,8 +158,8 @@
         reply
     }
 
-    /// Appends a snapshot of what changed, now and then. Commands that are already
-    /// queued stand behind it and have greater indexes.
+    /// Appends a snapshot of the changes if enough commands were applied since the last one.
+    /// Commands that are already queued were not applied yet and are not covered by it.
     fn snapshot_if_due(&self) {
         let index = self.applied.get();
         let covered = self.snapshot.borrow().index;
@@ -169,7 +172,7 @@
             .push(records, Urgency::Soon, Box::new(|_outcome| {}));
     }
 
-    /// Gives up everything that only an owner may do.
+    /// Marks the shard as lost: stops appending, and wakes all readers and waiting calls.
     pub fn mark_lost(&self) {
         self.lost.set(true);
         for live in std::mem::take(&mut *self.live.borrow_mut()).values() {
@@ -180,12 +183,12 @@
         self.call_ended.notify_waiters();
     }
 
-    /// The running call, if it runs under this owner.
+    /// Returns a call if it is running here.
     pub fn live_call(&self, program: ProgramId, number: u64) -> Option<Rc<LiveCall>> {
         self.live.borrow().get(&(program, number)).cloned()
     }
 
-    /// Registers a call that starts to run here.
+    /// Registers a call that starts running here.
     pub fn start_live(&self, program: ProgramId, number: u64) -> Rc<LiveCall> {
         let live = Rc::new(LiveCall::default());
         self.live
@@ -194,7 +197,7 @@
         live
     }
 
-    /// Forgets a call that has ended; its record is in the state.
+    /// Removes a call that has ended. Its outcome is part of the shard's state.
     pub fn end_live(&self, program: ProgramId, number: u64) {
         self.live.borrow_mut().remove(&(program, number));
         self.call_ended.notify_waiters();
--- a/crates/daemon/src/shard/live_call.rs
+++ b/crates/daemon/src/shard/live_call.rs
@@ -1,57 +1,58 @@
-//! A call that runs under this owner: its text so far and its end.
+//! Output of a call that runs under this owner.
 
 use fieldhook_model::api::StreamEvent;
 use std::cell::{Cell, Ref, RefCell};
 use tokio::sync::Notify;
 
-/// A call that runs under this owner. Any number of readers follow it; the
-/// text is kept whole, so that a reader can begin at any offset.
+/// A call that runs under this owner. Any number of readers can follow it. The complete text is
+/// kept, so that a reader can start at any offset.
 #[derive(Debug, Default)]
 pub struct LiveCall {
     text: RefCell<String>,
     lineage: Cell<u32>,
     end: RefCell<Option<StreamEvent>>,
-    /// Text that a gateway had already passed on under a former owner.
+    /// Text that a gateway delivered under a previous owner.
     delivered: RefCell<Option<String>>,
     changed: Notify,
 }
 
 impl LiveCall {
-    /// The text so far.
+    /// Returns the text so far.
     pub fn text(&self) -> Ref<'_, String> {
         self.text.borrow()
     }
 
-    /// Which attempt the text descends from.
+    /// Returns the lineage of the text, which identifies the attempt that it goes back to. 0 before
+    /// the first attempt.
     pub fn lineage(&self) -> u32 {
         self.lineage.get()
     }
 
-    /// Starts an attempt with the text that it continues.
+    /// Starts an attempt, whose output continues `prefix`.
     pub fn start(&self, lineage: u32, prefix: &str) {
         self.lineage.set(lineage);
         *self.text.borrow_mut() = prefix.to_owned();
         self.changed.notify_waiters();
     }
 
-    /// Adds text.
+    /// Appends text.
     pub fn push(&self, text: &str) {
         self.text.borrow_mut().push_str(text);
         self.changed.notify_waiters();
     }
 
-    /// Ends the call; the event must be committed.
+    /// Ends the call. The outcome must be durable on the log.
     pub fn finish(&self, end: StreamEvent) {
         *self.end.borrow_mut() = Some(end);
         self.changed.notify_waiters();
     }
 
-    /// The closing event, once there is one.
+    /// Returns the closing event if the call has ended.
     pub fn end(&self) -> Option<StreamEvent> {
         self.end.borrow().clone()
     }
 
-    /// Notes text that was already passed on under a former owner.
+    /// Records text that a gateway delivered under a previous owner. The longest text is kept.
     pub fn record_delivered(&self, text: &str) {
         let mut delivered = self.delivered.borrow_mut();
         if delivered
@@ -64,18 +65,19 @@
         self.changed.notify_waiters();
     }
 
-    /// The longest text that was passed on under a former owner, if a gateway
-    /// has asked again.
+    /// Returns the longest text that was delivered under a previous owner, if a gateway reported
+    /// one.
     pub fn delivered(&self) -> Option<String> {
         self.delivered.borrow().clone()
     }
 
-    /// Wakes all readers, to look where the call runs now.
+    /// Wakes all readers, so that they check whether the call still runs here.
     pub fn wake(&self) {
         self.changed.notify_waiters();
     }
 
-    /// Resolves at the next change; must be created before the state is read.
+    /// Completes at the next change. Must be created before the state is read, so that no change is
+    /// missed.
     pub fn changed(&self) -> tokio::sync::futures::Notified<'_> {
         self.changed.notified()
     }
--- a/crates/daemon/src/shard/mod.rs
+++ b/crates/daemon/src/shard/mod.rs
@@ -1,10 +1,10 @@
-//! Shards: fixed partitions of all programs, each owned by one daemon at a time and
-//! kept on the log.
+//! Shards: a fixed partitioning of all programs. Each shard is owned by one daemon at a time and
+//! stored on the log.
 //!
-//! - [`host`]: one owned shard.
-//! - [`storage`]: how its state stands on the log.
-//! - [`ownership`]: taking shards up, giving them up, claiming orphaned ones.
-//! - [`live_call`]: a call that runs under this owner.
+//! - [`host`]: a shard that this daemon owns.
+//! - [`storage`]: representation of its state on the log.
+//! - [`ownership`]: loads claimed shards, drops lost ones, and claims those whose owner is gone.
+//! - [`live_call`]: output of a call that runs under this owner.
 
 mod host;
 mod live_call;
--- a/crates/daemon/src/shard/ownership.rs
+++ b/crates/daemon/src/shard/ownership.rs
@@ -1,5 +1,5 @@
-//! Taking shards up and giving them up, as the claims on the log say, and claiming
-//! those whose owner is gone.
+//! Loads and drops shards according to the claims on the log, and claims shards whose owner is
+//! gone.
 
 use crate::node::Node;
 use crate::sequencer::resume_calls;
@@ -19,7 +19,8 @@
 const CLAIM_CHECK_INTERVAL: Millis = Millis(100);
 const LOAD_TIMEOUT: Duration = Duration::from_secs(2);
 const LOAD_RETRY_DELAY: Millis = Millis(50);
-/// The process of an owner, as a claim names it.
+
+/// Returns the process that holds a claim, or `None` if the claim was released.
 pub fn owner_of(claim: &Claim) -> Option<ProcessId> {
     let address = claim.address?.to_string().parse().ok()?;
     Some(ProcessId {
@@ -28,6 +29,7 @@
     })
 }
 
+/// Returns the log partition that stores a shard.
 fn log_partition(shard: ShardId) -> Partition {
     Partition {
         topic: SHARDS_TOPIC.to_owned(),
@@ -35,7 +37,8 @@
     }
 }
 
-/// Acts on the newest claim of a shard.
+/// Applies the newest claim on a shard: drops the shard if another process holds the claim, and
+/// loads it if this one does.
 pub fn apply_claim(node: &Rc<Node>, shard: ShardId) {
     let Some(claim) = node.claims.claim(u32::from(shard)) else {
         return;
@@ -62,7 +65,7 @@
     claim.is_some_and(|claim| claim.epoch == epoch)
 }
 
-/// Reads a claimed shard from the log and serves it until it is lost.
+/// Loads a claimed shard from the log and serves it until it is lost.
 async fn load_and_serve(node: Rc<Node>, shard: ShardId, epoch: u64) {
     let records = loop {
         if !is_current_claim(&node, shard, epoch) {
@@ -107,8 +110,8 @@
     }
 }
 
-/// Fences earlier owners, then reads the newest record of each key. In this order
-/// nothing that an earlier owner had acknowledged can be missed.
+/// Fences previous owners, then reads the newest record of each key. In this order, no record that
+/// a previous owner has acknowledged can be missed.
 async fn load(
     node: &Node,
     shard: ShardId,
@@ -130,7 +133,7 @@
     }
 }
 
-/// Claims shards whose owner is gone, for as long as the process lives.
+/// Periodically claims shards whose owner is gone, and updates the metrics of owned shards.
 pub async fn run_claiming(node: Rc<Node>) {
     loop {
         for shard in 0..node.settings.shards {
@@ -150,8 +153,8 @@
     }
 }
 
-/// Whether a claim's owner is held dead, or is surely gone. A mistake costs a move
-/// of the shard, no more: the fence decides who owns it.
+/// Whether the owner that holds a claim is considered dead or is confirmed gone. A false positive
+/// only costs a move of the shard, because the log fences the previous owner.
 fn is_owner_gone(node: &Node, claim: &Claim) -> bool {
     let Some(owner) = owner_of(claim) else {
         return false;
@@ -164,8 +167,8 @@
     dead || table.is_confirmed_gone(owner)
 }
 
-/// One daemon claims a shard, to spare the log a race: the live one that the shard
-/// hashes to. Racing claims would still have one winner.
+/// Whether this daemon should claim a shard whose owner is gone. Rendezvous hashing selects one of
+/// the live daemons, to avoid concurrent claims. If the daemons disagree, one of their claims wins.
 fn is_designated_claimant(node: &Node, shard: ShardId) -> bool {
     let detector = node.detector.borrow();
     let live = detector
--- a/crates/daemon/src/shard/storage.rs
+++ b/crates/daemon/src/shard/storage.rs
@@ -1,10 +1,10 @@
-//! How a shard's state stands on the log: a snapshot of each program, and the
-//! commands that came after it.
+//! Representation of a shard's state on the log: a snapshot of each program, and the commands after
+//! the snapshot.
 //!
-//! Records are keyed, so that the log keeps the newest of each for good: a program
-//! by its identifier, a command by its index, and the mark that says up to which
-//! command the programs go. A snapshot is one append: the programs that changed, the
-//! mark, and deletions of the commands that it covers.
+//! The log keeps the newest record of each key. There is a record for each program (by identifier),
+//! for each command (by index), and a mark with the index of the last command that the snapshot
+//! covers. A snapshot is a single append with the changed programs, the mark, and deletions of the
+//! commands that it covers.
 
 use fieldhook_log::api::KeyedRecord;
 use fieldhook_model::ids::ProgramId;
@@ -13,39 +13,41 @@
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Topic of the shards' states.
+/// Topic with the states of shards.
 pub const SHARDS_TOPIC: &str = "keyed.shards";
-/// Topic of the claims of shards.
+/// Topic with the claims on shards.
 pub const SHARD_OWNERS_TOPIC: &str = "keyed.shard-owners";
-/// Commands after which a snapshot is due, which bounds what a recovery reads.
+/// Number of commands after which a snapshot is appended. Limits the number of commands that a
+/// recovery has to read.
 pub const SNAPSHOT_COMMANDS: u64 = 400;
 
 const COMMAND_KEY: u8 = b'c';
 const PROGRAM_KEY: u8 = b'p';
 const MARK_KEY: u8 = b'm';
 
-/// Up to which command the programs on the log go.
+/// The last command that the snapshot on the log covers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 struct Mark {
     index: u64,
     clock_ms: u64,
 }
 
-/// A shard's state as read from the log.
+/// State of a shard as recovered from the log.
 #[derive(Debug, Default)]
 pub struct Recovered {
     /// Index of the last command.
     pub index: u64,
-    /// The state after it.
+    /// State after the last command.
     pub state: ShardState,
-    /// What the log's snapshot holds.
+    /// Content of the snapshot on the log.
     pub snapshot: Snapshot,
 }
 
-/// What the newest snapshot on the log holds: digests of programs, and the index.
+/// Content of the newest snapshot on the log: the index that it covers, and a digest of each
+/// program.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
-    /// Last command that it covers.
+    /// Index of the last command that it covers.
     pub index: u64,
     programs: BTreeMap<ProgramId, u64>,
 }
@@ -64,7 +66,7 @@
     make_key(PROGRAM_KEY, id.to_string().as_bytes())
 }
 
-/// The record of a command.
+/// Returns the record of a command.
 pub fn command_record(index: u64, command: &TimedCommand) -> KeyedRecord {
     KeyedRecord {
         key: command_key(index),
@@ -73,8 +75,8 @@
 }
 
 impl Snapshot {
-    /// The records that bring the log's snapshot up to a state, and the snapshot
-    /// that stands there then.
+    /// Returns the records that update the snapshot on the log to a state, and the content of the
+    /// updated snapshot.
     pub fn advance(&self, state: &ShardState, index: u64) -> (Vec<KeyedRecord>, Snapshot) {
         let mut records = Vec::new();
         let mut programs = BTreeMap::new();
@@ -109,7 +111,7 @@
     }
 }
 
-/// Puts a state together from the newest record of each key.
+/// Recovers the state from the newest record of each key.
 pub fn recover(records: &[KeyedRecord]) -> Recovered {
     let mut recovered = Recovered::default();
     let mut commands: BTreeMap<u64, TimedCommand> = BTreeMap::new();
@@ -122,7 +124,8 @@
         }
     }
     recovered.index = recovered.snapshot.index;
-    // A command that does not follow was written by nobody: appends are in order.
+    // Owners append commands in order, so a gap should not occur. The commands after it are
+    // ignored.
     for (index, command) in commands.split_off(&(recovered.index + 1)) {
         if index != recovered.index + 1 {
             tracing::error!(event = "command_missing", index, after = recovered.index);
--- a/crates/daemon/tests/log_faults.rs
+++ b/crates/daemon/tests/log_faults.rs
@@ -1,5 +1,5 @@
-//! The stand-in of the log over HTTP goes wrong in each way that the platform's does,
-//! whole or for single partitions, and the client tells the ways apart.
+//! Faults of the emulated log service, for all or for single partitions, and how the HTTP client
+//! reports them.
 
 use fieldhook_daemon::platform::log_store::HttpLog;
 use fieldhook_emulator::faults::FaultPlan;
@@ -11,8 +11,9 @@
 use tokio::time::sleep;
 
 const TOPIC: &str = "keyed.work";
-const LIMIT: Duration = Duration::from_millis(150);
+const TIMEOUT: Duration = Duration::from_millis(150);
 
+/// Emulated log service and a client for it.
 struct Log {
     address: String,
     client: HttpClient,
@@ -41,37 +42,40 @@
         log
     }
 
-    async fn set(&self, plan: FaultPlan) {
+    async fn set_faults(&self, plan: FaultPlan) {
         let url = format!("http://{}/control/faults", self.address);
         let body = serde_json::to_vec(&plan).expect("a plan");
-        let reply = self
+        let response = self
             .client
             .fetch(Method::POST, &url, &[], body, Duration::from_secs(2))
             .await;
-        assert!(reply.is_ok_and(|reply| reply.status == 200));
+        assert!(response.is_ok_and(|response| response.status == 200));
     }
 
     async fn append(&self, partition: u32, key: &str) -> Result<Appended, StoreError> {
         let append = Append {
-            partition: place(partition),
+            partition: log_partition(partition),
             records: vec![KeyedRecord {
                 key: key.as_bytes().to_vec(),
                 value: b"value".to_vec(),
             }],
             producer: None,
             expected_end: None,
-            timeout: LIMIT,
+            timeout: TIMEOUT,
         };
         self.store.append(append).await
     }
 
     async fn end(&self, partition: u32) -> Result<u64, StoreError> {
-        let page = self.store.newest(place(partition), None, LIMIT).await?;
+        let page = self
+            .store
+            .newest(log_partition(partition), None, TIMEOUT)
+            .await?;
         Ok(page.end)
     }
 }
 
-fn place(number: u32) -> Partition {
+fn log_partition(number: u32) -> Partition {
     Partition {
         topic: TOPIC.to_owned(),
         number,
@@ -83,10 +87,10 @@
 }
 
 #[test]
-fn each_way_of_failing_is_told_and_has_no_effect() {
+fn faults_are_reported_and_append_nothing() {
     run(async {
         let log = Log::start().await;
-        let ways = [
+        let faults = [
             (
                 FaultPlan {
                     down: true,
@@ -116,17 +120,17 @@
                 StoreError::Unknown,
             ),
         ];
-        for (plan, expected) in ways {
-            log.set(plan.clone()).await;
+        for (plan, expected) in faults {
+            log.set_faults(plan.clone()).await;
             assert_eq!(log.append(0, "k").await, Err(expected), "{plan:?}");
         }
-        log.set(FaultPlan::default()).await;
+        log.set_faults(FaultPlan::default()).await;
         assert_eq!(log.end(0).await, Ok(0));
     });
 }
 
 #[test]
-fn a_fault_of_one_partition_leaves_the_others_alone() {
+fn fault_of_a_partition_does_not_affect_others() {
     run(async {
         let log = Log::start().await;
         let plan = FaultPlan {
@@ -134,21 +138,21 @@
             partitions: vec![1],
             ..FaultPlan::default()
         };
-        log.set(plan).await;
+        log.set_faults(plan).await;
         assert_eq!(log.append(1, "k").await, Err(StoreError::NotDone));
         assert!(log.append(0, "k").await.is_ok());
     });
 }
 
 #[test]
-fn an_append_may_be_done_long_after_its_caller_gave_up() {
+fn append_can_take_effect_after_its_timeout() {
     run(async {
         let log = Log::start().await;
         let plan = FaultPlan {
             late_ms: 300,
             ..FaultPlan::default()
         };
-        log.set(plan).await;
+        log.set_faults(plan).await;
         assert_eq!(log.append(0, "late").await, Err(StoreError::Unknown));
         assert_eq!(log.end(0).await, Ok(0));
         sleep(Duration::from_millis(400)).await;
@@ -157,7 +161,7 @@
 }
 
 #[test]
-fn a_forgotten_history_leaves_the_newest_of_each_key() {
+fn truncated_history_keeps_the_newest_record_of_each_key() {
     run(async {
         let log = Log::start().await;
         log.append(0, "k").await.expect("appended");
@@ -165,13 +169,16 @@
             forget: true,
             ..FaultPlan::default()
         };
-        log.set(plan).await;
+        log.set_faults(plan).await;
         assert_eq!(log.end(0).await, Ok(1));
-        let read = log.store.read(place(0), 0, Duration::ZERO, LIMIT).await;
+        let read = log
+            .store
+            .read(log_partition(0), 0, Duration::ZERO, TIMEOUT)
+            .await;
         assert_eq!(read, Err(StoreError::Gone(1)));
         let page = log
             .store
-            .newest(place(0), None, LIMIT)
+            .newest(log_partition(0), None, TIMEOUT)
             .await
             .expect("a page");
         assert_eq!(page.records.len(), 1);
--- a/crates/daemon/tests/storage_fuzz.rs
+++ b/crates/daemon/tests/storage_fuzz.rs
@@ -1,5 +1,5 @@
-//! A shard's state on the log: whatever was appended, with a snapshot after any
-//! command, an owner that reads the newest record of each key has the same state.
+//! Recovery of a shard from the log: for any sequence of commands and snapshots, an owner that
+//! reads the newest record of each key recovers the same state.
 
 use fieldhook_daemon::shard::storage::{Snapshot, command_record, recover};
 use fieldhook_log::api::KeyedRecord;
@@ -56,6 +56,7 @@
     }
 }
 
+/// Newest record of each key.
 #[derive(Default)]
 struct Log(BTreeMap<Vec<u8>, Vec<u8>>);
 
@@ -81,18 +82,18 @@
     }
 }
 
-/// An owner: commands stand on the log first and are applied in order later.
+/// An owner. Commands are appended to the log first and applied in order later.
 #[derive(Default)]
-struct World {
+struct Owner {
     log: Log,
     state: ShardState,
     snapshot: Snapshot,
-    waiting: VecDeque<TimedCommand>,
+    unapplied: VecDeque<TimedCommand>,
     appended: u64,
     applied: u64,
 }
 
-impl World {
+impl Owner {
     fn append(&mut self, command: Command) {
         self.appended += 1;
         let command = TimedCommand {
@@ -101,11 +102,11 @@
         };
         self.log
             .append(vec![command_record(self.appended, &command)]);
-        self.waiting.push_back(command);
+        self.unapplied.push_back(command);
     }
 
     fn apply_next(&mut self) {
-        if let Some(command) = self.waiting.pop_front() {
+        if let Some(command) = self.unapplied.pop_front() {
             self.applied += 1;
             self.state.apply(command);
         }
@@ -117,38 +118,39 @@
         self.snapshot = advanced;
     }
 
-    /// A new owner takes over with all that stands on the log.
-    fn recovers(&mut self) -> bool {
-        while !self.waiting.is_empty() {
+    /// Lets a new owner recover the state from the log. Returns whether it equals the state after
+    /// all appended commands.
+    fn recovers_same_state(&mut self) -> bool {
+        while !self.unapplied.is_empty() {
             self.apply_next();
         }
         let recovered = recover(&self.log.newest());
-        let same = recovered.index == self.appended && recovered.state == self.state;
+        let is_same = recovered.index == self.appended && recovered.state == self.state;
         self.snapshot = recovered.snapshot;
-        same
+        is_same
     }
 }
 
-fn recovers(steps: Vec<Step>) -> bool {
-    let mut world = World::default();
+fn recovers_after_any_steps(steps: Vec<Step>) -> bool {
+    let mut owner = Owner::default();
     for step in steps {
         if let Some(command) = command(step) {
-            world.append(command);
+            owner.append(command);
         }
         match step {
-            Step::Apply => world.apply_next(),
-            Step::Snapshot => world.snapshot(),
-            Step::Recover if !world.recovers() => return false,
+            Step::Apply => owner.apply_next(),
+            Step::Snapshot => owner.snapshot(),
+            Step::Recover if !owner.recovers_same_state() => return false,
             _ => {}
         }
     }
-    world.recovers()
+    owner.recovers_same_state()
 }
 
 #[test]
-fn a_shard_is_recovered_as_it_was_after_its_last_command() {
+fn recovered_state_equals_the_state_after_the_last_command() {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(60, 51))
         .tests(2_000)
-        .quickcheck(recovers as fn(Vec<Step>) -> bool);
+        .quickcheck(recovers_after_any_steps as fn(Vec<Step>) -> bool);
 }
