--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -1,6 +1,6 @@
-//! Routes for the operators' client. They show; they place nothing.
+//! Routes for the operators' client.
 
-use crate::gateway::{ask_owner, failure, parse_program};
+use crate::gateway::{error_response, parse_program, send_command};
 use crate::node::Node;
 use crate::platform::fleet::engine_views;
 use crate::sequencer::CommandMessage;
@@ -17,10 +17,10 @@
 use ntex::web::{self, HttpResponse, ServiceConfig, types};
 use std::rc::Rc;
 
-/// Tokens of the answer that an explanation reckons with.
-const TYPICAL_ANSWER_TOKENS: u64 = 64;
+/// Number of output tokens that [`explain`] assumes for a call.
+const ASSUMED_OUTPUT_TOKENS: u64 = 64;
 
-/// Adds the routes.
+/// Registers the routes for operators.
 pub fn configure(config: &mut ServiceConfig) {
     config
         .route("/v1/status", web::get().to(show_status))
@@ -112,7 +112,7 @@
         .collect()
 }
 
-/// Programs of the shards owned here.
+/// Lists the programs in the shards that this daemon owns.
 async fn list_programs(node: types::State<Rc<Node>>) -> HttpResponse {
     let mut lines = Vec::new();
     for host in node.hosts() {
@@ -135,26 +135,26 @@
                 program,
                 reason: EndReason::Operator,
             };
-            ask_owner(&node, message).await
+            send_command(&node, message).await
         }
         Err(error) => Err(error),
     };
     match ended {
         Ok(_) => json(200, &"ended"),
-        Err(error) => failure(&node, &error),
+        Err(error) => error_response(&node, &error),
     }
 }
 
 async fn explain_program(node: types::State<Rc<Node>>, id: types::Path<String>) -> HttpResponse {
     match find_program(&node, &id).await {
         Ok(view) => json(200, &explain(&node, &view)),
-        Err(error) => failure(&node, &error),
+        Err(error) => error_response(&node, &error),
     }
 }
 
 async fn find_program(node: &Rc<Node>, id: &str) -> Result<ProgramView, CallError> {
     let program = parse_program(node, id)?;
-    let view = ask_owner(node, CommandMessage::View(program)).await?;
+    let view = send_command(node, CommandMessage::View(program)).await?;
     view.ok_or_else(|| {
         CallError::not_run(
             fieldhook_model::error::ErrorKind::ProgramUnknown,
@@ -163,6 +163,8 @@
     })
 }
 
+/// Explains, for each engine, whether the rules allow a program to use it and how long a call would
+/// take there.
 fn explain(node: &Node, program: &ProgramView) -> Vec<PlacementExplanation> {
     let mut labels = program.labels.clone();
     labels.insert("tenant".to_owned(), program.tenant.clone());
@@ -178,7 +180,7 @@
         let held = if holds { bytes as u64 / 4 } else { 0 };
         let need = CallDemand {
             uncached_tokens: bytes as u64 / 4 - held,
-            new_tokens: TYPICAL_ANSWER_TOKENS,
+            new_tokens: ASSUMED_OUTPUT_TOKENS,
             migrates: !holds && !program.held_by.is_empty(),
         };
         let expected = estimate(&engine.load, engine.assigned, need);
@@ -196,7 +198,7 @@
     engine_views(node).into_iter().map(explain_engine).collect()
 }
 
-/// Shards owned by this daemon.
+/// Lists the shards that this daemon owns.
 async fn list_owned(node: types::State<Rc<Node>>) -> HttpResponse {
     let owned: Vec<OwnedShardStatus> = node
         .hosts()
@@ -205,7 +207,7 @@
             shard: host.shard,
             epoch: host.epoch,
             applied: host.applied(),
-            waiting: host.waiting(),
+            waiting: host.pending_commands(),
         })
         .collect();
     json(200, &owned)
--- a/crates/daemon/src/platform/log_client.rs
+++ b/crates/daemon/src/platform/log_client.rs
@@ -1,4 +1,4 @@
-//! Reading and appending streams of the platform's log.
+//! Reads and appends streams of the platform's log.
 
 use crate::node::Node;
 use fieldhook_http::SendError;
@@ -7,38 +7,40 @@
 use std::time::Duration;
 
 const APPEND_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time that a read may take in addition to the time it waits for records.
 const READ_MARGIN: Duration = Duration::from_secs(3);
 
-fn note_contact<T>(node: &Node, result: &Result<T, SendError>) {
+fn record_answer<T>(node: &Node, result: &Result<T, SendError>) {
     if result.is_ok() {
-        node.log_contact.record_answer();
+        node.log_health.record_answer();
     }
 }
 
 /// Appends a record and returns its offset.
 ///
 /// # Errors
-/// No answer: the record may stand in the stream or not.
+/// The append was not acknowledged. Unless the request was not sent, the record may have been
+/// appended.
 pub async fn append(node: &Node, stream: &str, data: String) -> Result<u64, SendError> {
     let url = format!("http://{}/v1/streams/{stream}", node.settings.platform.log);
-    let reply = node
+    let response = node
         .client
         .fetch(Method::POST, &url, &[], data.into_bytes(), APPEND_TIMEOUT)
         .await?;
-    let appended = serde_json::from_str::<AppendResponse>(&reply.body)
+    let appended = serde_json::from_str::<AppendResponse>(&response.body)
         .map(|appended| appended.offset)
         .map_err(|_| SendError::Status {
-            status: reply.status,
-            body: reply.body,
+            status: response.status,
+            body: response.body,
         });
-    note_contact(node, &appended);
+    record_answer(node, &appended);
     appended
 }
 
-/// Reads records from an offset on, waiting for some if there are none.
+/// Reads records from an offset on. If there are none, waits up to `wait_ms` for new ones.
 ///
 /// # Errors
-/// No answer.
+/// The log did not return a page.
 pub async fn read(
     node: &Node,
     stream: &str,
@@ -49,6 +51,6 @@
     let url = format!("http://{log}/v1/streams/{stream}?from={from}&wait_ms={wait_ms}");
     let timeout = Duration::from_millis(wait_ms) + READ_MARGIN;
     let page = node.client.get_json(&url, timeout).await;
-    note_contact(node, &page);
+    record_answer(node, &page);
     page
 }
--- a/crates/daemon/src/platform/log_store.rs
+++ b/crates/daemon/src/platform/log_store.rs
@@ -1,4 +1,4 @@
-//! The log service as the product's own stand-in speaks it.
+//! Client for the log service in the protocol of the emulator: binary messages over HTTP.
 
 use fieldhook_http::{HttpClient, SendError};
 use fieldhook_log::api::{
@@ -10,20 +10,20 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The log at an address.
+/// [`LogStore`] that sends calls to a log service over HTTP.
 pub struct HttpLog {
     url: String,
     client: HttpClient,
-    contact: Rc<LogHealth>,
+    health: Rc<LogHealth>,
 }
 
 impl HttpLog {
-    /// A client of the log.
-    pub fn new(address: &str, client: HttpClient, contact: Rc<LogHealth>) -> Self {
+    /// Creates a client for the log service at an address.
+    pub fn new(address: &str, client: HttpClient, health: Rc<LogHealth>) -> Self {
         Self {
             url: format!("http://{address}/v1/topics"),
             client,
-            contact,
+            health,
         }
     }
 
@@ -34,15 +34,15 @@
             .await;
         match reply {
             Ok(reply) => {
-                self.contact.record_answer();
+                self.health.record_answer();
                 Ok(reply)
             }
             Err(SendError::NotSent(_) | SendError::Status { .. }) => {
-                self.contact.record_failure();
+                self.health.record_failure();
                 Err(StoreError::NotDone)
             }
             Err(SendError::Unknown(_)) => {
-                self.contact.record_failure();
+                self.health.record_failure();
                 Err(StoreError::Unknown)
             }
         }
--- a/crates/daemon/src/sequencer/place.rs
+++ b/crates/daemon/src/sequencer/placement.rs
@@ -1,4 +1,4 @@
-//! Choosing an engine or a server for an attempt.
+//! Chooses the engine or server for an attempt.
 
 use crate::node::Node;
 use crate::platform::fleet::{engine_views, servers_for};
@@ -9,18 +9,19 @@
 use fieldhook_model::labels::Labels;
 use fieldhook_placement::{PlacementError, PlacementRequest, evaluate_rules, select_engine};
 
-/// When to come back if nothing can serve a call now.
+/// Retry delay suggested to the caller if no engine or server is available.
 const NO_TARGET_RETRY_MS: u64 = 1_000;
 
-/// Where an attempt goes.
+/// The engine or server chosen for an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// IP and port.
+    /// IP address and port.
     pub address: String,
-    /// Priority of the work.
+    /// Priority according to the rules.
     pub priority: u8,
 }
 
+/// Returns the labels of a program, including its tenant.
 fn program_labels(host: &ShardHost, program: ProgramId) -> Labels {
     let state = host.state.borrow();
     let Some(program) = state.programs.get(&program) else {
@@ -31,11 +32,11 @@
     labels
 }
 
-/// Chooses where an attempt of a call goes.
+/// Chooses the engine or server for an attempt of a call.
 ///
 /// # Errors
-/// Nothing may or can take it now; it has not run.
-pub fn place(
+/// No engine or server is allowed and available. The error says that the call was not run.
+pub fn choose_target(
     node: &Node,
     host: &ShardHost,
     program: ProgramId,
@@ -43,12 +44,12 @@
     avoid: &[String],
 ) -> Result<Target, CallError> {
     match spec {
-        CallSpec::Model(model) => place_model(node, host, program, model, avoid),
-        CallSpec::Server(server) => place_server(node, host, program, server, avoid),
+        CallSpec::Model(model) => choose_engine(node, host, program, model, avoid),
+        CallSpec::Server(server) => choose_server(node, host, program, server, avoid),
     }
 }
 
-fn place_model(
+fn choose_engine(
     node: &Node,
     host: &ShardHost,
     program: ProgramId,
@@ -99,7 +100,7 @@
     }
 }
 
-fn place_server(
+fn choose_server(
     node: &Node,
     host: &ShardHost,
     program: ProgramId,
@@ -109,10 +110,11 @@
     let labels = program_labels(host, program);
     let config = node.config.borrow();
     for machine in servers_for(node, &server.service) {
-        let own = config
-            .document
-            .machine_labels(&machine.name, &machine.zone, &machine.labels);
-        let verdict = evaluate_rules(&config.document, &labels, &own);
+        let machine_labels =
+            config
+                .document
+                .machine_labels(&machine.name, &machine.zone, &machine.labels);
+        let verdict = evaluate_rules(&config.document, &labels, &machine_labels);
         if verdict.allowed && !avoid.contains(&machine.address) {
             return Ok(Target {
                 address: machine.address,
--- a/crates/daemon/src/server.rs
+++ b/crates/daemon/src/server.rs
@@ -1,9 +1,9 @@
-//! Routes of the daemon.
+//! HTTP routes of the daemon.
 
 use crate::gateway::{delete_program, post_call, post_program, show_program};
 use crate::node::{Node, Phase};
 use crate::operator;
-use crate::platform::config_follow::PeerConfig;
+use crate::platform::config_sync::PeerConfig;
 use crate::sequencer::{CallMessage, CommandMessage, serve_call, serve_command};
 use fieldhook_http::text;
 use futures_util::stream;
@@ -14,11 +14,12 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// Largest message between daemons; snapshots are the large ones.
+/// Maximum size of a request body, in bytes. Applies to messages between daemons; bodies from
+/// callers have the lower limit `limits.body_bytes`.
 const INTERNAL_BODY_LIMIT: usize = 512 << 20;
 const EVENT_BACKLOG: usize = 64;
 
-/// Adds all routes.
+/// Registers all routes.
 pub fn configure(config: &mut ServiceConfig, node: Rc<Node>) {
     config
         .state(node)
@@ -56,17 +57,17 @@
     text(200, node.metrics.render())
 }
 
-fn binary<T: SerBin>(value: &T) -> HttpResponse {
+fn binary_response<T: SerBin>(value: &T) -> HttpResponse {
     HttpResponse::Ok().body(value.serialize_bin())
 }
 
-fn undecodable() -> HttpResponse {
+fn undecodable_response() -> HttpResponse {
     text(400, "does not decode; run the same version on all daemons")
 }
 
 async fn internal_call(node: types::State<Rc<Node>>, body: Bytes) -> HttpResponse {
     let Ok(call) = CallMessage::deserialize_bin(&body) else {
-        return undecodable();
+        return undecodable_response();
     };
     let (out, events) = mpsc::channel(EVENT_BACKLOG);
     ntex::rt::spawn(serve_call((*node).clone(), call, out));
@@ -80,14 +81,14 @@
 
 async fn internal_command(node: types::State<Rc<Node>>, body: Bytes) -> HttpResponse {
     match CommandMessage::deserialize_bin(&body) {
-        Ok(message) => binary(&serve_command(&node, message).await),
-        Err(_) => undecodable(),
+        Ok(message) => binary_response(&serve_command(&node, message).await),
+        Err(_) => undecodable_response(),
     }
 }
 
 async fn internal_config(node: types::State<Rc<Node>>) -> HttpResponse {
     let state = node.config.borrow().clone();
-    binary(&PeerConfig {
+    binary_response(&PeerConfig {
         known: node.config_known.get(),
         state,
     })
