--- a/crates/daemon/src/drain.rs
+++ b/crates/daemon/src/drain.rs
@@ -61,7 +61,7 @@
 
 fn runs_non_repeatable_call(host: &ShardHost) -> bool {
     let state = host.state.borrow();
-    let running = host.live.borrow();
+    let running = host.live_calls.borrow();
     running.keys().any(|(program, number)| {
         let record = state
             .programs
--- a/crates/daemon/src/platform/fleet.rs
+++ b/crates/daemon/src/platform/fleet.rs
@@ -51,7 +51,7 @@
         let busy = self.assigned.iter().filter(|(_, count)| **count > 0);
         let loads = &self.loads;
         busy.map(|(address, _)| address.clone())
-            .filter(|machine| loads.contains_key(machine))
+            .filter(|address| loads.contains_key(address))
             .collect()
     }
 
@@ -111,7 +111,7 @@
                 .map(|(_, load)| *load)
                 .unwrap_or_default();
             let labels = &machine.labels;
-            let marked = detector
+            let announced_leaving = detector
                 .table()
                 .is_leaving(&machine.address, load.incarnation);
             EngineView {
@@ -121,7 +121,7 @@
                     .machine_labels(&machine.name, &machine.zone, labels),
                 load,
                 assigned: fleet.assigned.get(&machine.address).copied().unwrap_or(0),
-                leaving: machine.leaving || marked,
+                leaving: machine.leaving || announced_leaving,
                 reachable: fleet.is_reachable(&machine.address),
             }
         })
@@ -164,8 +164,8 @@
     }
 }
 
-/// Polls the load of engines: in each round, those that run calls of this daemon and a sample that
-/// rotates through the others.
+/// Polls the load of engines: in each round, those that run calls of this daemon and a rotating
+/// sample of all engines.
 pub async fn run_load_reports(node: Rc<Node>) {
     let mut rotation = Rotation::default();
     loop {
--- a/crates/daemon/src/sequencer/attempt.rs
+++ b/crates/daemon/src/sequencer/attempt.rs
@@ -125,7 +125,7 @@
     Some(RunningCall {
         node: node.clone(),
         host: host.clone(),
-        live: host.start_live(program, number),
+        live: host.add_live_call(program, number),
         program,
         number,
         request_key: record.request_key,
@@ -223,7 +223,7 @@
         }
         Ok(_) => {
             // The program ended in the meantime; readers get the outcome from the record.
-            call.host.end_live(call.program, call.number);
+            call.host.remove_live_call(call.program, call.number);
             call.live.wake();
             None
         }
@@ -298,7 +298,7 @@
     match call.host.propose(command).await {
         Ok(Reply::Done) => finish_call(call, event),
         Ok(_) => {
-            call.host.end_live(call.program, call.number);
+            call.host.remove_live_call(call.program, call.number);
             call.live.wake();
         }
         Err(_) => call.live.wake(),
@@ -307,5 +307,5 @@
 
 fn finish_call(call: &RunningCall, event: StreamEvent) {
     call.live.finish(event);
-    call.host.end_live(call.program, call.number);
+    call.host.remove_live_call(call.program, call.number);
 }
--- a/crates/daemon/src/server.rs
+++ b/crates/daemon/src/server.rs
@@ -14,16 +14,16 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// Maximum size of a request body, in bytes. Applies to messages between daemons; bodies from
-/// callers have the lower limit `limits.body_bytes`.
-const INTERNAL_BODY_LIMIT: usize = 512 << 20;
+/// Maximum size of a request body, in bytes. Large enough for snapshots, the largest messages
+/// between daemons; bodies from callers have the lower limit `limits.body_bytes`.
+const MAX_BODY_BYTES: usize = 512 << 20;
 const EVENT_BACKLOG: usize = 64;
 
 /// Registers all routes.
 pub fn configure(config: &mut ServiceConfig, node: Rc<Node>) {
     config
         .state(node)
-        .state(types::PayloadConfig::new(INTERNAL_BODY_LIMIT))
+        .state(types::PayloadConfig::new(MAX_BODY_BYTES))
         .route("/v1/programs", web::post().to(post_program))
         .service(
             web::resource("/v1/programs/{id}")
--- a/crates/daemon/src/shard/host.rs
+++ b/crates/daemon/src/shard/host.rs
@@ -34,7 +34,7 @@
     /// The state after the last durable command.
     pub state: RefCell<ShardState>,
     /// Running calls, by program and call number.
-    pub live: RefCell<BTreeMap<(ProgramId, u64), Rc<LiveCall>>>,
+    pub live_calls: RefCell<BTreeMap<(ProgramId, u64), Rc<LiveCall>>>,
     /// Notified when a call ends, or when the shard is lost.
     pub call_ended: Notify,
     /// Whether the shard is being handed over. New calls are then held back.
@@ -59,7 +59,7 @@
             shard,
             epoch,
             state: RefCell::new(recovered.state),
-            live: RefCell::default(),
+            live_calls: RefCell::default(),
             call_ended: Notify::new(),
             handing_over: Cell::new(false),
             releasing: RefCell::default(),
@@ -175,7 +175,7 @@
     /// Marks the shard as lost: stops appending, and wakes all readers and waiting calls.
     pub fn mark_lost(&self) {
         self.lost.set(true);
-        for live in std::mem::take(&mut *self.live.borrow_mut()).values() {
+        for live in std::mem::take(&mut *self.live_calls.borrow_mut()).values() {
             live.wake();
         }
         self.appender.stop();
@@ -185,21 +185,21 @@
 
     /// Returns a call if it is running here.
     pub fn live_call(&self, program: ProgramId, number: u64) -> Option<Rc<LiveCall>> {
-        self.live.borrow().get(&(program, number)).cloned()
+        self.live_calls.borrow().get(&(program, number)).cloned()
     }
 
     /// Registers a call that starts running here.
-    pub fn start_live(&self, program: ProgramId, number: u64) -> Rc<LiveCall> {
+    pub fn add_live_call(&self, program: ProgramId, number: u64) -> Rc<LiveCall> {
         let live = Rc::new(LiveCall::default());
-        self.live
+        self.live_calls
             .borrow_mut()
             .insert((program, number), live.clone());
         live
     }
 
     /// Removes a call that has ended. Its outcome is part of the shard's state.
-    pub fn end_live(&self, program: ProgramId, number: u64) {
-        self.live.borrow_mut().remove(&(program, number));
+    pub fn remove_live_call(&self, program: ProgramId, number: u64) {
+        self.live_calls.borrow_mut().remove(&(program, number));
         self.call_ended.notify_waiters();
     }
 }
