--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -106,10 +106,9 @@
     if let Err(error) = run_datagrams(node.clone()).await {
         tracing::error!(%error, "cannot bind the UDP socket; check that the port is not in use");
     }
-    let callback_node = node.clone();
-    node.claims.set_on_change(Rc::new(move |shard| {
-        apply_claim(&callback_node, shard as u16)
-    }));
+    let handle = node.clone();
+    node.claims
+        .set_on_change(Rc::new(move |shard| apply_claim(&handle, shard as u16)));
     ntex::rt::spawn(node.claims.clone().run_follow());
     ntex::rt::spawn(node.claims.clone().run_claim_unowned(Duration::ZERO));
     ntex::rt::spawn(run_claiming(node.clone()));
