--- a/crates/gateway/tests/gateway/evacuation.rs
+++ b/crates/gateway/tests/gateway/evacuation.rs
@@ -1,4 +1,4 @@
-//! Evacuated zones: their servers get nothing, whatever else fails beside it.
+//! Servers in evacuated zones get no new requests, also while other parts fail.
 
 use crate::support::{Act, CONFIG, Gateway, Reply, Server, World, run};
 use fieldhook_emulator::log::memory::LogFault;
@@ -14,18 +14,21 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
-/// The shortest bound of the deployments, and what daemons owe by then.
-const BOUND: Duration = Duration::from_millis(5_000);
+/// Shortest time that a deployment allows for an evacuation to take effect; daemons have to
+/// meet it.
+const EVACUATION_LIMIT: Duration = Duration::from_millis(5_000);
 
-fn yes() -> Act {
-    Act::Answer(200, "yes".to_owned())
+/// A complete answer.
+fn answer_ok() -> Act {
+    Act::Answer(200, "ok".to_owned())
 }
 
+/// A stream of one event.
 fn one_event() -> Act {
     Act::Events(vec!["one".to_owned()], None)
 }
 
-/// A world of three zones, the third of another region, with a server in each.
+/// Three zones with a server each; the third zone is in another region.
 struct Zones {
     world: World,
     servers: [Server; 3],
@@ -53,19 +56,21 @@
         gateway
     }
 
-    async fn close(&self, zone: &str) {
-        self.record(zone, "by the operator").await;
+    async fn evacuate(&self, zone: &str) {
+        self.write_evacuation(zone, "by the operator").await;
     }
 
-    async fn open(&self, zone: &str) {
-        self.record(zone, "").await;
+    async fn end_evacuation(&self, zone: &str) {
+        self.write_evacuation(zone, "").await;
     }
 
-    async fn record(&self, zone: &str, value: &str) {
+    /// Writes the evacuation record of a zone; an empty value ends the evacuation.
+    async fn write_evacuation(&self, zone: &str, value: &str) {
         let key = format!("closed/{zone}");
         self.world.put(CONFIG, &key, value).await;
     }
 
+    /// Requests that each server received.
     fn counts(&self) -> [usize; 3] {
         [0, 1, 2].map(|index: usize| self.servers[index].count())
     }
@@ -78,34 +83,39 @@
     }
 }
 
-/// Waits until a condition holds that has to hold soon.
-async fn until(what: &str, condition: impl Fn() -> bool) {
+/// Waits until a condition holds, and fails if that takes longer than [`EVACUATION_LIMIT`].
+async fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let holds = async {
         while !condition() {
             sleep(Duration::from_millis(1)).await;
         }
     };
-    assert!(timeout(BOUND, holds).await.is_ok(), "{what}: never");
+    assert!(
+        timeout(EVACUATION_LIMIT, holds).await.is_ok(),
+        "{what}: not in time"
+    );
 }
 
-async fn wait_state(gateway: &Gateway, zone: &str, is_evacuated: bool) {
+async fn wait_evacuated(gateway: &Gateway, zone: &str, is_evacuated: bool) {
     let places = &gateway.daemon.places;
     let what = format!("{zone} evacuated: {is_evacuated}");
-    until(&what, || places.is_evacuated(zone) == is_evacuated).await;
+    wait_until(&what, || places.is_evacuated(zone) == is_evacuated).await;
 }
 
-/// Waits until an attempt at a server is under way, without letting anything else go by.
-async fn until_chosen(gateway: &Gateway, server: &str) {
+/// Waits until an attempt at a server is in flight. Yields instead of sleeping, so that it
+/// returns before the attempt's connection is established.
+async fn wait_for_attempt(gateway: &Gateway, server: &str) {
     let daemon = &gateway.daemon;
     let begun = Instant::now();
     while daemon.pools.status(server, "z1", daemon.now_ms()).in_flight == 0 {
-        assert!(begun.elapsed() < BOUND, "{server} was never chosen");
+        assert!(begun.elapsed() < EVACUATION_LIMIT, "no attempt at {server}");
         tokio::task::yield_now().await;
     }
 }
 
-/// A request of each kind: tool calls that may and may not be repeated, a turn, a stream.
-async fn ask_all(gateway: &Gateway, name: &str) -> Vec<Reply> {
+/// Sends a request to each route: a repeatable and a non-repeatable call, a turn and a
+/// resumable stream.
+async fn request_all(gateway: &Gateway, name: &str) -> Vec<Reply> {
     let kinds = [
         ("GET", "/safe/1", ""),
         ("POST", "/unsafe/1", ""),
@@ -124,116 +134,122 @@
 }
 
 #[test]
-fn nothing_new_goes_to_an_evacuated_zone_until_it_is_opened() {
+fn an_evacuated_zone_gets_no_requests_until_the_evacuation_ends() {
     run(async {
         let zones = Zones::new(one_event()).await;
         let gateway = zones.gateway("g1", "z1").await;
         sleep(Duration::from_millis(900)).await;
-        ask_all(&gateway, "before").await;
+        request_all(&gateway, "before").await;
         let before = zones.servers[0].count();
-        assert_eq!(before, 4, "the own zone goes first");
-        zones.close("z1").await;
-        wait_state(&gateway, "z1", true).await;
+        assert_eq!(before, 4, "the gateway prefers its own zone");
+        zones.evacuate("z1").await;
+        wait_evacuated(&gateway, "z1", true).await;
         for number in 0..10 {
-            for reply in ask_all(&gateway, &format!("closed-{number}")).await {
+            for reply in request_all(&gateway, &format!("evacuated-{number}")).await {
                 assert!(reply.whole && reply.head.status == 200);
             }
         }
         assert_eq!(zones.servers[0].count(), before);
-        zones.open("z1").await;
-        wait_state(&gateway, "z1", false).await;
-        ask_all(&gateway, "after").await;
+        zones.end_evacuation("z1").await;
+        wait_evacuated(&gateway, "z1", false).await;
+        request_all(&gateway, "after").await;
         assert_eq!(zones.servers[0].count(), before + 4);
     });
 }
 
-/// The first attempt runs and breaks off while the zone is evacuated.
+/// The first attempt is running when the nearest other zone is evacuated, and fails after
+/// that: its retry has to skip that zone.
 #[test]
-fn repeats_after_a_failure_pass_an_evacuated_zone_by() {
+fn a_retry_skips_an_evacuated_zone() {
     run(async {
-        let zones = Zones::new(yes()).await;
+        let zones = Zones::new(answer_ok()).await;
         let gateway = zones.gateway("g1", "z2").await;
         zones.servers[1].set(Act::ResetAfter(Duration::from_millis(150)));
-        let asked = gateway.ask("GET", "/safe/1", "Request: a\r\n", "");
-        let closed = async {
-            until("the first attempt", || zones.servers[1].count() == 1).await;
-            zones.close("z1").await;
-            wait_state(&gateway, "z1", true).await;
+        let request = gateway.ask("GET", "/safe/1", "Request: a\r\n", "");
+        let evacuation = async {
+            wait_until("the first attempt", || zones.servers[1].count() == 1).await;
+            zones.evacuate("z1").await;
+            wait_evacuated(&gateway, "z1", true).await;
         };
-        let (reply, ()) = join(asked, closed).await;
-        assert_eq!(reply.text(), "yes");
-        assert_eq!(zones.counts(), [0, 1, 1], "the zone near by is passed by");
+        let (reply, ()) = join(request, evacuation).await;
+        assert_eq!(reply.text(), "ok");
+        assert_eq!(
+            zones.counts(),
+            [0, 1, 1],
+            "the retry skips the nearest other zone"
+        );
     });
 }
 
 #[test]
-fn a_request_that_waits_for_a_place_passes_an_evacuated_zone_by() {
+fn a_request_that_waits_for_a_free_server_skips_an_evacuated_zone() {
     run(async {
         let zones = Zones::new(Act::NotRun).await;
         let gateway = zones.gateway("g1", "z1").await;
-        let asked = gateway.ask("GET", "/safe/1", "Request: a\r\n", "");
-        let closed = async {
-            until("all refuse", || !zones.counts().contains(&0)).await;
-            zones.close("z1").await;
-            wait_state(&gateway, "z1", true).await;
+        let request = gateway.ask("GET", "/safe/1", "Request: a\r\n", "");
+        let evacuation = async {
+            wait_until("refusals by all servers", || !zones.counts().contains(&0)).await;
+            zones.evacuate("z1").await;
+            wait_evacuated(&gateway, "z1", true).await;
             let refused = zones.servers[0].count();
             for server in &zones.servers {
-                server.set(yes());
+                server.set(answer_ok());
             }
             refused
         };
-        let (reply, refused) = join(asked, closed).await;
-        assert_eq!(reply.text(), "yes");
+        let (reply, refused) = join(request, evacuation).await;
+        assert_eq!(reply.text(), "ok");
         assert_eq!(zones.servers[0].count(), refused);
     });
 }
 
-/// The server is chosen and its connection comes up when the zone is evacuated.
+/// The zone is evacuated after the server was selected and before the request is sent, while
+/// the connection is being established.
 #[test]
 fn an_attempt_that_waits_for_its_connection_is_withdrawn() {
     run(async {
-        let zones = Zones::new(yes()).await;
+        let zones = Zones::new(answer_ok()).await;
         let gateway = zones.gateway("g1", "z1").await;
-        let asked = gateway.ask("POST", "/unsafe/1", "Request: a\r\n", "");
-        let closed = async {
-            until_chosen(&gateway, "s1").await;
+        let request = gateway.ask("POST", "/unsafe/1", "Request: a\r\n", "");
+        let evacuation = async {
+            wait_for_attempt(&gateway, "s1").await;
             let places = &gateway.daemon.places;
             places.take("z1", State::Evacuated, 1_000, "test");
         };
-        let (reply, ()) = join(asked, closed).await;
-        assert_eq!(reply.text(), "yes");
-        let [closed, second, third] = zones.counts();
-        assert_eq!((closed, second + third), (0, 1));
+        let (reply, ()) = join(request, evacuation).await;
+        assert_eq!(reply.text(), "ok");
+        let [evacuated, second, third] = zones.counts();
+        assert_eq!((evacuated, second + third), (0, 1));
     });
 }
 
 #[test]
-fn a_turn_assigned_by_an_owner_that_does_not_know_yet_goes_elsewhere() {
+fn a_turn_assigned_to_an_evacuated_zone_by_an_uninformed_owner_goes_elsewhere() {
     run(async {
         let zones = Zones::new(one_event()).await;
         let owner = zones.gateway("g1", "z1").await;
         sleep(Duration::from_millis(900)).await;
-        let asker = zones.gateway("g2", "z1").await;
+        let gateway = zones.gateway("g2", "z1").await;
         let fields = "Request: t1\r\nProgram: p\r\n";
-        assert!(asker.ask("POST", "/chat/1", fields, "A;").await.whole);
+        assert!(gateway.ask("POST", "/chat/1", fields, "A;").await.whole);
         assert_eq!(zones.counts(), [1, 0, 0]);
         let partition = config_partition();
         owner.store.set_fault_of(partition, LogFault::Silent);
-        zones.close("z1").await;
-        wait_state(&asker, "z1", true).await;
+        zones.evacuate("z1").await;
+        wait_evacuated(&gateway, "z1", true).await;
         let fields = "Request: t2\r\nProgram: p\r\nPrevious: t1\r\n";
-        let reply = asker.ask("POST", "/chat/1", fields, "B;").await;
+        let reply = gateway.ask("POST", "/chat/1", fields, "B;").await;
         assert!(!owner.daemon.places.is_evacuated("z1"));
         assert!(reply.whole && reply.head.status == 200);
-        let [closed, second, third] = zones.counts();
-        assert_eq!((closed, second + third), (1, 1));
+        let [evacuated, second, third] = zones.counts();
+        assert_eq!((evacuated, second + third), (1, 1));
     });
 }
 
 #[test]
-fn what_runs_in_an_evacuated_zone_comes_to_its_end() {
+fn running_requests_in_an_evacuated_zone_complete() {
     run(async {
-        let zones = Zones::new(yes()).await;
+        let zones = Zones::new(answer_ok()).await;
         let texts: Vec<String> = (0..5).map(|number| format!("text {number}")).collect();
         let pause = Duration::from_millis(60);
         zones.servers[0].set(Act::Paced(texts.clone(), pause));
@@ -241,17 +257,17 @@
         sleep(Duration::from_millis(900)).await;
         let stream = gateway.ask("POST", "/chat/1", "Request: a\r\nProgram: p\r\n", "A;");
         let call = async {
-            until("the stream", || zones.servers[0].count() == 1).await;
+            wait_until("the stream", || zones.servers[0].count() == 1).await;
             let slow = Act::Slow(Duration::from_millis(300), "slow".to_owned());
             zones.servers[0].set(slow);
             gateway.ask("POST", "/unsafe/1", "Request: b\r\n", "").await
         };
-        let closed = async {
-            until("the call", || zones.servers[0].count() == 2).await;
-            zones.close("z1").await;
-            wait_state(&gateway, "z1", true).await;
+        let evacuation = async {
+            wait_until("the call", || zones.servers[0].count() == 2).await;
+            zones.evacuate("z1").await;
+            wait_evacuated(&gateway, "z1", true).await;
         };
-        let (stream, (call, ())) = join(stream, join(call, closed)).await;
+        let (stream, (call, ())) = join(stream, join(call, evacuation)).await;
         assert!(stream.whole);
         for text in texts {
             assert!(stream.text().contains(&text));
@@ -262,44 +278,46 @@
 }
 
 #[test]
-fn a_gateway_that_the_log_refuses_learns_of_an_evacuation_and_its_end_from_others() {
+fn a_gateway_without_the_log_learns_of_evacuations_and_their_ends_from_others() {
     run(async {
-        let zones = Zones::new(yes()).await;
-        // The first one owns all partitions and so is known to the other.
+        let zones = Zones::new(answer_ok()).await;
+        // The first gateway owns all partitions, so the other one knows its address.
         let owner = zones.gateway("g1", "z1").await;
         sleep(Duration::from_millis(900)).await;
-        let cut = zones.gateway("g2", "z1").await;
+        let without_log = zones.gateway("g2", "z1").await;
         sleep(Duration::from_millis(100)).await;
-        cut.store.set_fault(LogFault::Silent);
-        cut.daemon.contact.record_failure();
+        without_log.store.set_fault(LogFault::Silent);
+        without_log.daemon.contact.record_failure();
         for is_evacuated in [true, false, true] {
             match is_evacuated {
-                true => zones.close("z1").await,
-                false => zones.open("z1").await,
+                true => zones.evacuate("z1").await,
+                false => zones.end_evacuation("z1").await,
             }
-            wait_state(&owner, "z1", is_evacuated).await;
-            wait_state(&cut, "z1", is_evacuated).await;
+            wait_evacuated(&owner, "z1", is_evacuated).await;
+            wait_evacuated(&without_log, "z1", is_evacuated).await;
             let before = zones.servers[0].count();
-            let reply = cut.ask("GET", "/safe/1", "Request: a\r\n", "").await;
-            assert_eq!(reply.text(), "yes");
-            let reached = zones.servers[0].count() > before;
-            assert_eq!(reached, !is_evacuated);
+            let reply = without_log
+                .ask("GET", "/safe/1", "Request: a\r\n", "")
+                .await;
+            assert_eq!(reply.text(), "ok");
+            let is_served_there = zones.servers[0].count() > before;
+            assert_eq!(is_served_there, !is_evacuated);
         }
     });
 }
 
 #[test]
-fn neither_old_news_nor_a_lapsed_history_opens_a_zone() {
+fn neither_outdated_statuses_nor_trimmed_records_end_an_evacuation() {
     run(async {
-        let zones = Zones::new(yes()).await;
+        let zones = Zones::new(answer_ok()).await;
         let gateway = zones.gateway("g1", "z1").await;
-        zones.close("z1").await;
-        wait_state(&gateway, "z1", true).await;
+        zones.evacuate("z1").await;
+        wait_evacuated(&gateway, "z1", true).await;
         let log = &zones.world.log.core;
         let end = log.borrow_mut().newest(&config_partition(), None).end;
         let places = &gateway.daemon.places;
-        // A listing read before the record, another daemon that has not read it, and one
-        // that knows the state before.
+        // A listing that was read before the evacuation record, and statuses from daemons
+        // that have only read earlier records.
         places.retain_listed(&[], end - 1);
         for revision in 0..end - 1 {
             places.learn(&EvacuationStatus {
@@ -309,7 +327,8 @@
             });
         }
         assert!(places.is_evacuated("z1"));
-        // The history goes while the log is away: all is listed anew.
+        // The log drops its history while the gateway cannot reach it; the gateway then lists
+        // all records anew.
         gateway.store.set_fault(LogFault::Down);
         zones.world.publish(0).await;
         log.borrow_mut().forget_history();
@@ -320,34 +339,37 @@
             gateway.ask("GET", "/safe/1", "Request: a\r\n", "").await;
         }
         assert_eq!(zones.servers[0].count(), 0);
-        // The end of the evacuation lapses with it.
+        // The record that ends the evacuation is dropped with the history.
         gateway.store.set_fault(LogFault::Down);
-        zones.open("z1").await;
+        zones.end_evacuation("z1").await;
         log.borrow_mut().forget_history();
         gateway.store.set_fault(LogFault::None);
-        wait_state(&gateway, "z1", false).await;
+        wait_evacuated(&gateway, "z1", false).await;
         places.learn(&EvacuationStatus {
             zone: "z1".to_owned(),
             is_evacuated: true,
             revision: end - 1,
         });
-        assert!(!places.is_evacuated("z1"), "old news closes nothing");
+        assert!(
+            !places.is_evacuated("z1"),
+            "an outdated status started an evacuation"
+        );
     });
 }
 
 #[test]
-fn a_zone_that_is_evacuated_again_at_once_stays_evacuated() {
+fn a_zone_that_is_evacuated_again_immediately_stays_evacuated() {
     run(async {
-        let zones = Zones::new(yes()).await;
+        let zones = Zones::new(answer_ok()).await;
         let gateway = zones.gateway("g1", "z1").await;
-        zones.close("z1").await;
-        wait_state(&gateway, "z1", true).await;
+        zones.evacuate("z1").await;
+        wait_evacuated(&gateway, "z1", true).await;
         for round in 0..5 {
-            zones.open("z1").await;
+            zones.end_evacuation("z1").await;
             if round % 2 == 0 {
                 sleep(Duration::from_millis(20)).await;
             }
-            zones.close("z1").await;
+            zones.evacuate("z1").await;
             sleep(Duration::from_millis(20)).await;
             assert!(gateway.daemon.places.is_evacuated("z1"));
             gateway.ask("GET", "/safe/1", "Request: a\r\n", "").await;
@@ -357,11 +379,11 @@
 }
 
 #[test]
-fn a_gateway_that_starts_during_an_evacuation_serves_nothing_before_it_knows_it() {
+fn a_gateway_that_starts_during_an_evacuation_never_uses_the_zone() {
     run(async {
-        let zones = Zones::new(yes()).await;
-        zones.close("z1").await;
-        // Other records stand before and behind it.
+        let zones = Zones::new(answer_ok()).await;
+        zones.evacuate("z1").await;
+        // Other records whose keys sort before and after that of the evacuation.
         for number in 0..3_000 {
             let key = format!("{}/{number:04}", ["a", "m"][number % 2]);
             zones.world.put(CONFIG, &key, "x").await;
@@ -379,10 +401,10 @@
 }
 
 #[test]
-fn a_gateway_that_starts_without_the_log_refuses_until_it_has_read() {
+fn a_gateway_that_starts_without_the_log_refuses_requests_until_it_has_read_it() {
     run(async {
-        let zones = Zones::new(yes()).await;
-        zones.close("z1").await;
+        let zones = Zones::new(answer_ok()).await;
+        zones.evacuate("z1").await;
         let gateway = zones.world.gateway_in("g1", "z1").await;
         gateway.store.set_fault(LogFault::Down);
         let reply = gateway.ask("GET", "/safe/1", "Request: a\r\n", "").await;
@@ -391,26 +413,26 @@
         gateway.store.set_fault(LogFault::None);
         gateway.wait_ready(3).await;
         let reply = gateway.ask("GET", "/safe/1", "Request: b\r\n", "").await;
-        assert_eq!(reply.text(), "yes");
+        assert_eq!(reply.text(), "ok");
         assert_eq!(zones.servers[0].count(), 0);
     });
 }
 
 #[test]
-fn two_zones_are_evacuated_at_once() {
+fn two_zones_can_be_evacuated_at_the_same_time() {
     run(async {
         let zones = Zones::new(one_event()).await;
         let gateway = zones.gateway("g1", "z1").await;
         sleep(Duration::from_millis(900)).await;
-        zones.close("z1").await;
-        zones.close("z2").await;
-        wait_state(&gateway, "z2", true).await;
-        ask_all(&gateway, "both").await;
+        zones.evacuate("z1").await;
+        zones.evacuate("z2").await;
+        wait_evacuated(&gateway, "z2", true).await;
+        request_all(&gateway, "both").await;
         assert_eq!(zones.counts(), [0, 0, 4]);
-        zones.open("z2").await;
-        wait_state(&gateway, "z2", false).await;
+        zones.end_evacuation("z2").await;
+        wait_evacuated(&gateway, "z2", false).await;
         for number in 0..6 {
-            ask_all(&gateway, &format!("one-{number}")).await;
+            request_all(&gateway, &format!("one-{number}")).await;
         }
         let [first, second, _] = zones.counts();
         assert_eq!(first, 0);
@@ -418,18 +440,18 @@
     });
 }
 
-/// Keeps what is logged.
+/// Captures log output.
 #[derive(Clone, Default)]
-struct Lines(Arc<Mutex<Vec<u8>>>);
+struct LogCapture(Arc<Mutex<Vec<u8>>>);
 
-impl Lines {
+impl LogCapture {
     fn count(&self, word: &str) -> usize {
         let bytes = self.0.lock().expect("whole");
         String::from_utf8_lossy(&bytes).matches(word).count()
     }
 }
 
-impl Write for Lines {
+impl Write for LogCapture {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         self.0.lock().expect("whole").extend_from_slice(bytes);
         Ok(bytes.len())
@@ -441,9 +463,9 @@
 }
 
 #[test]
-fn where_all_zones_are_evacuated_requests_are_refused_at_once() {
-    let lines = Lines::default();
-    let writer = lines.clone();
+fn requests_are_refused_at_once_if_all_zones_are_evacuated() {
+    let log = LogCapture::default();
+    let writer = log.clone();
     let subscriber = tracing_subscriber::fmt()
         .with_writer(move || writer.clone())
         .finish();
@@ -453,37 +475,37 @@
         let gateway = zones.gateway("g1", "z1").await;
         sleep(Duration::from_millis(900)).await;
         for zone in ["z1", "z2", "z3"] {
-            zones.close(zone).await;
+            zones.evacuate(zone).await;
         }
-        wait_state(&gateway, "z3", true).await;
+        wait_evacuated(&gateway, "z3", true).await;
         for number in 0..3 {
             let begun = Instant::now();
-            for reply in ask_all(&gateway, &format!("all-{number}")).await {
+            for reply in request_all(&gateway, &format!("all-{number}")).await {
                 assert_eq!(reply.head.status, 503);
                 assert!(reply.head.headers.has("come-back-ms"));
             }
-            // Four requests, each without the wait for a server that may be announced.
-            let took = begun.elapsed();
-            assert!(took < Duration::from_millis(120), "{took:?}");
+            // None of the four requests waits for a server to be announced.
+            let elapsed = begun.elapsed();
+            assert!(elapsed < Duration::from_millis(120), "{elapsed:?}");
         }
         assert_eq!(zones.counts(), [0, 0, 0]);
-        assert_eq!(lines.count("all_zones_evacuated"), 1);
-        zones.open("z2").await;
-        wait_state(&gateway, "z2", false).await;
-        for reply in ask_all(&gateway, "open").await {
+        assert_eq!(log.count("all_zones_evacuated"), 1);
+        zones.end_evacuation("z2").await;
+        wait_evacuated(&gateway, "z2", false).await;
+        for reply in request_all(&gateway, "open").await {
             assert_eq!(reply.head.status, 200);
         }
         assert_eq!(zones.counts(), [0, 4, 0]);
     });
 }
 
-/// Stops this process, and with it all that runs in it.
-fn stop(time: Duration) {
-    std::thread::sleep(time);
+/// Simulates a freeze of the process by blocking the thread on which everything runs.
+fn freeze(duration: Duration) {
+    std::thread::sleep(duration);
 }
 
-async fn zones_of_bound(evacuation_ms: u64) -> Zones {
-    let zones = Zones::new(yes()).await;
+async fn zones_with_limit(evacuation_ms: u64) -> Zones {
+    let zones = Zones::new(answer_ok()).await;
     zones.world.bounds.set(Bounds {
         evacuation_ms,
         ..zones.world.bounds.get()
@@ -492,24 +514,24 @@
 }
 
 #[test]
-fn a_gateway_that_wakes_from_a_freeze_confirms_what_it_knows_first() {
+fn after_a_freeze_a_gateway_confirms_evacuations_before_it_serves() {
     run(async {
-        let zones = zones_of_bound(2_500).await;
+        let zones = zones_with_limit(2_500).await;
         let gateway = zones.gateway("g1", "z1").await;
-        // Awake, it goes by what it knows for as long as an outage lasts.
+        // Without a freeze, the gateway relies on what it knows while an outage lasts.
         gateway.store.set_fault(LogFault::Down);
         sleep(Duration::from_millis(2_700)).await;
         let reply = gateway.ask("GET", "/safe/1", "Request: a\r\n", "").await;
-        assert_eq!(reply.text(), "yes");
-        zones.close("z1").await;
-        stop(Duration::from_millis(2_600));
+        assert_eq!(reply.text(), "ok");
+        zones.evacuate("z1").await;
+        freeze(Duration::from_millis(2_600));
         for id in ["b", "c"] {
             let fields = format!("Request: {id}\r\n");
             let reply = gateway.ask("POST", "/unsafe/1", &fields, "").await;
             assert_eq!(reply.head.status, 503);
             assert!(reply.head.headers.has("come-back-ms"));
         }
-        // The log is back: requests are served again, and not there.
+        // Once the log is back, requests are served again, but not in the evacuated zone.
         gateway.store.set_fault(LogFault::None);
         let begun = Instant::now();
         loop {
@@ -517,50 +539,51 @@
             if reply.head.status == 200 {
                 break;
             }
-            let took = begun.elapsed();
-            assert!(took < Duration::from_millis(1_500), "{took:?}");
+            let elapsed = begun.elapsed();
+            assert!(elapsed < Duration::from_millis(1_500), "{elapsed:?}");
         }
-        let [closed, second, third] = zones.counts();
-        assert_eq!((closed, second + third), (1, 1));
+        let [evacuated, second, third] = zones.counts();
+        assert_eq!((evacuated, second + third), (1, 1));
     });
 }
 
-/// The server was chosen before the stop, the connection is up behind it.
+/// The process freezes after the server was selected and before the connection is
+/// established; the zone is evacuated meanwhile.
 #[test]
-fn an_attempt_that_a_freeze_met_is_withdrawn() {
+fn an_attempt_interrupted_by_a_freeze_is_withdrawn() {
     run(async {
-        let zones = zones_of_bound(1_000).await;
+        let zones = zones_with_limit(1_000).await;
         let gateway = zones.gateway("g1", "z1").await;
         gateway.store.set_fault(LogFault::Down);
-        let asked = gateway.ask("POST", "/unsafe/1", "Request: a\r\n", "");
-        let stopped = async {
-            until_chosen(&gateway, "s1").await;
-            zones.close("z1").await;
-            stop(Duration::from_millis(1_100));
+        let request = gateway.ask("POST", "/unsafe/1", "Request: a\r\n", "");
+        let frozen = async {
+            wait_for_attempt(&gateway, "s1").await;
+            zones.evacuate("z1").await;
+            freeze(Duration::from_millis(1_100));
         };
-        let (reply, ()) = join(asked, stopped).await;
+        let (reply, ()) = join(request, frozen).await;
         assert_eq!(reply.head.status, 503);
         assert_eq!(zones.counts(), [0, 0, 0]);
     });
 }
 
 #[test]
-fn a_gateway_cut_off_from_log_and_others_refuses_once_what_it_knows_is_old() {
+fn an_isolated_gateway_refuses_requests_once_its_knowledge_is_outdated() {
     run(async {
-        let zones = zones_of_bound(2_500).await;
+        let zones = zones_with_limit(2_500).await;
         let gateway = zones.gateway("g1", "z1").await;
         gateway.store.set_fault(LogFault::Down);
         gateway.daemon.ledger.reach.set(Reach::Isolated);
         let reply = gateway.ask("GET", "/safe/1", "Request: a\r\n", "").await;
-        assert_eq!(reply.text(), "yes");
-        // A read that is under way still confirms, for as long as it waits.
+        assert_eq!(reply.text(), "ok");
+        // A read that was started before the fault still confirms, for as long as it waits.
         sleep(Duration::from_millis(4_600)).await;
         let reply = gateway.ask("GET", "/safe/1", "Request: b\r\n", "").await;
         assert_eq!(reply.head.status, 503);
         assert_eq!(zones.counts(), [1, 0, 0]);
-        // With the log away for all, nobody knows more, and the service goes on.
+        // If the log is unreachable for all, no daemon knows more, and service continues.
         gateway.daemon.ledger.reach.set(Reach::Outage);
         let reply = gateway.ask("GET", "/safe/1", "Request: c\r\n", "").await;
-        assert_eq!(reply.text(), "yes");
+        assert_eq!(reply.text(), "ok");
     });
 }
--- a/crates/gateway/tests/gateway/zones.rs
+++ b/crates/gateway/tests/gateway/zones.rs
@@ -1,4 +1,5 @@
-//! A zone that is lost at once, or cut off: docs/design/zones-lost.md has a row for each cut.
+//! Loss of a zone's power, and network partitions between zones. docs/design/zones-lost.md
+//! lists the kinds of partition.
 
 use crate::support::{Act, Gateway, Reply, Server, World, run};
 use fieldhook_emulator::log::memory::LogFault;
@@ -12,16 +13,17 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, sleep, timeout};
 
-/// Owners are asked for this long before they are suspected.
-const ANSWER_LIMIT: Duration = Duration::from_millis(250);
+/// Time that an owner has to answer before it is suspected.
+const OWNER_TIMEOUT: Duration = Duration::from_millis(250);
 
-fn events() -> Act {
+/// A stream of one event.
+fn one_event() -> Act {
     Act::Events(vec!["one".to_owned()], None)
 }
 
-/// Connections come up, and nothing is said on them: a machine without power, as one sees it
-/// that had a connection to it.
-async fn mute() -> TcpListener {
+/// A listener on which connections are established but never answered, which is what a gateway
+/// that is already connected to a machine sees when the machine loses power.
+async fn silent_listener() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").await.expect("binds")
 }
 
@@ -33,21 +35,21 @@
     (a, b)
 }
 
-/// One that asked a lost owner later than others does not wait its own time out, once a new
-/// owner is known.
+/// A gateway that asks a lost owner later than another gateway does not wait for its own
+/// timeout once a new owner has claimed the partition.
 #[test]
-fn a_question_to_a_lost_owner_ends_with_the_claim_of_another() {
+fn a_request_to_a_lost_owner_ends_when_another_claims_the_partition() {
     run(async {
-        let server = Server::start("s1", events()).await;
+        let server = Server::start("s1", one_event()).await;
         let world = World::new().await;
         let (a, b) = two_gateways(&world, &[&server]).await;
-        let lost = mute().await;
+        let lost_owner = silent_listener().await;
         let partition = fieldhook_ledger::partition_of("p", 2);
-        let address = lost.local_addr().expect("an address");
+        let address = lost_owner.local_addr().expect("an address");
         world.claim_for(partition, address).await;
         sleep(Duration::from_millis(50)).await;
 
-        let early = ntex::rt::spawn(async move {
+        let first = ntex::rt::spawn(async move {
             let fields = "Request: t1\r\nProgram: p\r\n";
             a.ask("POST", "/chat/1", fields, "A;").await.whole
         });
@@ -55,19 +57,26 @@
         let begun = Instant::now();
         let fields = "Request: t2\r\nProgram: p\r\n";
         assert!(b.ask("POST", "/chat/1", fields, "B;").await.whole);
-        let took = begun.elapsed();
-        assert!(took < ANSWER_LIMIT - Duration::from_millis(50), "{took:?}");
-        assert!(early.await.expect("ended"));
+        let elapsed = begun.elapsed();
+        assert!(
+            elapsed < OWNER_TIMEOUT - Duration::from_millis(50),
+            "{elapsed:?}"
+        );
+        assert!(first.await.expect("ended"));
     });
 }
 
-async fn wait_for<T>(what: &str, mut found: impl FnMut() -> Option<T>) -> T {
+/// Polls until a value is found.
+async fn wait_for<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
     let begun = Instant::now();
     loop {
-        if let Some(found) = found() {
+        if let Some(found) = poll() {
             return found;
         }
-        assert!(begun.elapsed() < Duration::from_secs(4), "never {what}");
+        assert!(
+            begun.elapsed() < Duration::from_secs(4),
+            "{what}: not in time"
+        );
         sleep(Duration::from_millis(5)).await;
     }
 }
@@ -77,6 +86,7 @@
     wait_for(&format!("{reach:?}"), is_reached).await;
 }
 
+/// Sends a request in a task of its own, which goes on if the result is dropped.
 fn ask(
     gateway: &Rc<Gateway>,
     path: &'static str,
@@ -88,7 +98,7 @@
 }
 
 #[test]
-fn a_turn_at_a_machine_without_power_is_given_up_and_may_be_sent_anew() {
+fn a_turn_on_a_machine_that_lost_power_is_abandoned_early() {
     run(async {
         let mut server = Server::start_frail("s1", Act::Silent).await;
         let world = World::new().await;
@@ -100,14 +110,14 @@
         server.lose_power().await;
         let reply = turn.await;
         assert_eq!(reply.head.status, 502);
-        let took = begun.elapsed();
-        assert!(took < Duration::from_millis(1_500), "{took:?}");
+        let elapsed = begun.elapsed();
+        assert!(elapsed < Duration::from_millis(1_500), "{elapsed:?}");
     });
 }
 
-/// However long it takes: its machine lets itself be reached.
+/// The machine of the engine can be reached, so the gateway waits for the answer.
 #[test]
-fn a_turn_at_a_slow_engine_is_waited_for() {
+fn a_turn_on_a_slow_engine_is_not_abandoned() {
     run(async {
         let slow = Act::Slow(Duration::from_millis(1_700), "not run".to_owned());
         let server = Server::start("s1", slow).await;
@@ -124,7 +134,7 @@
 }
 
 #[test]
-fn a_call_that_may_not_be_repeated_is_waited_for_whatever_is_heard() {
+fn a_call_that_may_not_be_repeated_is_awaited_until_its_timeout() {
     run(async {
         let mut server = Server::start_frail("s1", Act::Silent).await;
         let world = World::new().await;
@@ -139,10 +149,10 @@
 }
 
 #[test]
-fn a_stream_that_may_be_resumed_goes_on_at_a_machine_with_power() {
+fn a_resumable_stream_continues_on_another_machine_after_a_power_loss() {
     run(async {
         let mut lost = Server::start_frail("s1", Act::Silent).await;
-        let other = Server::start("s2", events()).await;
+        let other = Server::start("s2", one_event()).await;
         let world = World::new().await;
         let gateway = Rc::new(world.ready(&[&lost]).await);
         sleep(Duration::from_millis(900)).await;
@@ -153,58 +163,60 @@
         world.list(&other).await;
         let reply = turn.await;
         assert!(reply.whole && reply.head.status == 200);
-        let took = begun.elapsed();
-        assert!(took < Duration::from_millis(1_500), "{took:?}");
+        let elapsed = begun.elapsed();
+        assert!(elapsed < Duration::from_millis(1_500), "{elapsed:?}");
         assert_eq!(other.count(), 1);
     });
 }
 
-/// A gateway in a zone that is cut off from two others: owners and servers there do not
-/// answer, its own server does.
-struct Cut {
+/// A gateway in a zone that is partitioned from two other zones: owners and servers there do
+/// not answer, the server of its own zone does.
+struct PartitionedZone {
     world: World,
     gateway: Rc<Gateway>,
-    near: Server,
-    far: Vec<Server>,
+    local_server: Server,
+    remote_servers: Vec<Server>,
     _owners: Vec<TcpListener>,
 }
 
-impl Cut {
+impl PartitionedZone {
     async fn new(fault: LogFault) -> Self {
         let world = World::new().await;
-        let near = Server::start("near", events()).await;
-        world.list_in(&near, "z2").await;
-        let mut far = Vec::new();
+        let local_server = Server::start("near", one_event()).await;
+        world.list_in(&local_server, "z2").await;
+        let mut remote_servers = Vec::new();
         for zone in ["z1", "z3"] {
-            let server = Server::start_frail(zone, events()).await;
+            let server = Server::start_frail(zone, one_event()).await;
             world.list_in(&server, zone).await;
-            far.push(server);
+            remote_servers.push(server);
         }
         let gateway = Rc::new(world.gateway_in("g1", "z2").await);
         gateway.wait_ready(3).await;
         sleep(Duration::from_millis(900)).await;
         let mut owners = Vec::new();
         for partition in 0..2 {
-            let owner = mute().await;
+            let owner = silent_listener().await;
             let address = owner.local_addr().expect("an address");
             world.claim_for(partition, address).await;
             owners.push(owner);
         }
         sleep(Duration::from_millis(50)).await;
-        for server in &mut far {
+        for server in &mut remote_servers {
             server.lose_power().await;
         }
         gateway.store.set_fault(fault);
         Self {
             world,
             gateway,
-            near,
-            far,
+            local_server,
+            remote_servers,
             _owners: owners,
         }
     }
 
-    async fn find_out(&self) {
+    /// Sends a turn to an owner in another zone and waits until the gateway detects the
+    /// partition.
+    async fn detect_partition(&self) {
         let begun = Instant::now();
         drop(ask(
             &self.gateway,
@@ -215,35 +227,40 @@
         assert!(begun.elapsed() < Duration::from_millis(1_200));
         assert!(
             !self.gateway.daemon.is_ready(),
-            "clients should go elsewhere"
+            "a gateway in a minority is not ready"
         );
     }
 
-    /// Turns are refused at once with a time to come back; what needs no owner is served.
-    async fn serves_what_it_can(&self) {
+    /// Checks that turns are refused at once with a time after which to retry, and that calls,
+    /// which need no owner, are served.
+    async fn check_degraded_service(&self) {
         let begun = Instant::now();
         for path in ["/chat/1", "/resume/1"] {
             let fields = "Request: t2\r\nProgram: p\r\nBudget: 90\r\nMost: 40\r\n";
             let reply = self.gateway.ask("POST", path, fields, "A;").await;
             assert_eq!(reply.head.status, 503);
             assert!(reply.head.headers.has("come-back-ms"));
-            assert!(!reply.head.keep_alive, "its client would stay here");
+            assert!(
+                !reply.head.keep_alive,
+                "the connection is closed so that the client reconnects elsewhere"
+            );
         }
         assert!(begun.elapsed() < Duration::from_millis(200));
         let fields = "Request: c1\r\n";
-        self.near.set(Act::Answer(200, "fine".to_owned()));
+        self.local_server.set(Act::Answer(200, "ok".to_owned()));
         let reply = self.gateway.ask("POST", "/unsafe/1", fields, "A").await;
         assert_eq!(reply.head.status, 200);
     }
 
-    async fn heals(&mut self) {
-        for server in &mut self.far {
+    /// Ends the partition and checks that the gateway serves turns again.
+    async fn heal(&mut self) {
+        for server in &mut self.remote_servers {
             server.regain_power();
         }
         self.gateway.store.set_fault(LogFault::None);
         wait_for_reach(&self.gateway, Reach::Log).await;
         assert!(self.gateway.daemon.is_ready());
-        self.near.set(events());
+        self.local_server.set(one_event());
         let fields = "Request: t3\r\nProgram: p\r\n";
         let reply = self.gateway.ask("POST", "/chat/1", fields, "A;").await;
         assert!(reply.whole && reply.head.status == 200);
@@ -251,54 +268,57 @@
 }
 
 #[test]
-fn a_zone_cut_off_without_the_log_sends_its_clients_elsewhere() {
+fn a_partitioned_zone_without_the_log_sends_its_clients_elsewhere() {
     run(async {
-        let mut cut = Cut::new(LogFault::Silent).await;
-        let mut idle = cut.gateway.client().await;
-        cut.find_out().await;
-        cut.serves_what_it_can().await;
-        // Once the platform sends new connections elsewhere.
+        let mut zone = PartitionedZone::new(LogFault::Silent).await;
+        let mut idle = zone.gateway.client().await;
+        zone.detect_partition().await;
+        zone.check_degraded_service().await;
+        // Idle connections are closed too, once the platform had time to send new ones to
+        // other gateways.
         assert!(idle.is_closed().await);
-        cut.heals().await;
+        zone.heal().await;
     });
 }
 
-/// The other zones take its partitions over; taken back from here, they would be taken in
-/// turns.
+/// The majority takes over the partitions that it cannot reach. If the minority claimed them
+/// back, the two sides would take them from each other in turn.
 #[test]
-fn a_zone_cut_off_with_the_log_takes_no_partitions() {
+fn a_partitioned_zone_with_the_log_claims_no_partitions() {
     run(async {
-        let mut cut = Cut::new(LogFault::None).await;
-        // Whoever asks first may take one before anybody knows of the cut.
-        cut.find_out().await;
-        let owner = mute().await;
+        let mut zone = PartitionedZone::new(LogFault::None).await;
+        // The first request may claim a partition before the gateway detects that it is cut
+        // off.
+        zone.detect_partition().await;
+        let owner = silent_listener().await;
         let address = owner.local_addr().expect("an address");
         for partition in 0..2 {
-            cut.world.claim_for(partition, address).await;
+            zone.world.claim_for(partition, address).await;
         }
         sleep(Duration::from_millis(50)).await;
-        cut.serves_what_it_can().await;
+        zone.check_degraded_service().await;
         sleep(Duration::from_millis(600)).await;
         for partition in 0..2 {
-            let claim = cut.gateway.daemon.owner.claims.claim(partition);
+            let claim = zone.gateway.daemon.owner.claims.claim(partition);
             assert_eq!(claim.and_then(|claim| claim.address), Some(address));
         }
-        cut.heals().await;
+        zone.heal().await;
     });
 }
 
-/// A third of the fleet, spread over the zones: all servers are reached, few owners are.
+/// The gateways that are cut off are a third of the fleet, spread over all zones: they reach
+/// all servers but few owners.
 #[test]
-fn a_part_of_the_fleet_without_the_log_sends_its_clients_elsewhere() {
+fn a_minority_of_the_fleet_without_the_log_sends_its_clients_elsewhere() {
     run(async {
-        let server = Server::start("s1", events()).await;
+        let server = Server::start("s1", one_event()).await;
         let world = World::new().await;
         world.partitions.set(6);
         let gateway = Rc::new(world.ready(&[&server]).await);
         sleep(Duration::from_millis(900)).await;
         let mut owners = Vec::new();
         for partition in 0..6 {
-            let owner = mute().await;
+            let owner = silent_listener().await;
             let address = owner.local_addr().expect("an address");
             world.claim_for(partition, address).await;
             owners.push(owner);
@@ -311,28 +331,29 @@
     });
 }
 
-/// An owner that says that it reads its partition. Its first connection ends as one does that
-/// was cut off for long.
-async fn healed_owner() -> SocketAddr {
-    let listener = mute().await;
+/// An owner that answers that it is still reading its partition. Its first connection is closed
+/// after 200 ms, as happens to one that was interrupted for long.
+async fn recovering_owner() -> SocketAddr {
+    let listener = silent_listener().await;
     let address = listener.local_addr().expect("an address");
     ntex::rt::spawn(async move {
         let (first, _) = listener.accept().await.expect("a connection");
-        let _ = timeout(Duration::from_millis(200), say_unavailable(first)).await;
+        let _ = timeout(Duration::from_millis(200), answer_unavailable(first)).await;
         while let Ok((stream, _)) = listener.accept().await {
-            ntex::rt::spawn(say_unavailable(stream));
+            ntex::rt::spawn(answer_unavailable(stream));
         }
     });
     address
 }
 
-async fn say_unavailable(mut stream: TcpStream) {
+/// Answers all requests of a connection with [`LedgerReply::Unavailable`].
+async fn answer_unavailable(mut stream: TcpStream) {
     while let Ok(len) = stream.read_u32().await {
         let mut frame = vec![0; len as usize];
         stream.read_exact(&mut frame).await.expect("a frame");
-        let asked = Envelope::<LedgerRequest>::deserialize_bin(&frame).expect("a request");
+        let request = Envelope::<LedgerRequest>::deserialize_bin(&frame).expect("a request");
         let answer = Envelope {
-            call_id: asked.call_id,
+            call_id: request.call_id,
             body: LedgerReply::Unavailable,
         };
         let answer = answer.serialize_bin();
@@ -341,16 +362,16 @@
     }
 }
 
-/// Once a cut is over, those who were cut off would else take partitions from owners that
-/// are well.
+/// Otherwise gateways that were cut off would claim partitions from healthy owners as soon as
+/// the network is back.
 #[test]
-fn an_owner_whose_connection_ended_is_asked_on_a_new_one_before_it_is_replaced() {
+fn an_owner_whose_connection_closed_is_asked_on_a_new_one_before_it_is_replaced() {
     run(async {
-        let server = Server::start("s1", events()).await;
+        let server = Server::start("s1", one_event()).await;
         let world = World::new().await;
         let gateway = Rc::new(world.ready(&[&server]).await);
         sleep(Duration::from_millis(900)).await;
-        let owner = healed_owner().await;
+        let owner = recovering_owner().await;
         let partition = fieldhook_ledger::partition_of("p", 2);
         world.claim_for(partition, owner).await;
         sleep(Duration::from_millis(50)).await;
