--- a/crates/gateway/tests/gateway/input.rs
+++ b/crates/gateway/tests/gateway/input.rs
@@ -1,17 +1,18 @@
-//! Bad input: nothing is lost, nothing runs.
+//! Invalid requests and configurations: they are refused without reaching a server, and the
+//! configuration in force stays.
 
 use crate::support::{Act, Server, World, config, run};
 use std::time::Duration;
 use tokio::time::sleep;
 
-fn fine() -> Act {
-    Act::Answer(200, "fine".to_owned())
+fn answer_ok() -> Act {
+    Act::Answer(200, "ok".to_owned())
 }
 
 #[test]
 fn ambiguous_and_malformed_requests_are_refused() {
     run(async {
-        let server = Server::start("s1", fine()).await;
+        let server = Server::start("s1", answer_ok()).await;
         let world = World::new().await;
         let gateway = world.ready(&[&server]).await;
         let cases: [(&str, u16); 8] = [
@@ -58,7 +59,7 @@
 #[test]
 fn requests_over_the_limits_are_refused() {
     run(async {
-        let server = Server::start("s1", fine()).await;
+        let server = Server::start("s1", answer_ok()).await;
         let world = World::new().await;
         let gateway = world.ready(&[&server]).await;
         let long = format!("Request: a\r\nLong: {}\r\n", "x".repeat(3_000));
@@ -80,26 +81,26 @@
 }
 
 #[test]
-fn a_torn_request_is_never_sent_on() {
+fn an_incomplete_request_is_not_forwarded() {
     run(async {
-        let server = Server::start("s1", fine()).await;
+        let server = Server::start("s1", answer_ok()).await;
         let world = World::new().await;
         let gateway = world.ready(&[&server]).await;
-        let torn = "POST /unsafe/1 HTTP/1.1\r\nHost: test.example\r\nRequest: a\r\nContent-Length: 10\r\n\r\nhalf";
+        let incomplete = "POST /unsafe/1 HTTP/1.1\r\nHost: test.example\r\nRequest: a\r\nContent-Length: 10\r\n\r\nhalf";
         let mut client = gateway.client().await;
-        client.raw(torn.as_bytes()).await;
+        client.raw(incomplete.as_bytes()).await;
         drop(client);
         let mut slow = gateway.client().await;
-        slow.raw(torn.as_bytes()).await;
+        slow.raw(incomplete.as_bytes()).await;
         assert_eq!(slow.reply().await.head.status, 408);
         assert_eq!(server.count(), 0);
     });
 }
 
 #[test]
-fn what_stands_in_a_body_is_no_request() {
+fn a_request_inside_a_body_is_not_executed() {
     run(async {
-        let server = Server::start("s1", fine()).await;
+        let server = Server::start("s1", answer_ok()).await;
         let world = World::new().await;
         let gateway = world.ready(&[&server]).await;
         let hidden = "GET /safe/hidden HTTP/1.1\r\nHost: test.example\r\nRequest: b\r\n\r\n";
@@ -115,9 +116,9 @@
 }
 
 #[test]
-fn unknown_routes_turns_and_malformed_fields_run_nothing() {
+fn unknown_routes_unknown_turns_and_malformed_fields_are_refused() {
     run(async {
-        let server = Server::start("s1", fine()).await;
+        let server = Server::start("s1", answer_ok()).await;
         let world = World::new().await;
         let gateway = world.ready(&[&server]).await;
         let cases = [
@@ -148,7 +149,7 @@
 }
 
 #[test]
-fn without_a_configuration_a_request_is_refused_with_a_time_to_come_back() {
+fn without_a_configuration_requests_are_refused_with_a_retry_delay() {
     run(async {
         let world = World::new().await;
         world.put(crate::support::CONFIG, "config", "").await;
@@ -161,9 +162,9 @@
 }
 
 #[test]
-fn a_request_of_the_first_moments_waits_for_the_configuration() {
+fn a_request_during_startup_waits_for_the_configuration() {
     run(async {
-        let server = Server::start("s1", fine()).await;
+        let server = Server::start("s1", answer_ok()).await;
         let world = World::new().await;
         world.list(&server).await;
         world.put(crate::support::CONFIG, "config", "").await;
@@ -172,16 +173,16 @@
             sleep(Duration::from_millis(120)).await;
             world.publish(0).await;
         };
-        let asked = gateway.ask("GET", "/safe/1", "Request: a\r\n", "");
-        let (reply, ()) = futures_util::future::join(asked, published).await;
+        let request = gateway.ask("GET", "/safe/1", "Request: a\r\n", "");
+        let (reply, ()) = futures_util::future::join(request, published).await;
         assert_eq!(reply.head.status, 200);
     });
 }
 
 #[test]
-fn unreadable_and_older_configurations_leave_the_former_in_force() {
+fn unreadable_and_older_configurations_leave_the_current_one_in_force() {
     run(async {
-        let server = Server::start("s1", fine()).await;
+        let server = Server::start("s1", answer_ok()).await;
         let world = World::new().await;
         let gateway = world.ready(&[&server]).await;
         let version = || {
--- a/crates/gateway/tests/gateway/tenants.rs
+++ b/crates/gateway/tests/gateway/tenants.rs
@@ -1,4 +1,5 @@
-//! Keys and tenants: who is let in, what servers are told, whose turns are whose.
+//! API keys and tenants: authentication, the fields that servers receive, and the separation of
+//! tenants' turns and budgets.
 
 use crate::support::{Act, Gateway, Server, World, config_of, run, tenant};
 use fieldhook_emulator::log::memory::LogFault;
@@ -6,18 +7,20 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
+/// A world whose first configuration has these tenants.
 async fn world_of(tenants: Vec<Tenant>) -> World {
     let world = World::new().await;
     world.configs.borrow_mut()[0] = config_of(1, tenants);
     world
 }
 
+/// Waits until a gateway has a version of the configuration in force.
 async fn wait_version(gateway: &Gateway, version: u64) {
-    let is_there = || {
+    let is_in_force = || {
         let routes = gateway.daemon.routes.borrow();
         routes.as_ref().map(|table| table.config.version) == Some(version)
     };
-    while !is_there() {
+    while !is_in_force() {
         sleep(Duration::from_millis(5)).await;
     }
 }
@@ -27,7 +30,7 @@
 }
 
 #[test]
-fn only_those_who_show_a_tenants_key_are_let_in() {
+fn requests_without_a_valid_key_are_refused_except_on_public_routes() {
     run(async {
         let server = Server::start("s1", answer("yes")).await;
         let world = world_of(vec![tenant("red", "k1")]).await;
@@ -49,7 +52,7 @@
 }
 
 #[test]
-fn servers_are_told_the_tenant_and_its_rank_and_never_the_key() {
+fn servers_receive_the_tenant_and_its_rank_but_not_the_key() {
     run(async {
         let server = Server::start("s1", answer("yes")).await;
         let mut red = tenant("red", "k1");
@@ -71,9 +74,9 @@
             "yes"
         );
         let seen = server.seen.borrow();
-        let wanted = [(Some("red"), "7"), (Some("blue"), "1"), (None, "1")];
-        assert_eq!(seen.len(), wanted.len());
-        for (seen, (tenant, rank)) in seen.iter().zip(wanted) {
+        let expected = [(Some("red"), "7"), (Some("blue"), "1"), (None, "1")];
+        assert_eq!(seen.len(), expected.len());
+        for (seen, (tenant, rank)) in seen.iter().zip(expected) {
             let headers = &seen.head.headers;
             assert_eq!(headers.text("tenant"), tenant);
             assert!(headers.get_all("tenant").count() <= 1);
@@ -84,16 +87,16 @@
 }
 
 #[test]
-fn a_key_that_was_taken_away_ends_its_use_on_an_open_connection() {
+fn a_revoked_key_is_refused_on_an_open_connection() {
     run(async {
         let server = Server::start("s1", answer("yes")).await;
         let world = world_of(vec![tenant("red", "k1"), tenant("blue", "k2")]).await;
-        let passed_on = vec![tenant("red", "k3"), tenant("blue", "k1")];
-        let taken_away = vec![tenant("red", "k3"), tenant("blue", "k2")];
+        let reassigned = vec![tenant("red", "k3"), tenant("blue", "k1")];
+        let revoked = vec![tenant("red", "k3"), tenant("blue", "k2")];
         world
             .configs
             .borrow_mut()
-            .extend([config_of(2, passed_on), config_of(3, taken_away)]);
+            .extend([config_of(2, reassigned), config_of(3, revoked)]);
         let gateway = world.ready(&[&server]).await;
         let mut client = gateway.client().await;
         client
@@ -122,7 +125,7 @@
 }
 
 #[test]
-fn a_request_that_waits_for_a_place_is_not_sent_once_its_key_is_gone() {
+fn a_request_that_waits_for_a_free_server_is_not_sent_after_its_key_is_revoked() {
     run(async {
         let server = Server::start("s1", Act::NotRun).await;
         let world = world_of(vec![tenant("red", "k1")]).await;
@@ -132,8 +135,8 @@
             .push(config_of(2, vec![tenant("red", "k2")]));
         let gateway = world.ready(&[&server]).await;
         let fields = "Request: a\r\nKey: k1\r\n";
-        let asked = gateway.ask("GET", "/safe/1", fields, "");
-        let changed = async {
+        let request = gateway.ask("GET", "/safe/1", fields, "");
+        let revocation = async {
             while server.count() == 0 {
                 sleep(Duration::from_millis(1)).await;
             }
@@ -143,14 +146,14 @@
             server.set(answer("too late"));
             refused
         };
-        let (reply, refused) = futures_util::future::join(asked, changed).await;
+        let (reply, refused) = futures_util::future::join(request, revocation).await;
         assert_eq!(reply.head.status, 401);
         assert_eq!(server.count(), refused);
     });
 }
 
 #[test]
-fn a_turn_of_another_tenant_is_no_turn() {
+fn a_turn_of_another_tenant_cannot_be_continued() {
     run(async {
         let events = Act::Events(vec!["one".to_owned()], None);
         let server = Server::start("s1", events).await;
@@ -158,7 +161,7 @@
         let gateway = world.ready(&[&server]).await;
         let fields = "Request: t1\r\nProgram: p\r\nKey: k1\r\n";
         assert!(gateway.ask("POST", "/chat/1", fields, "A;").await.whole);
-        // The same program, by its name, and another one.
+        // With the same program name, and with another one.
         for program in ["p", "q"] {
             let fields = format!("Request: x\r\nProgram: {program}\r\nPrevious: t1\r\nKey: k2\r\n");
             let reply = gateway.ask("POST", "/chat/1", &fields, "B;").await;
@@ -171,7 +174,7 @@
 }
 
 #[test]
-fn a_budget_is_a_tenants_own() {
+fn tenants_have_separate_budgets_for_a_program_of_the_same_name() {
     run(async {
         let events = Act::Events(vec!["one".to_owned(); 3], None);
         let server = Server::start("s1", events).await;
@@ -190,7 +193,7 @@
 }
 
 #[test]
-fn a_gateway_without_the_log_learns_of_keys_from_the_others() {
+fn a_gateway_without_the_log_learns_of_revoked_keys_from_others() {
     run(async {
         let server = Server::start("s1", answer("yes")).await;
         let world = world_of(vec![tenant("red", "k1")]).await;
@@ -198,28 +201,31 @@
             .configs
             .borrow_mut()
             .push(config_of(2, vec![tenant("red", "k2")]));
-        // The first one owns all partitions and so is known to the other.
+        // The first gateway owns all partitions, so the other one knows its address.
         let owner = world.ready(&[&server]).await;
         sleep(Duration::from_millis(900)).await;
-        let cut = world.gateway("g2").await;
-        cut.wait_ready(1).await;
+        let without_log = world.gateway("g2").await;
+        without_log.wait_ready(1).await;
         sleep(Duration::from_millis(100)).await;
-        cut.store.set_fault(LogFault::Silent);
-        cut.daemon.contact.record_failure();
+        without_log.store.set_fault(LogFault::Silent);
+        without_log.daemon.contact.record_failure();
         world.publish(1).await;
         wait_version(&owner, 2).await;
-        let waited = tokio::time::timeout(Duration::from_secs(6), wait_version(&cut, 2));
-        assert!(waited.await.is_ok(), "never learned of it");
+        let waited = tokio::time::timeout(Duration::from_secs(6), wait_version(&without_log, 2));
+        assert!(
+            waited.await.is_ok(),
+            "the gateway did not learn of the new keys"
+        );
         for (key, status) in [("k1", 401), ("k2", 200)] {
             let fields = format!("Request: {key}\r\nKey: {key}\r\n");
-            let reply = cut.ask("GET", "/safe/1", &fields, "").await;
+            let reply = without_log.ask("GET", "/safe/1", &fields, "").await;
             assert_eq!(reply.head.status, status, "{key}");
         }
     });
 }
 
 #[test]
-fn where_revocation_is_strict_keys_that_cannot_be_confirmed_are_not_served() {
+fn with_strict_revocation_keys_that_cannot_be_confirmed_are_refused() {
     run(async {
         let server = Server::start("s1", answer("yes")).await;
         let world = world_of(vec![tenant("red", "k1")]).await;
@@ -232,13 +238,13 @@
             200
         );
         gateway.store.set_fault(LogFault::Silent);
-        // A read that is under way still confirms, for as long as it waits.
+        // A read that was started before the fault still confirms, for as long as it waits.
         sleep(Duration::from_millis(3_500)).await;
         let refused = gateway.ask("GET", "/safe/1", keyed, "").await;
         assert_eq!(refused.head.status, 503);
         assert!(refused.head.headers.has("come-back-ms"));
-        let open = gateway.ask("POST", "/unsafe/1", "Request: b\r\n", "").await;
-        assert_eq!(open.head.status, 200);
+        let public = gateway.ask("POST", "/unsafe/1", "Request: b\r\n", "").await;
+        assert_eq!(public.head.status, 200);
         gateway.store.set_fault(LogFault::None);
         sleep(Duration::from_millis(1_500)).await;
         assert_eq!(
@@ -248,9 +254,10 @@
     });
 }
 
-/// The log holds the length of a key in one byte.
+/// The length of a record's key is stored in one byte, which limits the names of tenant and
+/// program together.
 #[test]
-fn names_that_no_record_can_hold_are_refused() {
+fn names_too_long_for_the_key_of_a_record_are_refused() {
     run(async {
         let server = Server::start("s1", Act::Events(vec!["one".to_owned()], None)).await;
         let long = "t".repeat(200);
