--- a/crates/model/src/api.rs
+++ b/crates/model/src/api.rs
@@ -142,7 +142,8 @@
 pub enum StreamEvent {
     /// More text of the answer.
     Delta {
-        /// Lineage of the text; see `Attempt::lineage`.
+        /// Number of the attempt that began the text; see `Attempt::lineage` in the
+        /// program crate.
         lineage: u32,
         /// Byte offset of `text` in the complete answer.
         offset: u64,
--- a/crates/model/src/error.rs
+++ b/crates/model/src/error.rs
@@ -28,7 +28,7 @@
     ProgramUnknown,
     /// The program has ended.
     ProgramEnded,
-    /// An earlier call number has not been issued yet, or its call is running.
+    /// An earlier call has not been issued yet or is still running.
     CallNumberTooEarly,
     /// The call number is taken by a request with another key.
     CallNumberConflict,
--- a/crates/model/src/operator.rs
+++ b/crates/model/src/operator.rs
@@ -44,7 +44,7 @@
     pub leaving: bool,
 }
 
-/// Answer to `GET /v1/status`.
+/// Response to `GET /v1/status`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
     /// IP and port of the answering daemon.
@@ -63,7 +63,7 @@
     pub engines: Vec<EngineStatus>,
 }
 
-/// Answer to `GET /v1/config`.
+/// Response to `GET /v1/config`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigStatus {
     /// Version in force.
--- a/crates/program/src/command.rs
+++ b/crates/program/src/command.rs
@@ -111,7 +111,7 @@
     OpenProgram(OpenProgram),
     /// Records the intent to run a call.
     BeginCall(BeginCall),
-    /// Replaces the attempt of a running call.
+    /// Replaces the newest attempt of a running call.
     NextAttempt(NextAttempt),
     /// Records the outcome of a call.
     FinishCall(FinishCall),
--- a/crates/program/src/lifecycle.rs
+++ b/crates/program/src/lifecycle.rs
@@ -91,6 +91,8 @@
         Reply::Done
     }
 
+    /// Ends the running call of a program, if any, with [`ErrorKind::Cancelled`]. Its
+    /// attempt may have run, so its full reservation is charged.
     pub(crate) fn cancel_running_call(&mut self, id: ProgramId) {
         let Some(number) = self.programs.get(&id).and_then(Program::running_call) else {
             return;
@@ -118,6 +120,8 @@
             .collect()
     }
 
+    /// Records that an engine released the cache of a program. Stale if the running
+    /// call is on that engine, since it holds cache again.
     pub(crate) fn release_cache(&mut self, id: ProgramId, engine: &str) -> Reply {
         let Some(program) = self.programs.get_mut(&id) else {
             return Reply::Stale;
@@ -136,11 +140,13 @@
     /// Ended programs whose records can be dropped at `now_ms` on the shard's
     /// clock.
     pub(crate) fn expired_programs(&self, now_ms: u64) -> impl Iterator<Item = ProgramId> + '_ {
-        let over = self
+        let expired = self
             .programs
             .iter()
             .filter(move |(_, item)| is_expired(item, now_ms));
-        over.map(|(id, _)| *id).filter(|id| !self.has_children(*id))
+        expired
+            .map(|(id, _)| *id)
+            .filter(|id| !self.has_children(*id))
     }
 
     /// Returns whether [`Command::PurgeExpired`](crate::Command::PurgeExpired)
--- a/crates/program/tests/machine_fuzz.rs
+++ b/crates/program/tests/machine_fuzz.rs
@@ -25,8 +25,11 @@
 #[derive(Clone, Default)]
 struct ProgramModel {
     root: u8,
+    /// History inherited from the parent.
     inherited: Vec<Message>,
+    /// Messages and answers of the program's own turns.
     turns: Vec<Message>,
+    /// Request keys of the calls, in order.
     keys: Vec<String>,
 }
 
@@ -34,15 +37,18 @@
 #[derive(Default)]
 struct ReferenceModel {
     records: BTreeMap<u8, ProgramModel>,
+    /// Cost of what actually ran, by root program.
     actual_cost: BTreeMap<u8, u64>,
+    /// Number of executions, by program and request key.
     executed: BTreeMap<(u8, String), u32>,
+    /// Program and request key of the requests that were refused.
     reported_not_run: BTreeSet<(u8, String)>,
 }
 
 /// The state machine and the reference model, driven by operations.
 struct Harness {
     state: ShardState,
-    model: ReferenceModel,
+    reference: ReferenceModel,
     now_ms: u64,
     last_command: Option<TimedCommand>,
 }
@@ -79,7 +85,7 @@
     fn new() -> Self {
         Self {
             state: ShardState::default(),
-            model: ReferenceModel::default(),
+            reference: ReferenceModel::default(),
             now_ms: 0,
             last_command: None,
         }
@@ -155,24 +161,24 @@
         }));
         assert_eq!(reply == Reply::AlreadyRecorded, exists);
         if reply == Reply::Done {
-            let root = parent.map_or(program, |parent| self.model.records[&parent].root);
+            let root = parent.map_or(program, |parent| self.reference.records[&parent].root);
             // The record of an earlier program of this number was purged; what ran
             // for it doesn't count for the new one.
-            self.model
+            self.reference
                 .executed
                 .retain(|(owner, _), _| *owner != program);
-            self.model
+            self.reference
                 .reported_not_run
                 .retain(|(owner, _)| *owner != program);
             if root == program {
-                self.model.actual_cost.insert(program, 0);
+                self.reference.actual_cost.insert(program, 0);
             }
             let record = ProgramModel {
                 root,
                 inherited,
                 ..ProgramModel::default()
             };
-            self.model.records.insert(program, record);
+            self.reference.records.insert(program, record);
         }
     }
 
@@ -204,12 +210,12 @@
                     "a call was dispatched out of order"
                 );
                 self.record_dispatch(program, key_name(key), repeatable);
-                if let Some(record) = self.model.records.get_mut(&program) {
+                if let Some(record) = self.reference.records.get_mut(&program) {
                     record.keys.push(key_name(key));
                 }
             }
             Reply::AlreadyRecorded => {
-                let record = &self.model.records[&program];
+                let record = &self.reference.records[&program];
                 assert_eq!(
                     record.keys[number as usize - 1],
                     key_name(key),
@@ -224,10 +230,10 @@
     fn record_dispatch(&mut self, program: u8, key: String, repeatable: bool) {
         let entry = (program, key);
         assert!(
-            !self.model.reported_not_run.contains(&entry),
+            !self.reference.reported_not_run.contains(&entry),
             "a request was dispatched after it was refused"
         );
-        let count = self.model.executed.entry(entry).or_insert(0);
+        let count = self.reference.executed.entry(entry).or_insert(0);
         *count += 1;
         assert!(
             repeatable || *count == 1,
@@ -290,7 +296,7 @@
         };
         self.spend(program, cost);
         if let (CallSpec::Model(model), false) = (&call.spec, failed) {
-            let record = self.model.records.get_mut(&program).expect("recorded");
+            let record = self.reference.records.get_mut(&program).expect("recorded");
             record.turns.extend(model.messages.clone());
             let role = "assistant".to_owned();
             record.turns.push(Message {
@@ -301,8 +307,8 @@
     }
 
     fn spend(&mut self, program: u8, cost: u64) {
-        let root = self.model.records[&program].root;
-        *self.model.actual_cost.entry(root).or_insert(0) += cost;
+        let root = self.reference.records[&program].root;
+        *self.reference.actual_cost.entry(root).or_insert(0) += cost;
     }
 
     fn next_attempt(&mut self, program: u8, ran: bool, prefix: u8) {
@@ -317,7 +323,7 @@
         let key = call.request_key.clone();
         if !ran {
             // The attempt did not run, so its dispatch doesn't count as an execution.
-            if let Some(count) = self.model.executed.get_mut(&(program, key.clone())) {
+            if let Some(count) = self.reference.executed.get_mut(&(program, key.clone())) {
                 *count -= 1;
             }
         }
@@ -364,8 +370,8 @@
             request_key: key_name(key),
         });
         let entry = (program, key_name(key));
-        if reply == Reply::Done && !self.model.executed.contains_key(&entry) {
-            self.model.reported_not_run.insert(entry);
+        if reply == Reply::Done && !self.reference.executed.contains_key(&entry) {
+            self.reference.reported_not_run.insert(entry);
         }
     }
 
@@ -428,7 +434,7 @@
     }
 
     fn check(&self) {
-        for (number, record) in &self.model.records {
+        for (number, record) in &self.reference.records {
             let Some(program) = self.state.programs.get(&id(*number)) else {
                 continue;
             };
@@ -460,7 +466,7 @@
                 "spent plus reserved cost exceeds the limit"
             );
             if record.root == *number {
-                let spent = self.model.actual_cost.get(number).copied().unwrap_or(0);
+                let spent = self.reference.actual_cost.get(number).copied().unwrap_or(0);
                 assert!(
                     spent <= budget.limit,
                     "actual cost {spent} exceeds the limit {}",
