--- a/crates/gateway/src/ledger/owner.rs
+++ b/crates/gateway/src/ledger/owner.rs
@@ -170,13 +170,13 @@
             LedgerRequest::Follow(request) => {
                 let relay = self.relay.clone();
                 ntex::rt::spawn(async move {
-                    let _ = sender.send(relay.answer_follow(&request).await);
+                    let _ = sender.send(relay.serve_records(&request).await);
                 });
             }
             LedgerRequest::List(request) => {
                 let relay = self.relay.clone();
                 ntex::rt::spawn(async move {
-                    let _ = sender.send(relay.answer_list(&request).await);
+                    let _ = sender.send(relay.serve_page(&request).await);
                 });
             }
             LedgerRequest::Quota(request) => self.handle_quota(partition, &request, &sender),
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,14 +1,14 @@
-//! The followed topics, read through a few daemons of each zone where they are long.
+//! Reads long followed topics through a few reader daemons of each zone.
 //!
-//! [`Relay`] is the log service as the rest of a daemon sees it. Where servers are so many that
-//! all daemons together would read more than the log sends, it asks the readers of its zone for
-//! what it would read itself; where it is a reader, it reads the log and answers the others
-//! ([`reader`]). Nothing that is appended goes another way, nor the claims that an append depends
-//! on. docs/design/fleet.md tells what was weighed, and how late anything may be.
+//! [`Relay`] is the log service as the rest of a daemon sees it. With many servers, all daemons
+//! together would read more than the log can send. A daemon then requests records from the readers
+//! of its zone instead of the log; a reader reads the log and serves the others ([`reader`]).
+//! Appends always go to the log, and so do reads of the claims that an append depends on.
+//! docs/design/fleet.md describes the alternatives and how late a change may arrive.
 //!
-//! - [`packed`]: records as they go from daemon to daemon.
+//! - [`packed`]: encoding of records sent between daemons.
 //! - [`reader_slots`]: becoming a reader.
-//! - [`reader`]: answering those who ask.
+//! - [`reader`]: serving records to other daemons.
 
 pub mod packed;
 pub mod reader;
@@ -35,74 +35,73 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Servers from which on daemons read through readers. They nearly fill a page of a listing, so
-/// that below it asking saves nothing, and a fleet that has so many has hundreds of daemons.
+/// Number of servers from which daemons read through readers. It nearly fills one page of a listing,
+/// so below it readers save nothing; a fleet with this many servers has hundreds of daemons.
 const RELAY_MIN_SERVERS: usize = 400;
-/// Records that the topic of servers has had, which stand for so many servers where a daemon
-/// that starts has none listed yet: each is written a few times in its life.
+/// End offset of the servers topic that indicates [`RELAY_MIN_SERVERS`] to a daemon that has not
+/// listed the servers yet: each server is written a few times in its life.
 const RELAY_MIN_RECORDS: u64 = 2_000;
-/// For so long a daemon that no reader answers waits for its time to ask the log, rather than ask
-/// readers again.
+/// When no reader replies, a daemon waits up to this long until it may read the log itself. If the
+/// wait would be longer, it asks the readers again instead.
 const MAX_LOG_READ_WAIT: Duration = Duration::from_millis(400);
-/// Behind this key no server stands: a listing from there tells the end of its topic alone.
+/// Sorts after the keys of all servers: a listing from here returns just the end of the topic.
 const AFTER_ALL_KEYS: &[u8] = b"~~~~";
-/// How long the first listing waits for the claims, which say whether there are readers.
+/// How long the first listing waits for the claims, which tell whether there are readers.
 const CLAIMS_WAIT: Duration = Duration::from_millis(30);
-/// Longest time that a reader holds a question.
+/// Maximum time for which a reader holds a request that it has no records for yet.
 const MAX_HOLD: Duration = Duration::from_millis(800);
-/// Part of the time in which a change has to be in force for which a reader holds a question, and
-/// the log a read of it: one in this. What it tells is confirmed by each answer, and the rest is
-/// for noticing that it is not.
+/// The time within which a change must take effect is divided by this to get the hold time of a
+/// request to a reader, and of the reader's own read of the log. Each reply confirms that the
+/// records are current; the remaining time is for detecting that replies are missing.
 const HOLD_DIVISOR: u64 = 5;
-/// An answer that comes later than its hold and this is not waited for.
+/// A reply is waited for until its hold time and this margin have passed.
 const REPLY_MARGIN: Duration = Duration::from_millis(300);
-/// How long a page of a listing is waited for. A reader that has just started reads the topic
-/// itself first.
+/// Timeout for a page of a listing. A reader that has just started reads the topic itself first.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(900);
-/// What a reader knows is older than its hold and this where the log does not answer it: the slack
-/// of a read and the way of an answer.
+/// Records of a reader that are older than the hold time and this margin mean that the log does not
+/// reply to the reader. Covers the margin of a read and the latency of a reply.
 const AGE_MARGIN_MS: u64 = 800;
 
 /// How a daemon reads followed topics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Role {
-    /// From the log: nobody needs another to read for it.
+    /// From the log. No daemon reads through another.
     Alone,
-    /// From the log, and answers the others of its zone.
+    /// From the log, and serves the other daemons of its zone.
     Reader,
     /// From readers.
     Asker,
 }
 
-/// The log service, read through readers where its topics are long.
+/// The log service, read through readers if its topics are long.
 pub struct Relay {
     log: Rc<dyn LogStore>,
     zone: String,
     address: SocketAddr,
-    /// Topic of servers, whose length decides.
-    servers: String,
+    /// Topic of the servers. Its length decides whether readers are used.
+    servers_topic: String,
     /// Topic of the configuration.
-    config: String,
+    config_topic: String,
     peers: Peers,
     readers: RefCell<Readers>,
     reader_selector: RefCell<ReaderSelector>,
     topics: ReaderTopics,
-    /// Whether servers are many.
+    /// Whether there are enough servers to read through readers.
     has_many_servers: Cell<bool>,
-    /// How long a reader holds a question.
+    /// How long a reader holds a request that it has no records for yet.
     hold: Duration,
-    /// It answers nobody any more: the process is about to end.
+    /// Whether this daemon no longer serves other daemons because the process is about to exit.
     is_stopped: Cell<bool>,
     claims_listed: Cell<bool>,
     claims_were_listed: Notify,
-    /// Told when this daemon reads in another way from now on.
+    /// Notified when the role of this daemon changes.
     role_changed: Notify,
     metrics: Rc<Metrics>,
     started: Instant,
 }
 
 impl Relay {
-    /// A relay in front of the log service.
+    /// Creates a relay in front of the log service.
     pub fn new(
         log: Rc<dyn LogStore>,
         settings: &GatewaySettings,
@@ -114,8 +113,8 @@
             log,
             zone: settings.zone.clone(),
             address: settings.peers,
-            servers: topics.servers.clone(),
-            config: topics.config.clone(),
+            servers_topic: topics.servers.clone(),
+            config_topic: topics.config.clone(),
             peers: Peers::default(),
             readers: RefCell::default(),
             reader_selector: RefCell::new(ReaderSelector::new(bound_ms, fastrand::u64(..))),
@@ -131,7 +130,7 @@
         }
     }
 
-    /// So many servers are known.
+    /// Sets the number of known servers. From [`RELAY_MIN_SERVERS`] on, readers are used for good.
     pub fn set_server_count(&self, count: usize) {
         if count >= RELAY_MIN_SERVERS && !self.has_many_servers.get() {
             tracing::info!(event = "servers_are_many", count);
@@ -139,7 +138,8 @@
         }
     }
 
-    /// Does what may change how this daemon reads: reads that wait in the former way end.
+    /// Runs `change`, which may change the role of this daemon. If it does, pending reads in the
+    /// former role end.
     fn change_role(&self, change: impl FnOnce()) {
         let former = self.role();
         change();
@@ -150,18 +150,18 @@
         }
     }
 
-    /// Whether daemons read through readers.
+    /// Returns whether daemons read through readers.
     pub fn uses_readers(&self) -> bool {
         self.has_many_servers.get() || !self.readers.borrow().is_empty()
     }
 
-    /// Whether this daemon reads for others.
+    /// Returns whether this daemon is a reader.
     pub fn is_reader(&self) -> bool {
         self.readers.borrow().is_reader(&self.zone, self.address)
     }
 
-    /// Answers nobody from now on: those who ask turn to the other reader of their zone, and not
-    /// only once this process is gone.
+    /// Stops serving other daemons, so that they switch to the other reader of the zone before this
+    /// process exits.
     pub fn stop_serving(&self) {
         self.is_stopped.set(true);
     }
@@ -174,7 +174,7 @@
         }
     }
 
-    /// What a reader tells is of no use once it is older than this, in milliseconds.
+    /// Maximum age of usable records of a reader, in milliseconds.
     fn max_age_ms(&self) -> u64 {
         self.hold.as_millis() as u64 + AGE_MARGIN_MS
     }
@@ -184,15 +184,15 @@
     }
 
     fn is_followed(&self, topic: &str) -> bool {
-        topic == self.servers || topic == self.config || topic == OWNERS_TOPIC
+        topic == self.servers_topic || topic == self.config_topic || topic == OWNERS_TOPIC
     }
 
-    /// Takes in who reads for others, from records of the topic of claims.
+    /// Updates the known readers from records of the claims topic.
     fn apply_reader_claims<'a>(&self, records: impl Iterator<Item = (u64, &'a KeyedRecord)>) {
         for (offset, record) in records {
-            let mut is_news = false;
-            self.change_role(|| is_news = self.readers.borrow_mut().apply(offset, record));
-            if is_news {
+            let mut is_new = false;
+            self.change_role(|| is_new = self.readers.borrow_mut().apply(offset, record));
+            if is_new {
                 let key = String::from_utf8_lossy(&record.key);
                 let reader = String::from_utf8_lossy(&record.value);
                 tracing::info!(event = "reader_known", place = %key.escape_debug(), %reader, offset);
@@ -233,7 +233,8 @@
         }
     }
 
-    /// Lists the claims. Whoever makes one has to know what the log itself holds.
+    /// Lists the claims, always from the log: a daemon that makes a claim must know the log's own
+    /// state.
     async fn list_claims(
         &self,
         partition: Partition,
@@ -256,18 +257,18 @@
         Ok(page)
     }
 
-    /// Learns whether this daemon reads by itself: the claims name readers where any read for
-    /// others, and where none do yet, the length of the topic of servers decides.
+    /// Determines whether this daemon reads the log itself. If the claims name readers, they are
+    /// used; otherwise the length of the servers topic decides.
     async fn determine_role(&self, topic: &str, limit: Duration) -> Result<(), StoreError> {
         if !self.claims_listed.get() {
             let listed = self.claims_were_listed.notified();
             let _ = timeout(CLAIMS_WAIT, listed).await;
         }
-        if self.uses_readers() || topic != self.servers {
+        if self.uses_readers() || topic != self.servers_topic {
             return Ok(());
         }
         let partition = Partition {
-            topic: self.servers.clone(),
+            topic: self.servers_topic.clone(),
             number: 0,
         };
         let end = self
@@ -299,19 +300,16 @@
         after: Option<Vec<u8>>,
         limit: Duration,
     ) -> Result<NewestPage, StoreError> {
-        let question = LedgerRequest::List(ListTopic {
+        let request = LedgerRequest::List(ListTopic {
             topic: partition.topic.clone(),
             after_key: after.clone(),
         });
-        match self
-            .request(&partition.topic, &question, PAGE_TIMEOUT)
-            .await
-        {
-            Some(RelayedRead::Records(told, records)) => Ok(NewestPage {
+        match self.request(&partition.topic, &request, PAGE_TIMEOUT).await {
+            Some(RelayedRead::Records(reply, records)) => Ok(NewestPage {
                 records,
-                more_after: told.more_after,
-                end: told.end_offset,
-                age_ms: told.age_ms,
+                more_after: reply.more_after,
+                end: reply.end_offset,
+                age_ms: reply.age_ms,
             }),
             Some(RelayedRead::Gone(first)) => Err(StoreError::Gone(first)),
             None if self
@@ -369,8 +367,8 @@
         Ok(batch)
     }
 
-    /// Reads the log, for the others as well. While it does not answer, another reader may have
-    /// heard from it: what that one tells is told on with its age, so that it ages on the way.
+    /// Reads the log as a reader. If the log does not reply, requests the records from another
+    /// reader, which may still reach it. Records obtained this way keep their age.
     async fn read_as_reader(
         &self,
         partition: Partition,
@@ -382,29 +380,30 @@
         if !topic.is_complete() {
             return Err(StoreError::Gone(from));
         }
-        let asked = Instant::now();
+        let started = Instant::now();
         let wait = wait.min(self.hold);
         match self.log.read(partition.clone(), from, wait, limit).await {
             Ok(batch) => {
-                topic.apply_batch(from, &batch, asked, wait);
+                topic.apply_batch(from, &batch, started, wait);
                 Ok(batch)
             }
             Err(StoreError::Gone(first)) => {
                 topic.forget();
                 Err(StoreError::Gone(first))
             }
-            // Without news it is a failure still, which the next read follows after a pause.
+            // A reply without records stays an error, so that the caller pauses before it reads
+            // again.
             Err(error) => {
-                let told = self.request_records(&partition.topic, from, Duration::ZERO);
-                let told = told.await?.filter(|batch| !batch.records.is_empty());
-                let batch = told.ok_or(error)?;
+                let batch = self.request_records(&partition.topic, from, Duration::ZERO);
+                let batch = batch.await?.filter(|batch| !batch.records.is_empty());
+                let batch = batch.ok_or(error)?;
                 topic.apply_relayed(from, &batch);
                 Ok(batch)
             }
         }
     }
 
-    /// What readers know behind an offset; `None` where none answers.
+    /// Requests the records from an offset on from the readers. Returns `None` if none replies.
     async fn request_records(
         &self,
         topic: &str,
@@ -412,43 +411,44 @@
         wait: Duration,
     ) -> Result<Option<ReadBatch>, StoreError> {
         let wait = wait.min(self.hold);
-        let question = LedgerRequest::Follow(FollowTopic {
+        let request = LedgerRequest::Follow(FollowTopic {
             topic: topic.to_owned(),
             from_offset: from,
             wait_ms: wait.as_millis() as u64,
         });
-        match self.request(topic, &question, wait + REPLY_MARGIN).await {
-            Some(RelayedRead::Records(told, records)) => Ok(Some(ReadBatch {
-                end: told.end_offset,
+        match self.request(topic, &request, wait + REPLY_MARGIN).await {
+            Some(RelayedRead::Records(reply, records)) => Ok(Some(ReadBatch {
+                end: reply.end_offset,
                 records,
-                next: told.next_offset,
-                age_ms: told.age_ms,
+                next: reply.next_offset,
+                age_ms: reply.age_ms,
             })),
             Some(RelayedRead::Gone(first)) => Err(StoreError::Gone(first)),
             None => Ok(None),
         }
     }
 
-    /// Asks readers one after another until one knows. One that has begun to read later than
-    /// another keeps less of what was: that it is gone there, does not mean that it is gone.
+    /// Sends a request to the readers one after another until one returns records. A reader that
+    /// started later keeps less of the history, so records that are gone there may still be kept by
+    /// another.
     async fn request(
         &self,
         topic: &str,
-        question: &LedgerRequest,
+        request: &LedgerRequest,
         limit: Duration,
     ) -> Option<RelayedRead> {
         let mut gone = None;
         for reader in self.candidates(topic) {
-            let reply = self.peers.request(reader, question, limit).await;
+            let reply = self.peers.request(reader, request, limit).await;
             match decode_reply(reply, self.max_age_ms()) {
-                Ok(told) => {
+                Ok(read) => {
                     self.reader_selector
                         .borrow_mut()
                         .record_answer(reader, topic);
                     self.count("answered");
-                    match told {
-                        RelayedRead::Gone(_) => gone = Some(told),
-                        RelayedRead::Records(..) => return Some(told),
+                    match read {
+                        RelayedRead::Gone(_) => gone = Some(read),
+                        RelayedRead::Records(..) => return Some(read),
                     }
                 }
                 Err(cause) => {
@@ -473,10 +473,10 @@
         None
     }
 
-    /// Waits until the log may be asked for what no reader tells.
+    /// Waits until this daemon may read the log itself because no reader replies.
     ///
     /// # Errors
-    /// That takes longer: readers are asked again meanwhile.
+    /// The wait would exceed [`MAX_LOG_READ_WAIT`]. The caller asks the readers again instead.
     async fn wait_for_log_read(&self, topic: &str) -> Result<(), StoreError> {
         let left_ms = self
             .reader_selector
@@ -488,7 +488,7 @@
         Ok(())
     }
 
-    /// No reader tells anything of a topic: this daemon reads the log itself for once.
+    /// Records that this daemon reads a topic from the log once because no reader replies.
     fn fall_back_to_log(&self, topic: &str) {
         self.count("log");
         tracing::info!(event = "no_reader_answers", topic);
@@ -497,7 +497,8 @@
             .record_log_fallback(topic, self.now_ms());
     }
 
-    /// Readers in the order in which this daemon asks them: each asks another one first.
+    /// Returns the readers in the order in which this daemon asks them. The order differs between
+    /// daemons, to spread the load.
     fn candidates(&self, topic: &str) -> Vec<SocketAddr> {
         let readers = self.readers.borrow();
         let rank = |reader: &SocketAddr| prefix_hash(&format!("{} {reader}", self.address));
@@ -520,21 +521,21 @@
     }
 }
 
-/// Why an answer is of no use that did not come.
+/// Failure cause of a reader that did not reply.
 const SILENT: &str = "silent";
 
-/// What a reader told.
+/// The contents of a reply of a reader.
 enum RelayedRead {
     Records(TopicRecords, Vec<(u64, KeyedRecord)>),
     Gone(u64),
 }
 
-/// What an answer tells, or why it is of no use.
+/// Decodes a reply. Returns the failure cause if it cannot be used.
 fn decode_reply(reply: Option<LedgerReply>, max_age_ms: u64) -> Result<RelayedRead, &'static str> {
     match reply {
-        Some(LedgerReply::Topic(told)) if told.age_ms > max_age_ms => Err("too_old"),
-        Some(LedgerReply::Topic(told)) => match packed::unpack(&told.packed) {
-            Some(records) => Ok(RelayedRead::Records(told, records)),
+        Some(LedgerReply::Topic(reply)) if reply.age_ms > max_age_ms => Err("too_old"),
+        Some(LedgerReply::Topic(reply)) => match packed::unpack(&reply.packed) {
+            Some(records) => Ok(RelayedRead::Records(reply, records)),
             None => Err("unreadable"),
         },
         Some(LedgerReply::TopicGone(first)) => Ok(RelayedRead::Gone(first)),
--- a/crates/gateway/src/relay/packed.rs
+++ b/crates/gateway/src/relay/packed.rs
@@ -1,5 +1,5 @@
-//! Records of a followed topic as they go from daemon to daemon. Entries of servers repeat the
-//! names of their fields: compressed, thousands of them fit the link of the smallest machine.
+//! Encoding of the records of a followed topic for transfer between daemons. Server entries repeat
+//! their field names; compressed, thousands of them fit the network link of the smallest machine.
 
 use fieldhook_log::api::KeyedRecord;
 use flate2::Compression;
@@ -7,8 +7,8 @@
 use nanoserde::{DeBin, SerBin};
 use std::io::Read;
 
-/// Bytes of a page or batch once unpacked, at most.
-const LARGEST: u64 = 64 << 20;
+/// Maximum size of an unpacked page or batch, in bytes.
+const MAX_UNPACKED_BYTES: u64 = 64 << 20;
 
 #[derive(SerBin, DeBin)]
 struct Record {
@@ -17,7 +17,7 @@
     value: Vec<u8>,
 }
 
-/// Packs records.
+/// Serializes and compresses records.
 pub fn pack(records: &[(u64, KeyedRecord)]) -> Vec<u8> {
     let records: Vec<Record> = records
         .iter()
@@ -30,15 +30,15 @@
     let bytes = records.serialize_bin();
     let mut packed = Vec::with_capacity(bytes.len() / 4);
     let read = ZlibEncoder::new(bytes.as_slice(), Compression::fast()).read_to_end(&mut packed);
-    // Reading from memory does not fail.
+    // Reading from memory cannot fail.
     debug_assert!(read.is_ok());
     packed
 }
 
-/// Unpacks records; `None` where they are not whole.
+/// Decompresses and deserializes records. Returns `None` if the data is truncated or malformed.
 pub fn unpack(packed: &[u8]) -> Option<Vec<(u64, KeyedRecord)>> {
     let mut bytes = Vec::with_capacity(packed.len() * 4);
-    let mut reader = ZlibDecoder::new(packed).take(LARGEST);
+    let mut reader = ZlibDecoder::new(packed).take(MAX_UNPACKED_BYTES);
     reader.read_to_end(&mut bytes).ok()?;
     let records: Vec<Record> = Vec::deserialize_bin(&bytes).ok()?;
     let keyed = records.into_iter().map(|record| {
--- a/crates/gateway/src/relay/reader.rs
+++ b/crates/gateway/src/relay/reader.rs
@@ -1,4 +1,4 @@
-//! What a reader keeps of followed topics, and how it answers those who ask.
+//! The followed topics as a reader keeps them, and how it serves them to other daemons.
 
 use super::{Relay, packed};
 use fieldhook_ledger::message::{FollowTopic, LedgerReply, ListTopic, TopicRecords};
@@ -12,21 +12,23 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-/// Pages that are kept packed: those of twenty times the servers of the largest sheet.
+/// Maximum number of packed pages kept: enough for twenty times the servers of the largest
+/// deployment.
 const MAX_PAGES: usize = 400;
-/// Batches that are kept packed: askers differ by a few batches.
+/// Maximum number of packed batches kept. The daemons that follow a topic are at most a few batches
+/// apart.
 const MAX_BATCHES: usize = 8;
-/// How long a listing is held where this daemon has yet to read the topic itself.
+/// How long a request for a listing is held while this daemon has not read the topic itself yet.
 const MAX_LIST_HOLD: Duration = Duration::from_millis(600);
 
-/// Topics that are read for others.
+/// The topics that are read for other daemons.
 #[derive(Default)]
 pub struct ReaderTopics {
     topics: RefCell<HashMap<String, Rc<FollowedTopic>>>,
 }
 
 impl ReaderTopics {
-    /// One of them.
+    /// Returns a topic, creating it if it does not exist yet.
     pub fn topic(&self, name: &str) -> Rc<FollowedTopic> {
         if let Some(topic) = self.topics.borrow().get(name) {
             return topic.clone();
@@ -36,28 +38,28 @@
     }
 }
 
-/// A page of a listing, packed once for all who ask for it.
+/// A page of a listing, packed once for all daemons that request it.
 struct Page {
     packed: Vec<u8>,
     end: u64,
     more_after: Option<Vec<u8>>,
 }
 
-/// A topic as it was read.
+/// The state of a topic that is read for other daemons.
 #[derive(Default)]
 pub struct FollowedTopic {
     pub(super) mirror: RefCell<Mirror>,
     pages: RefCell<HashMap<Option<Vec<u8>>, Rc<Page>>>,
-    /// What the last askers were told, by the offsets that it stands between: those who wait for
-    /// the same news get the same bytes.
+    /// The last packed batches with their first and end offsets. Daemons that wait for the same
+    /// records get the same bytes.
     packed_batches: RefCell<VecDeque<(u64, u64, Vec<u8>)>>,
-    /// When the log confirmed last that this is all.
+    /// When the log last confirmed that the mirror is complete.
     confirmed: Cell<Option<Instant>>,
     changed: Notify,
 }
 
 impl FollowedTopic {
-    /// Takes in a page of a listing.
+    /// Applies a page of a listing.
     pub fn apply_page(&self, after: Option<&[u8]>, page: &NewestPage) {
         self.mirror.borrow_mut().apply_page(after, page);
         if page.more_after.is_none() {
@@ -66,17 +68,18 @@
         }
     }
 
-    /// Takes in an answer to a read that was asked then, to wait so long. One that lay there while
-    /// this process was stopped is as old as the question.
-    pub fn apply_batch(&self, from: u64, batch: &ReadBatch, asked: Instant, wait: Duration) {
+    /// Applies the result of a read of the log that was started at `started` with the given wait. A
+    /// result that arrives too late may have lain unread while this process was suspended, and is
+    /// taken to be as old as the read.
+    pub fn apply_batch(&self, from: u64, batch: &ReadBatch, started: Instant, wait: Duration) {
         self.mirror.borrow_mut().apply_batch(from, batch);
-        let is_late = asked.elapsed() > wait + READ_MARGIN;
-        let confirmed = if is_late { asked } else { Instant::now() };
+        let is_late = started.elapsed() > wait + READ_MARGIN;
+        let confirmed = if is_late { started } else { Instant::now() };
         self.confirmed.set(Some(confirmed));
         self.changed.notify_waiters();
     }
 
-    /// Takes in what another reader told.
+    /// Applies records received from another reader.
     pub fn apply_relayed(&self, from: u64, batch: &ReadBatch) {
         self.mirror.borrow_mut().apply_batch(from, batch);
         let age = Duration::from_millis(batch.age_ms);
@@ -88,7 +91,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Nothing of it is known any more.
+    /// Discards the mirrored records.
     pub fn forget(&self) {
         self.mirror.replace(Mirror::default());
         self.packed_batches.borrow_mut().clear();
@@ -99,12 +102,13 @@
         confirmed.map_or(u64::MAX, |at| at.elapsed().as_millis() as u64)
     }
 
-    /// When what is known becomes too old to be of use.
+    /// Returns when the mirror becomes too old to be served.
     fn expires_at(&self, max_age_ms: u64) -> Option<Instant> {
         Some(self.confirmed.get()? + Duration::from_millis(max_age_ms))
     }
 
-    /// A page, packed. It is packed anew once the records that came since are not kept.
+    /// Returns a packed page of a listing. A page is packed again once the mirror no longer holds the
+    /// records that were added since.
     fn page(&self, after: Option<Vec<u8>>) -> Option<Rc<Page>> {
         let mirror = self.mirror.borrow();
         let mut pages = self.pages.borrow_mut();
@@ -160,27 +164,27 @@
         self.is_reader() && !self.is_stopped.get()
     }
 
-    /// Answers a question for the records behind an offset, once there are some or the asker
-    /// has to hear that there are none.
-    pub async fn answer_follow(&self, question: &FollowTopic) -> LedgerReply {
+    /// Serves a request for the records from an offset on. Replies once there are records, the hold
+    /// time is over or the mirror is too old.
+    pub async fn serve_records(&self, request: &FollowTopic) -> LedgerReply {
         if !self.is_serving() {
             return LedgerReply::NotReader;
         }
-        let topic = self.topics.topic(&question.topic);
-        let hold = Duration::from_millis(question.wait_ms).min(self.hold);
+        let topic = self.topics.topic(&request.topic);
+        let hold = Duration::from_millis(request.wait_ms).min(self.hold);
         let max_age_ms = self.max_age_ms();
         let until = Instant::now() + hold;
         loop {
             let changed = topic.changed.notified();
-            let behind = topic.mirror.borrow().read(question.from_offset);
+            let read = topic.mirror.borrow().read(request.from_offset);
             let is_over = Instant::now() >= until;
-            match behind {
-                ReadResult::Records(records) => return topic.reply(&records, question.from_offset),
+            match read {
+                ReadResult::Records(records) => return topic.reply(&records, request.from_offset),
                 ReadResult::Truncated => {
                     return LedgerReply::TopicGone(topic.mirror.borrow().first_offset());
                 }
                 ReadResult::Empty if is_over || topic.age_ms() > max_age_ms => {
-                    return topic.reply(&[], question.from_offset);
+                    return topic.reply(&[], request.from_offset);
                 }
                 ReadResult::Ahead if is_over => return LedgerReply::NotReader,
                 ReadResult::Empty | ReadResult::Ahead => {}
@@ -196,16 +200,16 @@
         }
     }
 
-    /// Answers a question for a page of a listing.
-    pub async fn answer_list(&self, question: &ListTopic) -> LedgerReply {
+    /// Serves a request for a page of a listing.
+    pub async fn serve_page(&self, request: &ListTopic) -> LedgerReply {
         if !self.is_serving() {
             return LedgerReply::NotReader;
         }
-        let topic = self.topics.topic(&question.topic);
+        let topic = self.topics.topic(&request.topic);
         let until = Instant::now() + MAX_LIST_HOLD;
         loop {
             let changed = topic.changed.notified();
-            if let Some(page) = topic.page(question.after_key.clone()) {
+            if let Some(page) = topic.page(request.after_key.clone()) {
                 return LedgerReply::Topic(TopicRecords {
                     packed: page.packed.clone(),
                     end_offset: page.end,
--- a/crates/gateway/src/relay/reader_slots.rs
+++ b/crates/gateway/src/relay/reader_slots.rs
@@ -1,5 +1,5 @@
-//! Becoming a reader: a daemon takes a place of its zone that nobody holds, or whose holder does
-//! not answer.
+//! Becoming a reader: a daemon claims a reader slot of its zone that is free or whose holder does not
+//! reply.
 
 use super::Relay;
 use crate::daemon::Daemon;
@@ -10,15 +10,15 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How often it is looked for such a place.
-const PERIOD: Duration = Duration::from_millis(250);
+/// Interval at which the daemon looks for a vacant slot.
+const CHECK_PERIOD: Duration = Duration::from_millis(250);
 
-/// Looks for places for good.
+/// Claims vacant reader slots. Never returns.
 pub async fn run(daemon: Rc<Daemon>) {
     let relay = daemon.relay.clone();
     let delay = slot_claim_delay(daemon.settings.capacity);
     loop {
-        sleep(PERIOD).await;
+        sleep(CHECK_PERIOD).await;
         let Some(slot) = relay.vacant_slot() else {
             continue;
         };
@@ -39,7 +39,8 @@
     }
 }
 
-/// Small machines let all large ones go first.
+/// Returns the delay before a vacant slot is claimed. Small machines wait until all large ones had
+/// the chance to claim it.
 fn slot_claim_delay(capacity: Capacity) -> Duration {
     match claim_delay(capacity, 0).is_zero() {
         true => Duration::ZERO,
@@ -48,7 +49,7 @@
 }
 
 impl Relay {
-    /// A place that this daemon might take.
+    /// Returns a reader slot that this daemon may claim.
     fn vacant_slot(&self) -> Option<ReaderSlot> {
         if !self.uses_readers() || self.is_reader() {
             return None;
--- a/crates/gateway/tests/cold_bound.rs
+++ b/crates/gateway/tests/cold_bound.rs
@@ -1,6 +1,6 @@
-//! What a cold server gets over changes of owner, against a plain count of every second:
-//! owners that are lost, frozen, cut off the log, or believe in themselves beside others, and
-//! daemons that ask any of them.
+//! Checks the request rate of a cold server over changes of its owner against a plain count of the
+//! requests in every second. Owners may be lost, suspended, cut off from the log, or wrongly
+//! consider themselves the owner, and daemons may ask any of them.
 
 use fieldhook_log::lease::{Lease, State};
 use fieldhook_traffic::cold::{PERMIT_BOUNDS, PERMIT_VALIDITY_MS, permit_request};
@@ -10,33 +10,33 @@
 const SECOND_MS: u64 = 1_000;
 const RATES: [f64; 3] = [2.0, 20.0, 100.0];
 
-/// What is taken out, so that the check can show that it would notice.
+/// A protection that is disabled, to show that the check detects its absence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Sabotage {
-    Nothing,
-    /// Successors act at once and as if nobody had been before them.
-    NoWait,
-    /// An owner that was confirmed once acts for ever.
-    NoTerm,
-    /// Requests are sent however late their permit comes.
-    OldPermits,
+    None,
+    /// New owners act at once, as if there had been no previous owner.
+    NoHandoverDelay,
+    /// An owner that was confirmed once keeps acting without a lease.
+    NoLease,
+    /// Requests are sent even if their permit arrives after it has expired.
+    ExpiredPermits,
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// So many requests ask one of the owners; the answer takes so long, in milliseconds.
+    /// Asks one of the owners for `requests` permits. The reply arrives after `takes_ms`.
     Ask {
         owner: u8,
         requests: u8,
         takes_ms: u64,
     },
-    /// An owner asks the log to confirm it; the way there and back takes so long.
+    /// An owner asks the log to confirm it, with these latencies to the log and back.
     Confirm {
         owner: u8,
-        there_ms: u64,
-        back_ms: u64,
+        request_ms: u64,
+        reply_ms: u64,
     },
-    /// Somebody claims, whatever the owners before it do.
+    /// A new owner claims the partition, whatever the previous owners do.
     Claim,
     Wait(u64),
 }
@@ -48,12 +48,12 @@
             0..=6 => Self::Ask {
                 owner,
                 requests: u8::arbitrary(g) % 12,
-                takes_ms: answer_time(g),
+                takes_ms: reply_time(g),
             },
             7..=9 => Self::Confirm {
                 owner,
-                there_ms: delay(g),
-                back_ms: delay(g),
+                request_ms: delay(g),
+                reply_ms: delay(g),
             },
             10 => Self::Claim,
             _ => Self::Wait(u64::arbitrary(g) % 120),
@@ -61,15 +61,15 @@
     }
 }
 
-/// Mostly in time; at times the daemon was frozen with its permit.
-fn answer_time(g: &mut Gen) -> u64 {
+/// Mostly shorter than the lifetime of a permit, sometimes longer, as if the daemon was suspended.
+fn reply_time(g: &mut Gen) -> u64 {
     match u8::arbitrary(g) % 4 {
         0 => u64::arbitrary(g) % 1_500,
         _ => u64::arbitrary(g) % PERMIT_VALIDITY_MS,
     }
 }
 
-/// Mostly short; at times longer than an owner's term.
+/// Mostly short, sometimes longer than the lease of an owner.
 fn delay(g: &mut Gen) -> u64 {
     match u8::arbitrary(g) % 4 {
         0 => u64::arbitrary(g) % 600,
@@ -83,23 +83,23 @@
     book: Option<QuotaTracker>,
 }
 
-/// A call of the log on its way: taken there, then answered.
+/// A call to the log in progress: it reaches the log, then the reply reaches the owner.
 struct Call {
     owner: usize,
     asked_ms: u64,
     at_log_ms: u64,
-    answered_ms: u64,
-    /// What the log said, once it has.
-    is_taken: Option<bool>,
+    replied_ms: u64,
+    /// Whether the log accepted the call, once it has reached the log.
+    is_accepted: Option<bool>,
 }
 
 struct World {
     sabotage: Sabotage,
     rate_per_s: f64,
     now_ms: u64,
-    /// Highest epoch that the log has seen.
+    /// The highest epoch that the log has seen.
     fence: u64,
-    /// The newest first, as most daemons know it.
+    /// All owners so far; the newest is last.
     owners: Vec<Owner>,
     calls: Vec<Call>,
     sent: Vec<u64>,
@@ -122,7 +122,7 @@
 
     fn claim(&mut self) {
         let epoch = self.owners.len() as u64 + 1;
-        let has_former = epoch > 1 && self.sabotage != Sabotage::NoWait;
+        let has_former = epoch > 1 && self.sabotage != Sabotage::NoHandoverDelay;
         self.owners.push(Owner {
             epoch,
             lease: Lease::new(epoch, has_former),
@@ -130,7 +130,7 @@
         });
     }
 
-    /// Counted from the newest.
+    /// Returns the index of an owner that is counted from the newest.
     fn index(&self, owner: u8) -> usize {
         self.owners.len() - 1 - usize::from(owner) % self.owners.len()
     }
@@ -140,11 +140,11 @@
         let (now_ms, sabotage) = (self.now_ms, self.sabotage);
         let owner = &mut self.owners[index];
         let state = owner.lease.state(now_ms);
-        let was_confirmed = owner.book.is_some() && sabotage == Sabotage::NoTerm;
+        let was_confirmed = owner.book.is_some() && sabotage == Sabotage::NoLease;
         if !matches!(state, State::Held { .. }) && !was_confirmed {
             return;
         }
-        let former = match owner.epoch == 1 || sabotage == Sabotage::NoWait {
+        let former = match owner.epoch == 1 || sabotage == Sabotage::NoHandoverDelay {
             true => PreviousOwner::None,
             false => PreviousOwner::Lost,
         };
@@ -153,7 +153,7 @@
             .get_or_insert_with(|| QuotaTracker::new(PERMIT_BOUNDS, former, now_ms));
         for rank in 0..requests {
             let question = permit_request("s", self.rate_per_s, 1, rank % 2);
-            let is_void = takes_ms >= PERMIT_VALIDITY_MS && sabotage != Sabotage::OldPermits;
+            let is_void = takes_ms >= PERMIT_VALIDITY_MS && sabotage != Sabotage::ExpiredPermits;
             if let QuotaDecision::Granted { .. } = book.decide(&question, now_ms)
                 && !is_void
             {
@@ -162,37 +162,37 @@
         }
     }
 
-    fn confirm(&mut self, owner: u8, there_ms: u64, back_ms: u64) {
-        let at_log_ms = self.now_ms + there_ms;
+    fn confirm(&mut self, owner: u8, request_ms: u64, reply_ms: u64) {
+        let at_log_ms = self.now_ms + request_ms;
         self.calls.push(Call {
             owner: self.index(owner),
             asked_ms: self.now_ms,
             at_log_ms,
-            answered_ms: at_log_ms + back_ms,
-            is_taken: None,
+            replied_ms: at_log_ms + reply_ms,
+            is_accepted: None,
         });
     }
 
     fn wait(&mut self, ms: u64) {
         for _ in 0..ms {
             self.now_ms += 1;
-            self.move_calls();
+            self.advance_calls();
         }
     }
 
-    fn move_calls(&mut self) {
+    fn advance_calls(&mut self) {
         let now_ms = self.now_ms;
         for call in &mut self.calls {
             let owner = &mut self.owners[call.owner];
-            if call.is_taken.is_none() && call.at_log_ms <= now_ms {
-                call.is_taken = Some(owner.epoch >= self.fence);
+            if call.is_accepted.is_none() && call.at_log_ms <= now_ms {
+                call.is_accepted = Some(owner.epoch >= self.fence);
                 self.fence = self.fence.max(owner.epoch);
             }
-            if call.answered_ms <= now_ms && call.is_taken == Some(true) {
+            if call.replied_ms <= now_ms && call.is_accepted == Some(true) {
                 owner.lease.confirm(call.asked_ms, now_ms);
             }
         }
-        self.calls.retain(|call| call.answered_ms > now_ms);
+        self.calls.retain(|call| call.replied_ms > now_ms);
     }
 
     fn step(&mut self, step: Step) {
@@ -204,16 +204,16 @@
             } => self.ask(owner, requests, takes_ms),
             Step::Confirm {
                 owner,
-                there_ms,
-                back_ms,
-            } => self.confirm(owner, there_ms, back_ms),
+                request_ms,
+                reply_ms,
+            } => self.confirm(owner, request_ms, reply_ms),
             Step::Claim => self.claim(),
             Step::Wait(ms) => self.wait(ms),
         }
     }
 
-    /// The most requests that one second holds.
-    fn most(&mut self) -> usize {
+    /// Returns the maximum number of requests sent within one second.
+    fn max_per_second(&mut self) -> usize {
         self.sent.sort_unstable();
         let windows = self.sent.iter().enumerate();
         let counts = windows.map(|(first, from_ms)| {
@@ -224,19 +224,19 @@
     }
 }
 
-/// Whether no second holds more than what a cold server bears.
-fn play(steps: &[Step], sabotage: Sabotage) -> bool {
+/// Returns whether no second has more requests than the limit of the cold server.
+fn stays_within_limit(steps: &[Step], sabotage: Sabotage) -> bool {
     RATES.into_iter().all(|rate_per_s| {
         let mut world = World::new(rate_per_s, sabotage);
         steps.iter().for_each(|step| world.step(*step));
-        world.most() as f64 <= rate_per_s
+        world.max_per_second() as f64 <= rate_per_s
     })
 }
 
 #[test]
-fn no_second_holds_more_than_a_cold_server_bears_over_changes_of_owner() {
+fn rate_of_a_cold_server_stays_within_its_limit_over_owner_changes() {
     fn holds(steps: Vec<Step>) -> bool {
-        play(&steps, Sabotage::Nothing)
+        stays_within_limit(&steps, Sabotage::None)
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(400, 23))
@@ -244,22 +244,26 @@
         .quickcheck(holds as fn(Vec<Step>) -> bool);
 }
 
-/// Steps as the property gets them, until one set of them breaks the bound.
-fn is_noticed(sabotage: Sabotage) -> bool {
+/// Runs the steps that the property test generates until one sequence exceeds the limit.
+fn is_detected(sabotage: Sabotage) -> bool {
     let mut gen_ = Gen::from_size_and_seed(400, 23);
-    (0..600).any(|_| !play(&Vec::<Step>::arbitrary(&mut gen_), sabotage))
+    (0..600).any(|_| !stays_within_limit(&Vec::<Step>::arbitrary(&mut gen_), sabotage))
 }
 
 #[test]
-fn the_count_of_seconds_notices_what_is_taken_out() {
-    for sabotage in [Sabotage::NoWait, Sabotage::NoTerm, Sabotage::OldPermits] {
-        assert!(is_noticed(sabotage), "{sabotage:?}");
+fn check_detects_each_disabled_protection() {
+    for sabotage in [
+        Sabotage::NoHandoverDelay,
+        Sabotage::NoLease,
+        Sabotage::ExpiredPermits,
+    ] {
+        assert!(is_detected(sabotage), "{sabotage:?}");
     }
 }
 
 #[test]
-fn an_owner_that_is_asked_all_the_time_lets_through_most_of_what_the_server_bears() {
-    let mut world = World::new(20.0, Sabotage::Nothing);
+fn steady_owner_grants_most_of_the_limit() {
+    let mut world = World::new(20.0, Sabotage::None);
     for _ in 0..100 {
         world.confirm(0, 3, 3);
         world.wait(100);
--- a/crates/gateway/tests/gateway/cold.rs
+++ b/crates/gateway/tests/gateway/cold.rs
@@ -1,4 +1,4 @@
-//! Cold servers: what arrives there through all gateways together, what becomes of the rest.
+//! Cold servers: the request rate over all gateways together, and the responses to other requests.
 
 use crate::support::{Act, CONFIG, Gateway, Reply, Server, World, config, run};
 use fieldhook_emulator::log::memory::LogFault;
@@ -10,18 +10,18 @@
 use tokio::time::{Instant, sleep};
 
 const RATE_PER_S: f64 = 20.0;
-/// By the sheet: 1.5 times of what it bears and 5.
-const MOST_IN_A_SECOND: usize = 35;
+/// With the tolerance of these tests: 1.5 times the rate, and 5.
+const MAX_IN_A_SECOND: usize = 35;
 const SECOND: Duration = Duration::from_secs(1);
-const AT_ONCE: Duration = Duration::from_millis(250);
+const REFUSAL_LIMIT: Duration = Duration::from_millis(250);
 /// Longer than a test.
 const COLD_MS: u64 = 60_000;
 
-fn yes() -> Act {
+fn ok() -> Act {
     Act::Answer(200, "yes".to_owned())
 }
 
-async fn world_of(rate_per_s: f64, lasts_ms: u64) -> World {
+async fn world_with_cold(rate_per_s: f64, lasts_ms: u64) -> World {
     let world = World::new().await;
     let mut config = config(1);
     config.services[0].cold = Some(ColdLimit {
@@ -46,46 +46,50 @@
         gateway.wait_ready(servers).await;
         gateways.push(Rc::new(gateway));
     }
-    // Until every partition has its owner.
+    // Wait until every partition has an owner.
     sleep(Duration::from_millis(900)).await;
     gateways
 }
 
-/// What one request got, and how long it took.
+/// The response to one request, and how long it took.
 struct Outcome {
     reply: Reply,
     took: Duration,
 }
 
-/// Sends requests through a gateway at an even pace, whatever becomes of them.
-async fn flood(gateway: Rc<Gateway>, name: String, count: usize, pause: Duration) -> Vec<Outcome> {
-    let mut under_way = Vec::new();
+/// Sends requests through a gateway at a constant rate without waiting for responses.
+async fn send_steadily(
+    gateway: Rc<Gateway>,
+    name: String,
+    count: usize,
+    pause: Duration,
+) -> Vec<Outcome> {
+    let mut requests = Vec::new();
     for number in 0..count {
         let (gateway, id) = (gateway.clone(), format!("{name}-{number}"));
-        under_way.push(ntex::rt::spawn(async move {
-            let begun = Instant::now();
+        requests.push(ntex::rt::spawn(async move {
+            let started = Instant::now();
             let fields = format!("Request: {id}\r\n");
             let reply = gateway.ask("POST", "/unsafe/1", &fields, "").await;
-            let took = begun.elapsed();
+            let took = started.elapsed();
             Outcome { reply, took }
         }));
         sleep(pause).await;
     }
-    let ended = join_all(under_way).await;
+    let ended = join_all(requests).await;
     ended.into_iter().map(|end| end.expect("ends")).collect()
 }
 
-/// Floods through all gateways at once.
-async fn flood_all(gateways: &[Rc<Gateway>], count: usize, pause: Duration) -> Vec<Outcome> {
-    let floods = gateways
-        .iter()
-        .enumerate()
-        .map(|(number, gateway)| flood(gateway.clone(), format!("r{number}"), count, pause));
-    join_all(floods).await.into_iter().flatten().collect()
+/// Sends requests through all gateways at the same time.
+async fn send_through_all(gateways: &[Rc<Gateway>], count: usize, pause: Duration) -> Vec<Outcome> {
+    let sends = gateways.iter().enumerate().map(|(number, gateway)| {
+        send_steadily(gateway.clone(), format!("r{number}"), count, pause)
+    });
+    join_all(sends).await.into_iter().flatten().collect()
 }
 
-/// The most requests that arrived within one second.
-fn most_in_a_second(server: &Server) -> usize {
+/// Returns the maximum number of requests that arrived within one second.
+fn max_in_a_second(server: &Server) -> usize {
     let seen = server.seen.borrow();
     let windows = seen.iter().map(|first| {
         let of_window = seen
@@ -103,20 +107,20 @@
     of_status.count()
 }
 
-/// What is not served is refused at once, with a time.
+/// Checks that requests that were not served were refused at once, with a retry time.
 fn assert_refused_at_once(outcomes: &[Outcome]) {
     for outcome in outcomes {
         let status = outcome.reply.head.status;
         assert!(status == 200 || status == 503, "{status}");
         if status == 503 {
-            assert!(outcome.took < AT_ONCE, "{:?}", outcome.took);
+            assert!(outcome.took < REFUSAL_LIMIT, "{:?}", outcome.took);
             let time = outcome.reply.head.headers.text("come-back-ms");
             assert!(time.is_some_and(|time| time != "0"), "{time:?}");
         }
     }
 }
 
-/// The gateway that counts for a server, and the others.
+/// Moves the gateway that owns the partition of a server to the front.
 fn owner_first(mut gateways: Vec<Rc<Gateway>>, server: &str) -> Vec<Rc<Gateway>> {
     let partition = fieldhook_ledger::partition_of(server, 2);
     let is_owner = |gateway: &Rc<Gateway>| {
@@ -130,16 +134,16 @@
 }
 
 #[test]
-fn where_all_servers_are_cold_service_goes_on_at_their_rate() {
+fn requests_are_served_at_the_cold_rate_if_all_servers_are_cold() {
     run(async {
-        let server = Server::start("s1", yes()).await;
-        let world = world_of(RATE_PER_S, COLD_MS).await;
+        let server = Server::start("s1", ok()).await;
+        let world = world_with_cold(RATE_PER_S, COLD_MS).await;
         world.list_cold(&server, COLD_MS).await;
         let gateways = gateways(&world, 3, 1).await;
-        let outcomes = flood_all(&gateways, 150, Duration::from_millis(20)).await;
-        let most = most_in_a_second(&server);
-        assert!(most <= MOST_IN_A_SECOND, "{most} in a second");
-        // Three seconds at three quarters of its rate, and what goes out at once.
+        let outcomes = send_through_all(&gateways, 150, Duration::from_millis(20)).await;
+        let max = max_in_a_second(&server);
+        assert!(max <= MAX_IN_A_SECOND, "{max} in a second");
+        // Three seconds at three quarters of the rate, and an initial burst.
         let served = count(&outcomes, 200);
         assert!((35..=70).contains(&served), "{served} served");
         assert_eq!(served, server.count());
@@ -148,10 +152,10 @@
 }
 
 #[test]
-fn a_lost_owner_and_its_successor_keep_the_bound_together() {
+fn stopped_owner_and_its_successor_share_the_limit() {
     run(async {
-        let server = Server::start("s1", yes()).await;
-        let world = world_of(RATE_PER_S, COLD_MS).await;
+        let server = Server::start("s1", ok()).await;
+        let world = world_with_cold(RATE_PER_S, COLD_MS).await;
         world.list_cold(&server, COLD_MS).await;
         let gateways = owner_first(gateways(&world, 3, 1).await, "s1");
         let owner = gateways[0].clone();
@@ -159,17 +163,17 @@
             sleep(Duration::from_millis(1_000)).await;
             fieldhook_gateway::drain::run(owner.daemon.clone()).await;
         });
-        let outcomes = flood_all(&gateways[1..], 300, Duration::from_millis(10)).await;
-        let most = most_in_a_second(&server);
-        assert!(most <= MOST_IN_A_SECOND, "{most} in a second");
-        // A successor grants as well.
+        let outcomes = send_through_all(&gateways[1..], 300, Duration::from_millis(10)).await;
+        let max = max_in_a_second(&server);
+        assert!(max <= MAX_IN_A_SECOND, "{max} in a second");
+        // The new owner grants permits as well.
         let after = arrived_after(&server, 1_800);
         assert!(after > 5, "{after} after the change");
         assert_refused_at_once(&outcomes);
     });
 }
 
-/// Requests that arrived so long after the first, in milliseconds.
+/// Counts the requests that arrived `after_ms` or more after the first.
 fn arrived_after(server: &Server, after_ms: u64) -> usize {
     let seen = server.seen.borrow();
     let from = seen[0].at + Duration::from_millis(after_ms);
@@ -177,10 +181,10 @@
 }
 
 #[test]
-fn an_owner_that_is_cut_off_the_log_grants_nothing_beside_its_successor() {
+fn owner_cut_off_from_the_log_stops_granting_permits() {
     run(async {
-        let server = Server::start("s1", yes()).await;
-        let world = world_of(RATE_PER_S, COLD_MS).await;
+        let server = Server::start("s1", ok()).await;
+        let world = world_with_cold(RATE_PER_S, COLD_MS).await;
         world.list_cold(&server, COLD_MS).await;
         let gateways = owner_first(gateways(&world, 3, 1).await, "s1");
         let owner = gateways[0].clone();
@@ -188,10 +192,10 @@
             sleep(Duration::from_millis(700)).await;
             owner.store.set_fault(LogFault::Silent);
         });
-        // Those who come through the owner ask itself all the time, whatever others know.
-        let outcomes = flood_all(&gateways, 450, Duration::from_millis(10)).await;
-        let most = most_in_a_second(&server);
-        assert!(most <= MOST_IN_A_SECOND, "{most} in a second");
+        // Requests through the old owner keep asking it, whatever the other gateways know.
+        let outcomes = send_through_all(&gateways, 450, Duration::from_millis(10)).await;
+        let max = max_in_a_second(&server);
+        assert!(max <= MAX_IN_A_SECOND, "{max} in a second");
         let after = arrived_after(&server, 3_200);
         assert!(after > 5, "{after} after the change");
         assert_refused_at_once(&outcomes);
@@ -199,42 +203,42 @@
 }
 
 #[test]
-fn two_who_both_believe_to_be_the_owner_do_not_grant_side_by_side() {
+fn two_gateways_that_claim_ownership_do_not_both_grant_permits() {
     run(async {
-        let server = Server::start("s1", yes()).await;
-        let world = world_of(RATE_PER_S, COLD_MS).await;
+        let server = Server::start("s1", ok()).await;
+        let world = world_with_cold(RATE_PER_S, COLD_MS).await;
         world.list_cold(&server, COLD_MS).await;
         let gateways = owner_first(gateways(&world, 2, 1).await, "s1");
         let (owner, other) = (gateways[0].clone(), gateways[1].clone());
         ntex::rt::spawn(async move {
             sleep(Duration::from_millis(700)).await;
-            // The former owner does not hear of the claim.
+            // The old owner does not learn of the claim.
             owner.store.set_fault(LogFault::Silent);
             let claims = &other.daemon.owner.claims;
             let partition = other.daemon.ledger.partition_of("s1");
             let epoch = claims.claim(partition).map(|claim| claim.epoch);
             claims.take_over(partition, epoch).await.expect("claimed");
         });
-        flood_all(&gateways, 300, Duration::from_millis(10)).await;
-        let most = most_in_a_second(&server);
-        assert!(most as f64 <= RATE_PER_S, "{most} in a second");
+        send_through_all(&gateways, 300, Duration::from_millis(10)).await;
+        let max = max_in_a_second(&server);
+        assert!(max as f64 <= RATE_PER_S, "{max} in a second");
         let after = arrived_after(&server, 1_800);
         assert!(after > 5, "{after} after the change");
     });
 }
 
 #[test]
-fn while_the_log_answers_nobody_a_cold_server_gets_nothing() {
+fn cold_server_gets_no_requests_during_a_log_outage() {
     run(async {
-        let server = Server::start("s1", yes()).await;
-        let world = world_of(RATE_PER_S, COLD_MS).await;
+        let server = Server::start("s1", ok()).await;
+        let world = world_with_cold(RATE_PER_S, COLD_MS).await;
         world.list_cold(&server, COLD_MS).await;
         let gateways = gateways(&world, 2, 1).await;
         for gateway in &gateways {
             gateway.store.set_fault(LogFault::Silent);
         }
         sleep(Duration::from_millis(500)).await;
-        let outcomes = flood_all(&gateways, 20, Duration::from_millis(20)).await;
+        let outcomes = send_through_all(&gateways, 20, Duration::from_millis(20)).await;
         assert_eq!(count(&outcomes, 503), 40);
         assert_eq!(server.count(), 0);
         assert_refused_at_once(&outcomes);
@@ -242,62 +246,62 @@
 }
 
 #[test]
-fn warm_servers_go_first_and_a_denial_is_no_attempt() {
+fn warm_servers_are_preferred_and_a_denied_permit_is_not_an_attempt() {
     run(async {
-        let cold = Server::start("cold", yes()).await;
+        let cold = Server::start("cold", ok()).await;
         let full = Server::start("full", Act::NotRun).await;
-        let world = world_of(2.0, COLD_MS).await;
+        let world = world_with_cold(2.0, COLD_MS).await;
         world.list_cold(&cold, COLD_MS).await;
         world.list(&full).await;
         let gateways = gateways(&world, 2, 2).await;
-        full.set(yes());
-        let outcomes = flood_all(&gateways, 40, Duration::from_millis(10)).await;
+        full.set(ok());
+        let outcomes = send_through_all(&gateways, 40, Duration::from_millis(10)).await;
         assert_eq!(count(&outcomes, 200), 80);
         assert_eq!(cold.count(), 0);
         assert_eq!(full.count(), 80);
-        // Where the warm one has no place the cold one gets what it bears, and a request
-        // that is denied there waits for the warm one as before.
+        // With the warm server full, the cold one gets requests up to its limit. A request that is
+        // denied there waits for the warm server.
         full.set(Act::NotRun);
         let refilled = full.shared_act();
         ntex::rt::spawn(async move {
             sleep(Duration::from_millis(150)).await;
-            refilled.replace(yes());
+            refilled.replace(ok());
         });
-        let outcomes = flood_all(&gateways[..1], 10, Duration::from_millis(5)).await;
+        let outcomes = send_through_all(&gateways[..1], 10, Duration::from_millis(5)).await;
         assert_eq!(count(&outcomes, 200), 10);
         assert!((1..=4).contains(&cold.count()), "{}", cold.count());
     });
 }
 
 #[test]
-fn servers_of_a_zone_that_takes_part_again_count_as_cold() {
+fn servers_of_a_reopened_zone_are_cold() {
     run(async {
-        let server = Server::start("s1", yes()).await;
-        let world = world_of(RATE_PER_S, 1_500).await;
+        let server = Server::start("s1", ok()).await;
+        let world = world_with_cold(RATE_PER_S, 1_500).await;
         world.list_in(&server, "z2").await;
         let gateways = gateways(&world, 2, 1).await;
-        // Those that exist when a gateway starts are warm unless they say so.
+        // Servers that exist when a gateway starts are warm unless they report to be cold.
         sleep(Duration::from_millis(700)).await;
         world.put(CONFIG, "closed/z2", "1").await;
         sleep(Duration::from_millis(300)).await;
-        let closed = flood_all(&gateways, 1, Duration::ZERO).await;
+        let closed = send_through_all(&gateways, 1, Duration::ZERO).await;
         assert_eq!(count(&closed, 503), 2);
         world.put(CONFIG, "closed/z2", "").await;
         sleep(Duration::from_millis(300)).await;
-        let outcomes = flood_all(&gateways, 50, Duration::from_millis(10)).await;
+        let outcomes = send_through_all(&gateways, 50, Duration::from_millis(10)).await;
         let served = count(&outcomes, 200);
         assert!((5..=20).contains(&served), "{served} served");
         sleep(Duration::from_millis(1_500)).await;
-        let outcomes = flood_all(&gateways, 50, Duration::from_millis(10)).await;
+        let outcomes = send_through_all(&gateways, 50, Duration::from_millis(10)).await;
         assert_eq!(count(&outcomes, 200), 100);
     });
 }
 
 #[test]
-fn a_server_that_took_no_connections_is_taken_for_cold_when_it_does_again() {
+fn server_is_cold_after_it_was_unreachable() {
     run(async {
-        let server = Server::start("s1", yes()).await;
-        let world = world_of(2.0, COLD_MS).await;
+        let server = Server::start("s1", ok()).await;
+        let world = world_with_cold(2.0, COLD_MS).await;
         world.list(&server).await;
         let gateways = gateways(&world, 1, 1).await;
         let directory = gateways[0].daemon.directory.clone();
@@ -306,16 +310,16 @@
         assert_eq!(cold.cold_limits(&entry), None);
         cold.record_unreachable(&entry);
         assert!(cold.cold_limits(&entry).is_some());
-        let outcomes = flood_all(&gateways, 40, Duration::from_millis(30)).await;
+        let outcomes = send_through_all(&gateways, 40, Duration::from_millis(30)).await;
         let served = count(&outcomes, 200);
-        let permits = permits(&gateways[0]);
+        let permits = permit_metrics(&gateways[0]);
         assert!((1..=3).contains(&served), "{served} served, {permits}");
         assert_refused_at_once(&outcomes);
     });
 }
 
-/// What became of a gateway's questions.
-fn permits(gateway: &Gateway) -> String {
+/// Returns a gateway's metrics of permit requests.
+fn permit_metrics(gateway: &Gateway) -> String {
     let text = gateway.daemon.metrics.text();
     let lines = text.lines().filter(|line| line.contains("cold_permits"));
     lines.collect::<Vec<_>>().join("; ")
--- a/crates/gateway/tests/gateway/room.rs
+++ b/crates/gateway/tests/gateway/log_storage.rs
@@ -1,23 +1,23 @@
-//! Room on the log: what is kept takes it once, whatever was appended.
+//! Storage used on the log: each kept turn is stored once.
 
 use crate::support::{Act, Server, World, run};
 
-/// Bytes of a turn's input; the tests' configuration takes 10,000.
-const INPUT: usize = 9_900;
-/// Turns, each of a program of its own: 4.95 MB are kept in the end.
+/// Size of a turn's input in bytes. The test configuration allows 10,000.
+const INPUT_BYTES: usize = 9_900;
+/// Number of turns, each of its own program. Together they take 4.95 MB.
 const TURNS: usize = 500;
-/// The turns and 3.5 MB: history of two partitions, and what is on its way. Counted twice, the
-/// turns would take 9.9 MB.
-const ROOM: usize = TURNS * INPUT + 3_500_000;
+/// Capacity of the log: the turns and 3.5 MB for the history of two partitions and appends in
+/// progress. If turns were stored twice, they would take 9.9 MB.
+const LOG_CAPACITY: usize = TURNS * INPUT_BYTES + 3_500_000;
 
 #[test]
-fn turns_that_are_kept_take_their_room_on_the_log_once() {
+fn kept_turns_are_stored_on_the_log_once() {
     run(async {
         let server = Server::start("s1", Act::Events(vec!["one".to_owned()], None)).await;
         let world = World::new().await;
-        world.log.core.borrow_mut().set_room(ROOM);
+        world.log.core.borrow_mut().set_room(LOG_CAPACITY);
         let gateway = world.ready(&[&server]).await;
-        let input = "x".repeat(INPUT);
+        let input = "x".repeat(INPUT_BYTES);
         for number in 0..TURNS {
             let fields = format!("Request: t{number}\r\nProgram: p{number}\r\n");
             let reply = gateway.ask("POST", "/chat/1", &fields, &input).await;
--- a/crates/gateway/tests/gateway/main.rs
+++ b/crates/gateway/tests/gateway/main.rs
@@ -1,5 +1,5 @@
-//! The gateway with a log in memory, an adapter of its own spelling, and stand-ins of
-//! servers on loopback.
+//! Tests of the gateway with an in-memory log, a test dialect, and stand-in servers on the loopback
+//! interface.
 
 mod abandoned_turns;
 mod budget_after_owner_loss;
@@ -12,12 +12,12 @@
 mod input;
 mod keep_alive;
 mod limits;
+mod log_storage;
 mod outage;
 mod ownership;
 mod peers;
 mod readers;
 mod relay;
-mod room;
 mod slow_peers;
 mod store;
 mod support;
--- a/crates/gateway/tests/gateway/peers.rs
+++ b/crates/gateway/tests/gateway/peers.rs
@@ -1,4 +1,4 @@
-//! Connections between daemons: no more than are used, and none that nobody waits on.
+//! Connections between daemons: they are shared, and closed once nobody waits on them.
 
 use crate::support::run;
 use fieldhook_gateway::ledger::peer::Peers;
@@ -13,18 +13,18 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, sleep};
 
-const ASKERS: usize = 8;
-/// Pause after which the stand-in answers, where it does.
-const ANSWERS_AFTER: Duration = Duration::from_millis(150);
+const CONCURRENT: usize = 8;
+/// Delay before the stand-in replies.
+const REPLY_DELAY: Duration = Duration::from_millis(150);
 
-/// A daemon that accepts, and answers the first question on each connection or none.
+/// A daemon that accepts connections and either replies to requests or stays silent.
 struct StandIn {
     address: SocketAddr,
     open: Rc<Cell<usize>>,
 }
 
 impl StandIn {
-    async fn start(answers: bool) -> Self {
+    async fn start(replies: bool) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("binds");
         let stand_in = Self {
             address: listener.local_addr().expect("an address"),
@@ -36,7 +36,7 @@
                 let open = open.clone();
                 open.set(open.get() + 1);
                 ntex::rt::spawn(async move {
-                    serve(stream, answers).await;
+                    serve(stream, replies).await;
                     open.set(open.get() - 1);
                 });
             }
@@ -44,7 +44,7 @@
         stand_in
     }
 
-    /// Waits until so many connections are open.
+    /// Waits until `count` connections are open.
     async fn wait_open(&self, count: usize) {
         let until = Instant::now() + Duration::from_secs(3);
         while self.open.get() != count {
@@ -54,11 +54,11 @@
     }
 }
 
-async fn serve(mut stream: TcpStream, answers: bool) {
+async fn serve(mut stream: TcpStream, replies: bool) {
     let mut read = [0; 1 << 10];
     while stream.read(&mut read).await.is_ok_and(|size| size > 0) {
-        if answers {
-            sleep(ANSWERS_AFTER).await;
+        if replies {
+            sleep(REPLY_DELAY).await;
             let body = LedgerReply::LogContact(true);
             let body = Envelope { call_id: 0, body }.serialize_bin();
             let mut frame = (body.len() as u32).to_be_bytes().to_vec();
@@ -68,25 +68,25 @@
     }
 }
 
-/// A partition has a new owner, and many requests wait for it.
+/// When a partition gets a new owner, many requests connect to it at the same moment.
 #[test]
-fn those_who_ask_at_the_same_moment_share_a_connection() {
+fn concurrent_requests_share_one_connection() {
     run(async {
         let daemon = StandIn::start(false).await;
         let peers = Peers::default();
-        let asked = (0..ASKERS).map(|_| peers.connection(daemon.address));
-        let connections = join_all(asked).await;
+        let requests = (0..CONCURRENT).map(|_| peers.connection(daemon.address));
+        let connections = join_all(requests).await;
         let first = connections[0].as_ref().expect("connects");
         for connection in &connections {
             let connection = connection.as_ref().expect("connects");
-            assert!(Rc::ptr_eq(first, connection), "two are in use");
+            assert!(Rc::ptr_eq(first, connection), "two connections are open");
         }
         daemon.wait_open(1).await;
     });
 }
 
 #[test]
-fn a_connection_that_was_given_up_ends_with_the_last_who_waits() {
+fn discarded_connection_closes_after_the_last_pending_reply() {
     run(async {
         let daemon = StandIn::start(true).await;
         let peers = Peers::default();
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn who_left_keeps_no_connection_to_a_silent_daemon_open() {
+fn connection_to_a_silent_daemon_closes_when_its_last_waiter_leaves() {
     run(async {
         let daemon = StandIn::start(false).await;
         let peers = Peers::default();
@@ -110,7 +110,7 @@
         peers.discard(daemon.address);
         daemon.wait_open(1).await;
         sleep(Duration::from_millis(100)).await;
-        assert_eq!(daemon.open.get(), 1, "somebody waits");
+        assert_eq!(daemon.open.get(), 1, "closed while a reply is awaited");
         drop(replies);
         daemon.wait_open(0).await;
     });
--- a/crates/gateway/tests/gateway/readers.rs
+++ b/crates/gateway/tests/gateway/readers.rs
@@ -1,4 +1,4 @@
-//! Reads of the followed topics: few, and none later than the bounds allow.
+//! Long polls of the followed topics: few calls, and changes arrive within the bounds.
 
 use crate::support::{Act, CONFIG, SERVERS, Server, World, config, run};
 use fieldhook_gateway::follow::long_poll;
@@ -13,13 +13,13 @@
 }
 
 #[test]
-fn a_read_on_a_silent_connection_is_made_up_for_before_the_daemon_owes_anything() {
+fn read_on_a_silent_connection_is_repeated_within_the_bound() {
     for contact_ms in 1_700..8_000 {
         for pause_ms in [0, 150] {
             let (contact, pause) = (ms(contact_ms), ms(pause_ms));
             let wait = long_poll::max_wait(contact, pause);
             let made_up = pause + wait + READ_MARGIN + RESUME_DELAY;
-            // On any sheet on which a wait worth the call leaves room for it.
+            // Only if the bound leaves time for the minimum wait of a long poll.
             let has_room = contact >= pause + ms(500) + READ_MARGIN + RESUME_DELAY;
             assert!(!has_room || made_up <= contact, "{contact_ms} {pause_ms}");
         }
@@ -29,9 +29,9 @@
     assert_eq!(long_poll::max_wait(ms(60_000), ms(0)), ms(30_000));
 }
 
-/// Connections fall silent at some moment of the reads; configuration, evacuation and a
-/// leaving server are told right behind that.
-async fn silenced_at(phase: Duration) {
+/// Silences the connections `phase` after a read began, and then changes the configuration,
+/// evacuates a zone and drains a server.
+async fn assert_applied_when_silenced_at(phase: Duration) {
     let server = Server::start("s1", Act::Answer(200, "yes".to_owned())).await;
     let world = World::new().await;
     world.bounds.set(Bounds {
@@ -65,16 +65,16 @@
 }
 
 #[test]
-fn what_came_while_connections_were_silent_is_in_force_in_time() {
+fn changes_during_silent_connections_are_applied_in_time() {
     run(async {
         let phases = [0, 150, 600, 1_200, 1_850, 2_100];
-        join_all(phases.map(|phase| silenced_at(ms(phase)))).await;
+        join_all(phases.map(|phase| assert_applied_when_silenced_at(ms(phase)))).await;
     });
 }
 
-/// Three reads wait at any time, of at most the lengths above.
+/// Three long polls are pending at any time, with at most the waits checked above.
 #[test]
-fn quiet_topics_cost_few_calls() {
+fn idle_topics_cost_few_calls() {
     run(async {
         let server = Server::start("s1", Act::Answer(200, "yes".to_owned())).await;
         let world = World::new().await;
@@ -87,8 +87,8 @@
         let before = gateway.store.calls.get();
         sleep(ms(6_100)).await;
         let calls = gateway.store.calls.get() - before;
-        // Two reads of 2.9 s, two of 2.75 s and a pause, one of 6 s, and one more of each
-        // that the time may cut.
+        // Two reads of 2.9 s, two of 2.75 s and a pause, one of 6 s, and one more of each that
+        // the interval may cut off.
         assert!(calls <= 8, "{calls} calls");
     });
 }
--- a/crates/gateway/tests/gateway/relay.rs
+++ b/crates/gateway/tests/gateway/relay.rs
@@ -1,22 +1,22 @@
-//! Followed topics read through a few daemons of each zone: what all of them ask of the log
-//! does not grow with them, and nobody knows anything later than it may.
+//! Followed topics read through a few reader daemons of each zone: the number of calls to the log
+//! does not grow with the number of daemons, and changes still arrive in time.
 
 use crate::support::{Act, Gateway, SERVERS, Server, World, config, run};
 use fieldhook_emulator::log::memory::LogFault;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// More than a topic has that all daemons read by themselves.
-const MANY: usize = 2_400;
+/// Number of servers at which daemons read through readers from their start.
+const MANY_SERVERS: usize = 2_400;
 
 fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
 }
 
-/// A log with thousands of servers, one of which answers.
+/// Creates a log with thousands of servers, one of which works.
 async fn large_world() -> (World, Server) {
     let world = World::new().await;
-    for number in 0..MANY {
+    for number in 0..MANY_SERVERS {
         let name = format!("e{number:05}");
         world.put(SERVERS, &name, "other 127.0.0.1:9").await;
     }
@@ -25,8 +25,9 @@
     (world, server)
 }
 
-/// Gateways of a zone of which all that may have become readers.
-async fn settled(world: &World, count: usize) -> Vec<Gateway> {
+/// Starts gateways in one zone and waits until both reader slots are taken and all gateways know all
+/// servers.
+async fn start_with_readers(world: &World, count: usize) -> Vec<Gateway> {
     let mut gateways = Vec::new();
     for number in 0..count {
         gateways.push(world.gateway(&format!("g{number}")).await);
@@ -36,11 +37,13 @@
         let readers = gateways.iter().filter(|one| one.daemon.relay.is_reader());
         readers.count()
     };
-    let know_all = |gateways: &[Gateway]| {
+    let all_ready = |gateways: &[Gateway]| {
         let mut all = gateways.iter();
-        all.all(|one| one.daemon.is_ready() && one.daemon.directory.borrow().len() == MANY + 1)
+        all.all(|one| {
+            one.daemon.is_ready() && one.daemon.directory.borrow().len() == MANY_SERVERS + 1
+        })
     };
-    while readers(&gateways) < 2 || !know_all(&gateways) {
+    while readers(&gateways) < 2 || !all_ready(&gateways) {
         assert!(Instant::now() < until, "{} readers", readers(&gateways));
         sleep(ms(20)).await;
     }
@@ -52,13 +55,13 @@
     gateways.into_iter().partition(is_reader)
 }
 
-async fn wait_for(what: &str, limit: Duration, is_so: impl Fn() -> bool) {
-    let begun = Instant::now();
-    while !is_so() {
+async fn wait_for(what: &str, limit: Duration, condition: impl Fn() -> bool) {
+    let started = Instant::now();
+    while !condition() {
         assert!(
-            begun.elapsed() < limit,
+            started.elapsed() < limit,
             "{what} after {:?}",
-            begun.elapsed()
+            started.elapsed()
         );
         sleep(ms(5)).await;
     }
@@ -70,48 +73,49 @@
 }
 
 #[test]
-fn few_daemons_read_the_log_and_all_know_what_they_read() {
+fn only_readers_call_the_log_and_all_daemons_learn_of_changes() {
     run(async {
         let (world, server) = large_world().await;
-        let (readers, askers) = split(settled(&world, 6).await);
-        assert_eq!((readers.len(), askers.len()), (2, 4));
-        let before: Vec<u64> = askers.iter().map(|one| one.store.calls.get()).collect();
+        let (readers, others) = split(start_with_readers(&world, 6).await);
+        assert_eq!((readers.len(), others.len()), (2, 4));
+        let before: Vec<u64> = others.iter().map(|one| one.store.calls.get()).collect();
         world.configs.borrow_mut().push(config(2));
         world.publish(1).await;
         let leaving = format!("service {} draining", server.address);
         world.put(SERVERS, "s1", &leaving).await;
-        wait_for("not all know", ms(700), || {
-            let mut all = readers.iter().chain(&askers);
+        wait_for("a daemon missed a change", ms(700), || {
+            let mut all = readers.iter().chain(&others);
             all.all(|one| {
                 version(one) == Some(2) && !one.daemon.directory.borrow().accepts_work("s1")
             })
         })
         .await;
         sleep(ms(3_000)).await;
-        for (asker, before) in askers.iter().zip(before) {
-            let calls = asker.store.calls.get() - before;
-            assert_eq!(calls, 0, "an asker called the log");
+        for (other, before) in others.iter().zip(before) {
+            let calls = other.store.calls.get() - before;
+            assert_eq!(calls, 0, "a daemon other than the readers called the log");
         }
     });
 }
 
-/// Six pages of servers and the configuration were read by each.
+/// A starting daemon must read its listings from a reader. It used to read six pages of servers and
+/// the configuration from the log.
 #[test]
-fn a_daemon_that_starts_costs_the_log_two_calls() {
+fn starting_daemon_makes_two_log_calls() {
     run(async {
         let (world, _server) = large_world().await;
-        let _gateways = settled(&world, 3).await;
+        let _gateways = start_with_readers(&world, 3).await;
         for number in 0..3 {
             let late = world.gateway(&format!("late{number}")).await;
-            late.wait_ready(MANY + 1).await;
+            late.wait_ready(MANY_SERVERS + 1).await;
             assert!(late.store.calls.get() <= 2, "{}", late.store.calls.get());
         }
     });
 }
 
-/// All servers of a fleet start with it, and come one by one.
+/// The servers of a fleet start together with it, so their number grows while daemons run.
 #[test]
-fn daemons_turn_to_readers_once_servers_are_many() {
+fn daemons_switch_to_readers_when_servers_become_many() {
     run(async {
         let server = Server::start("s1", Act::Answer(200, "yes".to_owned())).await;
         let world = World::new().await;
@@ -133,7 +137,7 @@
         let third = world.gateway("third").await;
         third.wait_ready(501).await;
         assert!(third.store.calls.get() <= 2, "{}", third.store.calls.get());
-        wait_for("not all know", ms(500), || {
+        wait_for("a daemon missed a change", ms(500), || {
             let all = [&gateway, &late, &third];
             all.iter().all(|one| version(one) == Some(2))
         })
@@ -142,7 +146,7 @@
 }
 
 #[test]
-fn few_servers_are_read_by_each_daemon_itself() {
+fn daemons_read_the_log_themselves_with_few_servers() {
     run(async {
         let server = Server::start("s1", Act::Answer(200, "yes".to_owned())).await;
         let world = World::new().await;
@@ -152,76 +156,77 @@
     });
 }
 
-/// What an asker knows after something befell the readers, and how soon.
-async fn still_knows(strike: impl Fn(&[Gateway]), limit: Duration) {
+/// Applies a fault to the readers and checks that the other daemons learn of changes within `limit`.
+async fn assert_learns_despite(fault: impl Fn(&[Gateway]), limit: Duration) {
     let (world, server) = large_world().await;
-    let (readers, askers) = split(settled(&world, 4).await);
-    strike(&readers);
+    let (readers, others) = split(start_with_readers(&world, 4).await);
+    fault(&readers);
     world.configs.borrow_mut().push(config(2));
     world.publish(1).await;
     let leaving = format!("service {} draining", server.address);
     world.put(SERVERS, "s1", &leaving).await;
-    wait_for("an asker does not know", limit, || {
-        askers
+    wait_for("a daemon missed a change", limit, || {
+        others
             .iter()
             .all(|one| version(one) == Some(2) && !one.daemon.directory.borrow().accepts_work("s1"))
     })
     .await;
 }
 
-/// The smallest time of any sheet in which a change has to be in force.
-const IN_FORCE: Duration = Duration::from_millis(2_000);
+/// The shortest time of any deployment within which a change must take effect.
+const CHANGE_BOUND: Duration = Duration::from_millis(2_000);
 
 #[test]
-fn askers_know_in_time_while_the_log_is_silent_to_one_reader() {
-    run(still_knows(
+fn changes_arrive_in_time_while_the_log_is_silent_to_one_reader() {
+    run(assert_learns_despite(
         |readers| readers[0].store.set_fault(LogFault::Silent),
-        IN_FORCE,
+        CHANGE_BOUND,
     ));
 }
 
 #[test]
-fn askers_know_in_time_while_the_log_refuses_both_readers() {
-    run(still_knows(
+fn changes_arrive_in_time_while_the_log_refuses_both_readers() {
+    run(assert_learns_despite(
         |readers| {
             for reader in readers {
                 reader.store.set_fault(LogFault::Busy);
             }
         },
-        IN_FORCE,
+        CHANGE_BOUND,
     ));
 }
 
 #[test]
-fn askers_know_in_time_while_the_log_is_silent_to_both_readers() {
-    run(still_knows(
+fn changes_arrive_in_time_while_the_log_is_silent_to_both_readers() {
+    run(assert_learns_despite(
         |readers| {
             for reader in readers {
                 reader.store.set_fault(LogFault::Silent);
             }
         },
-        IN_FORCE,
+        CHANGE_BOUND,
     ));
 }
 
 #[test]
-fn askers_know_in_time_once_both_readers_are_lost() {
-    run(still_knows(
+fn changes_arrive_in_time_after_both_readers_are_lost() {
+    run(assert_learns_despite(
         |readers| {
             for reader in readers {
                 reader.daemon.relay.stop_serving();
             }
         },
-        IN_FORCE,
+        CHANGE_BOUND,
     ));
 }
 
-/// It asked the other reader, heard nothing new, and asked the log again at once.
+/// Guards against a busy loop: the reader asked the other reader, got no new records, and called the
+/// log again at once.
 #[test]
-fn a_reader_that_the_log_refuses_pauses_between_its_reads() {
+fn refused_reader_pauses_between_its_reads() {
     run(async {
         let (world, _server) = large_world().await;
-        let (readers, _askers) = split(settled(&world, 3).await);
+        let (readers, _askers) = split(start_with_readers(&world, 3).await);
         readers[0].store.set_fault(LogFault::Busy);
         let before = readers[0].store.calls.get();
         sleep(ms(2_000)).await;
@@ -231,58 +236,58 @@
 }
 
 #[test]
-fn a_daemon_that_the_log_refuses_goes_on_knowing() {
+fn refused_daemon_still_learns_of_changes() {
     run(async {
         let (world, server) = large_world().await;
-        let (_readers, askers) = split(settled(&world, 4).await);
-        for asker in &askers {
-            asker.store.set_fault(LogFault::Busy);
+        let (_readers, others) = split(start_with_readers(&world, 4).await);
+        for other in &others {
+            other.store.set_fault(LogFault::Busy);
         }
         let leaving = format!("service {} draining", server.address);
         world.put(SERVERS, "s1", &leaving).await;
-        wait_for("a refused one does not know", ms(700), || {
-            let mut all = askers.iter();
+        wait_for("a refused daemon missed a change", ms(700), || {
+            let mut all = others.iter();
             all.all(|one| !one.daemon.directory.borrow().accepts_work("s1"))
         })
         .await;
-        assert!(askers.iter().all(|one| one.daemon.is_ready()));
+        assert!(others.iter().all(|one| one.daemon.is_ready()));
     });
 }
 
 #[test]
-fn the_places_of_lost_readers_are_taken() {
+fn slots_of_lost_readers_are_claimed() {
     run(async {
         let (world, _server) = large_world().await;
-        let (readers, askers) = split(settled(&world, 4).await);
+        let (readers, others) = split(start_with_readers(&world, 4).await);
         for reader in &readers {
             reader.daemon.relay.stop_serving();
         }
-        wait_for("no other reads", ms(9_000), || {
-            askers.iter().any(|one| one.daemon.relay.is_reader())
+        wait_for("no slot was claimed", ms(9_000), || {
+            others.iter().any(|one| one.daemon.relay.is_reader())
         })
         .await;
         let late = world.gateway("late").await;
-        late.wait_ready(MANY + 1).await;
+        late.wait_ready(MANY_SERVERS + 1).await;
     });
 }
 
 #[test]
-fn a_forgotten_history_is_listed_by_readers_alone() {
+fn only_readers_list_a_topic_after_its_history_was_trimmed() {
     run(async {
         let (world, server) = large_world().await;
-        let (readers, askers) = split(settled(&world, 4).await);
-        let before: Vec<u64> = askers.iter().map(|one| one.store.calls.get()).collect();
+        let (readers, others) = split(start_with_readers(&world, 4).await);
+        let before: Vec<u64> = others.iter().map(|one| one.store.calls.get()).collect();
         world.log.core.borrow_mut().forget_history();
         let leaving = format!("service {} draining", server.address);
         world.put(SERVERS, "s1", &leaving).await;
         world.log.core.borrow_mut().forget_history();
-        wait_for("not all know", ms(2_000), || {
-            let mut all = readers.iter().chain(&askers);
+        wait_for("a daemon missed a change", ms(2_000), || {
+            let mut all = readers.iter().chain(&others);
             all.all(|one| !one.daemon.directory.borrow().accepts_work("s1"))
         })
         .await;
-        for (asker, before) in askers.iter().zip(before) {
-            let calls = asker.store.calls.get() - before;
+        for (other, before) in others.iter().zip(before) {
+            let calls = other.store.calls.get() - before;
             assert!(calls <= 3, "{calls} calls");
         }
     });
--- a/crates/gateway/tests/gateway/store.rs
+++ b/crates/gateway/tests/gateway/store.rs
@@ -12,7 +12,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-const ANSWER: &[u8] = b"HTTP/1.1 200 Fine\r\nContent-Length: 0\r\n\r\n";
+const RESPONSE: &[u8] = b"HTTP/1.1 200 Fine\r\nContent-Length: 0\r\n\r\n";
 
 fn call() -> StoreRequest {
     StoreRequest {
@@ -22,21 +22,21 @@
     }
 }
 
-/// Answers after a moment, so that calls made together need a connection each; what was
-/// accepted before `silent` rose says nothing any more.
+/// Responds after a short delay, so that concurrent calls need a connection each. Connections
+/// accepted before `silent` was increased no longer respond.
 async fn serve(mut stream: TcpStream, silent: Rc<Cell<u32>>) {
     let accepted = silent.get();
     let mut request = [0; 1_024];
     while stream.read(&mut request).await.is_ok_and(|size| size > 0) {
         sleep(Duration::from_millis(20)).await;
-        if silent.get() == accepted && stream.write_all(ANSWER).await.is_err() {
+        if silent.get() == accepted && stream.write_all(RESPONSE).await.is_err() {
             return;
         }
     }
 }
 
 #[test]
-fn one_silent_connection_gives_the_idle_ones_up() {
+fn silent_connection_discards_idle_connections() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("binds");
         let address = listener.local_addr().expect("an address");
--- a/crates/gateway/tests/gateway/support/client.rs
+++ b/crates/gateway/tests/gateway/support/client.rs
@@ -1,4 +1,4 @@
-//! A client's connection and what it gets.
+//! An HTTP client connection and the responses that it receives.
 
 use super::LIMIT;
 use bytes::BytesMut;
@@ -8,12 +8,12 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// What a client got.
+/// A response as received by a client.
 #[derive(Debug)]
 pub struct Reply {
     pub head: ResponseHead,
     pub body: Vec<u8>,
-    /// The body ended as announced.
+    /// Whether the body was received completely.
     pub whole: bool,
 }
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// A client's connection.
+/// A client connection.
 pub struct Client {
     pub stream: TcpStream,
     pub buffer: BytesMut,
@@ -42,7 +42,7 @@
         self.stream.write_all(bytes).await.expect("sent");
     }
 
-    /// Whether the gateway closes without a word.
+    /// Returns whether the gateway closes the connection without sending anything.
     pub async fn is_closed(&mut self) -> bool {
         let mut byte = [0; 1];
         matches!(
--- a/crates/gateway/tests/gateway/support/dialect.rs
+++ b/crates/gateway/tests/gateway/support/dialect.rs
@@ -1,4 +1,4 @@
-//! The spelling of the tests.
+//! A minimal dialect for tests.
 
 use fieldhook_gateway::dialect::{Dialect, Forwarding, InvalidField, RequestMeta, ResponseMeta};
 use fieldhook_gateway::http::headers::Headers;
@@ -8,7 +8,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// The spelling of the tests.
+/// A dialect with short field names and documents of one line.
 pub struct TestDialect {
     pub config: Rc<RefCell<Vec<TrafficConfig>>>,
 }
@@ -26,7 +26,7 @@
 
 impl Dialect for TestDialect {
     fn read_request(&self, headers: &Headers) -> Result<RequestMeta, InvalidField> {
-        assert!(!headers.has("panic"), "as it was told");
+        assert!(!headers.has("panic"), "the request asks for a panic");
         let owned = |field| headers.text(field).map(str::to_owned);
         Ok(RequestMeta {
             id: owned("request").ok_or(InvalidField {
@@ -120,7 +120,7 @@
     }
 }
 
-/// The number in a word that begins with a name, 0 where there is none.
+/// Returns the number after `name` in the word that begins with it, or 0 if there is none.
 fn number_after(words: &[&str], name: &str) -> u64 {
     let text = words.iter().find_map(|word| word.strip_prefix(name));
     text.map_or(0, |text| text.parse().expect("a number"))
--- a/crates/gateway/tests/gateway/support/log_capture.rs
+++ b/crates/gateway/tests/gateway/support/log_capture.rs
@@ -1,6 +1,6 @@
-//! Log lines of a test, as the daemons write them. All of a test runs on its own thread, and
-//! one subscriber serves all threads: those that come and go beside each other would decide
-//! about the lines of one another.
+//! Captures the log lines of a test. Each test runs on one thread of its own, and its lines are kept
+//! per thread. All tests share one global subscriber, because subscribers that come and go in
+//! parallel would affect which lines other tests see.
 
 use std::cell::RefCell;
 use std::io::{self, Write};
@@ -13,7 +13,7 @@
 
 static SUBSCRIBED: Once = Once::new();
 
-/// The lines written on this thread since then.
+/// The lines logged on this thread since [`LogCapture::start`].
 pub struct LogCapture;
 
 struct ThreadBuffer;
@@ -55,7 +55,7 @@
         Self
     }
 
-    /// LogCapture of an event.
+    /// Returns the lines of an event.
     pub fn with_event(&self, event: &str) -> Vec<String> {
         let wanted = format!("\"event\":\"{event}\"");
         WRITTEN.with_borrow(|written| {
--- a/crates/gateway/tests/gateway/support/mod.rs
+++ b/crates/gateway/tests/gateway/support/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway in the test's process, servers that do as they are told, and a client.
+//! Support for tests: gateways in the test process, scripted servers, and a client.
 
 mod client;
 mod dialect;
@@ -14,10 +14,10 @@
 
 use std::time::Duration;
 
-/// How long a test waits for what has to come.
+/// Timeout for expected events.
 const LIMIT: Duration = Duration::from_secs(5);
 
-/// Runs a test on a system of its own.
+/// Runs a test on its own runtime.
 pub fn run<F: Future<Output = ()> + 'static>(test: F) {
     ntex::rt::System::new("gateway-tests", ntex::rt::DefaultRuntime).block_on(test);
 }
--- a/crates/gateway/tests/gateway/support/server.rs
+++ b/crates/gateway/tests/gateway/support/server.rs
@@ -1,4 +1,4 @@
-//! Servers that do as they are told.
+//! Stand-in servers with scripted behavior.
 
 use bytes::BytesMut;
 use fieldhook_gateway::http::body::{BodyDecoder, Piece};
@@ -12,44 +12,44 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::time::{Instant, sleep, timeout};
 
-/// What a stand-in server does with a request.
+/// How a stand-in server handles a request.
 #[derive(Clone, Debug)]
 pub enum Act {
-    /// Answer with these bytes of a body.
+    /// Respond with this status and body.
     Answer(u16, String),
-    /// Answer with so many bytes of a body, a piece at a time.
+    /// Respond with a body of this size, sent in pieces.
     Large(usize),
-    /// Say that it did not run.
+    /// Respond that the request was not run.
     NotRun,
-    /// Say that it did not run, and leave out the rest of the answer.
+    /// Respond that the request was not run, but leave out the body.
     NotRunCutShort,
-    /// Read the request, then reset the connection.
+    /// Reset the connection after reading the request.
     Reset,
-    /// Answer another request first, then this one.
+    /// Send a response to another request first, then the response to this one.
     ForeignFirst(String),
-    /// Answer without a length; whole with the close, or reset on the way.
+    /// Respond without a length, and end the body by a close, or by a reset if the flag is set.
     Unframed(String, bool),
-    /// Send events of these texts, starting behind the event that is named; break
-    /// off after as many as the number says.
+    /// Send a stream of events with these texts, starting after the event that the request names.
+    /// Break off within the event with the given number.
     Events(Vec<String>, Option<usize>),
-    /// Send these bytes as a whole stream, whatever they are.
+    /// Respond with these bytes as the complete body, whatever they are.
     Stream(String),
-    /// Send events of these texts with a pause before each.
+    /// Send events with these texts and a pause before each.
     Paced(Vec<String>, Duration),
-    /// Read the request, and reset the connection after a while.
+    /// Reset the connection this long after reading the request.
     ResetAfter(Duration),
-    /// Read the request and say nothing.
+    /// Read the request and do not respond.
     Silent,
-    /// Answer after a while.
+    /// Respond after a delay.
     Slow(Duration, String),
 }
 
-/// A request as a server saw it.
+/// A request as received by a server.
 #[derive(Clone, Debug)]
 pub struct Seen {
-    /// When it was read whole.
+    /// When the request was read completely.
     pub at: Instant,
-    /// When the connection was accepted that it came over.
+    /// When the connection of the request was accepted.
     pub accepted: Instant,
     pub head: RequestHead,
     pub body: Vec<u8>,
@@ -62,15 +62,15 @@
     pub seen: Rc<RefCell<Vec<Seen>>>,
     pub client_disconnects: Rc<Cell<u32>>,
     act: Rc<RefCell<Act>>,
-    dark: Rc<Cell<bool>>,
-    /// Connections that wait to be accepted while it is dark.
-    waiting: Vec<TcpStream>,
+    powered_off: Rc<Cell<bool>>,
+    /// Connections that fill the accept backlog while the server is off.
+    backlog_fillers: Vec<TcpStream>,
 }
 
-/// Connections that wait while nobody accepts; more get no answer.
+/// Size of the accept backlog. Once it is full, connection attempts get no reply.
 const BACKLOG: u32 = 1;
-/// A connection that does not come about in this time gets no answer.
-const UNANSWERED: Duration = Duration::from_millis(100);
+/// A connection attempt that takes longer than this is taken to get no reply.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 
 impl Server {
     pub async fn start(id: &str, act: Act) -> Self {
@@ -89,8 +89,8 @@
 
     fn serve_on(listener: TcpListener, id: &str, act: Act) -> Self {
         let server = Self {
-            dark: Rc::default(),
-            waiting: Vec::new(),
+            powered_off: Rc::default(),
+            backlog_fillers: Vec::new(),
             id: id.to_owned(),
             address: listener.local_addr().expect("an address"),
             seen: Rc::default(),
@@ -99,11 +99,11 @@
         };
         let (seen, act) = (server.seen.clone(), server.act.clone());
         let client_disconnects = server.client_disconnects.clone();
-        let dark = server.dark.clone();
+        let powered_off = server.powered_off.clone();
         ntex::rt::spawn(async move {
             loop {
                 let accepted = tokio::select! {
-                    accepted = listener.accept(), if !dark.get() => accepted,
+                    accepted = listener.accept(), if !powered_off.get() => accepted,
                     () = sleep(Duration::from_millis(5)) => continue,
                 };
                 let Ok((stream, _)) = accepted else {
@@ -120,26 +120,26 @@
         server
     }
 
-    /// From now on no connection comes about, and nothing more is said on those there are.
+    /// Makes the server unreachable: it accepts no connections and stops responding on open ones.
     pub async fn lose_power(&mut self) {
         self.set(Act::Silent);
-        self.dark.set(true);
-        while let Ok(connected) = timeout(UNANSWERED, TcpStream::connect(self.address)).await {
-            self.waiting.push(connected.expect("connects"));
+        self.powered_off.set(true);
+        while let Ok(connected) = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address)).await {
+            self.backlog_fillers.push(connected.expect("connects"));
         }
     }
 
-    /// Connections come about again.
+    /// Accepts connections again.
     pub fn regain_power(&mut self) {
-        self.waiting.clear();
-        self.dark.set(false);
+        self.backlog_fillers.clear();
+        self.powered_off.set(false);
     }
 
     pub fn set(&self, act: Act) {
         *self.act.borrow_mut() = act;
     }
 
-    /// What it does, for a task that changes it later.
+    /// Returns the shared behavior, for a task that changes it later.
     pub fn shared_act(&self) -> Rc<RefCell<Act>> {
         self.act.clone()
     }
@@ -342,7 +342,7 @@
     for (number, text) in events.iter().enumerate().skip(first) {
         let event = format!("id: {number}\ndata: {text}\n\n");
         if break_after == Some(number) {
-            // Part of an event, then nothing more.
+            // Send only part of the event.
             let part = &event[..event.len() - 3];
             let chunk = format!("{:x}\r\n{part}\r\n", part.len());
             let _ = stream.write_all(chunk.as_bytes()).await;
--- a/crates/gateway/tests/gateway/support/spy.rs
+++ b/crates/gateway/tests/gateway/support/spy.rs
@@ -1,5 +1,4 @@
-//! A client of the log that remembers what passed through it: what a daemon keeps for others
-//! it appends, and what it takes over it reads.
+//! A client of the log that keeps a copy of all records that a daemon appends or reads.
 
 use fieldhook_emulator::log::memory::MemoryLog;
 use fieldhook_log::api::{
@@ -10,40 +9,40 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A client of the log that remembers the records that passed through it.
+/// A client of the log that keeps a copy of the records that pass through it.
 pub struct Spy {
     inner: Rc<MemoryLog>,
-    passed: RefCell<Vec<KeyedRecord>>,
+    records: RefCell<Vec<KeyedRecord>>,
 }
 
 impl Spy {
     pub fn new(inner: Rc<MemoryLog>) -> Self {
         Self {
             inner,
-            passed: RefCell::default(),
+            records: RefCell::default(),
         }
     }
 
-    /// Whether a record that holds this text passed.
+    /// Returns whether a record that contains this text has passed through.
     pub fn has_record_with(&self, text: &str) -> bool {
-        let holds = |value: &[u8]| {
+        let contains = |value: &[u8]| {
             value
                 .windows(text.len())
                 .any(|part| part == text.as_bytes())
         };
-        let passed = self.passed.borrow();
-        passed.iter().any(|record| holds(&record.value))
+        let records = self.records.borrow();
+        records.iter().any(|record| contains(&record.value))
     }
 
-    /// Bytes of the largest record that passed.
+    /// Returns the size of the largest record that has passed through, in bytes.
     pub fn largest(&self) -> usize {
-        let passed = self.passed.borrow();
-        let sizes = passed.iter().map(|record| record.value.len());
+        let records = self.records.borrow();
+        let sizes = records.iter().map(|record| record.value.len());
         sizes.max().unwrap_or_default()
     }
 
     fn note<'a>(&self, records: impl Iterator<Item = &'a KeyedRecord>) {
-        self.passed.borrow_mut().extend(records.cloned());
+        self.records.borrow_mut().extend(records.cloned());
     }
 }
 
--- a/crates/gateway/tests/gateway/support/world.rs
+++ b/crates/gateway/tests/gateway/support/world.rs
@@ -1,4 +1,4 @@
-//! A log, a configuration and gateways on them.
+//! A test environment: a log, a configuration, and gateways that use them.
 
 use super::LIMIT;
 use super::client::{Client, Reply};
@@ -33,16 +33,16 @@
 pub const CONFIG: &str = "keyed.config";
 pub const SERVERS: &str = "keyed.machines";
 
-/// Gateways listen on addresses of their own: a free port of the shared address could
-/// be taken by a server of a test beside this one before the gateway binds it.
+/// Each gateway listens on its own loopback address. A free port of a shared address could be taken
+/// by a server of a parallel test before the gateway binds it.
 static NEXT_HOST: AtomicU16 = AtomicU16::new(1);
 const FIRST_PORT: u16 = 7_100;
-/// Bytes that lie unread at a narrow client.
-const NARROW: u32 = 4 << 10;
-/// Ports of a gateway.
+/// Receive buffer of a small-buffer client, in bytes.
+const SMALL_BUFFER: u32 = 4 << 10;
+/// Number of ports that a gateway listens on.
 const PORTS: u16 = 4;
 
-/// An address of a gateway's own, also beside the tests of other processes, and the first of
+/// Returns an address that no other gateway uses, in this or another test process, and the first of
 /// its ports.
 fn allocate_address() -> ([u8; 4], u16) {
     let number = NEXT_HOST.fetch_add(1, Ordering::Relaxed);
@@ -51,28 +51,28 @@
     ([127, high, low, number as u8], first_port)
 }
 
-/// A log, a configuration, servers, and gateways on them.
+/// A log, configurations, and the settings for new gateways.
 pub struct World {
     pub log: Rc<SharedLog>,
     pub configs: Rc<RefCell<Vec<TrafficConfig>>>,
-    /// Taken by the gateways that start from then on.
+    /// Setting of gateways that are started afterwards.
     pub revocation_ms: Cell<Option<u64>>,
-    /// The same.
+    /// Setting of gateways that are started afterwards.
     pub zones: RefCell<ZoneMap>,
-    /// The same.
+    /// Setting of gateways that are started afterwards.
     pub bounds: Cell<Bounds>,
-    /// The same.
+    /// Setting of gateways that are started afterwards.
     pub partitions: Cell<u32>,
-    /// The same.
+    /// Setting of gateways that are started afterwards.
     pub slow_peers: Cell<SlowPeers>,
     store: MemoryLog,
 }
 
-/// A gateway.
+/// A running gateway.
 pub struct Gateway {
     pub daemon: Rc<Daemon>,
     pub store: Rc<MemoryLog>,
-    /// What it wrote to the log and read from it.
+    /// The records that the gateway appended to the log and read from it.
     pub spy: Rc<Spy>,
     pub address: SocketAddr,
 }
@@ -98,7 +98,7 @@
     }
 }
 
-/// The configuration of most tests.
+/// Returns the configuration that most tests use.
 pub fn config(version: u64) -> TrafficConfig {
     TrafficConfig {
         version,
@@ -135,7 +135,7 @@
     }
 }
 
-/// A tenant of one key, without a limit.
+/// Returns a tenant with one key and no limit.
 pub fn tenant(name: &str, key: &str) -> Tenant {
     Tenant {
         name: Rc::from(name),
@@ -146,7 +146,7 @@
     }
 }
 
-/// The configuration of most tests, with these tenants.
+/// Returns the configuration that most tests use, with these tenants.
 pub fn config_with_tenants(version: u64, tenants: Vec<Tenant>) -> TrafficConfig {
     TrafficConfig {
         tenants: Some(tenants),
@@ -176,7 +176,7 @@
             .await;
     }
 
-    /// Writes a record as any writer may.
+    /// Appends a record with arbitrary bytes as key and value.
     pub async fn put_bytes(&self, topic: &str, key: &[u8], value: &[u8]) {
         let append = Append {
             partition: Partition {
@@ -194,7 +194,7 @@
         self.store.append(append).await.expect("appended");
     }
 
-    /// Has a partition owned by whoever listens at an address.
+    /// Claims a partition for the daemon at an address.
     pub async fn claim_for(&self, partition: u32, address: SocketAddr) {
         let append = Append {
             partition: Partition {
@@ -209,7 +209,7 @@
         self.store.append(append).await.expect("claimed");
     }
 
-    /// Publishes the configuration at an index of `configs`.
+    /// Publishes the configuration at an index in `configs`.
     pub async fn publish(&self, index: usize) {
         self.put(CONFIG, "config", &index.to_string()).await;
     }
@@ -224,7 +224,7 @@
         self.put(SERVERS, &server.id, &value).await;
     }
 
-    /// Lists a server that says how much longer it is cold.
+    /// Lists a server that reports to be cold for another `cold_ms`.
     pub async fn list_cold(&self, server: &Server, cold_ms: u64) {
         let value = format!("service {} cold={cold_ms}", server.address);
         self.put(SERVERS, &server.id, &value).await;
@@ -281,7 +281,7 @@
         }
     }
 
-    /// A gateway that knows its configuration and these servers.
+    /// Lists the servers, starts a gateway and waits until it knows them and the configuration.
     pub async fn ready(&self, servers: &[&Server]) -> Gateway {
         for server in servers {
             self.list(server).await;
@@ -308,10 +308,10 @@
         }
     }
 
-    /// A client whose machine takes few bytes that it has not read.
+    /// Connects a client with a small receive buffer.
     pub async fn small_buffer_client(&self) -> Client {
         let socket = TcpSocket::new_v4().expect("a socket");
-        socket.set_recv_buffer_size(NARROW).expect("set");
+        socket.set_recv_buffer_size(SMALL_BUFFER).expect("set");
         Client {
             stream: socket.connect(self.address).await.expect("connects"),
             buffer: BytesMut::new(),
