--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -20,7 +20,7 @@
     pub budget: Option<u64>,
     /// Length of the prompt in tokens, as stated by the client.
     pub prompt_tokens: u64,
-    /// Identifies the first part of the prompt, which other programs may share.
+    /// First part of the prompt, which other programs may share.
     pub prefix: Option<String>,
     /// Maximum number of tokens that the turn may generate.
     pub max_tokens: u64,
--- a/crates/gateway/tests/cold_bound.rs
+++ b/crates/gateway/tests/cold_bound.rs
@@ -80,13 +80,13 @@
 struct Owner {
     epoch: u64,
     lease: Lease,
-    book: Option<QuotaTracker>,
+    tracker: Option<QuotaTracker>,
 }
 
 /// A call to the log in progress: it reaches the log, then the reply reaches the owner.
 struct Call {
     owner: usize,
-    asked_ms: u64,
+    started_ms: u64,
     at_log_ms: u64,
     replied_ms: u64,
     /// Whether the log accepted the call, once it has reached the log.
@@ -122,11 +122,11 @@
 
     fn claim(&mut self) {
         let epoch = self.owners.len() as u64 + 1;
-        let has_former = epoch > 1 && self.sabotage != Sabotage::NoHandoverDelay;
+        let has_previous_owner = epoch > 1 && self.sabotage != Sabotage::NoHandoverDelay;
         self.owners.push(Owner {
             epoch,
-            lease: Lease::new(epoch, has_former),
-            book: None,
+            lease: Lease::new(epoch, has_previous_owner),
+            tracker: None,
         });
     }
 
@@ -140,21 +140,21 @@
         let (now_ms, sabotage) = (self.now_ms, self.sabotage);
         let owner = &mut self.owners[index];
         let state = owner.lease.state(now_ms);
-        let was_confirmed = owner.book.is_some() && sabotage == Sabotage::NoLease;
+        let was_confirmed = owner.tracker.is_some() && sabotage == Sabotage::NoLease;
         if !matches!(state, State::Held { .. }) && !was_confirmed {
             return;
         }
-        let former = match owner.epoch == 1 || sabotage == Sabotage::NoHandoverDelay {
+        let previous_owner = match owner.epoch == 1 || sabotage == Sabotage::NoHandoverDelay {
             true => PreviousOwner::None,
             false => PreviousOwner::Lost,
         };
-        let book = owner
-            .book
-            .get_or_insert_with(|| QuotaTracker::new(PERMIT_BOUNDS, former, now_ms));
+        let tracker = owner
+            .tracker
+            .get_or_insert_with(|| QuotaTracker::new(PERMIT_BOUNDS, previous_owner, now_ms));
         for rank in 0..requests {
-            let question = permit_request("s", self.rate_per_s, 1, rank % 2);
+            let request = permit_request("s", self.rate_per_s, 1, rank % 2);
             let is_void = takes_ms >= PERMIT_VALIDITY_MS && sabotage != Sabotage::ExpiredPermits;
-            if let QuotaDecision::Granted { .. } = book.decide(&question, now_ms)
+            if let QuotaDecision::Granted { .. } = tracker.decide(&request, now_ms)
                 && !is_void
             {
                 self.sent.push(now_ms + takes_ms);
@@ -166,7 +166,7 @@
         let at_log_ms = self.now_ms + request_ms;
         self.calls.push(Call {
             owner: self.index(owner),
-            asked_ms: self.now_ms,
+            started_ms: self.now_ms,
             at_log_ms,
             replied_ms: at_log_ms + reply_ms,
             is_accepted: None,
@@ -189,7 +189,7 @@
                 self.fence = self.fence.max(owner.epoch);
             }
             if call.replied_ms <= now_ms && call.is_accepted == Some(true) {
-                owner.lease.confirm(call.asked_ms, now_ms);
+                owner.lease.confirm(call.started_ms, now_ms);
             }
         }
         self.calls.retain(|call| call.replied_ms > now_ms);
--- a/crates/gateway/tests/gateway/readers.rs
+++ b/crates/gateway/tests/gateway/readers.rs
@@ -45,8 +45,8 @@
     let silent = Instant::now();
     world.publish(1).await;
     world.put(CONFIG, "closed/z9", "by the operator").await;
-    let leaving = format!("service {} draining", server.address);
-    world.put(SERVERS, "s1", &leaving).await;
+    let draining = format!("service {} draining", server.address);
+    world.put(SERVERS, "s1", &draining).await;
     let daemon = &gateway.daemon;
     let in_force = || {
         let version = daemon
--- a/crates/gateway/tests/gateway/relay.rs
+++ b/crates/gateway/tests/gateway/relay.rs
@@ -81,8 +81,8 @@
         let before: Vec<u64> = others.iter().map(|one| one.store.calls.get()).collect();
         world.configs.borrow_mut().push(config(2));
         world.publish(1).await;
-        let leaving = format!("service {} draining", server.address);
-        world.put(SERVERS, "s1", &leaving).await;
+        let draining = format!("service {} draining", server.address);
+        world.put(SERVERS, "s1", &draining).await;
         wait_for("a daemon missed a change", ms(700), || {
             let mut all = readers.iter().chain(&others);
             all.all(|one| {
@@ -163,8 +163,8 @@
     fault(&readers);
     world.configs.borrow_mut().push(config(2));
     world.publish(1).await;
-    let leaving = format!("service {} draining", server.address);
-    world.put(SERVERS, "s1", &leaving).await;
+    let draining = format!("service {} draining", server.address);
+    world.put(SERVERS, "s1", &draining).await;
     wait_for("a daemon missed a change", limit, || {
         others
             .iter()
@@ -243,8 +243,8 @@
         for other in &others {
             other.store.set_fault(LogFault::Busy);
         }
-        let leaving = format!("service {} draining", server.address);
-        world.put(SERVERS, "s1", &leaving).await;
+        let draining = format!("service {} draining", server.address);
+        world.put(SERVERS, "s1", &draining).await;
         wait_for("a refused daemon missed a change", ms(700), || {
             let mut all = others.iter();
             all.all(|one| !one.daemon.directory.borrow().accepts_work("s1"))
@@ -278,8 +278,8 @@
         let (readers, others) = split(start_with_readers(&world, 4).await);
         let before: Vec<u64> = others.iter().map(|one| one.store.calls.get()).collect();
         world.log.core.borrow_mut().forget_history();
-        let leaving = format!("service {} draining", server.address);
-        world.put(SERVERS, "s1", &leaving).await;
+        let draining = format!("service {} draining", server.address);
+        world.put(SERVERS, "s1", &draining).await;
         world.log.core.borrow_mut().forget_history();
         wait_for("a daemon missed a change", ms(2_000), || {
             let mut all = readers.iter().chain(&others);
--- a/crates/gateway/tests/gateway/support/server.rs
+++ b/crates/gateway/tests/gateway/support/server.rs
@@ -78,7 +78,7 @@
         Self::serve_on(listener, id, act)
     }
 
-    /// A server that [`Self::lose_power`] can make unreachable.
+    /// Starts a server that [`Self::lose_power`] can make unreachable.
     pub async fn start_with_power_switch(id: &str, act: Act) -> Self {
         let socket = TcpSocket::new_v4().expect("a socket");
         let address = "127.0.0.1:0".parse().expect("an address");
