--- a/crates/traffic/src/assignment.rs
+++ b/crates/traffic/src/assignment.rs
@@ -105,7 +105,7 @@
     started: VecDeque<(u64, Rc<str>)>,
     /// Number of open turns by engine.
     open: HashMap<Rc<str>, u32>,
-    /// Number of kept programs from which expired ones are removed again.
+    /// Number of programs from which expired ones are removed again.
     sweep_threshold: usize,
 }
 
--- a/crates/traffic/src/attempt_timeout.rs
+++ b/crates/traffic/src/attempt_timeout.rs
@@ -8,16 +8,16 @@
 
 /// The timeout is at least the remaining time divided by this. In the measured deployments that
 /// is 300 ms, three times the duration of the longest lookups.
-const MIN_DIVISOR: u32 = 4;
+const MIN_TIMEOUT_DIVISOR: u32 = 4;
 /// The timeout is at most the remaining time divided by this, so that the next attempt has at
 /// least as much time.
-const MAX_DIVISOR: u32 = 2;
+const MAX_TIMEOUT_DIVISOR: u32 = 2;
 
 /// Returns how long to wait for an answer before the attempt is abandoned for another one, or
 /// `None` if another attempt could not be expected to finish in time. `usual` is the time after
 /// which answers of this kind have been late so far, and `left` the remaining time of the
 /// request.
 pub fn attempt_timeout(usual: Duration, left: Duration) -> Option<Duration> {
-    let timeout = usual.max(left / MIN_DIVISOR);
-    (timeout <= left / MAX_DIVISOR).then_some(timeout)
+    let timeout = usual.max(left / MIN_TIMEOUT_DIVISOR);
+    (timeout <= left / MAX_TIMEOUT_DIVISOR).then_some(timeout)
 }
--- a/crates/traffic/src/buffer_memory.rs
+++ b/crates/traffic/src/buffer_memory.rs
@@ -103,7 +103,7 @@
             return GrowResult::Refused;
         }
         let needed = (self.used + bytes).saturating_sub(self.limit);
-        let Some(dropped) = self.stalled(id, needed, now_ms) else {
+        let Some(dropped) = self.select_stalled(id, needed, now_ms) else {
             return GrowResult::Refused;
         };
         for other in &dropped {
@@ -139,7 +139,7 @@
 
     /// Returns answers of stalled clients, the longest stalled first, that together hold at least
     /// the needed bytes. Returns `None` if there are not enough of them.
-    fn stalled(&self, except: BufferId, needed: u64, now_ms: u64) -> Option<Vec<BufferId>> {
+    fn select_stalled(&self, except: BufferId, needed: u64, now_ms: u64) -> Option<Vec<BufferId>> {
         if needed == 0 {
             return Some(Vec::new());
         }
--- a/crates/traffic/src/cold.rs
+++ b/crates/traffic/src/cold.rs
@@ -30,9 +30,9 @@
 /// Estimated time that a turn occupies a slot of an engine, in milliseconds. In the measured
 /// deployment, the median is 212 and the 90th percentile 783.
 const TURN_MS: f64 = 300.0;
-/// Number of remembered identities from which removed ones are dropped. They are dropped again
-/// when the number has doubled. Removed identities are remembered because entries expire while
-/// the log is unavailable and return unchanged.
+/// Number of known identities from which those of removed servers are dropped. The next time is
+/// when the number has doubled. Identities of removed servers are kept until then, because
+/// entries expire while the log is unavailable and return unchanged afterwards.
 const SWEEP_THRESHOLD: usize = 8_192;
 
 /// Windows in which requests to cold servers are counted. A window lasts one second plus the
@@ -50,7 +50,7 @@
     server: &str,
     rate_per_s: f64,
     version: u64,
-    rank: u8,
+    priority: u8,
 ) -> AdmissionRequest<'_> {
     AdmissionRequest {
         tenant: server,
@@ -63,7 +63,7 @@
         route: "",
         starts_program: false,
         max_wait_ms: 0,
-        reserved: match rank {
+        reserved: match priority {
             MOST_URGENT => 0,
             _ if rate_per_s < MIN_RATE_FOR_RESERVE => 0,
             _ => RESERVED_FOR_URGENT,
@@ -91,7 +91,7 @@
 
 /// What is known about one server.
 #[derive(Clone, Copy, Debug, Default)]
-struct State {
+struct ServerState {
     /// When the server stops being cold according to its newest record.
     reported_until_ms: u64,
     /// The last observation that indicates a cold server, and when it was made.
@@ -103,7 +103,7 @@
 /// Tracks which servers are cold, as seen by one daemon.
 #[derive(Clone, Debug, Default)]
 pub struct ColdTracker {
-    states: HashMap<Rc<str>, State>,
+    states: HashMap<Rc<str>, ServerState>,
     known_ids: HashSet<Rc<str>>,
     /// Number of known identities from which removed ones are dropped again.
     sweep_threshold: usize,
@@ -173,17 +173,17 @@
         let unreachable = state
             .is_unreachable
             .then_some((ColdCause::Reconnected, now_ms + cold.duration_ms));
-        let all = [Some(reported), observed, unreachable]
+        let causes = [Some(reported), observed, unreachable]
             .into_iter()
             .flatten();
-        let (cause, until_ms) = all.max_by_key(|(_, until_ms)| *until_ms)?;
+        let (cause, until_ms) = causes.max_by_key(|(_, until_ms)| *until_ms)?;
         let left_ms = until_ms
             .checked_sub(now_ms)
             .filter(|left_ms| *left_ms > 0)?;
         Some((cause, left_ms))
     }
 
-    fn state(&mut self, id: &str) -> &mut State {
+    fn state(&mut self, id: &str) -> &mut ServerState {
         self.states.entry(Rc::from(id)).or_default()
     }
 
--- a/crates/traffic/src/directory.rs
+++ b/crates/traffic/src/directory.rs
@@ -131,12 +131,12 @@
         entry.draining |= was_draining;
         let id = Some(entry.id.clone());
         self.set_record(&entry.name, NameRecord { id, revision });
-        self.put_server(entry);
+        self.replace_server(entry);
         change
     }
 
     /// Adds a server, or replaces the entry with the same identity.
-    fn put_server(&mut self, entry: ServerEntry) {
+    fn replace_server(&mut self, entry: ServerEntry) {
         if self
             .servers
             .get(&entry.id)
@@ -241,16 +241,17 @@
     /// Returns up to `max` servers of each zone and service that accept new work, starting at
     /// the ring position that `number` maps to.
     pub fn sample_zones(&self, max: usize, number: u64) -> BTreeMap<&str, Vec<&ServerEntry>> {
-        let mut some: BTreeMap<&str, Vec<&ServerEntry>> = BTreeMap::new();
+        let mut servers_by_zone: BTreeMap<&str, Vec<&ServerEntry>> = BTreeMap::new();
         let rings = self.services.values().flat_map(|serving| &serving.zones);
         for (zone, ring) in rings {
             let servers = ring.iter_from(HashRange::FULL, number).take(max);
-            some.entry(zone)
+            servers_by_zone
+                .entry(zone)
                 .or_default()
                 .extend(servers.map(|server| &**server));
         }
-        some.retain(|_, servers| !servers.is_empty());
-        some
+        servers_by_zone.retain(|_, servers| !servers.is_empty());
+        servers_by_zone
     }
 
     /// Whether a server is known and accepts new work.
--- a/crates/traffic/src/fallback_quota.rs
+++ b/crates/traffic/src/fallback_quota.rs
@@ -46,9 +46,9 @@
         self.spare = requests * (1.0 - MAX_USAGE) / MAX_DAEMONS;
     }
 
-    /// Returns the requests that may be sent immediately, once per window. Without them, a tenant
-    /// that sends little through each of many daemons would be refused, and its programs would
-    /// fail.
+    /// Takes the spare requests, which may be sent immediately once per window. Without them, a
+    /// tenant that sends little through each of many daemons would be refused, and its programs
+    /// would fail.
     fn take_spare(&mut self, window_ms: u64, now_ms: u64) -> f64 {
         let taken = self
             .spare_taken_ms
@@ -66,8 +66,8 @@
         let granted = self.granted[0].max(self.granted[1]);
         let rate = f64::from(granted) / window_ms.max(1) as f64 * FALLBACK_FRACTION;
         let since_ms = now_ms - *self.tokens_at_ms.get_or_insert(now_ms);
-        let most = (rate * window_ms as f64).max(self.tokens);
-        self.tokens = (self.tokens + rate * since_ms as f64).min(most);
+        let max_tokens = (rate * window_ms as f64).max(self.tokens);
+        self.tokens = (self.tokens + rate * since_ms as f64).min(max_tokens);
         self.tokens += self.take_spare(window_ms, now_ms);
         self.tokens_at_ms = Some(now_ms);
         if self.tokens < 1.0 || self.used > MAX_USAGE {
--- a/crates/traffic/src/residency.rs
+++ b/crates/traffic/src/residency.rs
@@ -32,7 +32,7 @@
         match self {
             Self::UnknownRegion(region) => write!(
                 formatter,
-                "no zone of the settings is in region {region}; correct the name or add the zone"
+                "no configured zone is in region {region}; correct the name or add a zone"
             ),
             Self::NoCommonRegion => write!(
                 formatter,
--- a/crates/traffic/tests/assignment.rs
+++ b/crates/traffic/tests/assignment.rs
@@ -100,8 +100,11 @@
         table.assign(&turn(&id, &id, 7), &engines, 1.0, 0);
     }
     for name in &names {
-        let open = table.open_turns(name);
-        assert!((12..=20).contains(&open), "{name} has {open} of 64");
+        let open_turns = table.open_turns(name);
+        assert!(
+            (12..=20).contains(&open_turns),
+            "{name} has {open_turns} of 64"
+        );
     }
 }
 
@@ -193,11 +196,11 @@
 #[derive(Default)]
 struct Oracle {
     turns: Vec<OpenTurn>,
-    engine_of: HashMap<u8, String>,
+    engine_by_program: HashMap<u8, String>,
 }
 
 impl Oracle {
-    fn open(&self, engine: &str) -> usize {
+    fn open_turns(&self, engine: &str) -> usize {
         let at = |turn: &&OpenTurn| turn.engine == engine;
         self.turns.iter().filter(at).count()
     }
@@ -210,7 +213,7 @@
 
     /// Returns the fair load of an engine once one more turn has started.
     fn fair_load(&self, names: &[String], share: f64) -> f64 {
-        let turns: usize = names.iter().map(|name| self.open(name)).sum();
+        let turns: usize = names.iter().map(|name| self.open_turns(name)).sum();
         let mean = (turns + 1) as f64 / names.len() as f64;
         let light_load = f64::from(SLOTS) * share * AssignmentSettings::default().light_load;
         mean.max(light_load)
@@ -249,14 +252,15 @@
                     }
                     return false;
                 };
-                let before = oracle.open(&engine) as f64;
-                let kept = oracle.engine_of.get(&program).map(String::as_str) == Some(&*engine);
+                let before = oracle.open_turns(&engine) as f64;
+                let kept =
+                    oracle.engine_by_program.get(&program).map(String::as_str) == Some(&*engine);
                 let factor = if kept {
                     settings.max_load_kept
                 } else {
                     settings.max_load_new
                 };
-                let least = names.iter().map(|name| oracle.open(name)).min();
+                let least = names.iter().map(|name| oracle.open_turns(name)).min();
                 let within = before < factor * fair_load || Some(before as usize) == least;
                 if !names.iter().any(|name| **name == *engine) || !within {
                     return false;
@@ -266,12 +270,12 @@
                     engine: engine.to_string(),
                     start_ms: now_ms,
                 });
-                oracle.engine_of.insert(program, engine.to_string());
+                oracle.engine_by_program.insert(program, engine.to_string());
             }
         }
         if names
             .iter()
-            .any(|name| table.open_turns(name) as usize != oracle.open(name))
+            .any(|name| table.open_turns(name) as usize != oracle.open_turns(name))
         {
             return false;
         }
@@ -300,7 +304,7 @@
         };
     }
     let mut table = AssignmentTable::new(AssignmentSettings::default());
-    let open = |table: &AssignmentTable, range: std::ops::Range<usize>| {
+    let open_turns = |table: &AssignmentTable, range: std::ops::Range<usize>| {
         let names = &names[range];
         names.iter().map(|name| table.open_turns(name)).sum::<u32>()
     };
@@ -309,9 +313,9 @@
         table.assign(&turn(&id, &id, number), &engines, 1.0, 0);
     }
     // Half of the slots of six engines are in use, and none elsewhere.
-    assert_eq!(open(&table, 0..3), 12);
-    assert_eq!(open(&table, 3..6), 12);
-    assert_eq!(open(&table, 6..9), 0);
+    assert_eq!(open_turns(&table, 0..3), 12);
+    assert_eq!(open_turns(&table, 3..6), 12);
+    assert_eq!(open_turns(&table, 6..9), 0);
     table.assign(&turn("more", "more", 99), &engines, 1.0, 0);
-    assert_eq!(open(&table, 6..9), 1);
+    assert_eq!(open_turns(&table, 6..9), 1);
 }
--- a/crates/traffic/tests/attempts.rs
+++ b/crates/traffic/tests/attempts.rs
@@ -25,7 +25,7 @@
     RouteKind::Stream { resumable: true },
 ];
 
-const AMPLE: TimeLeft = TimeLeft {
+const ENOUGH_TIME: TimeLeft = TimeLeft {
     enough_for_attempt: true,
     enough_for_wait: true,
 };
@@ -71,7 +71,7 @@
     let mut attempts = Attempts::default();
     let tries = (0..100)
         .take_while(|_| {
-            attempts.on_failure(RouteKind::Safe, 3, AttemptFailure::NotRun, AMPLE)
+            attempts.on_failure(RouteKind::Safe, 3, AttemptFailure::NotRun, ENOUGH_TIME)
                 == NextStep::Retry
         })
         .count();
@@ -85,7 +85,7 @@
     let (mut tries, mut waited_ms, mut last) = (0, 0, 0);
     loop {
         tries += 1;
-        match attempts.on_failure(RouteKind::Unsafe, 1, AttemptFailure::NotRun, AMPLE) {
+        match attempts.on_failure(RouteKind::Unsafe, 1, AttemptFailure::NotRun, ENOUGH_TIME) {
             NextStep::Retry => {}
             NextStep::Wait(pause_ms) => {
                 assert!(pause_ms >= last, "{pause_ms} after {last}");
@@ -115,7 +115,7 @@
     );
     attempts.may_have_run = 1;
     assert_eq!(
-        attempts.on_no_server(RouteKind::Unsafe, 1, AMPLE),
+        attempts.on_no_server(RouteKind::Unsafe, 1, ENOUGH_TIME),
         NextStep::BadGateway
     );
 }
--- a/crates/traffic/tests/candidates.rs
+++ b/crates/traffic/tests/candidates.rs
@@ -36,15 +36,15 @@
     number: u64,
     usable: &dyn Fn(&ServerEntry) -> bool,
 ) -> (usize, Vec<String>) {
-    let place = CandidateQuery {
+    let query = CandidateQuery {
         zone: "z1",
         range: HashRange::FULL,
         start: number,
     };
-    let serving = directory.active_servers("service0").expect("servers");
-    let select = select_candidates(serving, &place, usable);
-    let ids = select.servers.iter().map(|server| server.id.clone());
-    (select.examined, ids.collect())
+    let servers = directory.active_servers("service0").expect("servers");
+    let selected = select_candidates(servers, &query, usable);
+    let ids = selected.servers.iter().map(|server| server.id.clone());
+    (selected.examined, ids.collect())
 }
 
 /// Guards against a selection that examines every server: with ten thousand servers, each request
@@ -54,7 +54,7 @@
     let most = [100, 1_000, 10_000].map(|each| {
         let directory = fleet(each);
         let examined = (0..50).map(|number| select(&directory, number << 58, &|_| true).0);
-        examined.max().expect("draws")
+        examined.max().expect("selections")
     });
     assert_eq!(most[0], 100, "all of a small service");
     assert!(most[1] <= FULL_SCAN_MAX, "{most:?}");
@@ -163,15 +163,15 @@
                 })
                 .map(|(which, _)| format!("s{which}"))
                 .collect();
-            let Some(serving) = directory.active_servers(service) else {
+            let Some(servers) = directory.active_servers(service) else {
                 return expected.is_empty();
             };
-            let all: BTreeSet<String> = serving
+            let all: BTreeSet<String> = servers
                 .all
                 .iter_from(HashRange::FULL, 9)
                 .map(|s| s.id.clone())
                 .collect();
-            let by_zone: BTreeSet<String> = serving
+            let by_zone: BTreeSet<String> = servers
                 .zones
                 .iter()
                 .flat_map(|(zone, ring)| {
--- a/crates/traffic/tests/cold.rs
+++ b/crates/traffic/tests/cold.rs
@@ -11,64 +11,64 @@
 
 #[test]
 fn a_record_counts_from_when_it_is_read_and_a_newer_one_replaces_it() {
-    let mut servers = ColdTracker::default();
-    servers.record_reported("s", 2_000, 100);
+    let mut tracker = ColdTracker::default();
+    tracker.record_reported("s", 2_000, 100);
     assert_eq!(
-        servers.cold_cause("s", &COLD, 100),
+        tracker.cold_cause("s", &COLD, 100),
         Some((ColdCause::Reported, 2_000))
     );
     assert_eq!(
-        servers.cold_cause("s", &COLD, 2_099),
+        tracker.cold_cause("s", &COLD, 2_099),
         Some((ColdCause::Reported, 1))
     );
-    assert_eq!(servers.cold_cause("s", &COLD, 2_100), None);
-    servers.record_reported("s", 500, 1_000);
-    assert_eq!(servers.cold_cause("s", &COLD, 1_500), None);
-    assert_eq!(servers.cold_cause("other", &COLD, 0), None);
+    assert_eq!(tracker.cold_cause("s", &COLD, 2_100), None);
+    tracker.record_reported("s", 500, 1_000);
+    assert_eq!(tracker.cold_cause("s", &COLD, 1_500), None);
+    assert_eq!(tracker.cold_cause("other", &COLD, 0), None);
 }
 
 #[test]
 fn an_incarnation_that_appears_after_the_first_listing_is_cold() {
-    let mut servers = ColdTracker::default();
-    servers.record_reported("first", 0, 0);
-    servers.record_initial_listing();
-    servers.record_reported("later", 0, 1_000);
-    assert_eq!(servers.cold_cause("first", &COLD, 1_000), None);
-    let cold = servers.cold_cause("later", &COLD, 1_000);
+    let mut tracker = ColdTracker::default();
+    tracker.record_reported("first", 0, 0);
+    tracker.record_initial_listing();
+    tracker.record_reported("later", 0, 1_000);
+    assert_eq!(tracker.cold_cause("first", &COLD, 1_000), None);
+    let cold = tracker.cold_cause("later", &COLD, 1_000);
     assert_eq!(cold, Some((ColdCause::New, 3_000)));
     // Its next record does not end that, and an expired entry that returns does not restart it.
-    servers.record_reported("later", 0, 2_000);
-    assert!(servers.cold_cause("later", &COLD, 3_999).is_some());
-    servers.forget("later");
-    servers.record_reported("later", 0, 5_000);
-    assert_eq!(servers.cold_cause("later", &COLD, 5_000), None);
+    tracker.record_reported("later", 0, 2_000);
+    assert!(tracker.cold_cause("later", &COLD, 3_999).is_some());
+    tracker.forget("later");
+    tracker.record_reported("later", 0, 5_000);
+    assert_eq!(tracker.cold_cause("later", &COLD, 5_000), None);
 }
 
 #[test]
 fn a_server_that_was_unreachable_is_cold_once_it_accepts_connections() {
-    let mut servers = ColdTracker::default();
-    servers.record_reported("s", 0, 0);
-    assert!(!servers.record_connected("s", 100));
-    servers.record_unreachable("s");
-    assert!(servers.cold_cause("s", &COLD, 60_000).is_some());
-    assert!(servers.record_connected("s", 60_000));
+    let mut tracker = ColdTracker::default();
+    tracker.record_reported("s", 0, 0);
+    assert!(!tracker.record_connected("s", 100));
+    tracker.record_unreachable("s");
+    assert!(tracker.cold_cause("s", &COLD, 60_000).is_some());
+    assert!(tracker.record_connected("s", 60_000));
     assert_eq!(
-        servers.cold_cause("s", &COLD, 62_999),
+        tracker.cold_cause("s", &COLD, 62_999),
         Some((ColdCause::Reconnected, 1))
     );
-    assert_eq!(servers.cold_cause("s", &COLD, 63_000), None);
+    assert_eq!(tracker.cold_cause("s", &COLD, 63_000), None);
 }
 
 #[test]
 fn a_server_that_resets_a_request_counts_as_cold() {
-    let mut servers = ColdTracker::default();
-    servers.record_reported("s", 0, 0);
-    servers.record_reset("s", 500);
+    let mut tracker = ColdTracker::default();
+    tracker.record_reported("s", 0, 0);
+    tracker.record_reset("s", 500);
     assert_eq!(
-        servers.cold_cause("s", &COLD, 500),
+        tracker.cold_cause("s", &COLD, 500),
         Some((ColdCause::Reset, 3_000))
     );
-    assert_eq!(servers.cold_cause("s", &COLD, 3_500), None);
+    assert_eq!(tracker.cold_cause("s", &COLD, 3_500), None);
 }
 
 #[test]
@@ -82,13 +82,13 @@
 
 #[test]
 fn the_last_permit_is_reserved_for_the_most_urgent() {
-    let mut book = QuotaTracker::new(
+    let mut tracker = QuotaTracker::new(
         fieldhook_traffic::cold::PERMIT_BOUNDS,
         PreviousOwner::None,
         0,
     );
-    let mut granted = |rank: u8| {
-        let answer = book.decide(&permit_request("s", COLD.rate_per_s, 1, rank), 0);
+    let mut granted = |priority: u8| {
+        let answer = tracker.decide(&permit_request("s", COLD.rate_per_s, 1, priority), 0);
         matches!(answer, QuotaDecision::Granted { .. })
     };
     let less_urgent = (0..20).filter(|_| granted(1)).count();
@@ -120,11 +120,11 @@
 #[test]
 fn a_new_server_does_not_sweep_the_whole_fleet() {
     for count in [1_000, 10_000, 20_000, 40_000] {
-        let mut servers = ColdTracker::default();
+        let mut tracker = ColdTracker::default();
         for number in 0..count {
-            servers.record_reported(&format!("s{number}"), 0, 0);
+            tracker.record_reported(&format!("s{number}"), 0, 0);
         }
-        let swept = servers.swept_entries();
+        let swept = tracker.swept_entries();
         assert!(swept <= 2 * count, "{swept} examined for {count}");
     }
 }
--- a/crates/traffic/tests/groups.rs
+++ b/crates/traffic/tests/groups.rs
@@ -34,8 +34,8 @@
 
     fn sizes(&self, groups: &EngineGroups, zone: Option<&str>) -> Vec<usize> {
         let mut sizes = vec![0; groups.count() as usize];
-        for (id, its_zone) in &self.0 {
-            if zone.is_none_or(|zone| zone == its_zone) {
+        for (id, engine_zone) in &self.0 {
+            if zone.is_none_or(|zone| zone == engine_zone) {
                 sizes[groups.engine_group(id).expect("in a group") as usize] += 1;
             }
         }
@@ -43,7 +43,7 @@
     }
 }
 
-fn spread(sizes: &[usize]) -> usize {
+fn size_difference(sizes: &[usize]) -> usize {
     let most = sizes.iter().max().copied().unwrap_or(0);
     most - sizes.iter().min().copied().unwrap_or(0)
 }
@@ -68,14 +68,18 @@
     }
 }
 
-fn is_even(case: Case) -> bool {
+fn groups_are_even_for(case: Case) -> bool {
     let fleet = Fleet::new(case.engines, case.zones);
     let groups = EngineGroups::divide(&fleet.engines(), case.partitions);
     let partitions = case.partitions.max(1);
     let large_enough = groups.count() == 1 || case.engines >= 6 * groups.count() as usize;
     let zones_even = (0..case.zones).all(|zone| {
         let zone = format!("z{zone}");
-        let of_zone = fleet.0.iter().filter(|(_, its)| *its == zone).count();
+        let of_zone = fleet
+            .0
+            .iter()
+            .filter(|(_, engine_zone)| *engine_zone == zone)
+            .count();
         let each = of_zone / groups.count() as usize;
         fleet
             .sizes(&groups, Some(&zone))
@@ -86,7 +90,7 @@
     large_enough
         && zones_even
         && every_group_has_partitions
-        && spread(&fleet.sizes(&groups, None)) <= 1
+        && size_difference(&fleet.sizes(&groups, None)) <= 1
 }
 
 #[test]
@@ -94,7 +98,7 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(60, 31))
         .tests(300)
-        .quickcheck(is_even as fn(Case) -> bool);
+        .quickcheck(groups_are_even_for as fn(Case) -> bool);
 }
 
 #[test]
@@ -127,9 +131,9 @@
 fn an_engine_that_leaves_moves_few_others() {
     let fleet = Fleet::new(102, 6);
     let before = EngineGroups::divide(&fleet.engines(), 16);
-    for gone in 0..102 {
+    for removed in 0..102 {
         let mut remaining = fleet.clone();
-        remaining.0.remove(gone);
+        remaining.0.remove(removed);
         let after = EngineGroups::divide(&remaining.engines(), 16);
         let moved = remaining
             .0
@@ -210,10 +214,10 @@
         };
         owner.assign(&turn, &engines, 1.0, 0).expect("an engine");
     }
-    let at = |is_home: bool| {
+    let at = |is_in_group: bool| {
         let engines = engines
             .iter()
-            .filter(|engine| engine.is_in_group == is_home);
+            .filter(|engine| engine.is_in_group == is_in_group);
         engines
             .map(|engine| owner.open_turns(engine.id))
             .sum::<u32>()
--- a/crates/traffic/tests/quota.rs
+++ b/crates/traffic/tests/quota.rs
@@ -295,16 +295,16 @@
 
 #[test]
 fn without_an_owner_half_of_the_previous_rate_is_allowed() {
-    let mut share = FallbackQuota::default();
-    assert!(!share.take(WINDOW_MS, 0));
+    let mut quota = FallbackQuota::default();
+    assert!(!quota.take(WINDOW_MS, 0));
     for request in 0..100 {
-        share.record_grant(0.4, WINDOW_MS, request * 50);
+        quota.record_grant(0.4, WINDOW_MS, request * 50);
     }
-    let mut near_its_limit = share.clone();
+    let mut near_its_limit = quota.clone();
     near_its_limit.record_grant(0.6, WINDOW_MS, 4_990);
     let ticks = |tick: u64| WINDOW_MS + tick * 50;
     assert!((0..100).all(|tick| !near_its_limit.take(WINDOW_MS, ticks(tick))));
-    let sent = (0..100).filter(|tick| share.take(WINDOW_MS, ticks(*tick)));
+    let sent = (0..100).filter(|tick| quota.take(WINDOW_MS, ticks(*tick)));
     let sent = sent.count();
     assert!((40..=50).contains(&sent), "{sent}");
 }
@@ -313,22 +313,22 @@
 #[test]
 fn without_an_owner_a_daemon_may_send_spare_requests() {
     const WINDOW_LIMIT: f64 = 3_500.0;
-    let mut share = FallbackQuota::default();
-    share.set_window_limit(WINDOW_LIMIT);
-    assert!(!share.take(WINDOW_MS, 0), "nothing was ever granted");
-    let sent_in = |share: &mut FallbackQuota, from_ms: u64| {
+    let mut quota = FallbackQuota::default();
+    quota.set_window_limit(WINDOW_LIMIT);
+    assert!(!quota.take(WINDOW_MS, 0), "nothing was ever granted");
+    let sent_in = |quota: &mut FallbackQuota, from_ms: u64| {
         let ticks = (0..100).map(|tick| from_ms + tick * 10);
         ticks
-            .filter(|now_ms| share.take(WINDOW_MS, *now_ms))
+            .filter(|now_ms| quota.take(WINDOW_MS, *now_ms))
             .count()
     };
-    share.record_grant(0.1, WINDOW_MS, 10);
-    assert_eq!(sent_in(&mut share, 20), 5);
+    quota.record_grant(0.1, WINDOW_MS, 10);
+    assert_eq!(sent_in(&mut quota, 20), 5);
     // A grant in between does not renew the spare requests within the window.
-    share.record_grant(0.1, WINDOW_MS, 2_000);
-    assert_eq!(sent_in(&mut share, 2_010), 0);
-    share.record_grant(0.1, WINDOW_MS, 5_100);
-    assert_eq!(sent_in(&mut share, 5_110), 5);
+    quota.record_grant(0.1, WINDOW_MS, 2_000);
+    assert_eq!(sent_in(&mut quota, 2_010), 0);
+    quota.record_grant(0.1, WINDOW_MS, 5_100);
+    assert_eq!(sent_in(&mut quota, 5_110), 5);
     let mut near_its_limit = FallbackQuota::default();
     near_its_limit.set_window_limit(WINDOW_LIMIT);
     near_its_limit.record_grant(0.6, WINDOW_MS, 10);
@@ -341,15 +341,15 @@
 fn spare_requests_of_all_daemons_stay_within_the_unused_quota() {
     fn is_within_limits(window_limit: u16, grants: Vec<u16>) -> bool {
         let window_limit = f64::from(window_limit);
-        let mut share = FallbackQuota::default();
-        share.set_window_limit(window_limit);
+        let mut quota = FallbackQuota::default();
+        quota.set_window_limit(window_limit);
         let mut at_once: Vec<u64> = Vec::new();
         let mut now_ms = 0;
         for pause_ms in grants {
             now_ms += u64::from(pause_ms % 2_000) + 1;
-            share.record_grant(0.5, WINDOW_MS, now_ms);
+            quota.record_grant(0.5, WINDOW_MS, now_ms);
             // All requests are taken at one moment, so that the rate adds none.
-            while share.take(WINDOW_MS, now_ms) {
+            while quota.take(WINDOW_MS, now_ms) {
                 at_once.push(now_ms);
             }
         }
--- a/crates/traffic/tests/quota_programs.rs
+++ b/crates/traffic/tests/quota_programs.rs
@@ -63,7 +63,7 @@
     }
 
     /// Makes the next request of a program and returns whether it is granted.
-    fn ask(&mut self, program: &Program) -> bool {
+    fn make_request(&mut self, program: &Program) -> bool {
         let request = AdmissionRequest {
             tenant: "red",
             limit: LIMIT,
@@ -82,7 +82,7 @@
         let mut queue: BinaryHeap<Reverse<Program>> = programs.into_iter().map(Reverse).collect();
         let mut outcomes = Outcomes::default();
         while let Some(Reverse(mut program)) = queue.pop() {
-            if !self.ask(&program) {
+            if !self.make_request(&program) {
                 outcomes.refused_midway += usize::from(program.sent > 0);
                 continue;
             }
@@ -113,7 +113,7 @@
 }
 
 /// Forty programs that start at the same time, long after all others.
-fn crowd() -> impl Iterator<Item = Program> {
+fn simultaneous_programs() -> impl Iterator<Item = Program> {
     (0..40).map(|number| Program::new(10_000 + number, 600_000))
 }
 
@@ -129,7 +129,7 @@
 fn disconnects_do_not_let_more_programs_start_than_the_rate_sustains() {
     let mut undisturbed = Simulation::new(true);
     undisturbed.learn();
-    let expected = undisturbed.run(crowd());
+    let expected = undisturbed.run(simultaneous_programs());
     assert!(
         expected.completed > 0 && expected.refused_midway == 0,
         "{expected:?}"
@@ -137,11 +137,11 @@
     let mut unreported = Simulation::new(false);
     unreported.learn();
     unreported.run(disconnecting());
-    let unreported = unreported.run(crowd());
+    let unreported = unreported.run(simultaneous_programs());
     let mut reported = Simulation::new(true);
     reported.learn();
     reported.run(disconnecting());
-    let reported = reported.run(crowd());
+    let reported = reported.run(simultaneous_programs());
     assert_eq!(
         (reported.started, reported.completed),
         (expected.started, expected.completed)
@@ -167,12 +167,12 @@
 fn disconnects_do_not_keep_other_programs_from_starting() {
     let mut simulation = Simulation::new(true);
     simulation.learn();
-    let steady = (0..75).map(|number| Program::new(5_000 + number, 500_000 + number * 4_000));
+    let completing = (0..75).map(|number| Program::new(5_000 + number, 500_000 + number * 4_000));
     let disconnecting = (0..300).map(|number| Program {
         disconnects_after: Some(1),
         ..Program::new(1_000 + number, 500_500 + number * 1_000)
     });
-    let outcomes = simulation.run(steady.chain(disconnecting));
+    let outcomes = simulation.run(completing.chain(disconnecting));
     assert_eq!(outcomes.completed, 75, "{outcomes:?}");
     assert_eq!(outcomes.refused_midway, 0, "{outcomes:?}");
 }
@@ -191,10 +191,12 @@
             sent: 1,
             ..Program::new(number, 1)
         });
-        assert!(continued.all(|program| simulation.ask(&program)));
+        assert!(continued.all(|program| simulation.make_request(&program)));
     }
     let others = (100..140).map(|number| Program::new(number, 2));
-    others.filter(|program| simulation.ask(program)).count()
+    others
+        .filter(|program| simulation.make_request(program))
+        .count()
 }
 
 #[test]
@@ -215,12 +217,17 @@
         ..Program::new(number, 0)
     }));
     let others = (100..140).map(|number| Program::new(number, 1));
-    assert_eq!(others.filter(|program| simulation.ask(program)).count(), 9);
+    assert_eq!(
+        others
+            .filter(|program| simulation.make_request(program))
+            .count(),
+        9
+    );
     for sent in 1..4 {
         let mut continued = (0..3).map(|number| Program {
             sent,
             ..Program::new(number, 2)
         });
-        assert!(continued.all(|program| simulation.ask(&program)));
+        assert!(continued.all(|program| simulation.make_request(&program)));
     }
 }
--- a/crates/traffic/tests/quota_waits.rs
+++ b/crates/traffic/tests/quota_waits.rs
@@ -14,11 +14,11 @@
 /// Longest wait of a requester, in milliseconds.
 const MAX_WAIT_MS: u64 = 2_000;
 /// Number of simultaneous requesters.
-const CROWD: usize = 200;
+const SIMULTANEOUS: usize = 200;
 /// Number of later requesters, whose rate is below the limit, and the interval between them, in
 /// milliseconds.
 const LATER: usize = 80;
-const LATER_EVERY_MS: u64 = 100;
+const LATER_INTERVAL_MS: u64 = 100;
 
 /// Requests quota, and requests it again at the retry time if that is within its longest wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -106,17 +106,17 @@
     outcomes
 }
 
-fn crowd() -> impl Iterator<Item = Requester> {
-    (0..CROWD).map(|number| Requester::new(0, number))
+fn simultaneous() -> impl Iterator<Item = Requester> {
+    (0..SIMULTANEOUS).map(|number| Requester::new(0, number))
 }
 
 fn later() -> impl Iterator<Item = Requester> {
-    (1..=LATER).map(|number| Requester::new(number as u64 * LATER_EVERY_MS, number))
+    (1..=LATER).map(|number| Requester::new(number as u64 * LATER_INTERVAL_MS, number))
 }
 
 #[test]
 fn requesters_that_do_not_wait_do_not_delay_others() {
-    let outcomes = run(crowd().chain(later()));
+    let outcomes = run(simultaneous().chain(later()));
     assert_eq!(outcomes.later_refused, 0, "{outcomes:?}");
     assert_eq!(outcomes.waited_in_vain, 0, "{outcomes:?}");
     assert!(outcomes.longest_wait_ms <= MAX_WAIT_MS, "{outcomes:?}");
@@ -125,7 +125,7 @@
 /// Each waiting requester retries once, because its request is granted at the retry time.
 #[test]
 fn waiting_requests_are_granted_at_the_retry_time() {
-    let outcomes = run(crowd().chain(later()));
+    let outcomes = run(simultaneous().chain(later()));
     assert!(outcomes.waiting > 0, "{outcomes:?}");
     assert_eq!(outcomes.retries, outcomes.waiting, "{outcomes:?}");
 }
@@ -133,7 +133,7 @@
 /// Reservations of requesters that leave while they wait expire without a message to the owner.
 #[test]
 fn reservations_of_requesters_that_left_expire() {
-    let leaving = crowd().map(|requester| Requester {
+    let leaving = simultaneous().map(|requester| Requester {
         leaves: requester.number % 3 == 0,
         ..requester
     });
--- a/crates/traffic/tests/room.rs
+++ b/crates/traffic/tests/room.rs
@@ -56,7 +56,7 @@
     Close(usize),
     Grow(usize, u64),
     Shrink(usize, u64),
-    HandOut(usize),
+    StartDelivery(usize),
     Wait(u64),
 }
 
@@ -69,7 +69,7 @@
             1 => Self::Close(which),
             2 | 3 => Self::Grow(which, bytes),
             4 | 5 => Self::Shrink(which, bytes),
-            6 => Self::HandOut(which),
+            6 => Self::StartDelivery(which),
             _ => Self::Wait(u64::arbitrary(g) % STALLED_MS),
         }
     }
@@ -116,7 +116,7 @@
                     }
                 }
             }
-            Step::HandOut(which) => {
+            Step::StartDelivery(which) => {
                 if let Some(id) = id(which) {
                     memory.start_delivery(id, now_ms);
                     let known = oracle.get_mut(&id);
--- a/crates/traffic/tests/servers.rs
+++ b/crates/traffic/tests/servers.rs
@@ -111,8 +111,8 @@
     directory.insert(server("a", "z1"), 1);
     directory.insert(server("a", "z1"), 3);
     assert!(!directory.accepts_work("a"));
-    let serving = directory.active_servers("chat");
-    assert!(serving.is_none_or(|serving| serving.all.is_empty()));
+    let servers = directory.active_servers("chat");
+    assert!(servers.is_none_or(|servers| servers.all.is_empty()));
 }
 
 /// An incarnation of server `a`.
