--- a/crates/topology/src/evacuation.rs
+++ b/crates/topology/src/evacuation.rs
@@ -46,7 +46,7 @@
         if is_stale || revision < self.listed_until {
             return false;
         }
-        let former = known.map_or(State::Open, |known| known.state);
+        let previous = known.map_or(State::Open, |known| known.state);
         let since_ms = match known {
             Some(known) if known.state == state => known.since_ms,
             _ => now_ms,
@@ -59,7 +59,7 @@
             since_ms,
         };
         self.records.insert(zone, record);
-        former != state
+        previous != state
     }
 
     /// Applies a listing of the evacuated zones that was read when the topic ended at offset
--- a/crates/topology/src/freshness.rs
+++ b/crates/topology/src/freshness.rs
@@ -18,8 +18,8 @@
 }
 
 impl Freshness {
-    /// After a suspension, records are stale if they were last confirmed more than `limit_ms`
-    /// ago.
+    /// Creates a tracker. After a suspension, records are stale if they were last confirmed more
+    /// than `limit_ms` ago.
     pub fn new(limit_ms: u64) -> Self {
         Self {
             limit_ms,
--- a/crates/traffic/tests/groups.rs
+++ b/crates/traffic/tests/groups.rs
@@ -1,4 +1,4 @@
-//! Engine groups are even for any number of engines, and an engine that leaves moves few others.
+//! Engine groups are even for any number of engines, and a removed engine moves few others.
 
 use fieldhook_topology::zone::Distance;
 use fieldhook_traffic::assignment::{AssignmentSettings, AssignmentTable, Engine, Turn};
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn an_engine_that_leaves_moves_few_others() {
+fn a_removed_engine_moves_few_others() {
     let fleet = Fleet::new(102, 6);
     let before = EngineGroups::divide(&fleet.engines(), 16);
     for removed in 0..102 {
--- a/crates/traffic/tests/quota_waits.rs
+++ b/crates/traffic/tests/quota_waits.rs
@@ -161,17 +161,17 @@
 fn is_wait_sufficient(limit: Limit, steps: &[(u8, u16)], requested: u8) -> bool {
     [PriorGrants::None, PriorGrants::Unknown { since_ms: 0 }]
         .into_iter()
-        .all(|start| {
-            let mut window = SlidingWindow::new(Bounds::default(), limit, start);
+        .all(|prior_grants| {
+            let mut window = SlidingWindow::new(Bounds::default(), limit, prior_grants);
             let mut now_ms = 0;
             for (sent, pause_ms) in steps {
                 now_ms += u64::from(pause_ms % 900);
-                let free = window.available(now_ms).max(0.0) as u32;
-                window.add(u32::from(*sent).min(free), now_ms);
+                let available = window.available(now_ms).max(0.0) as u32;
+                window.add(u32::from(*sent).min(available), now_ms);
             }
             // Request at most what may ever be granted at one moment.
-            let most = (limit.rate_per_s * 1.25 + limit.burst).max(1.0) as u32;
-            let requested = 1 + u32::from(requested) % most;
+            let max_requests = (limit.rate_per_s * 1.25 + limit.burst).max(1.0) as u32;
+            let requested = 1 + u32::from(requested) % max_requests;
             let wait_ms = window.wait_ms(requested, now_ms);
             window.available(now_ms + wait_ms) >= f64::from(requested)
         })
--- a/crates/traffic/tests/routes.rs
+++ b/crates/traffic/tests/routes.rs
@@ -5,7 +5,7 @@
 use fieldhook_traffic::route_table::{RouteTable, supersedes};
 use quickcheck::{Gen, QuickCheck};
 
-fn route(name: &str, host: &str, prefix: &str, parts: &[(&str, u32)]) -> Route {
+fn route(name: &str, host: &str, prefix: &str, services: &[(&str, u32)]) -> Route {
     Route {
         name: name.to_owned(),
         host: host.to_owned(),
@@ -14,7 +14,7 @@
         timeout_ms: 1_000,
         target_latency_ms: 100,
         priority: 0,
-        services: parts
+        services: services
             .iter()
             .map(|(service, weight)| WeightedService {
                 service: (*service).to_owned(),
@@ -118,7 +118,7 @@
     for _ in 0..daemons {
         let mut round_robin = WeightedRoundRobin::new(weights.to_vec(), random.u64(..));
         for _ in 0..each {
-            counts[round_robin.next().expect("a part")] += 1;
+            counts[round_robin.next().expect("a service")] += 1;
         }
     }
     counts
@@ -151,8 +151,8 @@
 
 #[test]
 fn a_new_configuration_continues_the_round_robin_of_a_route() {
-    let parts = [("one", 1), ("two", 1)];
-    let routes = || vec![route("r", "a.example", "/x/", &parts)];
+    let services = [("one", 1), ("two", 1)];
+    let routes = || vec![route("r", "a.example", "/x/", &services)];
     let mut table = RouteTable::new(config(1, routes()), None, 7);
     let mut counts = [0; 2];
     for version in 2..102 {
