--- a/crates/daemon/src/drain.rs
+++ b/crates/daemon/src/drain.rs
@@ -1,5 +1,5 @@
-//! The planned stop: take nothing new, hand the shards over, finish what is
-//! under way, and only then go.
+//! Planned shutdown: refuse new requests, hand the shards over, complete the requests in flight,
+//! and only then leave the group.
 
 use crate::node::{Node, Phase};
 use crate::shard::ShardHost;
@@ -8,51 +8,58 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-const CHECK: Millis = Millis(20);
-/// Time for which new calls are held back until requests to servers that are
-/// not repeatable have answered here.
-const HOLD_LIMIT: Duration = Duration::from_secs(12);
-/// Time in which others learn that this daemon goes.
-const FAREWELL: Millis = Millis(700);
-/// Longest planned stop; streams of engines end well within it.
-const STOP_LIMIT: Duration = Duration::from_secs(120);
+const POLL_INTERVAL: Millis = Millis(20);
+/// Limit for handing over a shard. Until the shard is handed over, new calls are held back and
+/// non-repeatable requests to servers are waited for.
+const MAX_HANDOVER_TIME: Duration = Duration::from_secs(12);
+/// Time for the other daemons to learn that this daemon leaves.
+const LEAVE_NOTICE_TIME: Millis = Millis(700);
+/// Limit for completing requests in flight. Streams of engines end well within it.
+const MAX_DRAIN_TIME: Duration = Duration::from_secs(120);
 
-/// Does all of a planned stop but ending the process.
+/// Performs a planned shutdown. The caller then stops the process.
 pub async fn drain(node: Rc<Node>) {
-    tracing::info!("planned stop begins");
+    tracing::info!("planned shutdown started");
     node.set_phase(Phase::Draining);
-    let begun = Instant::now();
+    let started = Instant::now();
     node.claims.stop_claiming();
     let handovers = node
         .hosts()
         .into_iter()
         .map(|host| hand_over(node.clone(), host));
     futures_util::future::join_all(handovers).await;
-    while node.metrics.in_flight.get() > 0 && begun.elapsed() < STOP_LIMIT {
-        sleep(CHECK).await;
+    while node.metrics.in_flight.get() > 0 && started.elapsed() < MAX_DRAIN_TIME {
+        sleep(POLL_INTERVAL).await;
     }
     node.detector.borrow_mut().leave();
-    sleep(FAREWELL).await;
-    tracing::info!(seconds = begun.elapsed().as_secs_f64(), "planned stop done");
+    sleep(LEAVE_NOTICE_TIME).await;
+    tracing::info!(
+        seconds = started.elapsed().as_secs_f64(),
+        "planned shutdown completed"
+    );
 }
 
-/// Hands a shard over. Streams of engines go on at the next owner; a request that
-/// must not run twice has to end here first, because its answer can only be recorded
-/// by the owner that waits for it.
+/// Hands a shard over. The next owner continues streams of engines. Non-repeatable requests to
+/// servers must complete first, because only the owner that sent such a request can record its
+/// response.
 async fn hand_over(node: Rc<Node>, host: Rc<ShardHost>) {
-    let begun = Instant::now();
-    host.holding.set(true);
-    while host.owns() && runs_unrepeatable(&host) && begun.elapsed() < HOLD_LIMIT {
-        sleep(CHECK).await;
+    let started = Instant::now();
+    host.handing_over.set(true);
+    while host.is_owned()
+        && runs_non_repeatable_call(&host)
+        && started.elapsed() < MAX_HANDOVER_TIME
+    {
+        sleep(POLL_INTERVAL).await;
     }
-    while host.owns() && begun.elapsed() < HOLD_LIMIT {
-        // Another claim may have moved the end of the topic: the next try knows it.
+    while host.is_owned() && started.elapsed() < MAX_HANDOVER_TIME {
+        // The release fails if another claim was appended in the meantime; the next attempt takes
+        // that claim into account.
         let _ = node.claims.release(u32::from(host.shard), None).await;
-        sleep(CHECK).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-fn runs_unrepeatable(host: &ShardHost) -> bool {
+fn runs_non_repeatable_call(host: &ShardHost) -> bool {
     let state = host.state.borrow();
     let running = host.live.borrow();
     running.keys().any(|(program, number)| {
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -1,16 +1,16 @@
-//! The caller's side: check a request, find the owner of its shard, and relay
-//! the answer, through changes of owner.
+//! The caller's side of a call: validates the request, finds the owner of the shard, and relays the
+//! response, also when the owner changes.
 
 mod calls;
 mod commands;
 mod input;
+mod owner_lookup;
 mod programs;
 mod relay;
-mod routing;
 mod source;
 
 pub use calls::post_call;
-pub use commands::ask_owner;
-pub use input::{failure, parse_program};
+pub use commands::send_command;
+pub use input::{error_response, parse_program};
 pub use programs::{delete_program, post_program, show_program};
 pub use source::encode_frame;
--- a/crates/daemon/src/platform/fleet.rs
+++ b/crates/daemon/src/platform/fleet.rs
@@ -1,5 +1,5 @@
-//! Engines and servers: the platform's list, their load reports, and the work
-//! that this daemon has running there.
+//! Engines and servers: the platform's list of machines, the load reports of engines, and the calls
+//! that this daemon runs on them.
 
 use crate::node::Node;
 use fieldhook_membership::{Fact, LeavingMachine};
@@ -10,18 +10,20 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-const LIST_PAUSE: Millis = Millis(500);
-const LOAD_PAUSE: Millis = Millis(250);
-const TIMEOUT: Duration = Duration::from_secs(1);
-/// Engines whose load is read in a round, besides those with work from here. In
-/// `REPORT_LIMIT` a daemon so knows up to 12 times as many well enough to choose.
-const SAMPLE: usize = 16;
-/// Age of the last report after which an engine counts as not reachable.
-const REPORT_LIMIT: Duration = Duration::from_secs(3);
-/// Time for which a failed connection keeps work away from an engine.
-const FAILURE_PAUSE: Duration = Duration::from_secs(2);
-
-/// What is known here of engines and servers.
+const LIST_INTERVAL: Millis = Millis(500);
+const LOAD_INTERVAL: Millis = Millis(250);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
+/// Number of engines whose load is read in each round, besides those that run calls of this daemon.
+/// With a round every `LOAD_INTERVAL`, up to 12 times as many engines have a report that is not
+/// older than `MAX_REPORT_AGE`.
+const SAMPLE_SIZE: usize = 16;
+/// Age of the last report from which on an engine is considered unreachable.
+const MAX_REPORT_AGE: Duration = Duration::from_secs(3);
+/// How long a machine gets less work after a failed attempt: an engine is considered unreachable,
+/// and a server is tried last.
+const FAILURE_BACKOFF: Duration = Duration::from_secs(2);
+
+/// Engines and servers as known to this daemon.
 #[derive(Default)]
 pub struct Fleet {
     machines: Vec<Machine>,
@@ -31,12 +33,12 @@
 }
 
 impl Fleet {
-    /// The platform's list, as last read.
+    /// The platform's list of machines as last read.
     pub fn machines(&self) -> &[Machine] {
         &self.machines
     }
 
-    /// Addresses of all listed engines.
+    /// Returns the addresses of all listed engines.
     pub fn engines(&self) -> Vec<String> {
         let engines = self
             .machines
@@ -49,50 +51,50 @@
         let busy = self.assigned.iter().filter(|(_, count)| **count > 0);
         let loads = &self.loads;
         busy.map(|(address, _)| address.clone())
-            .filter(|item| loads.contains_key(item))
+            .filter(|machine| loads.contains_key(machine))
             .collect()
     }
 
-    /// Notes that a call starts at a machine.
+    /// Records that an attempt starts on a machine.
     pub fn assign(&mut self, address: &str) {
         *self.assigned.entry(address.to_owned()).or_insert(0) += 1;
     }
 
-    /// Notes that a call ended at a machine.
+    /// Records that an attempt ended on a machine.
     pub fn unassign(&mut self, address: &str) {
         if let Some(count) = self.assigned.get_mut(address) {
             *count = count.saturating_sub(1);
         }
     }
 
-    /// Notes that a machine did not answer.
-    pub fn note_failure(&mut self, address: &str) {
+    /// Records that an attempt failed on a machine.
+    pub fn record_failure(&mut self, address: &str) {
         self.failed.insert(address.to_owned(), Instant::now());
     }
 
-    /// Incarnation of an engine by its last report.
+    /// Incarnation of an engine according to its last report, or 0 if there is none.
     pub fn incarnation(&self, address: &str) -> u64 {
         self.loads
             .get(address)
             .map_or(0, |(_, load)| load.incarnation)
     }
 
-    fn reachable(&self, address: &str) -> bool {
+    fn is_reachable(&self, address: &str) -> bool {
         let reported = self
             .loads
             .get(address)
-            .is_some_and(|(at, _)| at.elapsed() < REPORT_LIMIT);
-        reported && !self.failed_lately(address)
+            .is_some_and(|(at, _)| at.elapsed() < MAX_REPORT_AGE);
+        reported && !self.failed_recently(address)
     }
 
-    fn failed_lately(&self, address: &str) -> bool {
+    fn failed_recently(&self, address: &str) -> bool {
         self.failed
             .get(address)
-            .is_some_and(|at| at.elapsed() < FAILURE_PAUSE)
+            .is_some_and(|at| at.elapsed() < FAILURE_BACKOFF)
     }
 }
 
-/// All engines as placement sees them.
+/// Returns all engines as input for the placement.
 pub fn engine_views(node: &Node) -> Vec<EngineView> {
     let fleet = node.fleet.borrow();
     let config = node.config.borrow();
@@ -120,14 +122,14 @@
                 load,
                 assigned: fleet.assigned.get(&machine.address).copied().unwrap_or(0),
                 leaving: machine.leaving || marked,
-                reachable: fleet.reachable(&machine.address),
+                reachable: fleet.is_reachable(&machine.address),
             }
         })
         .collect()
 }
 
-/// Servers that offer a service and are not leaving, those that failed lately
-/// last.
+/// Returns the servers that offer a service and are not leaving, least busy first. Servers that
+/// failed recently come last.
 pub fn servers_for(node: &Node, service: &str) -> Vec<Machine> {
     let fleet = node.fleet.borrow();
     let offers = |machine: &&Machine| {
@@ -141,31 +143,34 @@
     let mut servers: Vec<Machine> = fleet.machines.iter().filter(offers).cloned().collect();
     servers.sort_by_key(|machine| {
         let assigned = fleet.assigned.get(&machine.address).copied().unwrap_or(0);
-        (fleet.failed_lately(&machine.address), assigned)
+        (fleet.failed_recently(&machine.address), assigned)
     });
     servers
 }
 
-/// Reads the platform's list for as long as the process lives. While it is
-/// down the last one counts.
+/// Polls the platform's list of machines. If it is unavailable, the last list stays in use.
 pub async fn run_machine_list(node: Rc<Node>) {
     let url = format!("http://{}/v1/machines", node.settings.platform.machines);
     loop {
-        if let Ok(machines) = node.client.get_json::<Vec<Machine>>(&url, TIMEOUT).await {
+        if let Ok(machines) = node
+            .client
+            .get_json::<Vec<Machine>>(&url, REQUEST_TIMEOUT)
+            .await
+        {
             node.fleet.borrow_mut().machines = machines;
-            mark_leaving(&node);
+            announce_leaving(&node);
         }
-        sleep(LIST_PAUSE).await;
+        sleep(LIST_INTERVAL).await;
     }
 }
 
-/// Reads the load of engines for as long as the process lives: of those with
-/// work from here, and of a sample that goes round the fleet.
+/// Polls the load of engines: in each round, those that run calls of this daemon and a sample that
+/// rotates through the others.
 pub async fn run_load_reports(node: Rc<Node>) {
     let mut rotation = Rotation::default();
     loop {
         let all = node.fleet.borrow().engines();
-        let mut engines = rotation.take(&all, SAMPLE, |limit| fastrand::usize(..limit));
+        let mut engines = rotation.next_batch(&all, SAMPLE_SIZE, |limit| fastrand::usize(..limit));
         for busy in node.fleet.borrow().engines_with_work() {
             if !engines.contains(&busy) {
                 engines.push(busy);
@@ -175,14 +180,18 @@
             .into_iter()
             .map(|address| read_load(node.clone(), address));
         futures_util::future::join_all(reads).await;
-        mark_leaving(&node);
-        sleep(LOAD_PAUSE).await;
+        announce_leaving(&node);
+        sleep(LOAD_INTERVAL).await;
     }
 }
 
 async fn read_load(node: Rc<Node>, address: String) {
     let url = format!("http://{address}/v1/load");
-    if let Ok(load) = node.client.get_json::<EngineLoad>(&url, TIMEOUT).await {
+    if let Ok(load) = node
+        .client
+        .get_json::<EngineLoad>(&url, REQUEST_TIMEOUT)
+        .await
+    {
         node.fleet
             .borrow_mut()
             .loads
@@ -190,20 +199,20 @@
     }
 }
 
-/// Spreads the word of engines that leave. The mark sticks to the engine's
-/// incarnation, however the lagging list wavers.
-fn mark_leaving(node: &Node) {
+/// Announces engines that are leaving to the other daemons. The announcement applies to an
+/// incarnation of the engine, so that it stays valid if the list is outdated or temporarily wrong.
+fn announce_leaving(node: &Node) {
     let leaving: Vec<LeavingMachine> = {
         let fleet = node.fleet.borrow();
         let engines = fleet
             .machines
             .iter()
-            .filter(|item| item.kind == MachineKind::Engine);
+            .filter(|machine| machine.kind == MachineKind::Engine);
         engines
             .filter_map(|machine| {
                 let (_, load) = fleet.loads.get(&machine.address)?;
-                let goes = machine.leaving || load.leaving;
-                goes.then(|| LeavingMachine {
+                let is_leaving = machine.leaving || load.leaving;
+                is_leaving.then(|| LeavingMachine {
                     address: machine.address.clone(),
                     incarnation: load.incarnation,
                 })
--- a/crates/daemon/src/sequencer/follow.rs
+++ b/crates/daemon/src/sequencer/follow.rs
@@ -1,4 +1,4 @@
-//! Letting a reader follow a recorded call to its end, from wherever it is.
+//! Streams the events of a recorded call to a reader, starting at the reader's position.
 
 use crate::sequencer::message::{CallMessage, Position};
 use crate::shard::{LiveCall, ShardHost};
@@ -8,30 +8,30 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// Silence after which the reader is told that this owner lives.
-const KEEP_ALIVE: Millis = Millis(400);
+/// Interval of keep-alive events while there is no other event.
+const KEEP_ALIVE_INTERVAL: Millis = Millis(400);
 
-/// The reader is gone.
+/// Error: the reader closed its channel.
 struct ReaderGone;
 
-/// Sends a recorded call's events until its closing one.
+/// Sends the events of a recorded call up to and including its closing event.
 pub async fn follow(host: &Rc<ShardHost>, call: &CallMessage, out: &mpsc::Sender<StreamEvent>) {
     let mut position = call.position;
-    offer_seen(host, call);
+    record_delivered(host, call);
     loop {
         let Some(live) = host.live_call(call.program, call.call_number) else {
             send_record(host, call, position, out).await;
             return;
         };
         let changed = live.changed();
-        if send_news(&live, &mut position, out).await.is_err() {
+        if send_new_text(&live, &mut position, out).await.is_err() {
             return;
         }
         if let Some(end) = live.end() {
             let _ = out.send(end).await;
             return;
         }
-        if timeout(KEEP_ALIVE, changed).await.is_err()
+        if timeout(KEEP_ALIVE_INTERVAL, changed).await.is_err()
             && out.send(StreamEvent::KeepAlive).await.is_err()
         {
             return;
@@ -39,11 +39,13 @@
     }
 }
 
-/// Passes on text that a former owner had delivered, for a new attempt to
-/// continue; only text of the recorded lineage may be continued.
-fn offer_seen(host: &ShardHost, call: &CallMessage) {
-    let (Some(seen), Some(live)) = (&call.seen, host.live_call(call.program, call.call_number))
-    else {
+/// Records text that was delivered under a previous owner, so that a new attempt can continue it.
+/// Text of another lineage than the recorded one is ignored, because it must not be continued.
+fn record_delivered(host: &ShardHost, call: &CallMessage) {
+    let (Some(delivered), Some(live)) = (
+        &call.delivered,
+        host.live_call(call.program, call.call_number),
+    ) else {
         return;
     };
     let state = host.state.borrow();
@@ -52,11 +54,12 @@
         .get(&call.program)
         .and_then(|item| item.call(call.call_number));
     if record.is_some_and(|record| record.attempt.lineage == call.position.lineage) {
-        live.offer_seen(seen);
+        live.record_delivered(delivered);
     }
 }
 
-async fn send_news(
+/// Sends the output that the reader does not have yet.
+async fn send_new_text(
     live: &LiveCall,
     position: &mut Position,
     out: &mpsc::Sender<StreamEvent>,
@@ -66,14 +69,15 @@
         return Ok(());
     }
     move_to_lineage(position, lineage, out).await?;
-    let fresh = live
+    let new_text = live
         .text()
         .get(position.offset as usize..)
         .unwrap_or_default()
         .to_owned();
-    send_text(position, fresh, out).await
+    send_text(position, new_text, out).await
 }
 
+/// Resets the reader if it has text of another lineage.
 async fn move_to_lineage(
     position: &mut Position,
     lineage: u32,
@@ -108,7 +112,8 @@
     out.send(delta).await.map_err(|_| ReaderGone)
 }
 
-/// Answers from the record of a call that no longer runs.
+/// Sends the rest of the output and the closing event from the record of a call that no longer runs
+/// here.
 async fn send_record(
     host: &Rc<ShardHost>,
     call: &CallMessage,
@@ -122,9 +127,9 @@
             .and_then(|program| program.call(call.call_number))
             .cloned()
     };
-    let owns = host.owns();
+    let is_owned = host.is_owned();
     let closing = match record {
-        Some(record) if owns => match record.state {
+        Some(record) if is_owned => match record.state {
             CallState::Answered(answer) => {
                 let lineage = record.attempt.lineage;
                 if move_to_lineage(&mut position, lineage, out).await.is_err() {
--- a/crates/daemon/src/sequencer/place.rs
+++ b/crates/daemon/src/sequencer/placement.rs
@@ -1,4 +1,4 @@
-//! Choosing an engine or a server for an attempt.
+//! Chooses the engine or server for an attempt.
 
 use crate::node::Node;
 use crate::platform::fleet::{engine_views, servers_for};
@@ -7,20 +7,21 @@
 use fieldhook_model::error::{CallError, ErrorKind};
 use fieldhook_model::ids::ProgramId;
 use fieldhook_model::labels::Labels;
-use fieldhook_placement::{Refusal, Work, choose, judge};
+use fieldhook_placement::{PlacementError, PlacementRequest, evaluate_rules, select_engine};
 
-/// When to come back if nothing can serve a call now.
+/// Retry delay suggested to the caller if no engine or server is available.
 const NO_TARGET_RETRY_MS: u64 = 1_000;
 
-/// Where an attempt goes.
+/// The engine or server chosen for an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// IP and port.
+    /// IP address and port.
     pub address: String,
-    /// Priority of the work.
+    /// Priority according to the rules.
     pub priority: u8,
 }
 
+/// Returns the labels of a program, including its tenant.
 fn program_labels(host: &ShardHost, program: ProgramId) -> Labels {
     let state = host.state.borrow();
     let Some(program) = state.programs.get(&program) else {
@@ -31,11 +32,11 @@
     labels
 }
 
-/// Chooses where an attempt of a call goes.
+/// Chooses the engine or server for an attempt of a call.
 ///
 /// # Errors
-/// Nothing may or can take it now; it has not run.
-pub fn place(
+/// No engine or server is allowed and available. The error says that the call was not run.
+pub fn choose_target(
     node: &Node,
     host: &ShardHost,
     program: ProgramId,
@@ -43,12 +44,12 @@
     avoid: &[String],
 ) -> Result<Target, CallError> {
     match spec {
-        CallSpec::Model(model) => place_model(node, host, program, model, avoid),
-        CallSpec::Server(server) => place_server(node, host, program, server, avoid),
+        CallSpec::Model(model) => choose_engine(node, host, program, model, avoid),
+        CallSpec::Server(server) => choose_server(node, host, program, server, avoid),
     }
 }
 
-fn place_model(
+fn choose_engine(
     node: &Node,
     host: &ShardHost,
     program: ProgramId,
@@ -59,31 +60,31 @@
         let labels = program_labels(host, program);
         let state = host.state.borrow();
         let record = state.programs.get(&program);
-        let known = record.and_then(|record| record.counted.as_ref());
+        let known = record.and_then(|record| record.counted_prompt.as_ref());
         let new_bytes: usize = model
             .messages
             .iter()
             .map(|message| message.content.len())
             .sum();
-        Work {
+        PlacementRequest {
             labels,
             model: model.model.clone(),
             prompt_tokens: known.map_or(0, |known| known.tokens) + new_bytes as u64 / 4,
             new_tokens: u64::from(model.max_tokens),
-            held: record
+            cached_tokens: record
                 .map(|record| record.held_by.clone())
                 .unwrap_or_default(),
-            avoid: avoid.to_vec(),
+            excluded: avoid.to_vec(),
         }
     };
     let config = node.config.borrow();
-    let choice = choose(&config.document, &engine_views(node), &work);
+    let choice = select_engine(&config.document, &engine_views(node), &work);
     match choice {
         Ok(choice) => Ok(Target {
             address: choice.address,
             priority: choice.priority,
         }),
-        Err(Refusal::NoEngine) => Err(CallError::not_run(
+        Err(PlacementError::NoEngine) => Err(CallError::not_run(
             ErrorKind::NoTarget,
             format!(
                 "no live engine allowed by the rules has model {:?}",
@@ -91,7 +92,7 @@
             ),
         )
         .retry_after(NO_TARGET_RETRY_MS)),
-        Err(Refusal::Overloaded(wait_ms)) => Err(CallError::not_run(
+        Err(PlacementError::Overloaded(wait_ms)) => Err(CallError::not_run(
             ErrorKind::Overloaded,
             "come back after retry_after_ms; all allowed engines have long queues",
         )
@@ -99,7 +100,7 @@
     }
 }
 
-fn place_server(
+fn choose_server(
     node: &Node,
     host: &ShardHost,
     program: ProgramId,
@@ -109,10 +110,11 @@
     let labels = program_labels(host, program);
     let config = node.config.borrow();
     for machine in servers_for(node, &server.service) {
-        let own = config
-            .document
-            .machine_labels(&machine.name, &machine.zone, &machine.labels);
-        let verdict = judge(&config.document, &labels, &own);
+        let machine_labels =
+            config
+                .document
+                .machine_labels(&machine.name, &machine.zone, &machine.labels);
+        let verdict = evaluate_rules(&config.document, &labels, &machine_labels);
         if verdict.allowed && !avoid.contains(&machine.address) {
             return Ok(Target {
                 address: machine.address,
--- a/crates/gateway/src/follow/config.rs
+++ b/crates/gateway/src/follow/config.rs
@@ -44,7 +44,7 @@
     let cache = daemon.owner.config.clone();
     let mut follower = Follower::new(
         daemon.relay.clone(),
-        daemon.contact.clone(),
+        daemon.log_health.clone(),
         partition,
         super::long_poll::max_config_wait(&daemon.settings),
     )
@@ -56,7 +56,9 @@
         };
         let listed = apply_all(&daemon, &records);
         if is_listing {
-            daemon.places.retain_listed(&listed, follower.position());
+            daemon
+                .zone_state
+                .apply_listing(&listed, follower.position());
         }
     }
 }
@@ -85,7 +87,7 @@
                 continue;
             }
         };
-        daemon.places.take(zone, state, *offset, "log");
+        daemon.zone_state.apply(zone, state, *offset, "log");
         if state == State::Evacuated {
             evacuated.push(zone);
         }
@@ -98,22 +100,22 @@
     loop {
         sleep(PEER_POLL_PERIOD).await;
         let is_outage = daemon.ledger.reach.get() == Reach::Outage;
-        let is_doubtful = daemon.is_doubtful();
-        let may_be_behind = daemon.contact.is_failing() && !is_outage;
-        if !may_be_behind && !is_doubtful {
+        let is_evacuation_state_stale = daemon.is_evacuation_state_stale();
+        let may_be_behind = daemon.log_health.is_failing() && !is_outage;
+        if !may_be_behind && !is_evacuation_state_stale {
             continue;
         }
         let version = daemon.owner.config.version();
         let replies = daemon.ledger.query_peer_configs(version).await;
         if is_outage && !replies.is_empty() {
-            daemon.places.settle();
+            daemon.zone_state.confirm();
         }
         for news in replies {
             if let Some(document) = news.document {
                 apply(&daemon, None, &document);
             }
             for evacuation in &news.evacuations {
-                daemon.places.learn(evacuation);
+                daemon.zone_state.apply_peer_status(evacuation);
             }
             if let Some(age_ms) = news.age_ms {
                 daemon.owner.config.confirm(age_ms);
@@ -132,7 +134,7 @@
     }
     let name = record
         .key
-        .strip_prefix(daemon.topics.evacuations.as_slice())?;
+        .strip_prefix(daemon.topics.evacuation_prefix.as_slice())?;
     Some(match std::str::from_utf8(name) {
         Ok(zone) if !zone.is_empty() => Ok(zone),
         _ => Err("the key does not name a zone"),
@@ -172,8 +174,8 @@
     );
     apply_homes(daemon, &config);
     let is_route = |name: &str| config.routes.iter().any(|route| route.name == name);
-    daemon.answer_times.retain(&is_route);
-    daemon.pauses.retain(&is_route);
+    daemon.response_times.retain(&is_route);
+    daemon.stream_gaps.retain(&is_route);
     let streams = config.routes.iter().filter(|route| route.kind.is_stream());
     if let Some(longest_ms) = streams.map(|route| route.timeout_ms).max() {
         daemon.owner.set_longest_turn(longest_ms);
@@ -189,9 +191,9 @@
 /// serve.
 fn apply_homes(daemon: &Daemon, config: &TrafficConfig) {
     daemon
-        .places
+        .zone_state
         .set_home_regions(residency::named_regions(config));
-    let problems = residency::find_problems(config, &daemon.places.map);
+    let problems = residency::find_problems(config, &daemon.zone_state.map);
     for problem in problems.iter().take(MAX_LOGGED_PROBLEMS) {
         tracing::error!(
             event = "homes_unservable",
--- a/crates/gateway/src/ledger/assigner.rs
+++ b/crates/gateway/src/ledger/assigner.rs
@@ -1,8 +1,8 @@
 //! Assigns engines to the turns of programs whose partitions this daemon owns.
 
 use crate::cold::ColdServers;
-use crate::places::Places;
 use crate::upstream::pool::Pools;
+use crate::zone_state::ZoneState;
 use fieldhook_ledger::message::{CloseTurn, OpenTurn, PlacementRequest};
 use fieldhook_ledger::partition_of;
 use fieldhook_topology::region::RegionSet;
@@ -33,7 +33,7 @@
 pub struct Assigner {
     directory: Rc<RefCell<Directory>>,
     pools: Rc<Pools>,
-    pub(super) places: Rc<Places>,
+    pub(super) zone_state: Rc<ZoneState>,
     cold: Rc<ColdServers>,
     table: RefCell<AssignmentTable>,
     groups_by_service: RefCell<HashMap<String, CachedGroups>>,
@@ -48,14 +48,14 @@
     pub fn new(
         directory: Rc<RefCell<Directory>>,
         pools: Rc<Pools>,
-        places: Rc<Places>,
+        zone_state: Rc<ZoneState>,
         cold: Rc<ColdServers>,
         partitions: u32,
     ) -> Self {
         Self {
             directory,
             pools,
-            places,
+            zone_state,
             cold,
             table: RefCell::new(AssignmentTable::new(AssignmentSettings::default())),
             groups_by_service: RefCell::default(),
@@ -130,19 +130,21 @@
         let home = partition % count;
         let arc = HashRange::nth_of(home, count);
         let regions = allowed_regions(placement);
-        let servers = self.places.with_rule(&regions, &placement.zone, |rule| {
-            let is_usable = |server: &ServerEntry| rule.serving_distance(&server.zone).is_ok();
-            let from = |arc| CandidateQuery {
-                zone: &placement.zone,
-                range: arc,
-                start: placement.prefix_hash,
-            };
-            let drawn = select_candidates(serving, &from(arc), &is_usable).servers;
-            match drawn.len() >= MIN_DRAWN {
-                true => drawn,
-                false => select_candidates(serving, &from(HashRange::FULL), &is_usable).servers,
-            }
-        });
+        let servers = self
+            .zone_state
+            .with_rule(&regions, &placement.zone, |rule| {
+                let is_usable = |server: &ServerEntry| rule.serving_distance(&server.zone).is_ok();
+                let from = |arc| CandidateQuery {
+                    zone: &placement.zone,
+                    range: arc,
+                    start: placement.prefix_hash,
+                };
+                let drawn = select_candidates(serving, &from(arc), &is_usable).servers;
+                match drawn.len() >= MIN_DRAWN {
+                    true => drawn,
+                    false => select_candidates(serving, &from(HashRange::FULL), &is_usable).servers,
+                }
+            });
         let mut servers: Vec<&ServerEntry> = servers.into_iter().map(|server| &**server).collect();
         let table = self.table.borrow();
         let previous = table.assigned_engine(&open.program);
@@ -163,22 +165,23 @@
     /// Removes engines whose zones may not serve the turn, and sets the distance of the others.
     fn retain_allowed(&self, engines: &mut Vec<Engine<'_>>, placement: &PlacementRequest) {
         let regions = allowed_regions(placement);
-        self.places.with_rule(&regions, &placement.zone, |rule| {
-            engines.retain_mut(|engine| match rule.serving_distance(engine.zone) {
-                Ok(distance) => {
-                    engine.distance = distance;
-                    true
-                }
-                Err(_) => false,
+        self.zone_state
+            .with_rule(&regions, &placement.zone, |rule| {
+                engines.retain_mut(|engine| match rule.serving_distance(engine.zone) {
+                    Ok(distance) => {
+                        engine.distance = distance;
+                        true
+                    }
+                    Err(_) => false,
+                });
             });
-        });
     }
 
     /// Limits the slots of cold engines to what their permitted request rate can fill.
     fn limit_cold_slots(&self, engines: &mut [Engine<'_>], directory: &Directory) {
         for engine in engines {
             let entry = directory.entry(engine.id);
-            let cold = entry.and_then(|entry| self.cold.cold(entry));
+            let cold = entry.and_then(|entry| self.cold.cold_limits(entry));
             if let Some(cold) = cold {
                 engine.is_cold = true;
                 engine.slots = engine.slots.min(cold::cold_slots(&cold));
--- a/crates/gateway/src/ledger/cold.rs
+++ b/crates/gateway/src/ledger/cold.rs
@@ -180,7 +180,7 @@
         if let Ok(Some(answer)) = answer {
             return Some(answer);
         }
-        let partition = request.partition(self.owner.places.layout.global_count());
+        let partition = request.partition(self.owner.zone_state.layout.global_count());
         if self.owner_searches.borrow_mut().insert(partition) {
             let ledger = self.clone();
             ntex::rt::spawn(async move {
@@ -198,7 +198,7 @@
     }
 
     async fn request_permit_from_owner(&self, request: &LedgerRequest) -> Option<QuotaReply> {
-        let partition = request.partition(self.owner.places.layout.global_count());
+        let partition = request.partition(self.owner.zone_state.layout.global_count());
         loop {
             match self.exchange(partition, request, PERMIT_TIMEOUT).await {
                 Exchange::Answered(LedgerReply::Quota(answer), _) => return Some(answer),
--- a/crates/gateway/src/ledger/homes.rs
+++ b/crates/gateway/src/ledger/homes.rs
@@ -3,7 +3,7 @@
 
 use super::client::LedgerClient;
 use super::exchange::Exchange;
-use crate::places::Places;
+use crate::zone_state::ZoneState;
 use fieldhook_ledger::message::{LedgerReply, LedgerRequest};
 use fieldhook_log::eligibility::Predicate;
 use fieldhook_log::ownership::Claim;
@@ -25,13 +25,13 @@
 /// partition. A home partition may be owned by the daemons of its region, if the configuration
 /// names the region as a home or the partition was claimed before: it may still store contents
 /// that have to be kept.
-pub(super) fn eligibility(places: Rc<Places>) -> Predicate {
+pub(super) fn eligibility(zone_state: Rc<ZoneState>) -> Predicate {
     Rc::new(move |partition, claim: Option<&Claim>| {
-        let Some(region) = places.layout.region(partition) else {
+        let Some(region) = zone_state.layout.region(partition) else {
             return true;
         };
-        let is_own_region = places.region() == Some(region);
-        is_own_region && (claim.is_some() || places.is_home(region))
+        let is_own_region = zone_state.region() == Some(region);
+        is_own_region && (claim.is_some() || zone_state.is_home_region(region))
     })
 }
 
@@ -44,7 +44,7 @@
         if ledger.owner.claims.has_stopped_claiming() {
             return;
         }
-        for partition in ledger.owner.places.layout.home_partitions() {
+        for partition in ledger.owner.zone_state.layout.home_partitions() {
             check_owner(&ledger, partition).await;
         }
     }
--- a/crates/gateway/src/memory.rs
+++ b/crates/gateway/src/memory.rs
@@ -1,5 +1,5 @@
-//! The memory that this daemon spends on peers that are slow to read: see
-//! [`fieldhook_traffic::buffer_memory`] for what gives way where it is used up.
+//! Limits the memory for data buffered for peers that read slowly.
+//! [`fieldhook_traffic::buffer_memory`] decides which buffers are evicted when the limit is reached.
 
 use crate::metrics::Metrics;
 use crate::settings::SlowPeers;
@@ -10,54 +10,55 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// More would be held than may be; come back once slow peers have taken theirs.
+/// The memory for buffered data is exhausted. The request may be retried once slow peers have read
+/// theirs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NoRoom;
+pub struct MemoryExhausted;
 
-/// What is held for all peers.
+/// The memory for data buffered for all peers.
 pub struct Memory {
-    /// How much may be held, and for how long.
+    /// Size and time limits.
     pub bounds: SlowPeers,
-    room: RefCell<BufferMemory>,
-    /// Told to those who have to give up what they hold.
-    giving_up: RefCell<HashMap<BufferId, Rc<Notify>>>,
+    buffers: RefCell<BufferMemory>,
+    /// Notified when the buffer of an account is evicted.
+    evicted: RefCell<HashMap<BufferId, Rc<Notify>>>,
     metrics: Rc<Metrics>,
     started: Instant,
 }
 
-/// What is held for one peer, until it is dropped.
-pub struct Held {
+/// The memory used for one peer. Dropping it releases the memory.
+pub struct MemoryAccount {
     memory: Rc<Memory>,
     id: BufferId,
-    giving_up: Rc<Notify>,
+    evicted: Rc<Notify>,
 }
 
 impl Memory {
-    /// Nothing is held.
+    /// Creates the memory with nothing buffered.
     pub fn new(bounds: SlowPeers, metrics: Rc<Metrics>) -> Self {
         Self {
             bounds,
-            room: RefCell::new(BufferMemory::new(bounds.held_bytes)),
-            giving_up: RefCell::default(),
+            buffers: RefCell::new(BufferMemory::new(bounds.held_bytes)),
+            evicted: RefCell::default(),
             metrics,
             started: Instant::now(),
         }
     }
 
-    /// Bytes held.
+    /// Returns the number of buffered bytes.
     pub fn held(&self) -> u64 {
-        self.room.borrow().held()
+        self.buffers.borrow().held()
     }
 
-    /// An account that holds nothing yet.
-    pub fn open(self: &Rc<Self>, purpose: Purpose) -> Held {
-        let id = self.room.borrow_mut().open(purpose, self.now_ms());
-        let giving_up = Rc::new(Notify::new());
-        self.giving_up.borrow_mut().insert(id, giving_up.clone());
-        Held {
+    /// Opens an empty account.
+    pub fn open(self: &Rc<Self>, purpose: Purpose) -> MemoryAccount {
+        let id = self.buffers.borrow_mut().open(purpose, self.now_ms());
+        let evicted = Rc::new(Notify::new());
+        self.evicted.borrow_mut().insert(id, evicted.clone());
+        MemoryAccount {
             memory: self.clone(),
             id,
-            giving_up,
+            evicted,
         }
     }
 
@@ -65,87 +66,87 @@
         self.started.elapsed().as_millis() as u64
     }
 
-    fn tell(&self) {
+    fn update_gauge(&self) {
         self.metrics.held_bytes.set(self.held() as i64);
     }
 
-    fn note(&self, outcome: &str) {
+    fn count_outcome(&self, outcome: &str) {
         let counter = &self.metrics.held_outcomes;
         counter.with_label_values(&[outcome]).inc();
     }
 
-    fn give_up(&self, ids: &[BufferId]) {
+    fn evict(&self, ids: &[BufferId]) {
         for id in ids {
-            self.note("given_up");
-            if let Some(giving_up) = self.giving_up.borrow().get(id) {
-                giving_up.notify_one();
+            self.count_outcome("given_up");
+            if let Some(evicted) = self.evicted.borrow().get(id) {
+                evicted.notify_one();
             }
         }
     }
 }
 
-impl Held {
-    /// So many bytes more are held.
+impl MemoryAccount {
+    /// Adds bytes to the account. Other accounts may be evicted for them.
     ///
     /// # Errors
-    /// There is no room for them.
-    pub fn grow(&self, bytes: usize) -> Result<(), NoRoom> {
+    /// The memory is exhausted.
+    pub fn grow(&self, bytes: usize) -> Result<(), MemoryExhausted> {
         let now_ms = self.memory.now_ms();
-        let verdict = self
+        let result = self
             .memory
-            .room
+            .buffers
             .borrow_mut()
             .grow(self.id, bytes as u64, now_ms);
-        match verdict {
+        match result {
             GrowResult::Granted => {}
-            GrowResult::GrantedByDropping(others) => self.memory.give_up(&others),
+            GrowResult::GrantedByDropping(others) => self.memory.evict(&others),
             GrowResult::Refused => {
-                self.memory.note("refused");
-                return Err(NoRoom);
+                self.memory.count_outcome("refused");
+                return Err(MemoryExhausted);
             }
         }
-        self.memory.tell();
+        self.memory.update_gauge();
         Ok(())
     }
 
-    /// The peer took so many of them.
+    /// Removes bytes that the peer has read.
     pub fn shrink(&self, bytes: usize) {
         let now_ms = self.memory.now_ms();
-        let mut room = self.memory.room.borrow_mut();
-        room.shrink(self.id, bytes as u64, now_ms);
-        drop(room);
-        self.memory.tell();
+        let mut buffers = self.memory.buffers.borrow_mut();
+        buffers.shrink(self.id, bytes as u64, now_ms);
+        drop(buffers);
+        self.memory.update_gauge();
     }
 
-    /// From now on the client takes what is held.
-    pub fn hand_out(&self) {
+    /// Marks the start of the delivery of the buffered data to the client.
+    pub fn start_delivery(&self) {
         let now_ms = self.memory.now_ms();
         self.memory
-            .room
+            .buffers
             .borrow_mut()
             .start_delivery(self.id, now_ms);
     }
 
-    /// Ends once this has to be given up for others.
-    pub async fn given_up(&self) {
-        self.giving_up.notified().await;
+    /// Waits until this account is evicted in favor of others.
+    pub async fn evicted(&self) {
+        self.evicted.notified().await;
     }
 
-    /// The peer has taken nothing for so long that nobody waits for it any more.
-    pub fn note_stalled(&self) {
-        self.memory.note("stalled");
+    /// Counts a peer that was disconnected because it read nothing for too long.
+    pub fn record_stall(&self) {
+        self.memory.count_outcome("stalled");
     }
 
-    /// How much may be held, and for how long.
+    /// Size and time limits.
     pub fn bounds(&self) -> SlowPeers {
         self.memory.bounds
     }
 }
 
-impl Drop for Held {
+impl Drop for MemoryAccount {
     fn drop(&mut self) {
-        self.memory.room.borrow_mut().close(self.id);
-        self.memory.giving_up.borrow_mut().remove(&self.id);
-        self.memory.tell();
+        self.memory.buffers.borrow_mut().close(self.id);
+        self.memory.evicted.borrow_mut().remove(&self.id);
+        self.memory.update_gauge();
     }
 }
--- a/crates/gateway/src/serve/buffered.rs
+++ b/crates/gateway/src/serve/buffered.rs
@@ -10,7 +10,7 @@
 use super::writer::ClientWriter;
 use crate::http::body::{Framing, Piece};
 use crate::http::write::{LAST_CHUNK, ResponseFraming, chunk, response_head};
-use crate::memory::Held;
+use crate::memory::MemoryAccount;
 use crate::upstream::connection::ExchangeError;
 use bytes::{Bytes, BytesMut};
 use fieldhook_traffic::attempt::AttemptFailure;
@@ -24,7 +24,7 @@
     /// Response body.
     pub body: Bytes,
     /// Accounts for the memory of the body.
-    pub held: Held,
+    pub held: MemoryAccount,
 }
 
 /// A response that is too large to buffer.
@@ -32,7 +32,7 @@
     attempt: Attempt,
     /// Part of the body received so far.
     received: BytesMut,
-    held: Held,
+    held: MemoryAccount,
 }
 
 /// A response that was read completely or in part.
@@ -88,7 +88,7 @@
         ));
     };
     if outcome.is_ok() {
-        let times = &context.daemon.answer_times;
+        let times = &context.daemon.response_times;
         times.observe(&context.entry.route.name, started.elapsed());
     }
     outcome
@@ -167,7 +167,7 @@
     let mut headers = head.headers.clone();
     headers.remove_connection_fields();
     headers.remove("content-length");
-    let close = context.daemon.sends_away();
+    let close = context.daemon.closes_connections();
     response_head(head.status, &head.reason, &headers, body, close)
 }
 
@@ -248,7 +248,7 @@
     let status = attempt.response.head.status;
     let metrics = &context.daemon.metrics;
     metrics
-        .answers
+        .responses
         .with_label_values(&[&status.to_string()])
         .inc();
     metrics
--- a/crates/gateway/src/serve/selection.rs
+++ b/crates/gateway/src/serve/selection.rs
@@ -32,7 +32,7 @@
         range: HashRange::FULL,
         start: prefix_hash(sampling_key),
     };
-    let servers = daemon.places.with_rule(homes, zone, |rule| {
+    let servers = daemon.zone_state.with_rule(homes, zone, |rule| {
         let may_serve = |server: &ServerEntry| rule.serving_distance(&server.zone).is_ok();
         let is_usable =
             |server: &ServerEntry| may_serve(server) && !history.servers.contains(&server.id);
@@ -67,15 +67,15 @@
     now_ms: u64,
 ) -> Option<Candidate<'a>> {
     let daemon = &context.daemon;
-    let is_cold = daemon.cold.cold(server).is_some();
-    if is_cold && daemon.cold.denied_ms(&server.id).is_some() {
+    let is_cold = daemon.cold.cold_limits(server).is_some();
+    if is_cold && daemon.cold.denial_wait_ms(&server.id).is_some() {
         return None;
     }
     let status = daemon.pools.status(&server.id, &server.zone, now_ms);
     Some(Candidate {
         server,
         distance: daemon
-            .places
+            .zone_state
             .map
             .distance(&daemon.settings.zone, &server.zone),
         in_flight: status.in_flight,
--- a/crates/gateway/src/serve/stream.rs
+++ b/crates/gateway/src/serve/stream.rs
@@ -81,7 +81,7 @@
     context
         .daemon
         .metrics
-        .answers
+        .responses
         .with_label_values(&["0"])
         .inc();
     tracing::info!(
@@ -113,7 +113,7 @@
                 let end = forward_events(context, &mut attempt, turn, delivery, writer).await;
                 match end {
                     StreamEnd::Complete => {
-                        let times = &context.daemon.answer_times;
+                        let times = &context.daemon.response_times;
                         times.observe(&context.entry.route.name, started.elapsed());
                         attempt.finish(context);
                         return finish_stream(context, turn, delivery, writer).await;
@@ -260,7 +260,7 @@
     let mut headers = head.headers.clone();
     headers.remove_connection_fields();
     headers.remove("content-length");
-    let close = context.daemon.sends_away();
+    let close = context.daemon.closes_connections();
     response_head(
         head.status,
         &head.reason,
@@ -291,7 +291,7 @@
     context
         .daemon
         .metrics
-        .answers
+        .responses
         .with_label_values(&["200"])
         .inc();
     tracing::info!(
--- a/crates/gateway/tests/gateway/cold.rs
+++ b/crates/gateway/tests/gateway/cold.rs
@@ -2,7 +2,7 @@
 
 use crate::support::{Act, CONFIG, Gateway, Reply, Server, World, config, run};
 use fieldhook_emulator::log::memory::LogFault;
-use fieldhook_gateway::settings::{Bounds, Cold as Judged};
+use fieldhook_gateway::settings::{Bounds, Cold as ColdTolerance};
 use fieldhook_traffic::config::ColdLimit;
 use futures_util::future::join_all;
 use std::rc::Rc;
@@ -30,7 +30,7 @@
     });
     world.configs.borrow_mut()[0] = config;
     world.bounds.set(Bounds {
-        cold: Judged {
+        cold: ColdTolerance {
             overshoot: 1.5,
             slack: 5.0,
         },
@@ -258,7 +258,7 @@
         // Where the warm one has no place the cold one gets what it bears, and a request
         // that is denied there waits for the warm one as before.
         full.set(Act::NotRun);
-        let refilled = full.clone_act();
+        let refilled = full.shared_act();
         ntex::rt::spawn(async move {
             sleep(Duration::from_millis(150)).await;
             refilled.replace(yes());
@@ -303,9 +303,9 @@
         let directory = gateways[0].daemon.directory.clone();
         let entry = directory.borrow().entry("s1").cloned().expect("listed");
         let cold = &gateways[0].daemon.cold;
-        assert_eq!(cold.cold(&entry), None);
-        cold.unreachable(&entry);
-        assert!(cold.cold(&entry).is_some());
+        assert_eq!(cold.cold_limits(&entry), None);
+        cold.record_unreachable(&entry);
+        assert!(cold.cold_limits(&entry).is_some());
         let outcomes = flood_all(&gateways, 40, Duration::from_millis(30)).await;
         let served = count(&outcomes, 200);
         let permits = permits(&gateways[0]);
--- a/crates/gateway/tests/gateway/incarnations.rs
+++ b/crates/gateway/tests/gateway/incarnations.rs
@@ -1,7 +1,7 @@
 //! Server directory entries: restarts of a server under the same name, and entries that cannot be
 //! parsed.
 
-use crate::support::{Act, CONFIG, Gateway, Lines, SERVERS, Server, World, run};
+use crate::support::{Act, CONFIG, Gateway, LogCapture, SERVERS, Server, World, run};
 use fieldhook_emulator::log::memory::LogFault;
 use fieldhook_gateway::settings::Bounds;
 use fieldhook_log::api::{Append, KeyedRecord, Partition};
@@ -341,7 +341,7 @@
 #[test]
 fn failures_of_the_previous_process_do_not_affect_the_next() {
     run(async {
-        let mut s1 = Server::start_frail("s1", Act::Reset).await;
+        let mut s1 = Server::start_with_power_switch("s1", Act::Reset).await;
         let world = World::new().await;
         publish_incarnation(&world, &s1, 1, "").await;
         let gateway = world.gateway("g1").await;
@@ -386,7 +386,7 @@
             let directory = gateway.daemon.directory.borrow();
             let id = directory.current_identity("s1").expect("a server");
             let entry = directory.entry(id).expect("its entry");
-            gateway.daemon.cold.cold(entry).is_some()
+            gateway.daemon.cold.cold_limits(entry).is_some()
         };
         assert!(!is_cold());
         publish_incarnation(&world, &s1, 2, "").await;
@@ -432,7 +432,7 @@
         let s1 = Server::start("s1", plain_answer()).await;
         let world = World::new().await;
         let gateway = world.ready(&[&s1]).await;
-        let lines = Lines::start();
+        let lines = LogCapture::start();
         let large = "x".repeat(1 << 20);
         world.put(SERVERS, "foreign", &large).await;
         world.put_bytes(SERVERS, b"\xff\xfe", b"service").await;
@@ -447,7 +447,7 @@
             ("zone_unreadable", "evacuation", 1),
         ];
         for (event, kind, count) in expected {
-            let lines = lines.of(event);
+            let lines = lines.with_event(event);
             assert_eq!(lines.len(), count, "{event}: {lines:?}");
             assert_eq!(unreadable_count(&gateway, kind), count as u64, "{kind}");
             assert!(lines.iter().all(|line| line.len() < 1_000), "{event}");
@@ -466,14 +466,14 @@
         let s1 = Server::start("s1", plain_answer()).await;
         let world = World::new().await;
         let gateway = world.ready(&[&s1]).await;
-        let lines = Lines::start();
+        let lines = LogCapture::start();
         for number in 0..300 {
             world.put(SERVERS, &format!("f{number}"), "\u{0}").await;
         }
         world.list(&s1).await;
         sleep(EFFECT_BOUND).await;
         assert_eq!(unreadable_count(&gateway, "server"), 300);
-        let logged = lines.of("server_unreadable");
+        let logged = lines.with_event("server_unreadable");
         assert!(logged.len() <= 100, "{} lines", logged.len());
         assert!(logged.iter().any(|line| line.contains("unnamed")));
         ask(&gateway, 4).await;
@@ -502,8 +502,8 @@
         }
         world.put(CONFIG, "closed/", "{}").await;
         sleep(EFFECT_BOUND).await;
-        let places = &gateway.daemon.places;
-        assert!(places.is_evacuated("z1") && !places.is_evacuated("z2"));
+        let zone_state = &gateway.daemon.zone_state;
+        assert!(zone_state.is_evacuated("z1") && !zone_state.is_evacuated("z2"));
         assert!(unreadable_count(&gateway, "evacuation") > 250);
         let before = s1.count();
         ask(&gateway, 8).await;
--- a/crates/program/src/lib.rs
+++ b/crates/program/src/lib.rs
@@ -1,6 +1,8 @@
-//! The state machine of a shard: its programs, their order, history, budget
-//! and answers. Pure: an owner that applies the same commands in the same order
-//! holds the same state.
+//! The replicated state machine of a shard: its programs with their calls,
+//! history, budget and answers.
+//!
+//! It is deterministic and does no I/O: owners that apply the same commands in
+//! the same order hold the same state.
 
 mod admission;
 mod budget;
@@ -8,16 +10,17 @@
 mod command;
 mod history;
 mod lifecycle;
-mod machine;
 mod program;
+mod shard_state;
 mod view;
 
 pub use admission::Admission;
-pub use budget::{Budget, highest_cost, prompt_bound};
+pub use budget::{Budget, max_cost, max_prompt_tokens};
 pub use call::{Attempt, Call, CallState};
 pub use command::{
-    AttemptCost, Begin, Command, EndReason, Finish, NextAttempt, Open, Outcome, Reply, TimedCommand,
+    AttemptCost, BeginCall, Command, EndReason, FinishCall, NextAttempt, OpenProgram, Outcome,
+    Reply, TimedCommand,
 };
 pub use lifecycle::RETENTION_MS;
-pub use machine::ShardState;
 pub use program::{ForkPoint, Phase, Program};
+pub use shard_state::ShardState;
