--- a/crates/traffic/tests/quota_waits.rs
+++ b/crates/traffic/tests/quota_waits.rs
@@ -14,11 +14,11 @@
 /// Longest wait of a requester, in milliseconds.
 const MAX_WAIT_MS: u64 = 2_000;
 /// Number of simultaneous requesters.
-const CROWD: usize = 200;
+const SIMULTANEOUS: usize = 200;
 /// Number of later requesters, whose rate is below the limit, and the interval between them, in
 /// milliseconds.
 const LATER: usize = 80;
-const LATER_EVERY_MS: u64 = 100;
+const LATER_INTERVAL_MS: u64 = 100;
 
 /// Requests quota, and requests it again at the retry time if that is within its longest wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -106,17 +106,17 @@
     outcomes
 }
 
-fn crowd() -> impl Iterator<Item = Requester> {
-    (0..CROWD).map(|number| Requester::new(0, number))
+fn simultaneous() -> impl Iterator<Item = Requester> {
+    (0..SIMULTANEOUS).map(|number| Requester::new(0, number))
 }
 
 fn later() -> impl Iterator<Item = Requester> {
-    (1..=LATER).map(|number| Requester::new(number as u64 * LATER_EVERY_MS, number))
+    (1..=LATER).map(|number| Requester::new(number as u64 * LATER_INTERVAL_MS, number))
 }
 
 #[test]
 fn requesters_that_do_not_wait_do_not_delay_others() {
-    let outcomes = run(crowd().chain(later()));
+    let outcomes = run(simultaneous().chain(later()));
     assert_eq!(outcomes.later_refused, 0, "{outcomes:?}");
     assert_eq!(outcomes.waited_in_vain, 0, "{outcomes:?}");
     assert!(outcomes.longest_wait_ms <= MAX_WAIT_MS, "{outcomes:?}");
@@ -125,7 +125,7 @@
 /// Each waiting requester retries once, because its request is granted at the retry time.
 #[test]
 fn waiting_requests_are_granted_at_the_retry_time() {
-    let outcomes = run(crowd().chain(later()));
+    let outcomes = run(simultaneous().chain(later()));
     assert!(outcomes.waiting > 0, "{outcomes:?}");
     assert_eq!(outcomes.retries, outcomes.waiting, "{outcomes:?}");
 }
@@ -133,7 +133,7 @@
 /// Reservations of requesters that leave while they wait expire without a message to the owner.
 #[test]
 fn reservations_of_requesters_that_left_expire() {
-    let leaving = crowd().map(|requester| Requester {
+    let leaving = simultaneous().map(|requester| Requester {
         leaves: requester.number % 3 == 0,
         ..requester
     });
@@ -161,17 +161,17 @@
 fn is_wait_sufficient(limit: Limit, steps: &[(u8, u16)], requested: u8) -> bool {
     [PriorGrants::None, PriorGrants::Unknown { since_ms: 0 }]
         .into_iter()
-        .all(|start| {
-            let mut window = SlidingWindow::new(Bounds::default(), limit, start);
+        .all(|prior_grants| {
+            let mut window = SlidingWindow::new(Bounds::default(), limit, prior_grants);
             let mut now_ms = 0;
             for (sent, pause_ms) in steps {
                 now_ms += u64::from(pause_ms % 900);
-                let free = window.available(now_ms).max(0.0) as u32;
-                window.add(u32::from(*sent).min(free), now_ms);
+                let available = window.available(now_ms).max(0.0) as u32;
+                window.add(u32::from(*sent).min(available), now_ms);
             }
             // Request at most what may ever be granted at one moment.
-            let most = (limit.rate_per_s * 1.25 + limit.burst).max(1.0) as u32;
-            let requested = 1 + u32::from(requested) % most;
+            let max_requests = (limit.rate_per_s * 1.25 + limit.burst).max(1.0) as u32;
+            let requested = 1 + u32::from(requested) % max_requests;
             let wait_ms = window.wait_ms(requested, now_ms);
             window.available(now_ms + wait_ms) >= f64::from(requested)
         })
