--- a/crates/emulator/src/log/core.rs
+++ b/crates/emulator/src/log/core.rs
@@ -40,13 +40,16 @@
     }
 
     /// Takes no records once so many bytes are kept.
-    pub fn set_room(&mut self, bytes: usize) {
+    pub fn set_storage_limit(&mut self, bytes: usize) {
         self.room = Some(bytes);
     }
 
     /// Bytes kept in all: the history, and the newest record of each key once more.
-    pub fn kept(&self) -> usize {
-        self.partitions.values().map(PartitionLog::kept).sum()
+    pub fn stored_bytes(&self) -> usize {
+        self.partitions
+            .values()
+            .map(PartitionLog::stored_bytes)
+            .sum()
     }
 
     /// Appends all records or none.
@@ -54,7 +57,7 @@
     /// # Errors
     /// The fence, the sequence, the condition or a want of room forbids it.
     pub fn append(&mut self, append: &Append) -> Result<Appended, StoreError> {
-        let is_full = self.room.is_some_and(|room| self.kept() >= room);
+        let is_full = self.room.is_some_and(|room| self.stored_bytes() >= room);
         self.partition(&append.partition).append(append, is_full)
     }
 
@@ -77,7 +80,7 @@
     }
 
     /// Drops the history of all partitions; the newest of each key stays.
-    pub fn forget_history(&mut self) {
+    pub fn drop_history(&mut self) {
         for partition in self.partitions.values_mut() {
             partition.first = partition.end();
             partition.records.clear();
@@ -90,7 +93,7 @@
         self.first + self.records.len() as u64
     }
 
-    fn kept(&self) -> usize {
+    fn stored_bytes(&self) -> usize {
         let history = self.records.iter();
         let history = history.map(|record| record.key.len() + record.value.len());
         let newest = self.newest.iter();
--- a/crates/emulator/src/log/memory.rs
+++ b/crates/emulator/src/log/memory.rs
@@ -28,9 +28,9 @@
     /// Calls are not answered and have no effect.
     Silent,
     /// Appends have their effect and are not answered.
-    AnswerLost,
+    ResponseLost,
     /// Appends are not answered and have their effect after this time.
-    DoneLate(Duration),
+    AppliedLate(Duration),
     /// Every call takes this long.
     Slow(Duration),
 }
@@ -74,13 +74,13 @@
     }
 
     /// Sets what goes wrong from now on with one partition; the others work.
-    pub fn set_fault_of(&self, partition: Partition, fault: LogFault) {
+    pub fn set_partition_fault(&self, partition: Partition, fault: LogFault) {
         self.faulty.replace(Some(partition));
         self.fault.set(fault);
     }
 
     /// All connections fall silent: the calls that wait are never answered, new ones work.
-    pub fn silence_connections(&self) {
+    pub fn stall_connections(&self) {
         self.connections.set(self.connections.get() + 1);
         self.log.changed.notify_waiters();
     }
@@ -127,7 +127,7 @@
     async fn append_call(&self, append: Append) -> Result<Appended, StoreError> {
         self.begin(&append.partition, append.timeout).await?;
         let fault = self.fault_of(&append.partition);
-        if let LogFault::DoneLate(delay) = fault {
+        if let LogFault::AppliedLate(delay) = fault {
             let log = self.log.clone();
             let late = append.clone();
             ntex::rt::spawn(async move {
@@ -140,7 +140,7 @@
         }
         let appended = self.log.core.borrow_mut().append(&append);
         self.log.changed.notify_waiters();
-        if fault == LogFault::AnswerLost {
+        if fault == LogFault::ResponseLost {
             sleep(append.timeout).await;
             return Err(StoreError::Unknown);
         }
--- a/crates/emulator/src/log/topics.rs
+++ b/crates/emulator/src/log/topics.rs
@@ -33,7 +33,7 @@
         return answer;
     }
     if faults.forgets() {
-        topics.core.borrow_mut().forget_history();
+        topics.core.borrow_mut().drop_history();
     }
     match call {
         StoreCall::Append(call) => {
--- a/crates/gateway/tests/gateway/evacuation.rs
+++ b/crates/gateway/tests/gateway/evacuation.rs
@@ -218,7 +218,7 @@
         assert!(asker.ask("POST", "/chat/1", fields, "A;").await.whole);
         assert_eq!(zones.counts(), [1, 0, 0]);
         let partition = config_partition();
-        owner.store.set_fault_of(partition, LogFault::Silent);
+        owner.store.set_partition_fault(partition, LogFault::Silent);
         zones.close("z1").await;
         wait_state(&asker, "z1", true).await;
         let fields = "Request: t2\r\nProgram: p\r\nPrevious: t1\r\n";
@@ -312,7 +312,7 @@
         // The history goes while the log is away: all is listed anew.
         gateway.store.set_fault(LogFault::Down);
         zones.world.publish(0).await;
-        log.borrow_mut().forget_history();
+        log.borrow_mut().drop_history();
         gateway.store.set_fault(LogFault::None);
         for _ in 0..20 {
             sleep(Duration::from_millis(25)).await;
@@ -323,7 +323,7 @@
         // The end of the evacuation lapses with it.
         gateway.store.set_fault(LogFault::Down);
         zones.open("z1").await;
-        log.borrow_mut().forget_history();
+        log.borrow_mut().drop_history();
         gateway.store.set_fault(LogFault::None);
         wait_state(&gateway, "z1", false).await;
         places.learn(&EvacuationStatus {
--- a/crates/gateway/tests/gateway/incarnations.rs
+++ b/crates/gateway/tests/gateway/incarnations.rs
@@ -420,7 +420,7 @@
         let appended = world.log.core.borrow_mut().append(&unread_append);
         assert!(appended.is_ok());
     }
-    world.log.core.borrow_mut().forget_history();
+    world.log.core.borrow_mut().drop_history();
     world.put(SERVERS, "later", "").await;
     world.put(CONFIG, "later", "").await;
     sleep(EFFECT_BOUND).await;
--- a/crates/gateway/tests/gateway/ownership.rs
+++ b/crates/gateway/tests/gateway/ownership.rs
@@ -256,7 +256,7 @@
             number: fieldhook_ledger::partition_of("p", 2),
         };
         let slow = LogFault::Slow(Duration::from_millis(700));
-        other.store.set_fault_of(ledger, slow);
+        other.store.set_partition_fault(ledger, slow);
         fieldhook_gateway::drain::run(owner.daemon.clone()).await;
         let fields = "Request: t2\r\nProgram: p\r\nPrevious: t1\r\n";
         let mut status = 0;
@@ -284,7 +284,7 @@
                 topic: LEDGER_TOPIC.to_owned(),
                 number,
             };
-            gateway.store.set_fault_of(ledger, LogFault::Silent);
+            gateway.store.set_partition_fault(ledger, LogFault::Silent);
         }
         let fields = "Request: t2\r\nProgram: p\r\nBudget: 900\r\nMost: 40\r\n";
         assert!(other.ask("POST", "/resume/1", fields, "A").await.whole);
--- a/crates/gateway/tests/gateway/readers.rs
+++ b/crates/gateway/tests/gateway/readers.rs
@@ -41,7 +41,7 @@
     world.configs.borrow_mut().push(config(2));
     let gateway = world.ready(&[&server]).await;
     sleep(phase).await;
-    gateway.store.silence_connections();
+    gateway.store.stall_connections();
     let silent = Instant::now();
     world.publish(1).await;
     world.put(CONFIG, "closed/z9", "by the operator").await;
--- a/crates/gateway/tests/gateway/relay.rs
+++ b/crates/gateway/tests/gateway/relay.rs
@@ -272,10 +272,10 @@
         let (world, server) = large_world().await;
         let (readers, askers) = split(settled(&world, 4).await);
         let before: Vec<u64> = askers.iter().map(|one| one.store.calls.get()).collect();
-        world.log.core.borrow_mut().forget_history();
+        world.log.core.borrow_mut().drop_history();
         let leaving = format!("service {} draining", server.address);
         world.put(SERVERS, "s1", &leaving).await;
-        world.log.core.borrow_mut().forget_history();
+        world.log.core.borrow_mut().drop_history();
         wait_for("not all know", ms(2_000), || {
             let mut all = readers.iter().chain(&askers);
             all.all(|one| !one.daemon.directory.borrow().accepts_work("s1"))
--- a/crates/gateway/tests/gateway/room.rs
+++ b/crates/gateway/tests/gateway/room.rs
@@ -15,7 +15,7 @@
     run(async {
         let server = Server::start("s1", Act::Events(vec!["one".to_owned()], None)).await;
         let world = World::new().await;
-        world.log.core.borrow_mut().set_room(ROOM);
+        world.log.core.borrow_mut().set_storage_limit(ROOM);
         let gateway = world.ready(&[&server]).await;
         let input = "x".repeat(INPUT);
         for number in 0..TURNS {
--- a/crates/gateway/tests/gateway/unreadable_partitions.rs
+++ b/crates/gateway/tests/gateway/unreadable_partitions.rs
@@ -65,7 +65,7 @@
         let gateway = world.gateway("g1").await;
         gateway
             .store
-            .set_fault_of(ledger_partition(0), LogFault::Silent);
+            .set_partition_fault(ledger_partition(0), LogFault::Silent);
         gateway.wait_ready(1).await;
         let fields = format!(
             "Request: t0\r\nProgram: {}\r\nDeadline: 600\r\n",
@@ -92,7 +92,7 @@
         let isolated = world.gateway("g1").await;
         isolated
             .store
-            .set_fault_of(ledger_partition(0), LogFault::Silent);
+            .set_partition_fault(ledger_partition(0), LogFault::Silent);
         isolated.wait_ready(1).await;
         let deadline = Instant::now() + Duration::from_secs(4);
         while !isolated.daemon.owner.is_loading(0) {
--- a/crates/log/tests/mirror.rs
+++ b/crates/log/tests/mirror.rs
@@ -112,7 +112,7 @@
     fn step(&mut self, step: &Step) {
         match step {
             Step::Write(changes) => self.write(changes),
-            Step::DropHistory => self.log.forget_history(),
+            Step::DropHistory => self.log.drop_history(),
             Step::Read => self.read(),
             Step::ReadPage => self.read_page(),
             Step::Query => self.client.query(&self.mirror),
--- a/crates/log/tests/owners.rs
+++ b/crates/log/tests/owners.rs
@@ -140,7 +140,7 @@
         let a = daemon(&log, 1);
         sleep(SHORT).await;
         a.store
-            .set_fault(LogFault::DoneLate(Duration::from_millis(350)));
+            .set_fault(LogFault::AppliedLate(Duration::from_millis(350)));
         assert_eq!(
             a.claims.take_over(0, None).await,
             Err(ClaimError::NotAppended)
@@ -274,7 +274,7 @@
     run(async {
         let log = Rc::new(SharedLog::default());
         let store = Rc::new(MemoryLog::new(log.clone()));
-        store.set_fault(LogFault::AnswerLost);
+        store.set_fault(LogFault::ResponseLost);
         let healing = store.clone();
         ntex::rt::spawn(async move {
             sleep(Duration::from_millis(30)).await;
@@ -364,7 +364,7 @@
 fn fault(number: u8) -> LogFault {
     match number % 7 {
         0 => LogFault::Down,
-        1 => LogFault::AnswerLost,
+        1 => LogFault::ResponseLost,
         2 => LogFault::Slow(Duration::from_millis(5)),
         3 => LogFault::Busy,
         4 => LogFault::Reset,
--- a/crates/log/tests/trimmer.rs
+++ b/crates/log/tests/trimmer.rs
@@ -35,7 +35,7 @@
 
 fn log_with_storage_limit() -> Rc<SharedLog> {
     let log = Rc::new(SharedLog::default());
-    log.core.borrow_mut().set_room(STORAGE_LIMIT);
+    log.core.borrow_mut().set_storage_limit(STORAGE_LIMIT);
     log
 }
 
@@ -117,7 +117,8 @@
         for number in 0..APPENDS {
             assert!(append(&appender, number).await, "append {number}");
             // The margin of one half is for records appended during a call to trim.
-            let history = log.core.borrow().kept() - KEYS.min(number + 1) * (VALUE_BYTES + 3);
+            let history =
+                log.core.borrow().stored_bytes() - KEYS.min(number + 1) * (VALUE_BYTES + 3);
             assert!(
                 history <= MAX_HISTORY_BYTES * 3 / 2,
                 "{history} bytes of history"
