--- a/crates/emulator/src/engine/cache.rs
+++ b/crates/emulator/src/engine/cache.rs
@@ -1,47 +1,52 @@
-//! The engine's prefix cache: blocks by hash, held by programs, evicted by
-//! least recent use.
+//! Prefix cache of the engine: blocks are identified by hash, held by programs
+//! and evicted in least-recently-used order.
 
 use crate::engine::text::BLOCK_TOKENS;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 #[derive(Debug)]
 struct Block {
+    /// Value of the cache's clock at the last use.
     last_use: u64,
+    /// Programs that use the block.
     holders: BTreeSet<String>,
 }
 
-/// Blocks of cached prompt prefixes.
+/// LRU cache of prompt blocks.
 #[derive(Debug)]
 pub struct PrefixCache {
     capacity_blocks: usize,
+    /// Increases with each use of a block.
     clock: u64,
+    /// Blocks by hash.
     blocks: HashMap<u64, Block>,
-    by_use: BTreeMap<u64, u64>,
+    /// Hashes of the blocks by time of last use.
+    hash_by_last_use: BTreeMap<u64, u64>,
 }
 
 impl PrefixCache {
-    /// An empty cache.
+    /// Creates an empty cache.
     pub fn new(capacity_tokens: u64) -> Self {
         let capacity_blocks = (capacity_tokens as usize / BLOCK_TOKENS).max(1);
         Self {
             capacity_blocks,
             clock: 0,
             blocks: HashMap::new(),
-            by_use: BTreeMap::new(),
+            hash_by_last_use: BTreeMap::new(),
         }
     }
 
-    /// Tokens of the longest cached prefix.
+    /// Number of tokens of the longest cached prefix.
     pub fn cached_prefix(&self, hashes: &[u64]) -> u64 {
-        let found = hashes
+        let block_count = hashes
             .iter()
             .take_while(|hash| self.blocks.contains_key(hash))
             .count();
-        (found * BLOCK_TOKENS) as u64
+        (block_count * BLOCK_TOKENS) as u64
     }
 
-    /// Marks a prompt's blocks as used by a program, adding those that are
-    /// missing and evicting the least recently used.
+    /// Marks the blocks of a prompt as used by a program. Missing blocks are
+    /// added, and the least recently used ones are evicted.
     pub fn insert(&mut self, program: &str, hashes: &[u64]) {
         for hash in hashes {
             self.clock += 1;
@@ -50,24 +55,24 @@
                 last_use: 0,
                 holders: BTreeSet::new(),
             });
-            self.by_use.remove(&block.last_use);
+            self.hash_by_last_use.remove(&block.last_use);
             block.last_use = clock;
             block.holders.insert(program.to_owned());
-            self.by_use.insert(clock, *hash);
+            self.hash_by_last_use.insert(clock, *hash);
         }
         self.evict();
     }
 
     fn evict(&mut self) {
         while self.blocks.len() > self.capacity_blocks {
-            let Some((_, hash)) = self.by_use.pop_first() else {
+            let Some((_, hash)) = self.hash_by_last_use.pop_first() else {
                 return;
             };
             self.blocks.remove(&hash);
         }
     }
 
-    /// Drops what only this program held.
+    /// Drops the blocks that no other program holds.
     pub fn release(&mut self, program: &str) {
         let mut freed = Vec::new();
         for (hash, block) in &mut self.blocks {
@@ -77,11 +82,11 @@
         }
         for (hash, last_use) in freed {
             self.blocks.remove(&hash);
-            self.by_use.remove(&last_use);
+            self.hash_by_last_use.remove(&last_use);
         }
     }
 
-    /// Blocks that a program holds, for an export.
+    /// Hashes of the blocks that a program holds, in the order of their last use.
     pub fn blocks_of(&self, program: &str) -> Vec<u64> {
         let held = self
             .blocks
@@ -93,7 +98,8 @@
         blocks.into_iter().map(|(_, hash)| hash).collect()
     }
 
-    /// Tokens held for each program; a shared block counts for every holder.
+    /// Number of tokens held by each program. A shared block counts for every
+    /// holder.
     pub fn held_tokens(&self) -> BTreeMap<String, u64> {
         let mut held = BTreeMap::new();
         for block in self.blocks.values() {
@@ -104,7 +110,7 @@
         held
     }
 
-    /// Tokens in the cache.
+    /// Number of tokens in the cache.
     pub fn used_tokens(&self) -> u64 {
         (self.blocks.len() * BLOCK_TOKENS) as u64
     }
--- a/crates/emulator/src/engine/core.rs
+++ b/crates/emulator/src/engine/core.rs
@@ -1,25 +1,25 @@
-//! Continuous batching without I/O: each step prefills some prompt tokens and
-//! generates one token for every running sequence.
+//! Continuous batching without I/O: each step prefills a limited number of prompt
+//! tokens and generates one token for every running sequence that is prefilled.
 
 use crate::engine::cache::PrefixCache;
 use crate::engine::text::{answer_word, block_hashes, count_tokens, prompt_digest};
 use fieldhook_model::api::{Message, Usage};
 use fieldhook_model::platform::GenerateRequest;
 
-/// Cost model and limits of an engine.
+/// Step-time model and limits of an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineSettings {
-    /// Time of an empty step, in microseconds.
+    /// Duration of an empty step, in microseconds.
     pub step_base_us: u64,
-    /// Added by each generating sequence, in microseconds.
+    /// Step time added by each generating sequence, in microseconds.
     pub decode_us: u64,
-    /// Added by each prefilled token, in microseconds.
+    /// Step time added by each prefilled token, in microseconds.
     pub prefill_us: u64,
-    /// Most tokens that one step prefills.
+    /// Maximum number of prompt tokens prefilled per step.
     pub prefill_tokens_per_step: u64,
-    /// Most sequences in the batch.
+    /// Maximum number of sequences in the batch.
     pub max_running: usize,
-    /// Size of the prefix cache in tokens.
+    /// Capacity of the prefix cache, in tokens.
     pub cache_tokens: u64,
 }
 
@@ -39,38 +39,41 @@
 #[derive(Debug)]
 struct Sequence {
     request: GenerateRequest,
-    digest: u64,
-    hashes: Vec<u64>,
+    prompt_digest: u64,
+    block_hashes: Vec<u64>,
     usage: Usage,
+    /// Prompt tokens that are not yet prefilled.
     to_prefill: u64,
+    /// Index of the next word of the answer.
     next_word: u64,
+    /// Position in the order of arrival.
     arrival: u64,
 }
 
-/// Words that one step added to a stream, and its end if it ended.
+/// Text that one step added to a stream, and the usage if the stream is complete.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StepReport {
     /// Name of the stream.
     pub stream: String,
-    /// New text.
+    /// Added text.
     pub text: String,
-    /// Usage, once the stream is complete.
+    /// Usage if the stream is complete.
     pub finished: Option<Usage>,
 }
 
-/// The batch, the queue and the cache.
+/// The batch, the queue of waiting requests and the prefix cache.
 #[derive(Debug)]
 pub struct EngineCore {
     settings: EngineSettings,
-    /// The prefix cache.
     pub cache: PrefixCache,
     waiting: Vec<Sequence>,
     running: Vec<Sequence>,
+    /// Number of requests submitted so far.
     arrivals: u64,
 }
 
 impl EngineCore {
-    /// An idle engine with an empty cache.
+    /// Creates an idle engine with an empty cache.
     pub fn new(settings: EngineSettings) -> Self {
         Self {
             settings,
@@ -84,10 +87,10 @@
     /// Queues a request.
     pub fn submit(&mut self, request: GenerateRequest) {
         self.arrivals += 1;
-        let (question, words_so_far) = split_continuation(&request);
+        let (prompt, words_so_far) = split_continuation(&request);
         let sequence = Sequence {
-            digest: prompt_digest(question),
-            hashes: block_hashes(&request.messages),
+            prompt_digest: prompt_digest(prompt),
+            block_hashes: block_hashes(&request.messages),
             usage: Usage {
                 prompt_tokens: request.messages.iter().map(count_tokens).sum(),
                 ..Usage::default()
@@ -100,7 +103,7 @@
         self.waiting.push(sequence);
     }
 
-    /// Drops a stream.
+    /// Cancels a stream.
     pub fn cancel(&mut self, stream: &str) {
         self.waiting
             .retain(|sequence| sequence.request.stream != stream);
@@ -108,7 +111,7 @@
             .retain(|sequence| sequence.request.stream != stream);
     }
 
-    /// Drops all streams of a program and what its cache alone held.
+    /// Cancels all streams of a program and drops the cache blocks that no other program holds.
     pub fn release(&mut self, program: &str) {
         self.waiting
             .retain(|sequence| sequence.request.program != program);
@@ -117,65 +120,71 @@
         self.cache.release(program);
     }
 
-    /// Sequences in the batch.
+    /// Number of sequences in the batch.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Sequences in the queue.
+    /// Number of sequences in the queue.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Runs one step; returns its length in microseconds and what it produced.
+    /// Runs one step. Returns its duration in microseconds and the generated text.
     pub fn step(&mut self) -> (u64, Vec<StepReport>) {
-        self.admit();
+        self.fill_batch();
         let prefilled = self.prefill();
         let (decoded, reports) = self.decode();
-        let span_us = self.settings.step_base_us
+        let duration_us = self.settings.step_base_us
             + prefilled * self.settings.prefill_us
             + decoded * self.settings.decode_us;
-        (span_us, reports)
+        (duration_us, reports)
     }
 
-    fn admit(&mut self) {
+    /// Moves waiting sequences into the batch, by priority and then by order of arrival.
+    fn fill_batch(&mut self) {
         while self.running.len() < self.settings.max_running && !self.waiting.is_empty() {
-            let first = |sequence: &&mut Sequence| {
+            let admission_order = |sequence: &&mut Sequence| {
                 (
                     std::cmp::Reverse(sequence.request.priority),
                     sequence.arrival,
                 )
             };
-            let Some(best) = self
+            let Some(next_arrival) = self
                 .waiting
                 .iter_mut()
-                .min_by_key(first)
+                .min_by_key(admission_order)
                 .map(|item| item.arrival)
             else {
                 return;
             };
-            let place = self.waiting.iter().position(|item| item.arrival == best);
-            let Some(place) = place else { return };
-            let mut sequence = self.waiting.swap_remove(place);
-            let cached = self.cache.cached_prefix(&sequence.hashes);
+            let index = self
+                .waiting
+                .iter()
+                .position(|item| item.arrival == next_arrival);
+            let Some(index) = index else { return };
+            let mut sequence = self.waiting.swap_remove(index);
+            let cached = self.cache.cached_prefix(&sequence.block_hashes);
             sequence.usage.cached_tokens = cached.min(sequence.usage.prompt_tokens);
             sequence.to_prefill = sequence.usage.prompt_tokens - sequence.usage.cached_tokens;
             self.cache
-                .insert(&sequence.request.program, &sequence.hashes);
+                .insert(&sequence.request.program, &sequence.block_hashes);
             self.running.push(sequence);
         }
     }
 
+    /// Prefills prompts up to the limit of the step. Returns the number of tokens.
     fn prefill(&mut self) -> u64 {
-        let mut room = self.settings.prefill_tokens_per_step;
+        let mut remaining = self.settings.prefill_tokens_per_step;
         for sequence in &mut self.running {
-            let part = sequence.to_prefill.min(room);
-            sequence.to_prefill -= part;
-            room -= part;
+            let tokens = sequence.to_prefill.min(remaining);
+            sequence.to_prefill -= tokens;
+            remaining -= tokens;
         }
-        self.settings.prefill_tokens_per_step - room
+        self.settings.prefill_tokens_per_step - remaining
     }
 
+    /// Generates one token for each prefilled sequence. Returns their number and the text.
     fn decode(&mut self) -> (u64, Vec<StepReport>) {
         let mut reports = Vec::new();
         for sequence in self
@@ -183,7 +192,7 @@
             .iter_mut()
             .filter(|sequence| sequence.to_prefill == 0)
         {
-            let text = answer_word(sequence.digest, sequence.next_word);
+            let text = answer_word(sequence.prompt_digest, sequence.next_word);
             sequence.next_word += 1;
             sequence.usage.completion_tokens += 1;
             let done = sequence.usage.completion_tokens >= u64::from(sequence.request.max_tokens);
@@ -201,7 +210,8 @@
     }
 }
 
-/// The messages before a continued answer, and the words that answer has.
+/// Splits off the last message if the request continues it. Returns the messages of the prompt and
+/// the number of words that the answer already has.
 fn split_continuation(request: &GenerateRequest) -> (&[Message], u64) {
     match request.messages.split_last() {
         Some((last, before)) if request.continues => {
--- a/crates/emulator/src/engine/mod.rs
+++ b/crates/emulator/src/engine/mod.rs
@@ -1,5 +1,6 @@
-//! A model engine: continuous batching over a prefix cache, with a step-time
-//! model. `core` and `cache` are pure; `service` is the HTTP shell.
+//! Emulator of a model engine: continuous batching over a prefix cache, with a
+//! model of step times. `core` and `cache` do no I/O; `service` is the HTTP
+//! interface.
 
 mod cache;
 mod core;
--- a/crates/emulator/src/engine/service.rs
+++ b/crates/emulator/src/engine/service.rs
@@ -1,4 +1,4 @@
-//! The engine's HTTP shell: streams, cache, load and orders.
+//! HTTP interface of the engine: streams, cache, load and orders.
 
 use crate::engine::core::EngineSettings;
 use crate::engine::state::{Engine, StreamState};
@@ -16,41 +16,44 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-const IDLE_POLL: Millis = Millis(1);
-/// An order to change what the engine serves, fenced by a number that must not
-/// fall.
+/// Interval at which an idle engine and the readers of a stream check for work.
+const POLL_INTERVAL: Millis = Millis(1);
+
+/// Changes what the engine serves. Orders with a lower fencing number than an
+/// earlier order are rejected.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Order {
     /// Fencing number of the sender's term.
     pub fence: u64,
     /// `load_model`, `load_adapter`, `load_version` or `set_role`.
     pub kind: String,
-    /// Name of the model, adapter, version (`model@version`) or role.
+    /// Name of the model, adapter, version (as `model@version`) or role.
     pub name: String,
 }
 
+/// State shared by the request handlers.
 #[derive(Clone)]
 struct Shared {
     engine: Rc<RefCell<Engine>>,
-    event_lag: Duration,
-    load_lag: Duration,
+    event_delay: Duration,
+    max_load_age: Duration,
     weights: Option<String>,
 }
 
-/// What the engine is started with, besides its cost model.
+/// Start options of the engine, besides its step-time model.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Models that are loaded from the start.
+    /// Models that are loaded at the start.
     pub models: Vec<String>,
-    /// How late cache events come, in milliseconds.
+    /// Delay before cache events become visible, in milliseconds.
     pub event_lag_ms: u64,
-    /// How old a load report may be, in milliseconds.
+    /// Maximum age of the load report, in milliseconds.
     pub load_lag_ms: u64,
-    /// Address of the weight store.
+    /// Address of the weight store; without one, models load immediately.
     pub weights: Option<String>,
 }
 
-/// Runs the stand-in.
+/// Serves the emulated engine on an address.
 ///
 /// # Errors
 /// The address cannot be bound.
@@ -58,8 +61,8 @@
     serve(address, move |config: &mut ServiceConfig| {
         let shared = Shared {
             engine: Rc::new(RefCell::new(Engine::new(settings, options.models.clone()))),
-            event_lag: Duration::from_millis(options.event_lag_ms),
-            load_lag: Duration::from_millis(options.load_lag_ms),
+            event_delay: Duration::from_millis(options.event_lag_ms),
+            max_load_age: Duration::from_millis(options.load_lag_ms),
             weights: options.weights.clone(),
         };
         Faults::default().configure(config);
@@ -78,19 +81,20 @@
                 .route(web::get().to(resume_stream))
                 .route(web::delete().to(cancel_stream)),
         )
-        .route("/v1/programs", web::get().to(held_programs))
+        .route("/v1/programs", web::get().to(list_programs))
         .route("/v1/programs/{program}", web::delete().to(release_program))
         .route("/v1/load", web::get().to(show_load))
-        .route("/v1/cache/events", web::get().to(cache_events))
+        .route("/v1/cache/events", web::get().to(list_cache_events))
         .route("/v1/kv/{program}", web::get().to(export_cache))
         .route("/v1/kv/{program}", web::post().to(import_cache))
-        .route("/v1/orders", web::post().to(take_order))
+        .route("/v1/orders", web::post().to(execute_order))
         .route("/control/leave", web::post().to(announce_leave))
-        .route("/control/generated", web::get().to(count_generated));
+        .route("/control/generated", web::get().to(show_generate_count));
 }
 
+/// Runs the engine's steps in real time.
 async fn run_steps(shared: Shared) {
-    let mut due = Instant::now();
+    let mut next_step_at = Instant::now();
     loop {
         let busy = {
             let engine = shared.engine.borrow();
@@ -98,23 +102,25 @@
         };
         if !busy {
             refresh_load(&shared, 0);
-            sleep(IDLE_POLL).await;
-            due = Instant::now();
+            sleep(POLL_INTERVAL).await;
+            next_step_at = Instant::now();
             continue;
         }
-        let span_us = shared.engine.borrow_mut().step();
-        refresh_load(&shared, span_us);
-        due += Duration::from_micros(span_us);
-        // Sleeping is coarser than steps: the average pace is what counts.
-        let ahead_ms = due.saturating_duration_since(Instant::now()).as_millis() as u32;
+        let duration_us = shared.engine.borrow_mut().step();
+        refresh_load(&shared, duration_us);
+        next_step_at += Duration::from_micros(duration_us);
+        // Timers are coarser than steps, so only the average rate of steps is exact.
+        let ahead_ms = next_step_at
+            .saturating_duration_since(Instant::now())
+            .as_millis() as u32;
         sleep(Millis(ahead_ms)).await;
     }
 }
 
 fn refresh_load(shared: &Shared, step_us: u64) {
     let mut engine = shared.engine.borrow_mut();
-    if engine.load_at.elapsed() >= shared.load_lag || engine.load.incarnation == 0 {
-        engine.measure(step_us);
+    if engine.load_measured_at.elapsed() >= shared.max_load_age || engine.load.incarnation == 0 {
+        engine.update_load(step_us);
         engine.drop_old_streams();
     }
 }
@@ -124,8 +130,8 @@
     faults: types::State<Faults>,
     body: Bytes,
 ) -> HttpResponse {
-    if let Err(answer) = faults.before().await {
-        return answer;
+    if let Err(response) = faults.before_request().await {
+        return response;
     }
     let request: GenerateRequest = match serde_json::from_slice(&body) {
         Ok(request) => request,
@@ -136,8 +142,11 @@
     }
     let program = request.program.clone();
     let stream = shared.engine.borrow_mut().submit(request);
-    shared.engine.borrow_mut().note_event(&program, &faults);
-    faults.after(stream_from(stream, 0)).await
+    shared
+        .engine
+        .borrow_mut()
+        .record_cache_event(&program, &faults);
+    faults.finish_request(stream_response(stream, 0)).await
 }
 
 #[derive(Deserialize)]
@@ -152,41 +161,46 @@
     name: types::Path<String>,
     query: types::Query<FromQuery>,
 ) -> HttpResponse {
-    if let Err(answer) = faults.before().await {
-        return answer;
+    if let Err(response) = faults.before_request().await {
+        return response;
     }
     let stream = shared.engine.borrow().streams.get(&*name).cloned();
     match stream {
-        Some(stream) => stream_from(stream, query.from as usize),
+        Some(stream) => stream_response(stream, query.from as usize),
         None => text(404, "no such stream"),
     }
 }
 
-/// Sends a stream's text from a byte offset on, until it ends.
-fn stream_from(state: Rc<RefCell<StreamState>>, from: usize) -> HttpResponse {
-    let events = stream::unfold((state, from, false), |(state, sent, over)| async move {
-        if over {
-            return None;
-        }
-        loop {
-            let next = next_events(&state.borrow(), sent);
-            if let Some((events, sent, over)) = next {
-                return Some((Ok(Bytes::from(events)), (state, sent, over)));
-            }
-            if state.borrow().cancelled {
+/// Sends the text of a stream from a byte offset on, until the stream ends.
+fn stream_response(state: Rc<RefCell<StreamState>>, from: usize) -> HttpResponse {
+    let events = stream::unfold(
+        (state, from, false),
+        |(state, sent, is_complete)| async move {
+            if is_complete {
                 return None;
             }
-            sleep(IDLE_POLL).await;
-        }
-    });
+            loop {
+                let next = next_events(&state.borrow(), sent);
+                if let Some((events, sent, is_complete)) = next {
+                    return Some((Ok(Bytes::from(events)), (state, sent, is_complete)));
+                }
+                if state.borrow().cancelled {
+                    return None;
+                }
+                sleep(POLL_INTERVAL).await;
+            }
+        },
+    );
     event_stream(events)
 }
 
+/// Encodes the text after byte `sent`. Returns the events, the new offset and whether the stream is
+/// complete, or `None` if there is nothing to send.
 fn next_events(state: &StreamState, sent: usize) -> Option<(String, usize, bool)> {
-    let fresh = state.text.get(sent..).unwrap_or_default();
+    let new_text = state.text.get(sent..).unwrap_or_default();
     let mut events = String::new();
-    if !fresh.is_empty() {
-        events = encode_event("", "", &GenerateEvent::Text(fresh.to_owned()));
+    if !new_text.is_empty() {
+        events = encode_event("", "", &GenerateEvent::Text(new_text.to_owned()));
     }
     if let Some(usage) = state.finished {
         events.push_str(&encode_event("", "", &GenerateEvent::Done(usage)));
@@ -203,7 +217,7 @@
     text(200, "cancelled")
 }
 
-async fn held_programs(shared: types::State<Shared>) -> HttpResponse {
+async fn list_programs(shared: types::State<Shared>) -> HttpResponse {
     json(200, &shared.engine.borrow().core.cache.held_tokens())
 }
 
@@ -212,44 +226,47 @@
     faults: types::State<Faults>,
     program: types::Path<String>,
 ) -> HttpResponse {
-    if let Err(answer) = faults.before().await {
-        return answer;
+    if let Err(response) = faults.before_request().await {
+        return response;
     }
     shared.engine.borrow_mut().core.release(&program);
-    shared.engine.borrow_mut().note_event(&program, &faults);
-    faults.after(text(200, "released")).await
+    shared
+        .engine
+        .borrow_mut()
+        .record_cache_event(&program, &faults);
+    faults.finish_request(text(200, "released")).await
 }
 
 async fn show_load(shared: types::State<Shared>, faults: types::State<Faults>) -> HttpResponse {
-    match faults.before().await {
+    match faults.before_request().await {
         Ok(()) => json(200, &shared.engine.borrow().load),
-        Err(answer) => answer,
+        Err(response) => response,
     }
 }
 
-async fn cache_events(
+async fn list_cache_events(
     shared: types::State<Shared>,
     faults: types::State<Faults>,
     query: types::Query<FromQuery>,
 ) -> HttpResponse {
-    if let Err(answer) = faults.before().await {
-        return answer;
+    if let Err(response) = faults.before_request().await {
+        return response;
     }
     let engine = shared.engine.borrow();
-    let old_enough = engine
+    let visible = engine
         .events
         .iter()
-        .filter(|(at, _)| at.elapsed() >= shared.event_lag);
-    let wanted = old_enough
+        .filter(|(at, _)| at.elapsed() >= shared.event_delay);
+    let requested = visible
         .map(|(_, event)| event)
         .filter(|event| event.sequence >= query.from);
-    json(200, &wanted.collect::<Vec<_>>())
+    json(200, &requested.collect::<Vec<_>>())
 }
 
-/// Cache of a program, as exported by one engine and imported by another.
+/// Cache blocks of a program, for transfer between engines.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CacheExport {
-    /// Hashes of the blocks; they stand for the blocks themselves.
+    /// Hashes of the blocks, in place of the blocks themselves.
     pub blocks: Vec<u64>,
 }
 
@@ -277,13 +294,13 @@
     }
 }
 
-async fn take_order(
+async fn execute_order(
     shared: types::State<Shared>,
     faults: types::State<Faults>,
     body: Bytes,
 ) -> HttpResponse {
-    if let Err(answer) = faults.before().await {
-        return answer;
+    if let Err(response) = faults.before_request().await {
+        return response;
     }
     let order: Order = match serde_json::from_slice(&body) {
         Ok(order) => order,
@@ -298,7 +315,7 @@
         "set_role" => shared.engine.borrow_mut().role = order.name,
         "load_model" | "load_adapter" | "load_version" => {
             if let Some(address) = &shared.weights
-                && let Err(cause) = download(address, &order.name).await
+                && let Err(cause) = download_weights(address, &order.name).await
             {
                 return text(502, cause);
             }
@@ -311,10 +328,11 @@
             );
         }
     }
-    faults.after(text(200, "done")).await
+    faults.finish_request(text(200, "done")).await
 }
 
-async fn download(address: &str, name: &str) -> Result<(), String> {
+/// Fetches weights from the weight store.
+async fn download_weights(address: &str, name: &str) -> Result<(), String> {
     let client = fieldhook_http::HttpClient::new().await;
     let url = format!("http://{address}/v1/weights/{name}");
     let weights = client
@@ -323,12 +341,13 @@
     weights.map(|_| ()).map_err(|error| error.to_string())
 }
 
+/// Makes the load report say that the engine is leaving.
 async fn announce_leave(shared: types::State<Shared>) -> HttpResponse {
     shared.engine.borrow_mut().leaving = true;
     text(200, "leaving")
 }
 
-/// Requests to generate that this engine has taken so far.
-async fn count_generated(shared: types::State<Shared>) -> HttpResponse {
-    text(200, shared.engine.borrow().generated.to_string())
+/// Number of generate requests that this engine has accepted so far.
+async fn show_generate_count(shared: types::State<Shared>) -> HttpResponse {
+    text(200, shared.engine.borrow().generate_count.to_string())
 }
--- a/crates/emulator/src/engine/state.rs
+++ b/crates/emulator/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! What an engine holds besides its batch: streams, cache events, models, its load report.
+//! State of an engine besides its batch: streams, cache events, loaded models and the load report.
 
 use crate::engine::core::{EngineCore, EngineSettings, StepReport};
 use crate::faults::Faults;
@@ -12,20 +12,21 @@
 
 /// How long a finished stream can still be resumed.
 const STREAM_RETENTION: Duration = Duration::from_secs(60);
-/// Cache events that are kept for readers.
+/// Number of cache events that are kept for readers.
 const EVENT_RETENTION: usize = 10_000;
 
-/// A cache event: blocks of a program came or went.
+/// Reports that the number of cached tokens of a program may have changed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Place in the sequence; a missing number is a gap.
+    /// Sequence number; a missing number means that an event was lost.
     pub sequence: u64,
-    /// The program.
+    /// Identifier of the program.
     pub program: String,
-    /// Tokens now held; 0 after a release.
+    /// Number of tokens that the program now holds; 0 after a release.
     pub tokens: u64,
 }
 
+/// Generated text of a stream and whether it is complete or cancelled.
 #[derive(Debug, Default)]
 pub(super) struct StreamState {
     pub(super) text: String,
@@ -34,21 +35,25 @@
     pub(super) cancelled: bool,
 }
 
-/// The engine behind its HTTP shell.
+/// An engine and the state that its HTTP interface serves.
 pub(super) struct Engine {
     pub(super) core: EngineCore,
     pub(super) settings: EngineSettings,
+    /// Start time in milliseconds; distinguishes restarts of the engine.
     pub(super) incarnation: u64,
     pub(super) models: Vec<String>,
     pub(super) role: String,
+    /// Highest fencing number of an accepted order.
     pub(super) fence: u64,
     pub(super) leaving: bool,
     pub(super) streams: BTreeMap<String, Rc<RefCell<StreamState>>>,
     pub(super) events: VecDeque<(Instant, CacheEvent)>,
     pub(super) event_sequence: u64,
-    pub(super) generated: u64,
+    /// Number of generate requests accepted so far.
+    pub(super) generate_count: u64,
+    /// Latest load report.
     pub(super) load: EngineLoad,
-    pub(super) load_at: Instant,
+    pub(super) load_measured_at: Instant,
 }
 
 impl Engine {
@@ -67,12 +72,13 @@
             streams: BTreeMap::new(),
             events: VecDeque::new(),
             event_sequence: 0,
-            generated: 0,
+            generate_count: 0,
             load: EngineLoad::default(),
-            load_at: Instant::now(),
+            load_measured_at: Instant::now(),
         }
     }
 
+    /// Starts a stream, or returns the existing one of the same name.
     pub(super) fn submit(&mut self, request: GenerateRequest) -> Rc<RefCell<StreamState>> {
         if let Some(stream) = self.streams.get(&request.stream) {
             return stream.clone();
@@ -80,19 +86,20 @@
         let stream = Rc::new(RefCell::new(StreamState::default()));
         self.streams.insert(request.stream.clone(), stream.clone());
         self.core.submit(request);
-        self.generated += 1;
+        self.generate_count += 1;
         stream
     }
 
+    /// Runs one step and returns its duration in microseconds.
     pub(super) fn step(&mut self) -> u64 {
-        let (span_us, reports) = self.core.step();
+        let (duration_us, reports) = self.core.step();
         for report in reports {
-            self.deliver(report);
+            self.append_to_stream(report);
         }
-        span_us
+        duration_us
     }
 
-    fn deliver(&mut self, report: StepReport) {
+    fn append_to_stream(&mut self, report: StepReport) {
         let Some(stream) = self.streams.get(&report.stream) else {
             return;
         };
@@ -102,9 +109,10 @@
         stream.finished_at = report.finished.map(|_| Instant::now());
     }
 
-    pub(super) fn note_event(&mut self, program: &str, faults: &Faults) {
+    /// Records the cached tokens of a program as an event, unless a fault drops it.
+    pub(super) fn record_cache_event(&mut self, program: &str, faults: &Faults) {
         self.event_sequence += 1;
-        if faults.drops_event() {
+        if faults.take_event_drop() {
             return;
         }
         let tokens = self
@@ -125,6 +133,7 @@
         }
     }
 
+    /// Drops the streams that finished too long ago to be resumed.
     pub(super) fn drop_old_streams(&mut self) {
         self.streams.retain(|_, stream| {
             let finished_at = stream.borrow().finished_at;
@@ -132,8 +141,9 @@
         });
     }
 
-    pub(super) fn measure(&mut self, step_us: u64) {
-        self.load_at = Instant::now();
+    /// Replaces the load report.
+    pub(super) fn update_load(&mut self, step_us: u64) {
+        self.load_measured_at = Instant::now();
         self.load = EngineLoad {
             incarnation: self.incarnation,
             running: self.core.running() as u32,
--- a/crates/emulator/src/faults.rs
+++ b/crates/emulator/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of a stand-in, set by `POST /control/faults`.
+//! Fault injection for an emulator, set by `POST /control/faults`.
 
 use fieldhook_http::{aborted, json, text};
 use ntex::time::{Millis, sleep};
@@ -9,93 +9,95 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What goes wrong, until it is set anew.
+/// Faults to inject. A new plan replaces the previous one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FaultPlan {
-    /// Every request fails at once, without effect.
+    /// Every request fails immediately and has no effect.
     pub down: bool,
-    /// Every request is refused for lack of room, without effect.
+    /// Every request is rejected as by an overloaded service and has no effect.
     pub busy: bool,
-    /// The connection of every request is reset, without effect.
+    /// The connection of every request is reset before the request takes effect.
     pub reset: bool,
-    /// Every request is left without an answer, without effect.
+    /// Every request gets no response and has no effect.
     pub silent: bool,
-    /// Partitions of the log's topics that the fields above concern; all if none
-    /// are named.
+    /// Partitions of the log's topics that the fields above and `slow_ms` apply to;
+    /// all if empty.
     pub partitions: Vec<u32>,
-    /// Appends take effect so many milliseconds later and are never answered.
+    /// Appends take effect after this delay, in milliseconds, and get no response.
     pub late_ms: u64,
-    /// The log drops the history of its topics, once.
+    /// The log drops the history of its topics once.
     pub forget: bool,
-    /// Every request waits this long first, in milliseconds.
+    /// Delay before every request takes effect, in milliseconds.
     pub slow_ms: u64,
-    /// So many answers are lost after the effect.
+    /// Number of requests that take effect and whose connection is then reset.
     pub lose_answers: u32,
-    /// So many requests take effect and are then never answered.
+    /// Number of requests that take effect and then get no response.
     pub hang: u32,
-    /// The whole process stops for this long, in milliseconds, once.
+    /// Blocks the whole process once, for this long, in milliseconds.
     pub freeze_ms: u64,
-    /// So many cache events are left out.
+    /// Number of cache events to drop.
     pub drop_events: u32,
 }
 
-/// How a request that has taken effect must be answered.
+/// What happens to the response of a request that has taken effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fate {
-    Answer,
-    Lose,
+enum ResponseAction {
+    Send,
+    Abort,
     Hang,
 }
 
-const HANG: Millis = Millis(600_000);
-const FREEZE_PAUSE: Millis = Millis(5);
+/// How long a response is withheld, in place of never sending it.
+const HANG_TIME: Millis = Millis(600_000);
+/// Time to send the response of the control request before the process blocks.
+const FREEZE_DELAY: Millis = Millis(5);
 
-/// The plan, shared by the handlers of one stand-in.
+/// The fault plan, shared by the request handlers of one emulator.
 #[derive(Clone, Default)]
 pub struct Faults {
     plan: Rc<RefCell<FaultPlan>>,
 }
 
 impl Faults {
-    /// Waits or fails as planned before a request takes effect.
+    /// Applies the faults that act before a request takes effect.
     ///
     /// # Errors
-    /// The answer to give instead.
-    pub async fn before(&self) -> Result<(), HttpResponse> {
+    /// The request must fail with the returned response.
+    pub async fn before_request(&self) -> Result<(), HttpResponse> {
         let plan = self.plan.borrow().clone();
-        Self::act(plan).await
+        Self::apply(plan).await
     }
 
-    /// The same for a call of one partition of the log.
+    /// Applies the faults that act before a call to one partition of the log takes effect.
     ///
     /// # Errors
-    /// The answer to give instead.
-    pub async fn before_partition(&self, number: u32) -> Result<(), HttpResponse> {
+    /// The call must fail with the returned response.
+    pub async fn before_partition_call(&self, number: u32) -> Result<(), HttpResponse> {
         let plan = self.plan.borrow().clone();
         if !plan.partitions.is_empty() && !plan.partitions.contains(&number) {
             return Ok(());
         }
-        Self::act(plan).await
+        Self::apply(plan).await
     }
 
-    /// How much later an append takes effect, if it is to be late.
-    pub fn lateness(&self) -> Option<Duration> {
+    /// Delay after which appends take effect without a response, if one is set.
+    pub fn append_delay(&self) -> Option<Duration> {
         let late_ms = self.plan.borrow().late_ms;
         (late_ms > 0).then(|| Duration::from_millis(late_ms))
     }
 
-    /// Whether the log drops its history now.
-    pub fn forgets(&self) -> bool {
+    /// Returns whether the log must drop its history, and resets the request to do so.
+    pub fn take_history_drop(&self) -> bool {
         std::mem::take(&mut self.plan.borrow_mut().forget)
     }
 
-    /// Never answers.
+    /// Withholds a response.
     pub async fn hang() {
-        sleep(HANG).await;
+        sleep(HANG_TIME).await;
     }
 
-    async fn act(plan: FaultPlan) -> Result<(), HttpResponse> {
+    async fn apply(plan: FaultPlan) -> Result<(), HttpResponse> {
         if plan.silent {
             Self::hang().await;
         }
@@ -114,40 +116,40 @@
         Ok(())
     }
 
-    /// Gives, loses or withholds the answer to a request that took effect.
-    pub async fn after(&self, answer: HttpResponse) -> HttpResponse {
-        match self.next_fate() {
-            Fate::Answer => answer,
-            Fate::Lose => aborted(),
-            Fate::Hang => {
+    /// Sends, aborts or withholds the response of a request that has taken effect.
+    pub async fn finish_request(&self, response: HttpResponse) -> HttpResponse {
+        match self.next_action() {
+            ResponseAction::Send => response,
+            ResponseAction::Abort => aborted(),
+            ResponseAction::Hang => {
                 Self::hang().await;
-                answer
+                response
             }
         }
     }
 
-    /// Whether the next cache event is left out.
-    pub fn drops_event(&self) -> bool {
+    /// Returns whether the next cache event must be dropped, and counts it.
+    pub fn take_event_drop(&self) -> bool {
         let mut plan = self.plan.borrow_mut();
-        let drops = plan.drop_events > 0;
+        let must_drop = plan.drop_events > 0;
         plan.drop_events = plan.drop_events.saturating_sub(1);
-        drops
+        must_drop
     }
 
-    fn next_fate(&self) -> Fate {
+    fn next_action(&self) -> ResponseAction {
         let mut plan = self.plan.borrow_mut();
         if plan.lose_answers > 0 {
             plan.lose_answers -= 1;
-            return Fate::Lose;
+            return ResponseAction::Abort;
         }
         if plan.hang > 0 {
             plan.hang -= 1;
-            return Fate::Hang;
+            return ResponseAction::Hang;
         }
-        Fate::Answer
+        ResponseAction::Send
     }
 
-    /// Adds the control route.
+    /// Adds the control route to a service.
     pub fn configure(&self, config: &mut ServiceConfig) {
         config
             .state(self.clone())
@@ -166,10 +168,10 @@
     }
 }
 
-/// Stops the stand-in's only thread, after the control request is answered.
-async fn freeze(span_ms: u64) {
-    if span_ms > 0 {
-        sleep(FREEZE_PAUSE).await;
-        std::thread::sleep(Duration::from_millis(span_ms));
+/// Blocks the only worker thread after the control request got its response.
+async fn freeze(duration_ms: u64) {
+    if duration_ms > 0 {
+        sleep(FREEZE_DELAY).await;
+        std::thread::sleep(Duration::from_millis(duration_ms));
     }
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,7 +1,7 @@
-//! Stand-ins for what fieldhook meets outside itself: model engines, the
-//! append-only log, the machine list, the weight store, and tool or
-//! application servers. Each runs as its own process and takes its faults
-//! over a control route.
+//! Emulators of the external services that fieldhook depends on: model
+//! engines, the log service, the machine list, the weight store, and tool or
+//! application servers. Each one runs as its own process and accepts fault
+//! injection over a control route.
 
 pub mod engine;
 pub mod faults;
--- a/crates/emulator/src/log.rs
+++ b/crates/emulator/src/log.rs
@@ -1,10 +1,10 @@
-//! Stand-ins of the log service.
+//! Emulator of the log service.
 //!
-//! - [`core`]: partitions with fences, repeats, conditions and compaction; no I/O.
-//! - [`memory`]: the core in the process of a test, with faults.
-//! - [`topics`]: the core over HTTP.
-//! - [`streams`]: plain streams over HTTP, for the configuration.
-//! - [`service`]: the process that serves both.
+//! - [`core`]: partitions with fencing, deduplication, conditional appends and compaction; no I/O.
+//! - [`memory`]: an in-process log for tests, with fault injection.
+//! - [`topics`]: compacted topics over HTTP.
+//! - [`streams`]: append-only streams over HTTP, used for the configuration.
+//! - [`service`]: the HTTP service for topics and streams.
 
 pub mod core;
 pub mod memory;
--- a/crates/emulator/src/log/core.rs
+++ b/crates/emulator/src/log/core.rs
@@ -1,36 +1,40 @@
-//! Partitions of compacted topics, as the platform's log keeps them.
+//! In-memory model of the log service: partitions of compacted topics.
 
 use fieldhook_log::api::{
     Append, Appended, KeyedRecord, NewestPage, Partition, Producer, ReadBatch, StoreError,
 };
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// Answers of a writer's latest appends that are given again.
-const REMEMBERED_ANSWERS: usize = 5;
-/// Records of one page.
+/// Number of results per producer that are kept to answer repeated appends.
+const RETAINED_RESULTS: usize = 5;
+/// Maximum number of records in a page of newest records.
 const PAGE_RECORDS: usize = 500;
 
 #[derive(Default)]
-struct Writer {
+/// State of one producer name in a partition.
+struct ProducerState {
     epoch: u64,
     next_sequence: Option<u64>,
-    answers: VecDeque<(u64, Appended)>,
+    /// Sequence numbers and results of the latest appends, oldest first.
+    results: VecDeque<(u64, Appended)>,
 }
 
 #[derive(Default)]
 struct PartitionLog {
+    /// Offset of the first record of the history.
     first: u64,
     records: VecDeque<KeyedRecord>,
+    /// Offset and value of the newest record of each key.
     newest: BTreeMap<Vec<u8>, (u64, Vec<u8>)>,
-    writers: HashMap<String, Writer>,
+    producers: HashMap<String, ProducerState>,
 }
 
-/// All partitions.
+/// The partitions of all topics.
 #[derive(Default)]
 pub struct LogCore {
     partitions: HashMap<(String, u32), PartitionLog>,
-    /// Bytes that are kept in all, history and newest records; without bound if there is none.
-    room: Option<usize>,
+    /// Maximum number of stored bytes, see [`LogCore::stored_bytes`]; unlimited if `None`.
+    storage_limit: Option<usize>,
 }
 
 impl LogCore {
@@ -39,12 +43,12 @@
         self.partitions.entry(key).or_default()
     }
 
-    /// Takes no records once so many bytes are kept.
+    /// Rejects records while at least this many bytes are stored.
     pub fn set_storage_limit(&mut self, bytes: usize) {
-        self.room = Some(bytes);
+        self.storage_limit = Some(bytes);
     }
 
-    /// Bytes kept in all: the history, and the newest record of each key once more.
+    /// Number of stored bytes. The newest record of each key counts in addition to the history.
     pub fn stored_bytes(&self) -> usize {
         self.partitions
             .values()
@@ -52,34 +56,37 @@
             .sum()
     }
 
-    /// Appends all records or none.
+    /// Appends all records or none of them.
     ///
     /// # Errors
-    /// The fence, the sequence, the condition or a want of room forbids it.
+    /// The producer is fenced, its sequence number is out of order, the expected end does not
+    /// match, or the storage limit is reached.
     pub fn append(&mut self, append: &Append) -> Result<Appended, StoreError> {
-        let is_full = self.room.is_some_and(|room| self.stored_bytes() >= room);
+        let is_full = self
+            .storage_limit
+            .is_some_and(|limit| self.stored_bytes() >= limit);
         self.partition(&append.partition).append(append, is_full)
     }
 
-    /// Drops the history of a partition before an offset; the newest of each key stays.
+    /// Drops the history of a partition before an offset. The newest record of each key is kept.
     pub fn trim(&mut self, partition: &Partition, before: u64) {
         self.partition(partition).trim(before);
     }
 
-    /// Reads from an offset on.
+    /// Reads the history of a partition, starting at an offset.
     ///
     /// # Errors
-    /// The records are gone.
+    /// The history no longer contains the offset.
     pub fn read(&mut self, partition: &Partition, from: u64) -> Result<ReadBatch, StoreError> {
         self.partition(partition).read(from)
     }
 
-    /// A page of the newest records by key.
+    /// Returns a page of the newest records, ordered by key, starting after the key `after`.
     pub fn newest(&mut self, partition: &Partition, after: Option<&[u8]>) -> NewestPage {
-        self.partition(partition).page(after)
+        self.partition(partition).newest_page(after)
     }
 
-    /// Drops the history of all partitions; the newest of each key stays.
+    /// Drops the history of all partitions. The newest record of each key is kept.
     pub fn drop_history(&mut self) {
         for partition in self.partitions.values_mut() {
             partition.first = partition.end();
@@ -109,9 +116,9 @@
 
     fn append(&mut self, append: &Append, is_full: bool) -> Result<Appended, StoreError> {
         if let Some(producer) = &append.producer
-            && let Some(answer) = self.admit(producer, append.records.is_empty())?
+            && let Some(result) = self.check_producer(producer, append.records.is_empty())?
         {
-            return Ok(answer);
+            return Ok(result);
         }
         if let Some(expected) = append.expected_end
             && expected != self.end()
@@ -123,35 +130,40 @@
         }
         let appended = self.push(&append.records);
         if let Some(producer) = &append.producer {
-            self.remember(producer, appended, append.records.is_empty());
+            self.record_result(producer, appended, append.records.is_empty());
         }
         Ok(appended)
     }
 
-    /// Checks the fence and the sequence; gives the first answer of a repeat again.
-    fn admit(&mut self, producer: &Producer, empty: bool) -> Result<Option<Appended>, StoreError> {
-        let writer = self.writers.entry(producer.name.clone()).or_default();
-        if producer.epoch < writer.epoch {
+    /// Checks the epoch and the sequence number. Returns the original result if the append is a
+    /// repeat.
+    fn check_producer(
+        &mut self,
+        producer: &Producer,
+        empty: bool,
+    ) -> Result<Option<Appended>, StoreError> {
+        let state = self.producers.entry(producer.name.clone()).or_default();
+        if producer.epoch < state.epoch {
             return Err(StoreError::Fenced);
         }
-        if producer.epoch > writer.epoch {
-            *writer = Writer {
+        if producer.epoch > state.epoch {
+            *state = ProducerState {
                 epoch: producer.epoch,
-                ..Writer::default()
+                ..ProducerState::default()
             };
         }
         if empty {
             return Ok(None);
         }
-        let known = writer
-            .answers
+        let repeated = state
+            .results
             .iter()
             .find(|(sequence, _)| *sequence == producer.sequence);
-        if let Some((_, answer)) = known {
-            return Ok(Some(*answer));
+        if let Some((_, result)) = repeated {
+            return Ok(Some(*result));
         }
-        match writer.next_sequence {
-            Some(wanted) if wanted != producer.sequence => Err(StoreError::Sequence(wanted)),
+        match state.next_sequence {
+            Some(expected) if expected != producer.sequence => Err(StoreError::Sequence(expected)),
             _ => Ok(None),
         }
     }
@@ -159,12 +171,12 @@
     fn push(&mut self, records: &[KeyedRecord]) -> Appended {
         let offset = self.end();
         for record in records {
-            let at = self.end();
+            let record_offset = self.end();
             if record.value.is_empty() {
                 self.newest.remove(&record.key);
             } else {
                 self.newest
-                    .insert(record.key.clone(), (at, record.value.clone()));
+                    .insert(record.key.clone(), (record_offset, record.value.clone()));
             }
             self.records.push_back(record.clone());
         }
@@ -174,17 +186,17 @@
         }
     }
 
-    fn remember(&mut self, producer: &Producer, appended: Appended, empty: bool) {
-        let Some(writer) = self.writers.get_mut(&producer.name) else {
+    fn record_result(&mut self, producer: &Producer, appended: Appended, empty: bool) {
+        let Some(state) = self.producers.get_mut(&producer.name) else {
             return;
         };
         if empty {
             return;
         }
-        writer.next_sequence = Some(producer.sequence + 1);
-        writer.answers.push_back((producer.sequence, appended));
-        if writer.answers.len() > REMEMBERED_ANSWERS {
-            writer.answers.pop_front();
+        state.next_sequence = Some(producer.sequence + 1);
+        state.results.push_back((producer.sequence, appended));
+        if state.results.len() > RETAINED_RESULTS {
+            state.results.pop_front();
         }
     }
 
@@ -208,12 +220,12 @@
         })
     }
 
-    fn page(&self, after: Option<&[u8]>) -> NewestPage {
-        let rest = self
+    fn newest_page(&self, after: Option<&[u8]>) -> NewestPage {
+        let remaining = self
             .newest
             .iter()
             .filter(|(key, _)| after.is_none_or(|after| key.as_slice() > after));
-        let mut records: Vec<(u64, KeyedRecord)> = rest
+        let mut records: Vec<(u64, KeyedRecord)> = remaining
             .take(PAGE_RECORDS + 1)
             .map(|(key, (offset, value))| {
                 let record = KeyedRecord {
--- a/crates/emulator/src/log/memory.rs
+++ b/crates/emulator/src/log/memory.rs
@@ -1,5 +1,5 @@
-//! The log core in the process of a test: many clients of one log, with faults that
-//! can be set for each client.
+//! In-process log for tests: any number of clients share one log, and faults are injected per
+//! client.
 
 use super::core::LogCore;
 use fieldhook_log::api::{
@@ -12,87 +12,91 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 
-/// What goes wrong with calls.
+/// Fault injected into the calls of a client.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFault {
-    /// Nothing.
+    /// Calls succeed.
     #[default]
     None,
-    /// Calls fail at once, without effect.
+    /// Calls fail immediately and have no effect.
     Down,
-    /// Calls are refused at once, without effect: the service has no room.
+    /// Calls are rejected immediately and have no effect, as by an overloaded service.
     Busy,
-    /// The connection is reset before the call has its effect, but the caller
-    /// cannot know that.
+    /// The connection is reset before the call takes effect. The caller cannot tell whether it
+    /// did.
     Reset,
-    /// Calls are not answered and have no effect.
+    /// Calls get no response and have no effect.
     Silent,
-    /// Appends have their effect and are not answered.
+    /// Appends take effect, but get no response.
     ResponseLost,
-    /// Appends are not answered and have their effect after this time.
+    /// Appends get no response and take effect after this time.
     AppliedLate(Duration),
     /// Every call takes this long.
     Slow(Duration),
 }
 
-/// One log with the news of its changes.
+/// A log that is shared by several clients.
 #[derive(Default)]
 pub struct SharedLog {
-    /// The log.
+    /// State of the log.
     pub core: RefCell<LogCore>,
+    /// Wakes waiting reads after an append.
     changed: Notify,
 }
 
-/// One client of a shared log.
+/// A client of a shared log.
 pub struct MemoryLog {
     log: Rc<SharedLog>,
     fault: Cell<LogFault>,
-    /// Where the fault holds; everywhere if there is none.
-    faulty: RefCell<Option<Partition>>,
-    /// Rises when connections fall silent: calls of an earlier one are never answered.
-    connections: Cell<u64>,
-    /// Calls made so far.
+    /// Partition that the fault is limited to; `None` for all partitions.
+    faulty_partition: RefCell<Option<Partition>>,
+    /// Increases when connections are stalled. Reads that began with a lower value get no
+    /// response.
+    connection_epoch: Cell<u64>,
+    /// Number of calls made so far.
     pub calls: Cell<u64>,
 }
 
 impl MemoryLog {
-    /// A client without faults.
+    /// Creates a client without faults.
     pub fn new(log: Rc<SharedLog>) -> Self {
         Self {
             log,
             fault: Cell::default(),
-            faulty: RefCell::default(),
-            connections: Cell::new(0),
+            faulty_partition: RefCell::default(),
+            connection_epoch: Cell::new(0),
             calls: Cell::new(0),
         }
     }
 
-    /// Sets what goes wrong from now on, everywhere.
+    /// Sets the fault for all partitions.
     pub fn set_fault(&self, fault: LogFault) {
-        self.faulty.take();
+        self.faulty_partition.take();
         self.fault.set(fault);
     }
 
-    /// Sets what goes wrong from now on with one partition; the others work.
+    /// Sets the fault for one partition and removes it for all others.
     pub fn set_partition_fault(&self, partition: Partition, fault: LogFault) {
-        self.faulty.replace(Some(partition));
+        self.faulty_partition.replace(Some(partition));
         self.fault.set(fault);
     }
 
-    /// All connections fall silent: the calls that wait are never answered, new ones work.
+    /// Stalls all open connections: waiting reads get no response, later calls are not
+    /// affected.
     pub fn stall_connections(&self) {
-        self.connections.set(self.connections.get() + 1);
+        self.connection_epoch.set(self.connection_epoch.get() + 1);
         self.log.changed.notify_waiters();
     }
 
     fn fault_of(&self, partition: &Partition) -> LogFault {
-        match &*self.faulty.borrow() {
-            Some(faulty) if faulty != partition => LogFault::None,
+        match &*self.faulty_partition.borrow() {
+            Some(faulty_partition) if faulty_partition != partition => LogFault::None,
             _ => self.fault.get(),
         }
     }
 
-    async fn begin(&self, partition: &Partition, limit: Duration) -> Result<(), StoreError> {
+    /// Counts a call and applies the fault before the call takes effect.
+    async fn begin_call(&self, partition: &Partition, limit: Duration) -> Result<(), StoreError> {
         self.calls.set(self.calls.get() + 1);
         match self.fault_of(partition) {
             LogFault::Down | LogFault::Busy => Err(StoreError::NotDone),
@@ -113,7 +117,12 @@
         }
     }
 
-    async fn begin_again(&self, partition: &Partition, limit: Duration) -> Result<(), StoreError> {
+    /// Applies a fault that was set while a read was waiting.
+    async fn check_waiting_read(
+        &self,
+        partition: &Partition,
+        limit: Duration,
+    ) -> Result<(), StoreError> {
         match self.fault_of(partition) {
             LogFault::Down | LogFault::Reset => Err(StoreError::Unknown),
             LogFault::Silent => {
@@ -125,14 +134,14 @@
     }
 
     async fn append_call(&self, append: Append) -> Result<Appended, StoreError> {
-        self.begin(&append.partition, append.timeout).await?;
+        self.begin_call(&append.partition, append.timeout).await?;
         let fault = self.fault_of(&append.partition);
         if let LogFault::AppliedLate(delay) = fault {
             let log = self.log.clone();
-            let late = append.clone();
+            let late_append = append.clone();
             ntex::rt::spawn(async move {
                 sleep(delay).await;
-                let _ = log.core.borrow_mut().append(&late);
+                let _ = log.core.borrow_mut().append(&late_append);
                 log.changed.notify_waiters();
             });
             sleep(append.timeout).await;
@@ -154,20 +163,20 @@
         wait: Duration,
         limit: Duration,
     ) -> Result<ReadBatch, StoreError> {
-        let connection = self.connections.get();
-        self.begin(&partition, limit).await?;
-        let until = Instant::now() + wait;
-        let given_up = Instant::now() + limit;
+        let connection_epoch = self.connection_epoch.get();
+        self.begin_call(&partition, limit).await?;
+        let wait_deadline = Instant::now() + wait;
+        let call_deadline = Instant::now() + limit;
         loop {
-            if self.connections.get() != connection {
-                sleep_until(given_up).await;
+            if self.connection_epoch.get() != connection_epoch {
+                sleep_until(call_deadline).await;
                 return Err(StoreError::Unknown);
             }
             let changed = self.log.changed.notified();
-            // A read that was waiting when the fault came is not answered either.
-            self.begin_again(&partition, limit).await?;
+            // A fault also applies to reads that were already waiting when it was set.
+            self.check_waiting_read(&partition, limit).await?;
             let batch = self.log.core.borrow_mut().read(&partition, from)?;
-            if !batch.records.is_empty() || timeout_at(until, changed).await.is_err() {
+            if !batch.records.is_empty() || timeout_at(wait_deadline, changed).await.is_err() {
                 return Ok(batch);
             }
         }
@@ -179,7 +188,7 @@
         after: Option<Vec<u8>>,
         limit: Duration,
     ) -> Result<NewestPage, StoreError> {
-        self.begin(&partition, limit).await?;
+        self.begin_call(&partition, limit).await?;
         Ok(self
             .log
             .core
@@ -188,7 +197,7 @@
     }
 
     async fn trim_call(&self, trim: Trim) -> Result<(), StoreError> {
-        self.begin(&trim.partition, trim.timeout).await?;
+        self.begin_call(&trim.partition, trim.timeout).await?;
         let mut core = self.log.core.borrow_mut();
         core.trim(&trim.partition, trim.before);
         Ok(())
--- a/crates/emulator/src/log/service.rs
+++ b/crates/emulator/src/log/service.rs
@@ -1,13 +1,13 @@
-//! The process that stands in for the platform's log.
+//! HTTP service that emulates the platform's log.
 
 use super::streams::{Streams, append_record, read_records};
-use super::topics::{Topics, call};
+use super::topics::{Topics, handle_call};
 use crate::faults::Faults;
 use crate::serve::serve;
 use ntex::web::{self, ServiceConfig};
 use std::io;
 
-/// Runs the stand-in.
+/// Serves the emulated log on an address.
 ///
 /// # Errors
 /// The address cannot be bound.
@@ -18,7 +18,7 @@
             .state(Streams::default())
             .state(Topics::default())
             .state(web::types::PayloadConfig::new(BODY_LIMIT))
-            .route("/v1/topics", web::post().to(call))
+            .route("/v1/topics", web::post().to(handle_call))
             .service(
                 web::resource("/v1/streams/{name}")
                     .route(web::post().to(append_record))
@@ -28,5 +28,5 @@
     .await
 }
 
-/// Largest append, in bytes.
+/// Maximum size of a request body, in bytes.
 const BODY_LIMIT: usize = 64 << 20;
--- a/crates/emulator/src/log/streams.rs
+++ b/crates/emulator/src/log/streams.rs
@@ -1,4 +1,4 @@
-//! Append-only streams with offsets, append and read with wait, nothing more.
+//! Append-only streams over HTTP, with appends and long-polling reads.
 
 use crate::faults::Faults;
 use fieldhook_http::json;
@@ -12,11 +12,13 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-const POLL: Millis = Millis(5);
-/// Most bytes in one page, so that a long stream is read in parts.
+/// Interval at which a waiting read checks for new records.
+const POLL_INTERVAL: Millis = Millis(5);
+/// Maximum record bytes in a page, so that a long stream is read in several pages. A page holds
+/// at least one record.
 const PAGE_BYTES: usize = 8 << 20;
 
-/// All streams.
+/// The records of all streams, by stream name.
 #[derive(Clone, Default)]
 pub struct Streams {
     records: Rc<RefCell<BTreeMap<String, Vec<String>>>>,
@@ -54,7 +56,7 @@
     }
 }
 
-/// Where to read, and how long to wait for a record.
+/// Start offset of a read and how long it waits for a record.
 #[derive(Deserialize)]
 pub struct ReadQuery {
     #[serde(default)]
@@ -70,30 +72,32 @@
     name: types::Path<String>,
     body: Bytes,
 ) -> HttpResponse {
-    if let Err(answer) = faults.before().await {
-        return answer;
+    if let Err(response) = faults.before_request().await {
+        return response;
     }
     let offset = streams.append(&name, String::from_utf8_lossy(&body).into_owned());
-    faults.after(json(200, &AppendResponse { offset })).await
+    faults
+        .finish_request(json(200, &AppendResponse { offset }))
+        .await
 }
 
-/// Reads a stream from an offset on.
+/// Reads a stream, starting at an offset.
 pub async fn read_records(
     streams: types::State<Streams>,
     faults: types::State<Faults>,
     name: types::Path<String>,
     query: types::Query<ReadQuery>,
 ) -> HttpResponse {
-    if let Err(answer) = faults.before().await {
-        return answer;
+    if let Err(response) = faults.before_request().await {
+        return response;
     }
-    let begun = Instant::now();
+    let started = Instant::now();
     let wait = Duration::from_millis(query.wait_ms);
     loop {
         let page = streams.page(&name, query.from);
-        if !page.records.is_empty() || begun.elapsed() >= wait {
+        if !page.records.is_empty() || started.elapsed() >= wait {
             return json(200, &page);
         }
-        sleep(POLL).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/emulator/src/log/topics.rs
+++ b/crates/emulator/src/log/topics.rs
@@ -1,4 +1,4 @@
-//! Compacted topics over HTTP, in the binary form of `fieldhook_log::wire`.
+//! Compacted topics over HTTP, in the binary encoding of `fieldhook_log::wire`.
 
 use super::core::LogCore;
 use crate::faults::Faults;
@@ -12,16 +12,17 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-const POLL: Millis = Millis(5);
+/// Interval at which a waiting read checks for new records.
+const POLL_INTERVAL: Millis = Millis(5);
 
-/// The topics, shared by the handlers.
+/// The topics, shared by the request handlers.
 #[derive(Clone, Default)]
 pub struct Topics {
     core: Rc<RefCell<LogCore>>,
 }
 
-/// Serves a call.
-pub async fn call(
+/// Handles a call to the log service.
+pub async fn handle_call(
     topics: types::State<Topics>,
     faults: types::State<Faults>,
     body: Bytes,
@@ -29,37 +30,37 @@
     let Ok(call) = StoreCall::deserialize_bin(&body) else {
         return HttpResponse::BadRequest().finish();
     };
-    if let Err(answer) = faults.before_partition(call.partition()).await {
-        return answer;
+    if let Err(response) = faults.before_partition_call(call.partition()).await {
+        return response;
     }
-    if faults.forgets() {
+    if faults.take_history_drop() {
         topics.core.borrow_mut().drop_history();
     }
     match call {
         StoreCall::Append(call) => {
             let append = Append::from(call);
-            if let Some(delay) = faults.lateness() {
-                ntex::rt::spawn(append_late(topics.core.clone(), append, delay));
+            if let Some(delay) = faults.append_delay() {
+                ntex::rt::spawn(append_after(topics.core.clone(), append, delay));
                 Faults::hang().await;
                 return HttpResponse::ServiceUnavailable().finish();
             }
             let appended = topics.core.borrow_mut().append(&append);
             let reply = appended.map_or_else(StoreReply::from, StoreReply::from);
-            faults.after(answer(&reply)).await
+            faults.finish_request(encode_reply(&reply)).await
         }
-        StoreCall::Read(call) => answer(&read(&topics, &call).await),
-        StoreCall::Newest(call) => answer(&newest(&topics, &call)),
-        StoreCall::Trim(call) => answer(&trim(&topics, call)),
+        StoreCall::Read(call) => encode_reply(&read(&topics, &call).await),
+        StoreCall::Newest(call) => encode_reply(&newest(&topics, &call)),
+        StoreCall::Trim(call) => encode_reply(&trim(&topics, call)),
     }
 }
 
-/// What the service does with an append whose caller has long given up.
-async fn append_late(core: Rc<RefCell<LogCore>>, append: Append, delay: Duration) {
+/// Applies an append after a delay. The result is discarded, because the caller gets no response.
+async fn append_after(core: Rc<RefCell<LogCore>>, append: Append, delay: Duration) {
     sleep(Millis(delay.as_millis() as u32)).await;
     let _ = core.borrow_mut().append(&append);
 }
 
-fn answer(reply: &StoreReply) -> HttpResponse {
+fn encode_reply(reply: &StoreReply) -> HttpResponse {
     HttpResponse::Ok().body(reply.serialize_bin())
 }
 
@@ -68,12 +69,14 @@
         topic: call.topic.clone(),
         number: call.partition,
     };
-    let begun = Instant::now();
+    let started = Instant::now();
     let wait = Duration::from_millis(call.wait_ms);
     loop {
         let read = topics.core.borrow_mut().read(&partition, call.from);
         match read {
-            Ok(batch) if batch.records.is_empty() && begun.elapsed() < wait => sleep(POLL).await,
+            Ok(batch) if batch.records.is_empty() && started.elapsed() < wait => {
+                sleep(POLL_INTERVAL).await
+            }
             Ok(batch) => return batch.into(),
             Err(error) => return error.into(),
         }
--- a/crates/emulator/src/machines.rs
+++ b/crates/emulator/src/machines.rs
@@ -1,4 +1,4 @@
-//! The platform's list of machines, served with a lag.
+//! Emulator of the platform's machine list, whose changes become visible after a delay.
 
 use crate::faults::Faults;
 use crate::serve::serve;
@@ -11,8 +11,9 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
+/// A version of the list and when it was set.
 struct Change {
-    at: Instant,
+    set_at: Instant,
     machines: Vec<Machine>,
 }
 
@@ -28,8 +29,8 @@
         let old_enough = changes
             .iter()
             .rev()
-            .find(|change| change.at.elapsed() >= self.lag);
-        // The first list is there from the start: it lags only behind changes.
+            .find(|change| change.set_at.elapsed() >= self.lag);
+        // The first list is visible immediately; only changes are delayed.
         old_enough
             .or(changes.first())
             .map(|change| change.machines.clone())
@@ -37,7 +38,7 @@
     }
 }
 
-/// Runs the stand-in.
+/// Serves the emulated machine list on an address.
 ///
 /// # Errors
 /// The address cannot be bound.
@@ -60,9 +61,9 @@
     list: types::State<MachineList>,
     faults: types::State<Faults>,
 ) -> HttpResponse {
-    match faults.before().await {
+    match faults.before_request().await {
         Ok(()) => json(200, &list.visible()),
-        Err(answer) => answer,
+        Err(response) => response,
     }
 }
 
@@ -70,7 +71,7 @@
     match serde_json::from_slice::<Vec<Machine>>(&body) {
         Ok(machines) => {
             list.changes.borrow_mut().push(Change {
-                at: Instant::now(),
+                set_at: Instant::now(),
                 machines,
             });
             text(200, "set")
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -1,11 +1,11 @@
-//! `fieldhook-emulator`: one stand-in per process, chosen by subcommand.
+//! `fieldhook-emulator`: emulates one external service per process, selected by subcommand.
 
 use fieldhook_emulator::{engine, log, machines, server, weights};
 use gumdrop::Options;
 use std::io;
 use std::process::ExitCode;
 
-/// Stand-ins for engines, servers and the platform.
+/// Emulators of model engines, servers and platform services.
 #[derive(Debug, Options)]
 struct Arguments {
     /// Show this help.
@@ -16,19 +16,19 @@
 
 #[derive(Debug, Options)]
 enum Command {
-    /// A model engine.
+    /// Emulate a model engine.
     Engine(EngineArguments),
-    /// The platform's append-only log.
+    /// Emulate the platform's log service.
     Log(LogArguments),
-    /// The platform's list of machines.
+    /// Emulate the platform's machine list.
     Machines(MachinesArguments),
-    /// The weight store.
+    /// Emulate the weight store.
     Weights(WeightsArguments),
-    /// A tool or application server.
+    /// Emulate a tool or application server.
     Server(ServerArguments),
 }
 
-/// A model engine.
+/// Options of the model engine.
 #[derive(Debug, Options)]
 struct EngineArguments {
     /// Show this help.
@@ -36,37 +36,37 @@
     /// IP and port to listen on.
     #[options(required)]
     listen: String,
-    /// Model that is loaded; may be given again.
+    /// Name of a loaded model; may be repeated.
     model: Vec<String>,
-    /// Time of an empty step in microseconds.
+    /// Duration of an empty step, in microseconds.
     #[options(default = "4000")]
     step_base_us: u64,
-    /// Added by each generating sequence, in microseconds.
+    /// Step time added by each generating sequence, in microseconds.
     #[options(default = "60")]
     decode_us: u64,
-    /// Added by each prefilled token, in microseconds.
+    /// Step time added by each prefilled token, in microseconds.
     #[options(default = "10")]
     prefill_us: u64,
-    /// Most prompt tokens prefilled in a step.
+    /// Maximum number of prompt tokens prefilled per step.
     #[options(default = "1024")]
     prefill_tokens: u64,
-    /// Most sequences in the batch.
+    /// Maximum number of sequences in the batch.
     #[options(default = "16")]
     max_running: usize,
-    /// Cache size in tokens.
+    /// Capacity of the prefix cache, in tokens.
     #[options(default = "200000")]
     cache_tokens: u64,
-    /// How late cache events come, in milliseconds.
+    /// Delay before cache events become visible, in milliseconds.
     #[options(default = "100")]
     event_lag_ms: u64,
-    /// How old the load report may be, in milliseconds.
+    /// Maximum age of the load report, in milliseconds.
     #[options(default = "100")]
     load_lag_ms: u64,
     /// IP and port of the weight store.
     weights: Option<String>,
 }
 
-/// The platform's log.
+/// Options of the log service.
 #[derive(Debug, Options)]
 struct LogArguments {
     /// Show this help.
@@ -76,7 +76,7 @@
     listen: String,
 }
 
-/// The platform's list of machines.
+/// Options of the machine list.
 #[derive(Debug, Options)]
 struct MachinesArguments {
     /// Show this help.
@@ -84,12 +84,12 @@
     /// IP and port to listen on.
     #[options(required)]
     listen: String,
-    /// How far the list lags, in milliseconds.
+    /// Delay before a change of the list becomes visible, in milliseconds.
     #[options(default = "1000")]
     lag_ms: u64,
 }
 
-/// The weight store.
+/// Options of the weight store.
 #[derive(Debug, Options)]
 struct WeightsArguments {
     /// Show this help.
@@ -97,15 +97,15 @@
     /// IP and port to listen on.
     #[options(required)]
     listen: String,
-    /// Rate limit in bytes a second.
+    /// Download rate limit, in bytes per second.
     #[options(default = "1000000000")]
     bytes_per_second: u64,
-    /// Size of each model in bytes.
+    /// Size of each model, in bytes.
     #[options(default = "1000000000")]
     weight_bytes: u64,
 }
 
-/// A tool or application server.
+/// Options of the tool or application server.
 #[derive(Debug, Options)]
 struct ServerArguments {
     /// Show this help.
@@ -113,10 +113,10 @@
     /// IP and port to listen on.
     #[options(required)]
     listen: String,
-    /// Time of a request in milliseconds.
+    /// Processing time of a request, in milliseconds.
     #[options(default = "2")]
     work_ms: u32,
-    /// Do not offer to look past requests up by key.
+    /// Disable the lookup of executed requests by key.
     no_lookup: bool,
 }
 
@@ -129,12 +129,12 @@
     let arguments = Arguments::parse_args_default_or_exit();
     let result = match arguments.command {
         Some(command) => run(command).await,
-        None => Err(io::Error::other("name a stand-in; see --help")),
+        None => Err(io::Error::other("no subcommand given; see --help")),
     };
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            tracing::error!(%error, "stand-in ended; check that its address is free");
+            tracing::error!(%error, "emulator failed; check that its listen address is free");
             ExitCode::from(2)
         }
     }
--- a/crates/emulator/src/serve.rs
+++ b/crates/emulator/src/serve.rs
@@ -1,4 +1,4 @@
-//! Running one stand-in as a process: one worker thread, one listener.
+//! HTTP server shared by all emulators: one listener and one worker thread.
 
 use ntex::SharedCfg;
 use ntex::http::HttpServiceConfig;
@@ -6,13 +6,13 @@
 use ntex::web::{self, HttpServer, ServiceConfig};
 use std::io;
 
-/// Largest request body, in bytes.
+/// Maximum size of a request body, in bytes.
 const BODY_LIMIT: usize = 256 << 20;
-/// Longer than any client of the project keeps an idle connection.
+/// Longer than any fieldhook client keeps an idle connection.
 const KEEP_ALIVE: Seconds = Seconds(75);
 
-/// Serves routes on one worker until the process is ended. `configure` runs on
-/// the worker's thread, where it may also start tasks.
+/// Serves routes on one worker until the process ends. `configure` runs on the
+/// worker's thread, where it may also spawn tasks.
 ///
 /// # Errors
 /// The address cannot be bound.
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -1,6 +1,6 @@
-//! A tool or application server: answers any call, counts each execution by
-//! request key, and does not deduplicate, so that a request that is sent twice
-//! shows.
+//! Emulator of a tool or application server. It accepts any call and counts
+//! executions by request key without deduplication, so that a request that was
+//! sent twice is visible in the count.
 
 use crate::faults::Faults;
 use crate::serve::serve;
@@ -17,7 +17,7 @@
 #[derive(Clone)]
 struct Server {
     work_ms: u32,
-    offers_lookup: bool,
+    supports_lookup: bool,
     executions: Rc<RefCell<BTreeMap<String, Execution>>>,
 }
 
@@ -31,19 +31,19 @@
     }
 }
 
-/// Runs the stand-in. `offers_lookup` says whether past requests can be asked
-/// for by key, which not every server offers.
+/// Serves the emulated server on an address. `supports_lookup` enables the
+/// lookup of executed requests by key, which not every real server supports.
 ///
 /// # Errors
 /// The address cannot be bound.
-pub async fn run(address: &str, work_ms: u32, offers_lookup: bool) -> io::Result<()> {
+pub async fn run(address: &str, work_ms: u32, supports_lookup: bool) -> io::Result<()> {
     serve(address, move |config: &mut ServiceConfig| {
         let executions = Rc::default();
         Faults::default().configure(config);
         config
             .state(Server {
                 work_ms,
-                offers_lookup,
+                supports_lookup,
                 executions,
             })
             .route("/call/{path}*", web::post().to(execute_request))
@@ -60,8 +60,8 @@
     path: types::Path<String>,
     body: Bytes,
 ) -> HttpResponse {
-    if let Err(answer) = faults.before().await {
-        return answer;
+    if let Err(response) = faults.before_request().await {
+        return response;
     }
     let key = request
         .headers()
@@ -71,8 +71,8 @@
         return text(400, "send the header x-request-key");
     };
     sleep(Millis(server.work_ms)).await;
-    let answer = server.execute(key, &path, &String::from_utf8_lossy(&body));
-    faults.after(text(200, answer)).await
+    let response = server.execute(key, &path, &String::from_utf8_lossy(&body));
+    faults.finish_request(text(200, response)).await
 }
 
 async fn list_executions(server: types::State<Server>) -> HttpResponse {
@@ -80,7 +80,7 @@
 }
 
 async fn show_execution(server: types::State<Server>, key: types::Path<String>) -> HttpResponse {
-    if !server.offers_lookup {
+    if !server.supports_lookup {
         return text(501, "this server does not offer to look requests up");
     }
     match server.executions.borrow().get(&*key) {
--- a/crates/emulator/src/weights.rs
+++ b/crates/emulator/src/weights.rs
@@ -1,4 +1,4 @@
-//! The weight store: hands out weights at a limited rate.
+//! Emulator of the weight store: serves model weights at a limited rate.
 
 use crate::faults::Faults;
 use crate::serve::serve;
@@ -12,13 +12,14 @@
 use std::time::{Duration, Instant};
 
 #[derive(Clone)]
-struct Store {
+struct WeightStore {
     bytes_per_second: u64,
     weight_bytes: u64,
-    free_at: Rc<Cell<Instant>>,
+    /// When the last queued download ends.
+    idle_at: Rc<Cell<Instant>>,
 }
 
-/// Answer of the store: stands for the weights themselves.
+/// Response of the store, in place of the weights themselves.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Weights {
     /// Name of the model or adapter.
@@ -27,30 +28,31 @@
     pub bytes: u64,
 }
 
-impl Store {
-    /// Takes the next place in the line of downloads and says how long to wait.
-    fn take_turn(&self) -> Duration {
+impl WeightStore {
+    /// Queues a download and returns how long it takes, including the wait for earlier ones.
+    fn queue_download(&self) -> Duration {
         let now = Instant::now();
-        let begin = self.free_at.get().max(now);
-        let span = Duration::from_secs_f64(self.weight_bytes as f64 / self.bytes_per_second as f64);
-        self.free_at.set(begin + span);
-        begin + span - now
+        let begin = self.idle_at.get().max(now);
+        let duration =
+            Duration::from_secs_f64(self.weight_bytes as f64 / self.bytes_per_second as f64);
+        self.idle_at.set(begin + duration);
+        begin + duration - now
     }
 }
 
-/// Runs the stand-in.
+/// Serves the emulated weight store on an address.
 ///
 /// # Errors
 /// The address cannot be bound.
 pub async fn run(address: &str, bytes_per_second: u64, weight_bytes: u64) -> io::Result<()> {
     serve(address, move |config: &mut ServiceConfig| {
-        let free_at = Rc::new(Cell::new(Instant::now()));
+        let idle_at = Rc::new(Cell::new(Instant::now()));
         Faults::default().configure(config);
         config
-            .state(Store {
+            .state(WeightStore {
                 bytes_per_second: bytes_per_second.max(1),
                 weight_bytes,
-                free_at,
+                idle_at,
             })
             .route("/v1/weights/{name}", web::get().to(fetch_weights));
     })
@@ -58,14 +60,14 @@
 }
 
 async fn fetch_weights(
-    store: types::State<Store>,
+    store: types::State<WeightStore>,
     faults: types::State<Faults>,
     name: types::Path<String>,
 ) -> HttpResponse {
-    if let Err(answer) = faults.before().await {
-        return answer;
+    if let Err(response) = faults.before_request().await {
+        return response;
     }
-    let wait_ms = store.take_turn().as_millis().min(u128::from(u32::MAX)) as u32;
+    let wait_ms = store.queue_download().as_millis().min(u128::from(u32::MAX)) as u32;
     sleep(Millis(wait_ms)).await;
     json(
         200,
