--- a/crates/gateway/tests/gateway/evacuation.rs
+++ b/crates/gateway/tests/gateway/evacuation.rs
@@ -234,7 +234,7 @@
         assert!(gateway.ask("POST", "/chat/1", fields, "A;").await.whole);
         assert_eq!(zones.counts(), [1, 0, 0]);
         let partition = config_partition();
-        owner.store.set_fault_of(partition, LogFault::Silent);
+        owner.store.set_partition_fault(partition, LogFault::Silent);
         zones.evacuate("z1").await;
         wait_evacuated(&gateway, "z1", true).await;
         let fields = "Request: t2\r\nProgram: p\r\nPrevious: t1\r\n";
@@ -331,7 +331,7 @@
         // all records anew.
         gateway.store.set_fault(LogFault::Down);
         zones.world.publish(0).await;
-        log.borrow_mut().forget_history();
+        log.borrow_mut().drop_history();
         gateway.store.set_fault(LogFault::None);
         for _ in 0..20 {
             sleep(Duration::from_millis(25)).await;
@@ -342,7 +342,7 @@
         // The record that ends the evacuation is dropped with the history.
         gateway.store.set_fault(LogFault::Down);
         zones.end_evacuation("z1").await;
-        log.borrow_mut().forget_history();
+        log.borrow_mut().drop_history();
         gateway.store.set_fault(LogFault::None);
         wait_evacuated(&gateway, "z1", false).await;
         zone_state.apply_peer_status(&EvacuationStatus {
--- a/crates/gateway/tests/gateway/log_storage.rs
+++ b/crates/gateway/tests/gateway/log_storage.rs
@@ -15,7 +15,7 @@
     run(async {
         let server = Server::start("s1", Act::Events(vec!["one".to_owned()], None)).await;
         let world = World::new().await;
-        world.log.core.borrow_mut().set_room(LOG_CAPACITY);
+        world.log.core.borrow_mut().set_storage_limit(LOG_CAPACITY);
         let gateway = world.ready(&[&server]).await;
         let input = "x".repeat(INPUT_BYTES);
         for number in 0..TURNS {
--- a/crates/gateway/tests/gateway/relay.rs
+++ b/crates/gateway/tests/gateway/relay.rs
@@ -277,10 +277,10 @@
         let (world, server) = large_world().await;
         let (readers, others) = split(start_with_readers(&world, 4).await);
         let before: Vec<u64> = others.iter().map(|one| one.store.calls.get()).collect();
-        world.log.core.borrow_mut().forget_history();
+        world.log.core.borrow_mut().drop_history();
         let draining = format!("service {} draining", server.address);
         world.put(SERVERS, "s1", &draining).await;
-        world.log.core.borrow_mut().forget_history();
+        world.log.core.borrow_mut().drop_history();
         wait_for("a daemon missed a change", ms(2_000), || {
             let mut all = readers.iter().chain(&others);
             all.all(|one| !one.daemon.directory.borrow().accepts_work("s1"))
