--- a/crates/gateway/src/cold.rs
+++ b/crates/gateway/src/cold.rs
@@ -49,7 +49,7 @@
         self.version.set(config.version);
     }
 
-    /// Version of the configuration in force.
+    /// Returns the version of the current configuration.
     pub fn version(&self) -> u64 {
         self.version.get()
     }
--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -55,7 +55,7 @@
     pub topics: Topics,
     /// Health of the connection to the log service.
     pub log_health: Rc<LogHealth>,
-    /// Routes in force.
+    /// The current routes, once a configuration was read.
     pub routes: RefCell<Option<Rc<RouteTable>>>,
     /// Notified when `routes` is replaced.
     pub routes_changed: Notify,
--- a/crates/gateway/src/drain.rs
+++ b/crates/gateway/src/drain.rs
@@ -7,7 +7,7 @@
 use tokio::time::{Instant, sleep};
 
 const CHECK_PERIOD: Duration = Duration::from_millis(50);
-/// The stop ends by this much before the grace period does, after which the process is killed.
+/// The stop ends this long before the end of the grace period, when the process is killed.
 const KILL_MARGIN: Duration = Duration::from_millis(600);
 
 /// Fraction of the grace period after which new requests are refused. Until then clients have time
@@ -34,8 +34,8 @@
             let _ = daemon.shutdown.send(ShutdownPhase::Refusing);
         }
         let idle = daemon.in_flight.get() == 0 && daemon.client_connections.get() == 0;
-        let is_reported = daemon.ledger.pending_closes.get() == 0;
-        if idle && is_reported && daemon.owner.held_count() == 0 {
+        let ends_reported = daemon.ledger.pending_closes.get() == 0;
+        if idle && ends_reported && daemon.owner.held_count() == 0 {
             break;
         }
         sleep(CHECK_PERIOD).await;
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Sets the number of known servers. From [`RELAY_MIN_SERVERS`] on, readers are used for good.
+    /// Sets the number of known servers. From `RELAY_MIN_SERVERS` on, readers are used for good.
     pub fn set_server_count(&self, count: usize) {
         if count >= RELAY_MIN_SERVERS && !self.has_many_servers.get() {
             tracing::info!(event = "servers_are_many", count);
--- a/crates/gateway/tests/gateway/peers.rs
+++ b/crates/gateway/tests/gateway/peers.rs
@@ -13,7 +13,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, sleep};
 
-const CONCURRENT: usize = 8;
+const CONCURRENT_CALLS: usize = 8;
 /// Delay before the stand-in replies.
 const REPLY_DELAY: Duration = Duration::from_millis(150);
 
@@ -74,7 +74,7 @@
     run(async {
         let daemon = StandIn::start(false).await;
         let peers = Peers::default();
-        let requests = (0..CONCURRENT).map(|_| peers.connection(daemon.address));
+        let requests = (0..CONCURRENT_CALLS).map(|_| peers.connection(daemon.address));
         let connections = join_all(requests).await;
         let first = connections[0].as_ref().expect("connects");
         for connection in &connections {
--- a/crates/gateway/tests/gateway/readers.rs
+++ b/crates/gateway/tests/gateway/readers.rs
@@ -18,10 +18,13 @@
         for pause_ms in [0, 150] {
             let (contact, pause) = (ms(contact_ms), ms(pause_ms));
             let wait = long_poll::max_wait(contact, pause);
-            let made_up = pause + wait + READ_MARGIN + RESUME_DELAY;
+            let repeated_after = pause + wait + READ_MARGIN + RESUME_DELAY;
             // Only if the bound leaves time for the minimum wait of a long poll.
-            let has_room = contact >= pause + ms(500) + READ_MARGIN + RESUME_DELAY;
-            assert!(!has_room || made_up <= contact, "{contact_ms} {pause_ms}");
+            let is_feasible = contact >= pause + ms(500) + READ_MARGIN + RESUME_DELAY;
+            assert!(
+                !is_feasible || repeated_after <= contact,
+                "{contact_ms} {pause_ms}"
+            );
         }
     }
     assert_eq!(long_poll::max_wait(ms(4_000), ms(0)), ms(2_900));
@@ -42,25 +45,25 @@
     let gateway = world.ready(&[&server]).await;
     sleep(phase).await;
     gateway.store.silence_connections();
-    let silent = Instant::now();
+    let silenced = Instant::now();
     world.publish(1).await;
     world.put(CONFIG, "closed/z9", "by the operator").await;
     let draining = format!("service {} draining", server.address);
     world.put(SERVERS, "s1", &draining).await;
     let daemon = &gateway.daemon;
-    let in_force = || {
+    let all_applied = || {
         let version = daemon
             .routes
             .borrow()
             .as_ref()
             .map(|table| table.config.version);
-        let has_left = !daemon.directory.borrow().accepts_work("s1");
-        version == Some(2) && daemon.zone_state.is_evacuated("z9") && has_left
+        let is_drained = !daemon.directory.borrow().accepts_work("s1");
+        version == Some(2) && daemon.zone_state.is_evacuated("z9") && is_drained
     };
-    while !in_force() {
+    while !all_applied() {
         sleep(ms(5)).await;
-        let late = silent.elapsed() > ms(3_000);
-        assert!(!late, "silenced {phase:?} after a read began");
+        let is_late = silenced.elapsed() > ms(3_000);
+        assert!(!is_late, "silenced {phase:?} after a read began");
     }
 }
 
