--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -1,59 +1,58 @@
-//! The command line.
+//! Command-line arguments.
 
 use gumdrop::Options;
 
-/// fieldhook: the operators' client.
+/// fieldhook: command-line client for operators.
 #[derive(Debug, Options)]
 pub struct Arguments {
     /// Show this help.
     pub help: bool,
-    /// Daemon to ask.
+    /// Address of the daemon to query.
     #[options(meta = "IP:PORT", default = "127.0.0.1:7001")]
     pub daemon: String,
-    /// Platform log, for publishing and history.
+    /// Address of the platform's log, for publishing and history.
     #[options(meta = "IP:PORT", default = "127.0.0.1:7100")]
     pub log: String,
-    /// `table` or `json`.
+    /// Output format, `table` or `json`.
     #[options(meta = "FORM", default = "table")]
     pub output: String,
     #[options(command)]
     pub command: Option<Command>,
 }
 
-/// What to do.
+/// Commands of the client.
 #[derive(Debug, Options)]
 pub enum Command {
-    /// Check, publish and look back on the configuration.
+    /// Check, publish and show the configuration.
     Config(ConfigArguments),
-    /// Show daemons, configuration, commands that wait for the log, and engines.
+    /// Show daemons, the configuration version, commands waiting for the log, and engines.
     Status(NoArguments),
-    /// Show shards with their owners.
+    /// Show shards and their owners.
     Shards(NoArguments),
     /// List, show and cancel programs.
     Programs(ProgramsArguments),
-    /// List engines; drain one by publishing configuration.
+    /// List engines, and drain or undrain them by publishing configuration.
     Engines(EnginesArguments),
-    /// Give the machines of a zone no new work, until it is ended.
+    /// Stop new work on the machines of a zone until the evacuation is ended.
     Evacuate(EvacuateArguments),
-    /// Say what the daemons' lines tell of zones: evacuated, cold, used, owners.
+    /// Summarize daemon logs by zone: evacuation, daemons, servers, answers and partitions.
     Zones(ZonesArguments),
-    /// Say which rules let which machines serve a program or, with --logs, what
-    /// became of a request.
+    /// Explain the placement of a program or, with --logs, show the timeline of a request.
     Explain(ExplainArguments),
-    /// Say which tenants were at their limit.
+    /// Show which tenants reached their limit.
     Tenants(TenantsArguments),
-    /// Say what got no answer of a server, by time and cause.
+    /// Count requests that got no answer from a server, by time and cause.
     Losses(LossesArguments),
 }
 
-/// No arguments.
+/// This command takes no arguments.
 #[derive(Debug, Options)]
 pub struct NoArguments {
     /// Show this help.
     pub help: bool,
 }
 
-/// Configuration commands.
+/// Check, publish and show the configuration.
 #[derive(Debug, Options)]
 pub struct ConfigArguments {
     /// Show this help.
@@ -62,22 +61,22 @@
     pub command: Option<ConfigCommand>,
 }
 
-/// What to do with the configuration.
+/// Subcommands of `config`.
 #[derive(Debug, Options)]
 pub enum ConfigCommand {
     /// Check a document without publishing it.
     Check(FileArguments),
     /// Publish a document.
     Publish(PublishArguments),
-    /// Print the document in force.
+    /// Print the current document.
     Show(NoArguments),
-    /// List all published changes and what became of them.
+    /// List all published changes and their outcomes.
     History(NoArguments),
-    /// Show what a version changed against an earlier one.
+    /// Show the difference between two versions.
     Diff(DiffArguments),
 }
 
-/// A file.
+/// Check a document without publishing it.
 #[derive(Debug, Options)]
 pub struct FileArguments {
     /// Show this help.
@@ -87,7 +86,7 @@
     pub file: String,
 }
 
-/// Publishing.
+/// Publish a document.
 #[derive(Debug, Options)]
 pub struct PublishArguments {
     /// Show this help.
@@ -95,17 +94,17 @@
     /// The document (TOML).
     #[options(free, required)]
     pub file: String,
-    /// Version that the document was made from; the one in force if absent.
+    /// Version that the document is based on; the current one by default.
     #[options(meta = "N")]
     pub based_on: Option<u64>,
-    /// Who publishes, for the history.
+    /// Author to record in the history.
     #[options(meta = "NAME", default = "operator")]
     pub author: String,
-    /// Wait until the version is in force on all live daemons.
+    /// Wait until all live daemons have applied the version.
     pub wait: bool,
 }
 
-/// Two versions.
+/// Show the difference between two versions.
 #[derive(Debug, Options)]
 pub struct DiffArguments {
     /// Show this help.
@@ -118,7 +117,7 @@
     pub to: u64,
 }
 
-/// Program commands.
+/// List, show and cancel programs.
 #[derive(Debug, Options)]
 pub struct ProgramsArguments {
     /// Show this help.
@@ -127,28 +126,28 @@
     pub command: Option<ProgramsCommand>,
 }
 
-/// What to do with programs.
+/// Subcommands of `programs`.
 #[derive(Debug, Options)]
 pub enum ProgramsCommand {
     /// List the programs of all daemons.
     List(NoArguments),
-    /// Show one program with its conversation.
+    /// Show a program and its conversation.
     Show(ProgramArguments),
-    /// End one program.
+    /// Cancel a program.
     Cancel(ProgramArguments),
 }
 
-/// A program.
+/// Show or cancel a program.
 #[derive(Debug, Options)]
 pub struct ProgramArguments {
     /// Show this help.
     pub help: bool,
-    /// Identifier.
+    /// Identifier of the program.
     #[options(free, required)]
     pub program: String,
 }
 
-/// A program or request to explain.
+/// Explain the placement of a program or, with --logs, show the timeline of a request.
 #[derive(Debug, Options)]
 pub struct ExplainArguments {
     /// Show this help.
@@ -156,35 +155,35 @@
     /// Identifier of a program or, with --logs, of a request or program.
     #[options(free, required)]
     pub id: String,
-    /// Log lines of a daemon; `-` is standard input. May be given more than once.
+    /// Log file of a daemon; `-` reads standard input. May be repeated.
     #[options(no_short, meta = "FILE")]
     pub logs: Vec<String>,
 }
 
-/// Logs to read for tenants at their limit.
+/// Show which tenants reached their limit.
 #[derive(Debug, Options)]
 pub struct TenantsArguments {
     /// Show this help.
     pub help: bool,
-    /// Log lines of a daemon; `-` is standard input. May be given more than once.
+    /// Log file of a daemon; `-` reads standard input. May be repeated.
     #[options(no_short, required, meta = "FILE")]
     pub logs: Vec<String>,
 }
 
-/// Logs to read for lost requests.
+/// Count requests that got no answer from a server, by time and cause.
 #[derive(Debug, Options)]
 pub struct LossesArguments {
     /// Show this help.
     pub help: bool,
-    /// Log lines of a daemon; `-` is standard input. May be given more than once.
+    /// Log file of a daemon; `-` reads standard input. May be repeated.
     #[options(no_short, required, meta = "FILE")]
     pub logs: Vec<String>,
-    /// Length of a span, in seconds.
+    /// Length of an interval, in seconds (1 to 60).
     #[options(no_short, default = "5", meta = "N")]
     pub seconds: u32,
 }
 
-/// Evacuating a zone.
+/// Stop new work on the machines of a zone until the evacuation is ended.
 #[derive(Debug, Options)]
 pub struct EvacuateArguments {
     /// Show this help.
@@ -197,17 +196,17 @@
     pub end: bool,
 }
 
-/// Logs to read for zones.
+/// Summarize daemon logs by zone.
 #[derive(Debug, Options)]
 pub struct ZonesArguments {
     /// Show this help.
     pub help: bool,
-    /// Log lines of a daemon; `-` is standard input. May be given more than once.
+    /// Log file of a daemon; `-` reads standard input. May be repeated.
     #[options(no_short, required, meta = "FILE")]
     pub logs: Vec<String>,
 }
 
-/// Engine commands.
+/// List engines, and drain or undrain them by publishing configuration.
 #[derive(Debug, Options)]
 pub struct EnginesArguments {
     /// Show this help.
@@ -216,18 +215,18 @@
     pub command: Option<EnginesCommand>,
 }
 
-/// What to do with engines.
+/// Subcommands of `engines`.
 #[derive(Debug, Options)]
 pub enum EnginesCommand {
     /// List the engines.
     List(NoArguments),
-    /// Publish a rule that gives an engine no new work.
+    /// Stop new work on an engine by publishing a rule.
     Drain(EngineArguments),
-    /// Publish the configuration without that rule.
+    /// Publish the configuration without the rule of `drain`.
     Undrain(EngineArguments),
 }
 
-/// An engine.
+/// Drain or undrain an engine.
 #[derive(Debug, Options)]
 pub struct EngineArguments {
     /// Show this help.
--- a/crates/cli/src/config.rs
+++ b/crates/cli/src/config.rs
@@ -1,4 +1,4 @@
-//! `config`: check, publish, show, history, diff.
+//! The `config` command: checks, publishes and shows the configuration and its history.
 
 use crate::arguments::{ConfigArguments, ConfigCommand, DiffArguments, PublishArguments};
 use crate::connection::Connection;
@@ -11,8 +11,9 @@
 use serde::Serialize;
 use std::time::{Duration, Instant};
 
-const SETTLE_LIMIT: Duration = Duration::from_secs(30);
-const SETTLE_PAUSE: Millis = Millis(50);
+/// How long the client waits for the log to become readable or for daemons to apply a version.
+const POLL_TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Millis = Millis(50);
 
 /// Runs a configuration command.
 pub async fn run(connection: &Connection, arguments: ConfigArguments) -> Result<(), ClientError> {
@@ -58,7 +59,7 @@
     };
     let version = publish(connection, based_on, &options.author, document).await?;
     if options.wait {
-        wait_everywhere(connection, version).await?;
+        wait_until_in_force(connection, version).await?;
         println!("version {version} is in force on all live daemons");
     } else {
         println!("version {version} is accepted");
@@ -66,7 +67,10 @@
     Ok(())
 }
 
-/// Publishes a document and says which version it became.
+/// Publishes a document and returns its version.
+///
+/// # Errors
+/// The change was rejected, or the log could not be reached.
 pub async fn publish(
     connection: &Connection,
     based_on: u64,
@@ -79,80 +83,89 @@
         author: author.to_owned(),
         document,
     };
-    let sent = connection.append(CONFIG_STREAM, &change).await;
-    // Whether or not the log's answer came back, the stream says what happened.
-    match find_verdict(connection, &change.change_key).await? {
+    let appended = connection.append(CONFIG_STREAM, &change).await;
+    // The response to the append may have been lost, so the stream decides the outcome.
+    match find_outcome(connection, &change.change_key).await? {
         Some(ChangeOutcome::Accepted(version)) => Ok(version),
         Some(ChangeOutcome::OutOfDate(version)) => {
             let changes = changes_between(connection, based_on, version).await?;
             Err(ClientError::OutOfDate { version, changes })
         }
         Some(ChangeOutcome::Invalid(cause)) => Err(ClientError::Invalid(cause)),
-        None => Err(sent.err().unwrap_or_else(|| {
-            ClientError::Unreachable("the log does not show the change; publish again".to_owned())
+        None => Err(appended.err().unwrap_or_else(|| {
+            ClientError::Unreachable(
+                "the log does not contain the change; publish again".to_owned(),
+            )
         })),
     }
 }
 
-async fn find_verdict(
+/// Reads the history until it succeeds and returns the outcome of a change, if it is recorded.
+async fn find_outcome(
     connection: &Connection,
     key: &str,
 ) -> Result<Option<ChangeOutcome>, ClientError> {
-    let begun = Instant::now();
+    let started = Instant::now();
     loop {
-        match fold(connection).await {
-            Ok(folded) => {
-                let found = folded
+        match read_history(connection).await {
+            Ok(history) => {
+                let entry = history
                     .into_iter()
                     .find(|entry| entry.change.change_key == key);
-                return Ok(found.map(|entry| entry.verdict));
+                return Ok(entry.map(|entry| entry.outcome));
             }
-            Err(error) if begun.elapsed() > SETTLE_LIMIT => return Err(error),
-            Err(_) => sleep(SETTLE_PAUSE).await,
+            Err(error) if started.elapsed() > POLL_TIMEOUT => return Err(error),
+            Err(_) => sleep(POLL_INTERVAL).await,
         }
     }
 }
 
-struct FoldedChange {
+/// A published change and its outcome.
+struct HistoryEntry {
     offset: u64,
     change: ConfigChange,
-    verdict: ChangeOutcome,
+    outcome: ChangeOutcome,
 }
 
-async fn fold(connection: &Connection) -> Result<Vec<FoldedChange>, ClientError> {
+/// Reads all published changes in the order of their offsets.
+async fn read_history(connection: &Connection) -> Result<Vec<HistoryEntry>, ClientError> {
     let mut state = ConfigState::default();
-    let mut folded = Vec::new();
+    let mut history = Vec::new();
     for record in connection.read_stream(CONFIG_STREAM).await? {
-        let verdict = state.apply_record(record.offset, &record.data);
-        if let (Some(verdict), Ok(change)) = (verdict, serde_json::from_str(&record.data)) {
-            folded.push(FoldedChange {
+        let outcome = state.apply_record(record.offset, &record.data);
+        if let (Some(outcome), Ok(change)) = (outcome, serde_json::from_str(&record.data)) {
+            history.push(HistoryEntry {
                 offset: record.offset,
                 change,
-                verdict,
+                outcome,
             });
         }
     }
-    Ok(folded)
+    Ok(history)
 }
 
-/// Waits until a version is in force on all live daemons.
-pub async fn wait_everywhere(connection: &Connection, version: u64) -> Result<(), ClientError> {
-    let begun = Instant::now();
+/// Waits until all live daemons have applied a version.
+///
+/// # Errors
+/// A daemon has not applied it within the time limit, or the daemon could not be queried.
+pub async fn wait_until_in_force(connection: &Connection, version: u64) -> Result<(), ClientError> {
+    let started = Instant::now();
     loop {
         let behind = daemons_behind(connection, version).await?;
         if behind.is_empty() {
             return Ok(());
         }
-        if begun.elapsed() > SETTLE_LIMIT {
+        if started.elapsed() > POLL_TIMEOUT {
             return Err(ClientError::Unreachable(format!(
                 "version {version} is accepted, but not yet in force on {}",
                 behind.join(", ")
             )));
         }
-        sleep(SETTLE_PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
+/// Returns the addresses of the live daemons that have not applied a version.
 async fn daemons_behind(connection: &Connection, version: u64) -> Result<Vec<String>, ClientError> {
     let mut behind = Vec::new();
     for daemon in connection.status().await?.daemons {
@@ -169,6 +182,7 @@
     Ok(behind)
 }
 
+/// A change as printed by `config history`.
 #[derive(Serialize)]
 struct HistoryLine {
     offset: u64,
@@ -178,14 +192,14 @@
 }
 
 async fn history(connection: &Connection) -> Result<(), ClientError> {
-    let lines: Vec<HistoryLine> = fold(connection)
+    let lines: Vec<HistoryLine> = read_history(connection)
         .await?
         .into_iter()
         .map(|entry| HistoryLine {
             offset: entry.offset,
             author: entry.change.author,
             based_on: entry.change.based_on,
-            outcome: match entry.verdict {
+            outcome: match entry.outcome {
                 ChangeOutcome::Accepted(version) => format!("version {version}"),
                 ChangeOutcome::OutOfDate(version) => {
                     format!("out of date, version {version} came first")
@@ -199,17 +213,12 @@
     let rows: Vec<Vec<String>> = lines
         .iter()
         .map(|line| {
-            let numbers = (line.offset.to_string(), line.based_on.to_string());
-            vec![
-                numbers.0,
-                line.author.clone(),
-                numbers.1,
-                line.outcome.clone(),
-            ]
+            let (offset, based_on) = (line.offset.to_string(), line.based_on.to_string());
+            vec![offset, line.author.clone(), based_on, line.outcome.clone()]
         })
         .collect();
     print(
-        connection.form,
+        connection.format,
         &lines,
         &["OFFSET", "AUTHOR", "BASED ON", "OUTCOME"],
         &rows,
@@ -225,34 +234,40 @@
     Ok(())
 }
 
+/// Returns the difference between two versions as a unified diff.
 async fn changes_between(
     connection: &Connection,
     from: u64,
     to: u64,
 ) -> Result<String, ClientError> {
-    let folded = fold(connection).await?;
+    let history = read_history(connection).await?;
     let document = |version: u64| {
-        let accepted = folded
+        let accepted = history
             .iter()
-            .find(|entry| entry.verdict == ChangeOutcome::Accepted(version));
+            .find(|entry| entry.outcome == ChangeOutcome::Accepted(version));
         match accepted {
             Some(entry) => Ok(entry.change.document.clone()),
             None if version == 0 => Ok(String::new()),
-            None => Err(ClientError::Usage(format!("there is no version {version}"))),
+            None => Err(ClientError::Usage(format!(
+                "version {version} does not exist"
+            ))),
         }
     };
     let (old, new) = (document(from)?, document(to)?);
     let diff = similar::TextDiff::from_lines(&old, &new);
-    let names = (format!("version {from}"), format!("version {to}"));
-    Ok(diff.unified_diff().header(&names.0, &names.1).to_string())
+    let (old_title, new_title) = (format!("version {from}"), format!("version {to}"));
+    Ok(diff
+        .unified_diff()
+        .header(&old_title, &new_title)
+        .to_string())
 }
 
-/// Publishes the document in force with a change, and waits until all live daemons follow
-/// it. Comments of the document are not kept.
+/// Applies a change to the current document, publishes it and waits until all live daemons have
+/// applied it. Comments in the document are lost.
 ///
 /// # Errors
-/// The document cannot be read or published, or some daemon does not follow it in time.
-pub async fn edit(
+/// The document cannot be read or published, or a daemon has not applied it within the time limit.
+pub async fn edit_and_publish(
     connection: &Connection,
     author: &str,
     change: impl FnOnce(&mut ConfigDocument),
@@ -264,7 +279,7 @@
     let text = toml::to_string_pretty(&document)
         .map_err(|error| ClientError::Invalid(error.to_string()))?;
     let version = publish(connection, config.version, author, text).await?;
-    wait_everywhere(connection, version).await?;
+    wait_until_in_force(connection, version).await?;
     println!("version {version} is in force on all live daemons");
     Ok(())
 }
--- a/crates/cli/src/connection.rs
+++ b/crates/cli/src/connection.rs
@@ -1,8 +1,8 @@
-//! Talking to daemons and to the platform's log.
+//! HTTP access to daemons and to the platform's log.
 
 use crate::arguments::Arguments;
 use crate::error::ClientError;
-use crate::output::Form;
+use crate::output::OutputFormat;
 use fieldhook_http::HttpClient;
 use fieldhook_model::operator::{ConfigStatus, Status};
 use fieldhook_model::platform::{LogPage, LogRecord};
@@ -11,34 +11,35 @@
 use serde::de::DeserializeOwned;
 use std::time::Duration;
 
+/// Time limit of a request.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Whom to talk to and how to print.
+/// Addresses of the daemon and the log, and the output format.
 pub struct Connection {
     client: HttpClient,
     daemon: String,
     log: String,
-    /// Form of the output.
-    pub form: Form,
+    /// Output format.
+    pub format: OutputFormat,
 }
 
 impl Connection {
-    /// From the command line.
+    /// Creates a connection from the command-line arguments.
     pub async fn new(arguments: &Arguments) -> Self {
         Self {
             client: HttpClient::new().await,
             daemon: arguments.daemon.clone(),
             log: arguments.log.clone(),
-            form: Form::parse(&arguments.output),
+            format: OutputFormat::parse(&arguments.output),
         }
     }
 
-    /// Reads a path of the named daemon.
+    /// Sends a GET request to the daemon given on the command line.
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, ClientError> {
         self.get_from(&self.daemon, path).await
     }
 
-    /// Reads a path of any daemon.
+    /// Sends a GET request to any daemon.
     pub async fn get_from<T: DeserializeOwned>(
         &self,
         daemon: &str,
@@ -50,44 +51,44 @@
             .await?)
     }
 
-    /// Deletes a path at the named daemon.
+    /// Sends a DELETE request to the daemon given on the command line.
     pub async fn delete(&self, path: &str) -> Result<(), ClientError> {
         let url = format!("http://{}{path}", self.daemon);
-        let reply = self
+        let response = self
             .client
             .fetch(Method::DELETE, &url, &[], Vec::new(), TIMEOUT)
             .await?;
-        if reply.status == 200 {
+        if response.status == 200 {
             return Ok(());
         }
-        Err(ClientError::Refused(reply.body))
+        Err(ClientError::Refused(response.body))
     }
 
-    /// The named daemon's status.
+    /// Returns the status as known to the daemon.
     pub async fn status(&self) -> Result<Status, ClientError> {
         self.get("/v1/status").await
     }
 
-    /// The configuration in force at the named daemon.
+    /// Returns the configuration in force at the daemon.
     pub async fn config(&self) -> Result<ConfigStatus, ClientError> {
         self.get("/v1/config").await
     }
 
-    /// Appends a record to a stream. Its answer is not needed: the stream says
-    /// what happened.
+    /// Appends a record to a stream of the log. After an error the record may still have been
+    /// appended.
     pub async fn append<T: Serialize>(&self, stream: &str, record: &T) -> Result<(), ClientError> {
         let url = format!("http://{}/v1/streams/{stream}", self.log);
         let body = serde_json::to_vec(record).unwrap_or_default();
-        let reply = self
+        let response = self
             .client
             .fetch(Method::POST, &url, &[], body, TIMEOUT)
             .await?;
-        if reply.status == 200 {
+        if response.status == 200 {
             return Ok(());
         }
         Err(ClientError::Unreachable(format!(
             "the log answered {}: {}",
-            reply.status, reply.body
+            response.status, response.body
         )))
     }
 
--- a/crates/cli/src/engines.rs
+++ b/crates/cli/src/engines.rs
@@ -1,12 +1,13 @@
-//! `engines`: list, and drain or undrain by publishing configuration.
+//! The `engines` command: lists engines, and drains them by publishing configuration.
 
 use crate::arguments::{EnginesArguments, EnginesCommand};
-use crate::config::edit;
+use crate::config::edit_and_publish;
 use crate::connection::Connection;
 use crate::error::ClientError;
 use crate::status::print_engines;
 use fieldhook_model::config::Rule;
 
+/// Author of the published changes, as shown by `config history`.
 const AUTHOR: &str = "fieldhook engines";
 
 /// Runs an engine command.
@@ -24,6 +25,7 @@
     }
 }
 
+/// Name of the rule that drains an engine.
 fn rule_name(engine: &str) -> String {
     format!("drain-{engine}")
 }
@@ -40,10 +42,10 @@
         )));
     }
     let rule = Rule::drain(&rule_name(engine), "name", engine);
-    edit(connection, AUTHOR, |document| document.upsert_rule(rule)).await
+    edit_and_publish(connection, AUTHOR, |document| document.upsert_rule(rule)).await
 }
 
 async fn undrain(connection: &Connection, engine: &str) -> Result<(), ClientError> {
     let name = rule_name(engine);
-    edit(connection, AUTHOR, |document| document.remove_rule(&name)).await
+    edit_and_publish(connection, AUTHOR, |document| document.remove_rule(&name)).await
 }
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,25 +1,25 @@
-//! What can go wrong for an operator, with exit codes.
+//! Errors of the client and their exit codes.
 
 use fieldhook_http::SendError;
 use std::fmt;
 
-/// What can go wrong; each message names the remedy.
+/// Errors of the client.
 #[derive(Debug)]
 pub enum ClientError {
-    /// The command line is not usable. Exit code 2.
+    /// The command line is invalid. Exit code 2.
     Usage(String),
-    /// The document is not valid. Exit code 3.
+    /// The document is invalid. Exit code 3.
     Invalid(String),
-    /// Another change came first. Exit code 4.
+    /// Another change was published first. Exit code 4.
     OutOfDate {
         /// The version now in force.
         version: u64,
-        /// What it changed against the version the change was based on.
+        /// Unified diff from the version that the change was based on to the current one.
         changes: String,
     },
-    /// A daemon or the log did not answer. Exit code 5.
+    /// A daemon or the log did not respond as expected in time. Exit code 5.
     Unreachable(String),
-    /// The daemon refused. Exit code 1.
+    /// A daemon rejected the request, or no log line matches. Exit code 1.
     Refused(String),
 }
 
@@ -44,12 +44,13 @@
             }
             Self::OutOfDate { version, changes } => write!(
                 formatter,
-                "version {version} came first; remedy: `fieldhook config show`, apply your \
-                 change to it and publish again. It changed:\n{changes}"
+                "version {version} was published first; remedy: `fieldhook config show`, apply \
+                 your change to it and publish again. Changes in between:\n{changes}"
             ),
             Self::Unreachable(message) => write!(
                 formatter,
-                "{message}; remedy: name another daemon with --daemon, or check the platform's log"
+                "{message}; remedy: choose another daemon with --daemon, or check the platform's \
+                 log"
             ),
         }
     }
--- a/crates/cli/src/lines.rs
+++ b/crates/cli/src/log_lines.rs
@@ -1,7 +1,7 @@
-//! Log lines of daemons, as files or a collector hold them.
+//! Reads the JSON log lines of daemons from files.
 //!
-//! Lines may come from a collector that puts the machine's name before the JSON; without
-//! one a line's origin is its file.
+//! A log collector may put the name of the machine before the JSON. Without such a prefix, the
+//! origin of a line is the name of its file.
 
 use crate::error::ClientError;
 use serde_json::{Map, Value};
@@ -10,16 +10,16 @@
 
 const STANDARD_INPUT: &str = "-";
 
-/// One log line.
-pub struct Line {
-    /// Machine or file that it comes from.
+/// A log line of a daemon.
+pub struct LogLine {
+    /// Machine or file that the line comes from.
     pub origin: String,
-    /// Its fields.
+    /// Fields of the line.
     pub fields: Map<String, Value>,
 }
 
-impl Line {
-    fn read(text: &str, file: &str) -> Option<Self> {
+impl LogLine {
+    fn parse(text: &str, file: &str) -> Option<Self> {
         let start = text.find('{')?;
         let fields = serde_json::from_str(&text[start..]).ok()?;
         let origin = match text[..start].trim() {
@@ -32,7 +32,7 @@
         })
     }
 
-    /// A field as text, empty where it is none.
+    /// Value of a string field; empty if there is none.
     pub fn text(&self, key: &str) -> &str {
         self.fields
             .get(key)
@@ -40,39 +40,39 @@
             .unwrap_or_default()
     }
 
-    /// A field as a number.
+    /// Value of a numeric field.
     pub fn number(&self, key: &str) -> Option<f64> {
         self.fields.get(key).and_then(Value::as_f64)
     }
 
-    /// When it was written.
+    /// Time when the line was written.
     pub fn time(&self) -> &str {
         self.text("timestamp")
     }
 
-    /// What happened.
+    /// Name of the event.
     pub fn event(&self) -> &str {
         self.text("event")
     }
 }
 
-/// Reads all lines of some files, one after another; `-` is standard input. What is no line
-/// of a daemon is passed over.
+/// Calls `handle` with each log line of the files, in order; `-` reads standard input. Lines
+/// without valid JSON are skipped.
 ///
 /// # Errors
 /// A file cannot be read.
-pub fn read(files: &[String], mut take: impl FnMut(Line)) -> Result<(), ClientError> {
+pub fn read(files: &[String], mut handle: impl FnMut(LogLine)) -> Result<(), ClientError> {
     for file in files {
         let reader: Box<dyn BufRead> = match file.as_str() {
             STANDARD_INPUT => Box::new(BufReader::new(stdin())),
             path => Box::new(BufReader::new(File::open(path).map_err(|error| {
-                ClientError::Usage(format!("{path}: {error}; name readable files, or - "))
+                ClientError::Usage(format!("{path}: {error}; specify readable files, or - "))
             })?)),
         };
         for text in reader.split(b'\n').map_while(Result::ok) {
             let text = String::from_utf8_lossy(&text);
-            if let Some(line) = Line::read(&text, file) {
-                take(line);
+            if let Some(line) = LogLine::parse(&text, file) {
+                handle(line);
             }
         }
     }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,5 +1,6 @@
-//! `fieldhook`: the operators' client. It shows what is, and changes things by
-//! publishing configuration; it never places a request.
+//! `fieldhook`: command-line client for operators. It shows the state of the
+//! system and changes it by publishing configuration or cancelling programs. It
+//! sends no requests to servers.
 
 mod arguments;
 mod config;
@@ -7,13 +8,13 @@
 mod engines;
 mod error;
 mod evacuate;
-mod lines;
+mod log_lines;
 mod losses;
 mod output;
 mod programs;
 mod status;
-mod story;
 mod tenants;
+mod timeline;
 mod zones;
 
 use arguments::{Arguments, Command};
@@ -42,15 +43,15 @@
         Some(Command::Programs(command)) => programs::run(&connection, command).await,
         Some(Command::Engines(command)) => engines::run(&connection, command).await,
         Some(Command::Explain(options)) if !options.logs.is_empty() => {
-            story::tell(&options.id, &options.logs)
+            timeline::run(&options.id, &options.logs)
         }
         Some(Command::Evacuate(options)) => evacuate::run(&connection, &options).await,
-        Some(Command::Zones(options)) => zones::tell(&options.logs),
-        Some(Command::Tenants(options)) => tenants::tell(&options.logs),
-        Some(Command::Losses(options)) => losses::tell(&options.logs, options.seconds),
+        Some(Command::Zones(options)) => zones::run(&options.logs),
+        Some(Command::Tenants(options)) => tenants::run(&options.logs),
+        Some(Command::Losses(options)) => losses::run(&options.logs, options.seconds),
         Some(Command::Explain(options)) => programs::explain(&connection, &options.id).await,
         None => Err(ClientError::Usage(
-            "name a command; see fieldhook --help".to_owned(),
+            "no command given; see fieldhook --help".to_owned(),
         )),
     }
 }
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,18 +1,18 @@
-//! Printing tables and JSON.
+//! Output as tables or JSON.
 
 use serde::Serialize;
 
-/// Form of the output.
+/// Output format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
+pub enum OutputFormat {
     /// Aligned columns.
     Table,
     /// JSON.
     Json,
 }
 
-impl Form {
-    /// `json`, or else a table.
+impl OutputFormat {
+    /// Parses a format; any text other than `json` selects a table.
     pub fn parse(text: &str) -> Self {
         if text == "json" {
             Self::Json
@@ -22,19 +22,19 @@
     }
 }
 
-/// Prints a value as JSON, or rows as a table.
-pub fn print<T: Serialize>(form: Form, value: &T, head: &[&str], rows: &[Vec<String>]) {
-    match form {
-        Form::Json => println!(
+/// Prints a value as JSON, or its rows as a table.
+pub fn print<T: Serialize>(format: OutputFormat, value: &T, header: &[&str], rows: &[Vec<String>]) {
+    match format {
+        OutputFormat::Json => println!(
             "{}",
             serde_json::to_string_pretty(value).unwrap_or_default()
         ),
-        Form::Table => print_table(head, rows),
+        OutputFormat::Table => print_table(header, rows),
     }
 }
 
-fn print_table(head: &[&str], rows: &[Vec<String>]) {
-    let widths: Vec<usize> = head
+fn print_table(header: &[&str], rows: &[Vec<String>]) {
+    let widths: Vec<usize> = header
         .iter()
         .enumerate()
         .map(|(column, title)| {
@@ -46,7 +46,7 @@
         })
         .collect();
     print_row(
-        &head
+        &header
             .iter()
             .map(|title| title.to_string())
             .collect::<Vec<_>>(),
--- a/crates/cli/src/programs.rs
+++ b/crates/cli/src/programs.rs
@@ -1,9 +1,9 @@
-//! `programs` and `explain`.
+//! The `programs` command, and `explain` without logs.
 
 use crate::arguments::{ProgramsArguments, ProgramsCommand};
 use crate::connection::Connection;
 use crate::error::ClientError;
-use crate::output::{Form, print};
+use crate::output::{OutputFormat, print};
 use fieldhook_model::api::ProgramView;
 use fieldhook_model::operator::{PlacementExplanation, ProgramSummary};
 
@@ -19,7 +19,7 @@
     }
 }
 
-/// Each daemon lists the programs of the shards that it leads.
+/// Lists the programs of all live daemons. Each daemon lists the programs of the shards it owns.
 async fn list(connection: &Connection) -> Result<(), ClientError> {
     let mut programs: Vec<ProgramSummary> = Vec::new();
     for daemon in connection.status().await?.daemons {
@@ -33,18 +33,19 @@
         }
     }
     let rows: Vec<Vec<String>> = programs.iter().map(program_row).collect();
-    let head = ["PROGRAM", "TENANT", "PHASE", "CALLS", "RUNNING"];
-    print(connection.form, &programs, &head, &rows);
+    let header = ["PROGRAM", "TENANT", "PHASE", "CALLS", "RUNNING"];
+    print(connection.format, &programs, &header, &rows);
     Ok(())
 }
 
-fn program_row(line: &ProgramSummary) -> Vec<String> {
+fn program_row(program: &ProgramSummary) -> Vec<String> {
     vec![
-        line.program.clone(),
-        line.tenant.clone(),
-        line.phase.clone(),
-        line.calls.to_string(),
-        line.running_call
+        program.program.clone(),
+        program.tenant.clone(),
+        program.phase.clone(),
+        program.calls.to_string(),
+        program
+            .running_call
             .map(|number| number.to_string())
             .unwrap_or_default(),
     ]
@@ -52,8 +53,8 @@
 
 async fn show(connection: &Connection, program: &str) -> Result<(), ClientError> {
     let view: ProgramView = connection.get(&format!("/v1/programs/{program}")).await?;
-    if connection.form == Form::Json {
-        print(Form::Json, &view, &[], &[]);
+    if connection.format == OutputFormat::Json {
+        print(OutputFormat::Json, &view, &[], &[]);
         return Ok(());
     }
     println!("program  {} ({})", view.program, view.phase);
@@ -78,13 +79,13 @@
     Ok(())
 }
 
-/// Says which rules let which machines serve a program.
+/// Shows which rules allow which machines to serve a program.
 pub async fn explain(connection: &Connection, program: &str) -> Result<(), ClientError> {
     let machines: Vec<PlacementExplanation> = connection
         .get(&format!("/v1/operator/explain/{program}"))
         .await?;
     let rows: Vec<Vec<String>> = machines.iter().map(explanation_row).collect();
-    let head = [
+    let header = [
         "MACHINE",
         "NAME",
         "ALLOWED",
@@ -94,19 +95,19 @@
         "HELD",
         "RULES",
     ];
-    print(connection.form, &machines, &head, &rows);
+    print(connection.format, &machines, &header, &rows);
     Ok(())
 }
 
-fn explanation_row(line: &PlacementExplanation) -> Vec<String> {
+fn explanation_row(machine: &PlacementExplanation) -> Vec<String> {
     vec![
-        line.machine.clone(),
-        line.labels.get("name").cloned().unwrap_or_default(),
-        line.allowed.to_string(),
-        line.available.to_string(),
-        line.priority.to_string(),
-        line.expected_ms.to_string(),
-        line.held_tokens.to_string(),
-        line.rules.join(","),
+        machine.machine.clone(),
+        machine.labels.get("name").cloned().unwrap_or_default(),
+        machine.allowed.to_string(),
+        machine.available.to_string(),
+        machine.priority.to_string(),
+        machine.expected_ms.to_string(),
+        machine.held_tokens.to_string(),
+        machine.rules.join(","),
     ]
 }
--- a/crates/cli/src/status.rs
+++ b/crates/cli/src/status.rs
@@ -1,15 +1,15 @@
-//! `status` and `shards`.
+//! The `status` and `shards` commands.
 
 use crate::connection::Connection;
 use crate::error::ClientError;
-use crate::output::{Form, print};
+use crate::output::{OutputFormat, print};
 use fieldhook_model::operator::{DaemonStatus, EngineStatus, ShardStatus};
 
-/// Shows daemons, configuration, commands that wait for the log, and engines.
+/// Shows daemons, the configuration version, commands waiting for the log, and engines.
 pub async fn show_status(connection: &Connection) -> Result<(), ClientError> {
     let status = connection.status().await?;
-    if connection.form == Form::Json {
-        print(Form::Json, &status, &[], &[]);
+    if connection.format == OutputFormat::Json {
+        print(OutputFormat::Json, &status, &[], &[]);
         return Ok(());
     }
     println!("asked          {}", status.address);
@@ -24,7 +24,7 @@
     );
     let daemons: Vec<Vec<String>> = status.daemons.iter().map(daemon_row).collect();
     print(
-        Form::Table,
+        OutputFormat::Table,
         &status.daemons,
         &["DAEMON", "ZONE", "STATE"],
         &daemons,
@@ -42,13 +42,13 @@
     ]
 }
 
-/// Prints engines.
+/// Prints a table or a JSON list of engines.
 pub fn print_engines(connection: &Connection, engines: &[EngineStatus]) {
-    let head = [
+    let header = [
         "ENGINE", "NAME", "MODEL", "ZONE", "RUNNING", "WAITING", "CACHED", "STATE",
     ];
     let rows: Vec<Vec<String>> = engines.iter().map(engine_row).collect();
-    print(connection.form, &engines, &head, &rows);
+    print(connection.format, &engines, &header, &rows);
 }
 
 fn engine_row(engine: &EngineStatus) -> Vec<String> {
@@ -70,12 +70,12 @@
     ]
 }
 
-/// Shows shards with their owners.
+/// Shows shards and their owners.
 pub async fn show_shards(connection: &Connection) -> Result<(), ClientError> {
     let status = connection.status().await?;
     let rows: Vec<Vec<String>> = status.shards.iter().map(shard_row).collect();
-    let head = ["SHARD", "EPOCH", "OWNER"];
-    print(connection.form, &status.shards, &head, &rows);
+    let header = ["SHARD", "EPOCH", "OWNER"];
+    print(connection.format, &status.shards, &header, &rows);
     Ok(())
 }
 
--- a/crates/cli/src/tenants.rs
+++ b/crates/cli/src/tenants.rs
@@ -1,30 +1,36 @@
-//! `tenants --logs FILE`: which tenants were at their limit, and what became of their
-//! requests there.
+//! The `tenants --logs FILE` command: shows which tenants reached their limit, and the outcomes of
+//! their requests.
 
 use crate::error::ClientError;
-use crate::lines;
+use crate::log_lines;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the lines say of one tenant.
+/// Limit and outcomes of one tenant.
 #[derive(Default)]
 struct Tenant {
+    /// Limit of the newest configuration version in the logs.
     rate_per_s: f64,
     burst: f64,
     version: f64,
     refused: u64,
+    /// Refused requests that would have begun a program.
     refused_at_begin: u64,
+    /// Requests that were granted after a wait.
     late: u64,
+    /// Requests that were admitted locally or failed because the owner of the quota could not be
+    /// asked.
     without_owner: u64,
+    /// Programs with refused requests.
     programs: BTreeSet<String>,
 }
 
-/// Prints the tenants that were at their limit, those with most refusals first.
+/// Prints the tenants that reached their limit, those with the most refusals first.
 ///
 /// # Errors
 /// A file cannot be read.
-pub fn tell(files: &[String]) -> Result<(), ClientError> {
+pub fn run(files: &[String]) -> Result<(), ClientError> {
     let mut tenants: BTreeMap<String, Tenant> = BTreeMap::new();
-    lines::read(files, |line| {
+    log_lines::read(files, |line| {
         if line.event() != "at_limit" {
             return;
         }
--- /dev/null
+++ b/crates/cli/src/timeline.rs
@@ -0,0 +1,158 @@
+//! The `explain ID --logs FILE` command: prints the log lines of a request or program in the order
+//! of their times, together with the state of the daemons that may have affected it.
+//! docs/OPERATIONS.md describes the output.
+
+use crate::error::ClientError;
+use crate::log_lines::{self, LogLine};
+use serde_json::Value;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Events that report the state or view of a daemon rather than a step of a request.
+const CONTEXT_EVENTS: [&str; 20] = [
+    "append_repeated",
+    "claimed_for_another",
+    "config_in_force",
+    "config_unreadable",
+    "homes_unservable",
+    "load_delayed",
+    "owner_doubted",
+    "partition_claimed",
+    "partition_given_up",
+    "partition_lost",
+    "partition_owned",
+    "partition_released",
+    "process_was_stopped",
+    "reach_changed",
+    "server_cold",
+    "server_gone",
+    "server_silence",
+    "store_lost",
+    "store_regained",
+    "zone_evacuation",
+];
+/// Fields that are printed at the start of a line or that carry no information here.
+const OMITTED_FIELDS: [&str; 4] = ["timestamp", "level", "event", "request"];
+
+fn is_context(line: &LogLine) -> bool {
+    CONTEXT_EVENTS.contains(&line.event())
+}
+
+fn partition(line: &LogLine) -> Option<u64> {
+    line.fields.get("partition").and_then(Value::as_u64)
+}
+
+/// Key of a context line: a later line replaces an earlier one of the same key.
+fn context_key(line: &LogLine) -> (String, String, Option<u64>, String) {
+    let kind = match line.event() {
+        "store_lost" | "store_regained" => "store",
+        event if event.starts_with("partition_") => "partition",
+        event => event,
+    };
+    (
+        line.origin.clone(),
+        kind.to_owned(),
+        partition(line),
+        line.text("server").to_owned(),
+    )
+}
+
+fn print_line(line: &LogLine, mark: &str) {
+    let mut text = format!("{mark} {} {} {}", line.time(), line.origin, line.event());
+    for (key, value) in &line.fields {
+        if OMITTED_FIELDS.contains(&key.as_str()) || value.is_null() {
+            continue;
+        }
+        let value = match value {
+            Value::String(value) => value.clone(),
+            value => value.to_string(),
+        };
+        text.push_str(&format!(" {key}={value}"));
+    }
+    println!("{text}");
+}
+
+/// Origins, partitions and servers that occur in the lines of a request.
+#[derive(Default)]
+struct Involved {
+    origins: BTreeSet<String>,
+    partitions: BTreeSet<u64>,
+    servers: BTreeSet<String>,
+}
+
+impl Involved {
+    fn of(lines: &[LogLine]) -> Self {
+        let mut involved = Self::default();
+        for line in lines {
+            involved.origins.insert(line.origin.clone());
+            involved.partitions.extend(partition(line));
+            involved.servers.insert(line.text("server").to_owned());
+        }
+        involved
+    }
+
+    /// Whether a context line concerns the request.
+    fn includes(&self, context: &LogLine) -> bool {
+        if let Some(partition) = partition(context) {
+            return self.partitions.contains(&partition);
+        }
+        match context.text("server") {
+            "" => self.origins.contains(&context.origin),
+            server => self.servers.contains(server),
+        }
+    }
+}
+
+/// Prints the timeline of a request, or of all requests of a program.
+///
+/// # Errors
+/// A file cannot be read, or no line contains the identifier.
+pub fn run(id: &str, files: &[String]) -> Result<(), ClientError> {
+    let mut own_lines = Vec::new();
+    let mut context = Vec::new();
+    log_lines::read(files, |line| {
+        if line.text("request") == id || line.text("program") == id {
+            own_lines.push(line);
+        } else if is_context(&line) {
+            context.push(line);
+        }
+    })?;
+    if own_lines.is_empty() {
+        return Err(ClientError::Refused(format!(
+            "no line contains {id}; give the logs of all daemons of that time"
+        )));
+    }
+    own_lines.sort_by(|left, right| left.time().cmp(right.time()));
+    let context = relevant_context(context, &own_lines);
+    let mut all: Vec<(&str, &LogLine)> = own_lines.iter().map(|line| (" ", line)).collect();
+    all.extend(context.iter().map(|line| ("~", line)));
+    all.sort_by(|left, right| left.1.time().cmp(right.1.time()));
+    for (mark, line) in &all {
+        print_line(line, mark);
+    }
+    println!(
+        "{} lines of {id}, {} context lines (~)",
+        own_lines.len(),
+        context.len()
+    );
+    Ok(())
+}
+
+/// Returns the context lines that concern the request: for each key the last one before the
+/// request, and all during it.
+fn relevant_context(mut context: Vec<LogLine>, own_lines: &[LogLine]) -> Vec<LogLine> {
+    let involved = Involved::of(own_lines);
+    let first = own_lines.first().map_or("", LogLine::time).to_owned();
+    let last = own_lines.last().map_or("", LogLine::time).to_owned();
+    context.retain(|line| involved.includes(line) && line.time() <= last.as_str());
+    context.sort_by(|left, right| left.time().cmp(right.time()));
+    let mut before = BTreeMap::new();
+    let mut during = Vec::new();
+    for line in context {
+        if line.time() < first.as_str() {
+            before.insert(context_key(&line), line);
+        } else {
+            during.push(line);
+        }
+    }
+    before.into_values().chain(during).collect()
+}
--- a/crates/cli/src/zones.rs
+++ b/crates/cli/src/zones.rs
@@ -1,31 +1,31 @@
-//! `zones --logs FILE`: what the daemons' lines tell of zones.
+//! The `zones --logs FILE` command: summarizes the logs of all daemons by zone.
 
 use crate::error::ClientError;
-use crate::lines::{self, Line};
+use crate::log_lines::{self, LogLine};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the lines say of one zone.
+/// Summary of one zone.
 #[derive(Default)]
 struct Zone {
     daemons: BTreeSet<String>,
     servers: BTreeSet<String>,
     answered: u64,
     partitions: BTreeSet<u64>,
-    /// Newest revision of its evacuation, and what it says.
+    /// Newest revision of the evacuation, its state and the time of its first log line.
     evacuation: Option<(u64, String, String)>,
 }
 
-/// What the lines of all daemons say, in the order of their times.
+/// State of all daemons, servers and zones, updated by log lines in the order of their times.
 #[derive(Default)]
-struct Fleet {
+struct FleetState {
     zones: BTreeMap<String, Zone>,
     zone_of_daemon: BTreeMap<String, String>,
     zone_of_server: BTreeMap<String, String>,
     owner_of_partition: BTreeMap<u64, String>,
 }
 
-impl Fleet {
-    fn take(&mut self, line: &Line) {
+impl FleetState {
+    fn apply(&mut self, line: &LogLine) {
         match line.event() {
             "start" => {
                 let zone = line.text("zone");
@@ -50,21 +50,26 @@
                 }
             }
             "partition_owned" => {
-                if let Some(partition) = line.fields.get("partition").and_then(|it| it.as_u64()) {
+                if let Some(partition) = line
+                    .fields
+                    .get("partition")
+                    .and_then(|value| value.as_u64())
+                {
                     self.owner_of_partition
                         .insert(partition, line.origin.clone());
                 }
             }
-            "zone_evacuation" => self.take_evacuation(line),
+            "zone_evacuation" => self.apply_evacuation(line),
             _ => {}
         }
     }
 
+    /// Returns the summary of a zone, adding it if missing.
     fn zone(&mut self, name: &str) -> &mut Zone {
         self.zones.entry(name.to_owned()).or_default()
     }
 
-    fn take_evacuation(&mut self, line: &Line) {
+    fn apply_evacuation(&mut self, line: &LogLine) {
         let revision = line.number("revision").unwrap_or_default() as u64;
         let zone = self.zone(line.text("zone"));
         let is_newer = zone
@@ -77,7 +82,8 @@
         }
     }
 
-    fn count_owners(&mut self) {
+    /// Assigns each partition to the zone of its last owner.
+    fn assign_partitions(&mut self) {
         for (partition, owner) in std::mem::take(&mut self.owner_of_partition) {
             if let Some(zone) = self.zone_of_daemon.get(&owner).cloned() {
                 self.zone(&zone).partitions.insert(partition);
@@ -86,20 +92,20 @@
     }
 }
 
-/// Prints a row for each zone: whether it is evacuated, since when and by which revision,
-/// its daemons, servers, part of the answers, and the partitions owned there at the end.
+/// Prints a row for each zone: state, time and revision of its evacuation, number of daemons and
+/// servers, share of the answers, and number of partitions owned at the end of the logs.
 ///
 /// # Errors
 /// A file cannot be read.
-pub fn tell(files: &[String]) -> Result<(), ClientError> {
-    let mut all = Vec::new();
-    lines::read(files, |line| all.push(line))?;
-    all.sort_by(|left, right| left.time().cmp(right.time()));
-    let mut fleet = Fleet::default();
-    for line in &all {
-        fleet.take(line);
+pub fn run(files: &[String]) -> Result<(), ClientError> {
+    let mut lines = Vec::new();
+    log_lines::read(files, |line| lines.push(line))?;
+    lines.sort_by(|left, right| left.time().cmp(right.time()));
+    let mut fleet = FleetState::default();
+    for line in &lines {
+        fleet.apply(line);
     }
-    fleet.count_owners();
+    fleet.assign_partitions();
     let answered: u64 = fleet.zones.values().map(|zone| zone.answered).sum();
     println!("zone state since revision daemons servers answered_percent partitions");
     for (name, zone) in &fleet.zones {
--- a/crates/cli/tests/explain.rs
+++ b/crates/cli/tests/explain.rs
@@ -1,9 +1,10 @@
-//! `fieldhook explain ID --logs FILE`: the story of a request across daemons.
+//! `fieldhook explain ID --logs FILE`: the timeline of a request across daemons.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-/// Two daemons: the gateway that the client asked, and the owner of partition 3.
+/// Log lines of three daemons: `frontend-a` handles the request r1, `frontend-b` handles r2, and
+/// `frontend-c` owns partition 3.
 const LINES: &str = r#"
 frontend-a {"timestamp":"2026-01-01T00:00:01.000000Z","event":"store_lost","age_ms":900}
 frontend-b {"timestamp":"2026-01-01T00:00:01.100000Z","event":"store_lost","age_ms":900}
@@ -29,13 +30,16 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("starts");
+        .expect("start fieldhook");
     let mut input = process.stdin.take().expect("standard input");
-    input.write_all(LINES.as_bytes()).expect("written");
+    input
+        .write_all(LINES.as_bytes())
+        .expect("write the log lines");
     drop(input);
-    process.wait_with_output().expect("ends")
+    process.wait_with_output().expect("wait for fieldhook")
 }
 
+/// Origin and event of each printed line, without the final line of counts.
 fn events(output: &Output) -> Vec<String> {
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     let line = |line: &str| {
@@ -44,12 +48,12 @@
         format!("{} {}", words[first + 1], words[first + 2])
     };
     let lines: Vec<&str> = text.lines().collect();
-    let (_, story) = lines.split_last().expect("a last line that counts");
-    story.iter().map(|text| line(text)).collect()
+    let (_, timeline) = lines.split_last().expect("a last line with the counts");
+    timeline.iter().map(|text| line(text)).collect()
 }
 
 #[test]
-fn a_request_is_told_in_order_with_what_was_believed() {
+fn request_timeline_is_ordered_and_includes_relevant_context() {
     let output = explain("r1");
     assert!(output.status.success());
     assert_eq!(
@@ -71,7 +75,7 @@
 }
 
 #[test]
-fn a_program_is_told_with_all_its_requests() {
+fn program_timeline_includes_all_its_requests() {
     let output = explain("p1");
     let events = events(&output);
     assert!(events.contains(&"frontend-a answered_here".to_owned()));
@@ -79,13 +83,13 @@
 }
 
 #[test]
-fn an_unknown_request_and_an_unreadable_file_say_what_to_do() {
+fn unknown_request_and_unreadable_file_exit_with_an_error() {
     let unknown = explain("r9");
     assert_eq!(unknown.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&unknown.stderr).contains("give the logs of all daemons"));
     let missing = Command::new(env!("CARGO_BIN_EXE_fieldhook"))
         .args(["explain", "r1", "--logs", "/no/such/file"])
         .output()
-        .expect("runs");
+        .expect("run fieldhook");
     assert_eq!(missing.status.code(), Some(2));
 }
--- a/crates/cli/tests/logs.rs
+++ b/crates/cli/tests/logs.rs
@@ -1,4 +1,4 @@
-//! What `fieldhook tenants` and `fieldhook losses` read out of the daemons' log lines.
+//! Output of `fieldhook tenants`, `fieldhook losses` and `fieldhook zones` for given log lines.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -30,43 +30,46 @@
 not a line of ours {
 "#;
 
+/// Runs the client with the log lines on standard input and returns its standard output.
 fn output(arguments: &[&str]) -> String {
     let mut process = Command::new(env!("CARGO_BIN_EXE_fieldhook"))
         .args(arguments)
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .spawn()
-        .expect("starts");
+        .expect("start fieldhook");
     let mut input = process.stdin.take().expect("standard input");
-    input.write_all(LINES.as_bytes()).expect("written");
+    input
+        .write_all(LINES.as_bytes())
+        .expect("write the log lines");
     drop(input);
-    let output = process.wait_with_output().expect("ends");
+    let output = process.wait_with_output().expect("wait for fieldhook");
     assert!(output.status.success());
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
 #[test]
-fn tenants_at_their_limit_are_told_with_the_newest_limit() {
-    let wanted = "tenant rate_per_s burst version refused at_begin programs late without_owner\n\
+fn tenants_are_listed_with_their_newest_limit() {
+    let expected = "tenant rate_per_s burst version refused at_begin programs late without_owner\n\
         red 8 8 5 2 1 1 0 0\n\
         blue 8 8 5 0 0 0 1 0\n\
         2 tenants were at their limit\n";
-    assert_eq!(output(&["tenants", "--logs", "-"]), wanted);
+    assert_eq!(output(&["tenants", "--logs", "-"]), expected);
 }
 
 #[test]
-fn losses_are_told_by_time_and_cause() {
-    let wanted = "from requests programs cause\n\
+fn losses_are_counted_by_time_and_cause() {
+    let expected = "from requests programs cause\n\
         00:00:00 2 1 429 the tenant is at its limit\n\
         00:00:05 1 1 broken off: no whole answer in time\n\
         00:00:05 1 1 the client left\n";
-    assert_eq!(output(&["losses", "--logs", "-"]), wanted);
+    assert_eq!(output(&["losses", "--logs", "-"]), expected);
 }
 
 #[test]
-fn zones_are_told_with_what_is_closed_used_and_owned() {
-    let wanted = "zone state since revision daemons servers answered_percent partitions\n\
+fn zones_are_listed_with_evacuation_answers_and_partitions() {
+    let expected = "zone state since revision daemons servers answered_percent partitions\n\
         north open - - 1 1 25.0 1\n\
         south evacuated 2026-01-01T00:00:03.000000Z 7 1 1 75.0 1\n";
-    assert_eq!(output(&["zones", "--logs", "-"]), wanted);
+    assert_eq!(output(&["zones", "--logs", "-"]), expected);
 }
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -28,7 +28,7 @@
     Server(ServerArguments),
 }
 
-/// Options of the model engine.
+/// Emulate a model engine.
 #[derive(Debug, Options)]
 struct EngineArguments {
     /// Show this help.
@@ -66,7 +66,7 @@
     weights: Option<String>,
 }
 
-/// Options of the log service.
+/// Emulate the platform's log service.
 #[derive(Debug, Options)]
 struct LogArguments {
     /// Show this help.
@@ -76,7 +76,7 @@
     listen: String,
 }
 
-/// Options of the machine list.
+/// Emulate the platform's machine list.
 #[derive(Debug, Options)]
 struct MachinesArguments {
     /// Show this help.
@@ -89,7 +89,7 @@
     lag_ms: u64,
 }
 
-/// Options of the weight store.
+/// Emulate the weight store.
 #[derive(Debug, Options)]
 struct WeightsArguments {
     /// Show this help.
@@ -105,7 +105,7 @@
     weight_bytes: u64,
 }
 
-/// Options of the tool or application server.
+/// Emulate a tool or application server.
 #[derive(Debug, Options)]
 struct ServerArguments {
     /// Show this help.
