--- a/crates/traffic/src/config.rs
+++ b/crates/traffic/src/config.rs
@@ -1,4 +1,4 @@
-//! The traffic configuration in force: routes, services, tenants and limits.
+//! The traffic configuration: routes, services, tenants and limits.
 
 use crate::tenants::Tenant;
 use fieldhook_topology::region;
@@ -42,7 +42,7 @@
 /// Routing rule for the requests of one host and path prefix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// Name, shown in logs.
+    /// Name of the route, as shown in logs.
     pub name: String,
     /// Host name of the requests.
     pub host: String,
--- a/crates/traffic/src/hash_ring.rs
+++ b/crates/traffic/src/hash_ring.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// RingKey on the ring and identity of the server there, as two servers may share a position.
+/// Position on the ring and identity of the server there, as two servers may share a position.
 type RingKey = (u64, Rc<str>);
 
 /// Returns the position of an identity on the ring.
--- a/crates/traffic/src/silence.rs
+++ b/crates/traffic/src/silence.rs
@@ -8,7 +8,7 @@
 //!
 //! A server is silent after two connect timeouts, or after one if another server of its zone
 //! has a timeout as well and nothing was received from the zone since. If nothing is received
-//! from any server, this daemon's own link may be saturated, and more timeouts are timeouts_needed.
+//! from any server, this daemon's own link may be saturated, and more timeouts are needed.
 
 use std::collections::HashMap;
 use std::rc::Rc;
