--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,7 +1,7 @@
 //! Startup settings of a daemon.
 
 use fieldhook_log::claim_delay::Capacity;
-use fieldhook_topology::zone::ZoneMap;
+use fieldhook_topology::zone::Map;
 use std::net::SocketAddr;
 
 /// How strictly tenants' limits are enforced, from the operator's sheet.
@@ -113,7 +113,7 @@
     /// Zone of the machine.
     pub zone: String,
     /// Zones of the deployment with their regions.
-    pub zones: ZoneMap,
+    pub zones: Map,
     /// Bounds from the operator's sheet.
     pub bounds: Bounds,
     /// Listening address for clients.
--- a/crates/gateway/src/zone_state.rs
+++ b/crates/gateway/src/zone_state.rs
@@ -7,7 +7,7 @@
 use fieldhook_topology::evacuation::{Evacuations, State};
 use fieldhook_topology::freshness::Freshness;
 use fieldhook_topology::region::RegionSet;
-use fieldhook_topology::zone::ZoneMap;
+use fieldhook_topology::zone::Map;
 use fieldhook_topology::zone_rule::ZoneRule;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -19,7 +19,7 @@
     /// Zone of this daemon.
     pub zone: Rc<str>,
     /// The zones of the deployment.
-    pub map: ZoneMap,
+    pub map: Map,
     /// Mapping of keys to ledger partitions.
     pub layout: Layout,
     /// Regions that the current configuration names as homes.
--- a/crates/gateway/tests/gateway/budget_after_owner_loss.rs
+++ b/crates/gateway/tests/gateway/budget_after_owner_loss.rs
@@ -16,7 +16,7 @@
 use fieldhook_ledger::record::Record;
 use fieldhook_log::api::Partition as LogPartition;
 use fieldhook_topology::region::RegionSet;
-use fieldhook_topology::zone::ZoneMap;
+use fieldhook_topology::zone::Map;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::sleep;
 
@@ -73,7 +73,7 @@
 async fn open_next_turn_after_loss(homes: RegionSet) -> OpenOutcome {
     let world = World::new().await;
     world.partitions.set(GLOBAL_PARTITIONS);
-    *world.zones.borrow_mut() = ZoneMap::new([("a1", "a"), ("b1", "b")]);
+    *world.zones.borrow_mut() = Map::new([("a1", "a"), ("b1", "b")]);
     let mut initial = config(1);
     for route in &mut initial.routes {
         route.allowed_regions = homes.clone();
--- a/crates/gateway/tests/gateway/evacuation.rs
+++ b/crates/gateway/tests/gateway/evacuation.rs
@@ -7,7 +7,7 @@
 use fieldhook_log::api::Partition;
 use fieldhook_log::reach::Reach;
 use fieldhook_topology::evacuation::State;
-use fieldhook_topology::zone::ZoneMap;
+use fieldhook_topology::zone::Map;
 use futures_util::future::join;
 use std::io::Write;
 use std::sync::{Arc, Mutex};
@@ -38,7 +38,7 @@
     async fn new(act: Act) -> Self {
         let world = World::new().await;
         let zones = [("z1", "r"), ("z2", "r"), ("z3", "far")];
-        world.zones.replace(ZoneMap::new(zones));
+        world.zones.replace(Map::new(zones));
         let servers = [
             Server::start("s1", act.clone()).await,
             Server::start("s2", act.clone()).await,
--- a/crates/gateway/tests/gateway/homes.rs
+++ b/crates/gateway/tests/gateway/homes.rs
@@ -9,7 +9,7 @@
 use fieldhook_log::api::{Append, LogStore, Partition};
 use fieldhook_log::ownership::Ownership;
 use fieldhook_topology::region::RegionSet;
-use fieldhook_topology::zone::ZoneMap;
+use fieldhook_topology::zone::Map;
 use fieldhook_traffic::config::TrafficConfig;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -26,8 +26,8 @@
     Act::Events(vec!["one".to_owned()], None)
 }
 
-fn zone_map() -> ZoneMap {
-    ZoneMap::new([
+fn zone_map() -> Map {
+    Map::new([
         ("a1", "a"),
         ("a2", "a"),
         ("b1", "b"),
--- a/crates/gateway/tests/gateway/support/world.rs
+++ b/crates/gateway/tests/gateway/support/world.rs
@@ -17,7 +17,7 @@
 use fieldhook_log::log_health::LogHealth;
 use fieldhook_log::ownership::Ownership;
 use fieldhook_topology::region;
-use fieldhook_topology::zone::ZoneMap;
+use fieldhook_topology::zone::Map;
 use fieldhook_traffic::config::{
     ClientLimits, Route, RouteKind, Service, TrafficConfig, WeightedService,
 };
@@ -58,7 +58,7 @@
     /// Setting of gateways that are started afterwards.
     pub revocation_ms: Cell<Option<u64>>,
     /// Setting of gateways that are started afterwards.
-    pub zones: RefCell<ZoneMap>,
+    pub zones: RefCell<Map>,
     /// Setting of gateways that are started afterwards.
     pub bounds: Cell<Bounds>,
     /// Setting of gateways that are started afterwards.
--- a/crates/ledger/src/layout.rs
+++ b/crates/ledger/src/layout.rs
@@ -8,7 +8,7 @@
 
 use crate::partition_of;
 use fieldhook_topology::region::RegionSet;
-use fieldhook_topology::zone::ZoneMap;
+use fieldhook_topology::zone::Map;
 use std::rc::Rc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -37,7 +37,7 @@
 impl Layout {
     /// Layout for `partitions` global partitions and the regions of a map. Each region gets as many
     /// home partitions, up to `MAX_HOME_PARTITIONS`.
-    pub fn new(partitions: u32, map: &ZoneMap) -> Self {
+    pub fn new(partitions: u32, map: &Map) -> Self {
         let global_count = partitions.max(1);
         Self {
             global_count,
--- a/crates/ledger/tests/layout.rs
+++ b/crates/ledger/tests/layout.rs
@@ -3,13 +3,13 @@
 use fieldhook_ledger::layout::Layout;
 use fieldhook_ledger::partition_of;
 use fieldhook_topology::region::RegionSet;
-use fieldhook_topology::zone::ZoneMap;
+use fieldhook_topology::zone::Map;
 use quickcheck::{Gen, QuickCheck};
 
 const NAMES: [&str; 6] = ["ash", "birch", "cedar", "elm", "fir", "oak"];
 const PROGRAMS: u32 = 300;
 
-fn map(regions: usize) -> ZoneMap {
+fn map(regions: usize) -> Map {
     let zones: Vec<(String, &str)> = NAMES
         .iter()
         .take(regions)
@@ -20,7 +20,7 @@
             ]
         })
         .collect();
-    ZoneMap::new(zones.iter().map(|(zone, region)| (zone.as_str(), *region)))
+    Map::new(zones.iter().map(|(zone, region)| (zone.as_str(), *region)))
 }
 
 /// A subset of the names, chosen by the bits of a number. Some may not be regions of the map.
@@ -99,7 +99,7 @@
         assert!(layout.may_store(layout.program_partition(&program), &RegionSet::All));
         assert!(!layout.may_store(layout.program_partition(&program), &homes(1)));
     }
-    assert_eq!(Layout::new(8, &ZoneMap::default()).count(), 8);
+    assert_eq!(Layout::new(8, &Map::default()).count(), 8);
 }
 
 #[test]
--- a/crates/topology/src/zone.rs
+++ b/crates/topology/src/zone.rs
@@ -16,11 +16,11 @@
 
 /// The zones of a deployment and their regions, as configured in the settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct ZoneMap {
+pub struct Map {
     regions: BTreeMap<Rc<str>, Rc<str>>,
 }
 
-impl ZoneMap {
+impl Map {
     /// Creates a map from pairs of a zone and its region.
     pub fn new<'a>(pairs: impl IntoIterator<Item = (&'a str, &'a str)>) -> Self {
         let pairs = pairs.into_iter();
--- a/crates/topology/src/zone_rule.rs
+++ b/crates/topology/src/zone_rule.rs
@@ -2,7 +2,7 @@
 
 use crate::evacuation::Evacuations;
 use crate::region::RegionSet;
-use crate::zone::{Distance, ZoneMap};
+use crate::zone::{Distance, Map};
 use std::fmt;
 
 /// Why a zone may not serve a request.
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ZoneRule<'a> {
     /// The zones of the deployment.
-    pub map: &'a ZoneMap,
+    pub map: &'a Map,
     /// The known evacuations.
     pub evacuations: &'a Evacuations,
     /// Regions that both the route and the tenant of the request allow.
--- a/crates/topology/tests/places.rs
+++ b/crates/topology/tests/places.rs
@@ -2,13 +2,13 @@
 
 use fieldhook_topology::evacuation::{Evacuations, State};
 use fieldhook_topology::region::RegionSet;
-use fieldhook_topology::zone::{Distance, ZoneMap};
+use fieldhook_topology::zone::{Distance, Map};
 use fieldhook_topology::zone_rule::{Denial, ZoneRule};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeMap;
 
-fn map() -> ZoneMap {
-    ZoneMap::new([("a1", "a"), ("a2", "a"), ("b1", "b")])
+fn map() -> Map {
+    Map::new([("a1", "a"), ("a2", "a"), ("b1", "b")])
 }
 
 #[test]
@@ -20,7 +20,7 @@
     assert_eq!(map.distance("a1", "unknown"), Distance::OtherRegion);
     assert!(Distance::SameZone < Distance::SameRegion);
     assert!(Distance::SameRegion < Distance::OtherRegion);
-    let unconfigured = ZoneMap::default();
+    let unconfigured = Map::default();
     assert_eq!(unconfigured.distance("x", "y"), Distance::SameRegion);
 }
 
--- a/crates/traffic/src/residency.rs
+++ b/crates/traffic/src/residency.rs
@@ -4,7 +4,7 @@
 use crate::config::{Route, TrafficConfig};
 use crate::tenants::Tenant;
 use fieldhook_topology::region::RegionSet;
-use fieldhook_topology::zone::ZoneMap;
+use fieldhook_topology::zone::Map;
 use std::collections::BTreeSet;
 use std::fmt;
 use std::rc::Rc;
@@ -67,7 +67,7 @@
 }
 
 /// Finds mistakes in the allowed regions of a configuration for the zones of a deployment.
-pub fn find_problems(config: &TrafficConfig, map: &ZoneMap) -> Vec<Problem> {
+pub fn find_problems(config: &TrafficConfig, map: &Map) -> Vec<Problem> {
     let known: BTreeSet<Rc<str>> = map.regions().into_iter().collect();
     let routes: Vec<&Route> = config.routes.iter().filter(is_route_restricted).collect();
     let tenants: Vec<&Tenant> = config
--- a/crates/traffic/tests/homes.rs
+++ b/crates/traffic/tests/homes.rs
@@ -1,7 +1,7 @@
 //! Allowed regions of routes and tenants, and mistakes in their configuration.
 
 use fieldhook_topology::region::RegionSet;
-use fieldhook_topology::zone::ZoneMap;
+use fieldhook_topology::zone::Map;
 use fieldhook_traffic::config::{Route, RouteKind, TrafficConfig};
 use fieldhook_traffic::residency::{self, ProblemKind};
 use fieldhook_traffic::tenants::Tenant;
@@ -37,7 +37,7 @@
 
 #[test]
 fn allowed_regions_intersect_and_each_problem_names_its_route_or_tenant() {
-    let map = ZoneMap::new([("a1", "a"), ("b1", "b")]);
+    let map = Map::new([("a1", "a"), ("b1", "b")]);
     let config = TrafficConfig {
         routes: vec![
             route("anywhere", RegionSet::All),
@@ -90,6 +90,6 @@
         tenants: Some(vec![tenant("free", RegionSet::All)]),
         ..TrafficConfig::default()
     };
-    assert!(residency::find_problems(&config, &ZoneMap::default()).is_empty());
+    assert!(residency::find_problems(&config, &Map::default()).is_empty());
     assert!(residency::named_regions(&config).is_empty());
 }
