--- a/crates/gateway/tests/gateway/budget_after_owner_loss.rs
+++ b/crates/gateway/tests/gateway/budget_after_owner_loss.rs
@@ -89,7 +89,7 @@
     sleep(OWNERS_SETTLED).await;
     let fields = format!("Request: t1\r\nProgram: p\r\nBudget: {BUDGET}\r\nMost: {MAX_TOKENS}\r\n");
     let reply = b.ask("POST", "/chat/1", &fields, "said;").await;
-    assert!(reply.whole && reply.head.status == 200);
+    assert!(reply.complete && reply.head.status == 200);
     new_owner_state(&world, "p").open(&next_turn("p"), now_ms())
 }
 
--- a/crates/gateway/tests/gateway/cancellation.rs
+++ b/crates/gateway/tests/gateway/cancellation.rs
@@ -32,7 +32,7 @@
 fn truncated_refusal_releases_its_connection_soon() {
     run(async {
         let (truncating, responsive) = (
-            Server::start("a", Act::NotRunCutShort).await,
+            Server::start("a", Act::NotRunTruncated).await,
             Server::start("b", Act::Answer(200, "fine".to_owned())).await,
         );
         let world = World::new().await;
--- a/crates/gateway/tests/gateway/evacuation.rs
+++ b/crates/gateway/tests/gateway/evacuation.rs
@@ -136,7 +136,7 @@
         wait_state(&gateway, "z1", true).await;
         for number in 0..10 {
             for reply in ask_all(&gateway, &format!("closed-{number}")).await {
-                assert!(reply.whole && reply.head.status == 200);
+                assert!(reply.complete && reply.head.status == 200);
             }
         }
         assert_eq!(zones.servers[0].count(), before);
@@ -215,7 +215,7 @@
         sleep(Duration::from_millis(900)).await;
         let asker = zones.gateway("g2", "z1").await;
         let fields = "Request: t1\r\nProgram: p\r\n";
-        assert!(asker.ask("POST", "/chat/1", fields, "A;").await.whole);
+        assert!(asker.ask("POST", "/chat/1", fields, "A;").await.complete);
         assert_eq!(zones.counts(), [1, 0, 0]);
         let partition = config_partition();
         owner.store.set_fault_of(partition, LogFault::Silent);
@@ -224,7 +224,7 @@
         let fields = "Request: t2\r\nProgram: p\r\nPrevious: t1\r\n";
         let reply = asker.ask("POST", "/chat/1", fields, "B;").await;
         assert!(!owner.daemon.zone_state.is_evacuated("z1"));
-        assert!(reply.whole && reply.head.status == 200);
+        assert!(reply.complete && reply.head.status == 200);
         let [closed, second, third] = zones.counts();
         assert_eq!((closed, second + third), (1, 1));
     });
@@ -252,7 +252,7 @@
             wait_state(&gateway, "z1", true).await;
         };
         let (stream, (call, ())) = join(stream, join(call, closed)).await;
-        assert!(stream.whole);
+        assert!(stream.complete);
         for text in texts {
             assert!(stream.text().contains(&text));
         }
--- a/crates/gateway/tests/gateway/forwarding.rs
+++ b/crates/gateway/tests/gateway/forwarding.rs
@@ -189,7 +189,7 @@
 #[test]
 fn responses_to_other_requests_are_skipped() {
     run(async {
-        let server = Server::start("s1", Act::ForeignFirst("mine".to_owned())).await;
+        let server = Server::start("s1", Act::OtherResponseFirst("mine".to_owned())).await;
         let world = World::new().await;
         let gateway = world.ready(&[&server]).await;
         for number in 0..3 {
--- a/crates/gateway/tests/gateway/homes.rs
+++ b/crates/gateway/tests/gateway/homes.rs
@@ -146,7 +146,7 @@
     let reply = gateway
         .ask("POST", "/chat/1", &fields, &format!("{turn}-said;"))
         .await;
-    (reply.head.status, reply.whole)
+    (reply.head.status, reply.complete)
 }
 
 fn last_body(server: &Server) -> String {
--- a/crates/gateway/tests/gateway/incarnations.rs
+++ b/crates/gateway/tests/gateway/incarnations.rs
@@ -144,7 +144,7 @@
         let turn = format!("{program}-t{number}");
         let fields = format!("Request: {turn}\r\nProgram: {program}\r\n{previous}");
         let reply = gateway.ask("POST", "/chat/1", &fields, "x;").await;
-        assert_eq!((reply.head.status, reply.whole), (200, true), "{turn}");
+        assert_eq!((reply.head.status, reply.complete), (200, true), "{turn}");
         previous = format!("Previous: {turn}\r\n");
         number += 1;
     }
@@ -328,7 +328,7 @@
         };
         let (reply, since) = join(long, drain).await;
         assert!(
-            reply.whole,
+            reply.complete,
             "the stream of the previous incarnation was interrupted"
         );
         assert_eq!(reply.text().matches("data: ").count(), 40);
--- a/crates/gateway/tests/gateway/log_storage.rs
+++ b/crates/gateway/tests/gateway/log_storage.rs
@@ -21,12 +21,18 @@
         for number in 0..TURNS {
             let fields = format!("Request: t{number}\r\nProgram: p{number}\r\n");
             let reply = gateway.ask("POST", "/chat/1", &fields, &input).await;
-            assert!(reply.whole, "turn {number} was not kept");
+            assert!(reply.complete, "turn {number} was not completed");
         }
         let fields = "Request: last\r\nProgram: p0\r\nPrevious: t0\r\n";
-        assert!(gateway.ask("POST", "/chat/1", fields, "A;").await.whole);
+        assert!(gateway.ask("POST", "/chat/1", fields, "A;").await.complete);
         let prompt = format!("{input}one\nA;");
-        let is_whole = |body: &[u8]| body == prompt.as_bytes();
-        assert!(server.seen.borrow().iter().any(|seen| is_whole(&seen.body)));
+        let is_prompt = |body: &[u8]| body == prompt.as_bytes();
+        assert!(
+            server
+                .seen
+                .borrow()
+                .iter()
+                .any(|seen| is_prompt(&seen.body))
+        );
     });
 }
--- a/crates/gateway/tests/gateway/outage.rs
+++ b/crates/gateway/tests/gateway/outage.rs
@@ -65,7 +65,10 @@
             assert_eq!(ask(gateway, &format!("old-{name}"), "k1").await, 401);
             let fields = format!("Request: t-{name}\r\nProgram: p-{name}\r\nKey: k3\r\n");
             let turn = gateway.ask("POST", "/chat/1", &fields, "A;").await;
-            assert!(turn.whole && turn.head.status == 200, "no owner for {name}");
+            assert!(
+                turn.complete && turn.head.status == 200,
+                "no owner for {name}"
+            );
         }
         let mut served = 0;
         for number in 0..8 {
--- a/crates/gateway/tests/gateway/ownership.rs
+++ b/crates/gateway/tests/gateway/ownership.rs
@@ -20,7 +20,7 @@
     let reply = gateway
         .ask("POST", "/chat/1", &fields, &format!("{turn};"))
         .await;
-    (reply.head.status, reply.whole)
+    (reply.head.status, reply.complete)
 }
 
 /// Orders two gateways: first the owner of the partition of program `p`, then the other one.
@@ -287,7 +287,7 @@
             gateway.store.set_fault_of(ledger, LogFault::Silent);
         }
         let fields = "Request: t2\r\nProgram: p\r\nBudget: 900\r\nMost: 40\r\n";
-        assert!(other.ask("POST", "/resume/1", fields, "A").await.whole);
+        assert!(other.ask("POST", "/resume/1", fields, "A").await.complete);
         sleep(Duration::from_millis(2_500)).await;
         let claim = other.daemon.owner.claims.claim(number).expect("an owner");
         assert!(owner.daemon.owner.claims.is_mine(&claim));
@@ -314,7 +314,7 @@
             let fields =
                 format!("Request: {program}t\r\nProgram: {program}\r\nBudget: 90\r\nMost: 40\r\n");
             let reply = other.ask("POST", "/resume/1", &fields, "A").await;
-            assert!(reply.whole, "{program}");
+            assert!(reply.complete, "{program}");
             assert!(started.elapsed() < Duration::from_millis(300));
         }
     });
@@ -348,7 +348,7 @@
             let fields =
                 format!("Request: {program}t\r\nProgram: {program}\r\nBudget: 180\r\nMost: 40\r\n");
             let reply = other.ask("POST", "/resume/1", &fields, "A").await;
-            assert!(reply.whole && reply.head.status == 200, "{program}");
+            assert!(reply.complete && reply.head.status == 200, "{program}");
             assert!(started.elapsed() < Duration::from_millis(300), "{program}");
         }
     });
@@ -363,12 +363,12 @@
         let world = World::new().await;
         let gateway = world.ready(&[&server]).await;
         let first = "Request: f\r\nProgram: f\r\nBudget: 180\r\nMost: 40\r\n";
-        assert!(gateway.ask("POST", "/resume/1", first, "A").await.whole);
+        assert!(gateway.ask("POST", "/resume/1", first, "A").await.complete);
         sleep(Duration::from_millis(600)).await;
         gateway.store.set_fault(LogFault::Silent);
         let fields = "Request: g\r\nProgram: g\r\nBudget: 180\r\nMost: 170\r\n";
         let started = Instant::now();
-        assert!(gateway.ask("POST", "/resume/1", fields, "A").await.whole);
+        assert!(gateway.ask("POST", "/resume/1", fields, "A").await.complete);
         assert!(started.elapsed() < Duration::from_millis(300));
     });
 }
--- a/crates/gateway/tests/gateway/slow_peers.rs
+++ b/crates/gateway/tests/gateway/slow_peers.rs
@@ -62,7 +62,7 @@
             assert!(gateway.daemon.memory.held() <= 128 * KIB as u64);
         }
         let reply = client.reply().await;
-        assert!(reply.whole);
+        assert!(reply.complete);
         assert!(reply.text() == body, "the body differs");
         wait_until_memory_is_freed(&gateway).await;
     });
@@ -147,7 +147,7 @@
         }
         client.buffer.extend_from_slice(&first);
         let reply = client.reply().await;
-        assert!(reply.whole);
+        assert!(reply.complete);
         let data = reply.text().matches("data: ").count();
         assert_eq!(data, events.len());
         wait_until_memory_is_freed(&gateway).await;
--- a/crates/gateway/tests/gateway/support/client.rs
+++ b/crates/gateway/tests/gateway/support/client.rs
@@ -14,7 +14,7 @@
     pub head: ResponseHead,
     pub body: Vec<u8>,
     /// Whether the body was received completely.
-    pub whole: bool,
+    pub complete: bool,
 }
 
 impl Reply {
@@ -80,7 +80,7 @@
                     return Reply {
                         head,
                         body,
-                        whole: true,
+                        complete: true,
                     };
                 }
                 Piece::Incomplete => match self.stream.read_buf(&mut self.buffer).await {
@@ -89,7 +89,7 @@
                         return Reply {
                             head,
                             body,
-                            whole: false,
+                            complete: false,
                         };
                     }
                 },
--- a/crates/gateway/tests/gateway/support/server.rs
+++ b/crates/gateway/tests/gateway/support/server.rs
@@ -22,11 +22,11 @@
     /// Respond that the request was not run.
     NotRun,
     /// Respond that the request was not run, but leave out the body.
-    NotRunCutShort,
+    NotRunTruncated,
     /// Reset the connection after reading the request.
     Reset,
     /// Send a response to another request first, then the response to this one.
-    ForeignFirst(String),
+    OtherResponseFirst(String),
     /// Respond without a length, and end the body by a close, or by a reset if the flag is set.
     Unframed(String, bool),
     /// Send a stream of events with these texts, starting after the event that the request names.
@@ -211,7 +211,7 @@
             .and_then(|text| text.parse().ok());
         seen.borrow_mut().push(request);
         let act = act.borrow().clone();
-        let whole = |id: &str, status: u16, body: &str| {
+        let response = |id: &str, status: u16, body: &str| {
             format!(
                 "HTTP/1.1 {status} Fine\r\nRequest: {id}\r\nSigned: yes\r\nContent-Length: {}\r\n\r\n{body}",
                 body.len()
@@ -219,7 +219,9 @@
         };
         match act {
             Act::Answer(status, body) => {
-                let _ = stream.write_all(whole(&id, status, &body).as_bytes()).await;
+                let _ = stream
+                    .write_all(response(&id, status, &body).as_bytes())
+                    .await;
             }
             Act::Large(length) => {
                 if !send_large(&mut stream, &id, length).await {
@@ -235,15 +237,15 @@
                         return;
                     }
                 }
-                let _ = stream.write_all(whole(&id, 200, &body).as_bytes()).await;
+                let _ = stream.write_all(response(&id, 200, &body).as_bytes()).await;
             }
             Act::NotRun => {
-                let answer = format!(
+                let response = format!(
                     "HTTP/1.1 503 Full\r\nRequest: {id}\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"
                 );
-                let _ = stream.write_all(answer.as_bytes()).await;
+                let _ = stream.write_all(response.as_bytes()).await;
             }
-            Act::NotRunCutShort => {
+            Act::NotRunTruncated => {
                 let head = format!(
                     "HTTP/1.1 503 Full\r\nRequest: {id}\r\nNot-Run: 1\r\nContent-Length: 4\r\n\r\n"
                 );
@@ -263,14 +265,14 @@
                     return;
                 }
             }
-            Act::ForeignFirst(body) => {
-                let both = whole("another", 200, "not yours") + &whole(&id, 200, &body);
+            Act::OtherResponseFirst(body) => {
+                let both = response("another", 200, "not yours") + &response(&id, 200, &body);
                 let _ = stream.write_all(both.as_bytes()).await;
             }
             Act::Unframed(body, resets) => {
-                let answer =
+                let response =
                     format!("HTTP/1.1 200 Fine\r\nRequest: {id}\r\nSigned: yes\r\n\r\n{body}");
-                let _ = stream.write_all(answer.as_bytes()).await;
+                let _ = stream.write_all(response.as_bytes()).await;
                 sleep(Duration::from_millis(30)).await;
                 if resets {
                     reset(stream);
@@ -283,7 +285,7 @@
                 }
             }
             Act::Stream(body) => {
-                let _ = stream.write_all(whole(&id, 200, &body).as_bytes()).await;
+                let _ = stream.write_all(response(&id, 200, &body).as_bytes()).await;
             }
             Act::Silent => {
                 let mut byte = [0; 1];
--- a/crates/gateway/tests/gateway/tenants.rs
+++ b/crates/gateway/tests/gateway/tenants.rs
@@ -157,7 +157,7 @@
         let world = world_of(vec![tenant("red", "k1"), tenant("blue", "k2")]).await;
         let gateway = world.ready(&[&server]).await;
         let fields = "Request: t1\r\nProgram: p\r\nKey: k1\r\n";
-        assert!(gateway.ask("POST", "/chat/1", fields, "A;").await.whole);
+        assert!(gateway.ask("POST", "/chat/1", fields, "A;").await.complete);
         // The same program, by its name, and another one.
         for program in ["p", "q"] {
             let fields = format!("Request: x\r\nProgram: {program}\r\nPrevious: t1\r\nKey: k2\r\n");
@@ -165,7 +165,7 @@
             assert_eq!(reply.head.status, 404);
         }
         let fields = "Request: t2\r\nProgram: p\r\nPrevious: t1\r\nKey: k1\r\n";
-        assert!(gateway.ask("POST", "/chat/1", fields, "C;").await.whole);
+        assert!(gateway.ask("POST", "/chat/1", fields, "C;").await.complete);
         assert_eq!(server.seen.borrow()[1].body, b"A;one\nC;");
     });
 }
--- a/crates/gateway/tests/gateway/turns.rs
+++ b/crates/gateway/tests/gateway/turns.rs
@@ -18,20 +18,20 @@
         let first = gateway
             .ask("POST", "/chat/1", "Request: t1\r\nProgram: p\r\n", "A;")
             .await;
-        assert!(first.whole);
+        assert!(first.complete);
         assert_eq!(first.text(), "id: 0\ndata: one\n\nid: 1\ndata: two\n\n");
         server.set(events(&["three"]));
         let fields = "Request: t2\r\nProgram: p\r\nPrevious: t1\r\n";
-        assert!(gateway.ask("POST", "/chat/1", fields, "B;").await.whole);
+        assert!(gateway.ask("POST", "/chat/1", fields, "B;").await.complete);
         let fields = "Request: t3\r\nProgram: p\r\nPrevious: t2\r\n";
-        assert!(gateway.ask("POST", "/chat/1", fields, "C;").await.whole);
+        assert!(gateway.ask("POST", "/chat/1", fields, "C;").await.complete);
         // A branch from an earlier turn, and another program that continues the chain.
         let fields = "Request: t4\r\nProgram: p\r\nPrevious: t1\r\n";
-        assert!(gateway.ask("POST", "/chat/1", fields, "D;").await.whole);
+        assert!(gateway.ask("POST", "/chat/1", fields, "D;").await.complete);
         let fields = "Request: t5\r\nProgram: other\r\nPrevious: t2\r\n";
-        assert!(gateway.ask("POST", "/chat/1", fields, "E;").await.whole);
+        assert!(gateway.ask("POST", "/chat/1", fields, "E;").await.complete);
         let fields = "Request: t6\r\nProgram: other\r\nPrevious: t5\r\n";
-        assert!(gateway.ask("POST", "/chat/1", fields, "F;").await.whole);
+        assert!(gateway.ask("POST", "/chat/1", fields, "F;").await.complete);
         let bodies: Vec<String> = server
             .seen
             .borrow()
@@ -60,7 +60,7 @@
         let reply = gateway
             .ask("POST", "/chat/1", "Request: t1\r\nProgram: p\r\n", "A;")
             .await;
-        assert!(!reply.whole, "an interrupted stream looks complete");
+        assert!(!reply.complete, "an interrupted stream looks complete");
         assert_eq!(reply.text(), "id: 0\ndata: one\n\n");
         assert_eq!(server.count(), 1, "the turn ran twice");
         let fields = "Request: t2\r\nProgram: p\r\nPrevious: t1\r\n";
@@ -87,7 +87,7 @@
             other.set(Act::Events(texts.clone(), None));
         };
         let (reply, ()) = futures_util::future::join(request, recovery).await;
-        assert!(reply.whole);
+        assert!(reply.complete);
         let wanted: String = texts
             .iter()
             .enumerate()
@@ -134,7 +134,7 @@
             gateway
                 .ask("POST", "/chat/1", "Request: t0\r\nProgram: p\r\n", "A;")
                 .await
-                .whole
+                .complete
         );
         gateway.store.set_fault(LogFault::Silent);
         let mut client = gateway.client().await;
@@ -148,7 +148,7 @@
             store.set_fault(LogFault::None);
         });
         let reply = client.reply().await;
-        assert!(reply.whole);
+        assert!(reply.complete);
         assert!(
             started.elapsed() > Duration::from_millis(450),
             "the stream ended before the turn was recorded"
@@ -156,7 +156,7 @@
         // The log stays down past the turn's deadline: the stream must not end regularly.
         gateway.store.set_fault(LogFault::Down);
         let fields = "Request: t2\r\nProgram: p\r\nDeadline: 400\r\n";
-        assert!(!gateway.ask("POST", "/chat/1", fields, "C;").await.whole);
+        assert!(!gateway.ask("POST", "/chat/1", fields, "C;").await.complete);
     });
 }
 
@@ -170,7 +170,7 @@
         let reply = gateway
             .ask("POST", "/chat/1", "Request: t1\r\nProgram: p\r\n", "A;")
             .await;
-        assert!(!reply.whole);
+        assert!(!reply.complete);
         assert_eq!(reply.text(), "id: 0\ndata: one\n\n");
     });
 }
@@ -211,7 +211,7 @@
             for turn in 0..4 {
                 let fields = format!("Request: p{program}t{turn}\r\nProgram: p{program}\r\n");
                 let gateway = &gateways[turn % 2];
-                assert!(gateway.ask("POST", "/chat/1", &fields, "A").await.whole);
+                assert!(gateway.ask("POST", "/chat/1", &fields, "A").await.complete);
             }
             let prefix = format!("p{program}t");
             let used = servers.iter().filter(|server| {
@@ -241,7 +241,12 @@
             )
         };
         let before = turn("before", 0);
-        assert!(gateway.ask("POST", "/resume/1", &before, "A").await.whole);
+        assert!(
+            gateway
+                .ask("POST", "/resume/1", &before, "A")
+                .await
+                .complete
+        );
         sleep(Duration::from_millis(600)).await;
         gateway.store.set_fault(LogFault::Silent);
         for number in 1..4 {
@@ -249,7 +254,7 @@
                 let started = Instant::now();
                 let fields = turn(program, number);
                 let reply = gateway.ask("POST", "/resume/1", &fields, "A").await;
-                assert!(reply.whole, "turn {number} of {program}");
+                assert!(reply.complete, "turn {number} of {program}");
                 assert!(started.elapsed() < Duration::from_millis(300));
             }
         }
--- a/crates/gateway/tests/gateway/zones.rs
+++ b/crates/gateway/tests/gateway/zones.rs
@@ -49,12 +49,12 @@
 
         let early = ntex::rt::spawn(async move {
             let fields = "Request: t1\r\nProgram: p\r\n";
-            a.ask("POST", "/chat/1", fields, "A;").await.whole
+            a.ask("POST", "/chat/1", fields, "A;").await.complete
         });
         sleep(Duration::from_millis(200)).await;
         let begun = Instant::now();
         let fields = "Request: t2\r\nProgram: p\r\n";
-        assert!(b.ask("POST", "/chat/1", fields, "B;").await.whole);
+        assert!(b.ask("POST", "/chat/1", fields, "B;").await.complete);
         let took = begun.elapsed();
         assert!(took < ANSWER_LIMIT - Duration::from_millis(50), "{took:?}");
         assert!(early.await.expect("ended"));
@@ -117,7 +117,7 @@
         let begun = Instant::now();
         let reply = ask(&gateway, "/resume/1", "Request: t1\r\nProgram: p\r\n").await;
         assert!(begun.elapsed() > Duration::from_millis(1_600));
-        assert!(reply.whole);
+        assert!(reply.complete);
         assert_eq!(server.client_disconnects.get(), 0);
         assert_eq!(server.count(), 1);
     });
@@ -152,7 +152,7 @@
         lost.lose_power().await;
         world.list(&other).await;
         let reply = turn.await;
-        assert!(reply.whole && reply.head.status == 200);
+        assert!(reply.complete && reply.head.status == 200);
         let took = begun.elapsed();
         assert!(took < Duration::from_millis(1_500), "{took:?}");
         assert_eq!(other.count(), 1);
@@ -246,7 +246,7 @@
         self.near.set(events());
         let fields = "Request: t3\r\nProgram: p\r\n";
         let reply = self.gateway.ask("POST", "/chat/1", fields, "A;").await;
-        assert!(reply.whole && reply.head.status == 200);
+        assert!(reply.complete && reply.head.status == 200);
     }
 }
 
