--- a/crates/gateway/tests/gateway/evacuation.rs
+++ b/crates/gateway/tests/gateway/evacuation.rs
@@ -146,7 +146,7 @@
         wait_evacuated(&gateway, "z1", true).await;
         for number in 0..10 {
             for reply in request_all(&gateway, &format!("evacuated-{number}")).await {
-                assert!(reply.whole && reply.head.status == 200);
+                assert!(reply.complete && reply.head.status == 200);
             }
         }
         assert_eq!(zones.servers[0].count(), before);
@@ -231,7 +231,7 @@
         sleep(Duration::from_millis(900)).await;
         let gateway = zones.gateway("g2", "z1").await;
         let fields = "Request: t1\r\nProgram: p\r\n";
-        assert!(gateway.ask("POST", "/chat/1", fields, "A;").await.whole);
+        assert!(gateway.ask("POST", "/chat/1", fields, "A;").await.complete);
         assert_eq!(zones.counts(), [1, 0, 0]);
         let partition = config_partition();
         owner.store.set_partition_fault(partition, LogFault::Silent);
@@ -240,7 +240,7 @@
         let fields = "Request: t2\r\nProgram: p\r\nPrevious: t1\r\n";
         let reply = gateway.ask("POST", "/chat/1", fields, "B;").await;
         assert!(!owner.daemon.zone_state.is_evacuated("z1"));
-        assert!(reply.whole && reply.head.status == 200);
+        assert!(reply.complete && reply.head.status == 200);
         let [evacuated, second, third] = zones.counts();
         assert_eq!((evacuated, second + third), (1, 1));
     });
@@ -268,7 +268,7 @@
             wait_evacuated(&gateway, "z1", true).await;
         };
         let (stream, (call, ())) = join(stream, join(call, evacuation)).await;
-        assert!(stream.whole);
+        assert!(stream.complete);
         for text in texts {
             assert!(stream.text().contains(&text));
         }
