--- a/crates/cli/src/config.rs
+++ b/crates/cli/src/config.rs
@@ -100,7 +100,8 @@
     }
 }
 
-/// Reads the history until it succeeds and returns the outcome of a change, if it is recorded.
+/// Returns the outcome of a change, if the history contains it. Failed reads are retried until the
+/// time limit.
 async fn find_outcome(
     connection: &Connection,
     key: &str,
--- a/crates/emulator/src/log/core.rs
+++ b/crates/emulator/src/log/core.rs
@@ -10,8 +10,8 @@
 /// Maximum number of records in a page of newest records.
 const PAGE_RECORDS: usize = 500;
 
-#[derive(Default)]
 /// State of one producer name in a partition.
+#[derive(Default)]
 struct ProducerState {
     epoch: u64,
     next_sequence: Option<u64>,
@@ -19,6 +19,7 @@
     results: VecDeque<(u64, Appended)>,
 }
 
+/// Records of one partition.
 #[derive(Default)]
 struct PartitionLog {
     /// Offset of the first record of the history.
