--- a/crates/topology/src/evacuation.rs
+++ b/crates/topology/src/evacuation.rs
@@ -1,8 +1,8 @@
 //! Evacuations: zones whose servers receive no requests until the operator ends the evacuation.
 //!
-//! Daemons follow the operator's records in the same way as the configuration. Reads may be
-//! stale, a listing may be older than a record, and a daemon that the log refuses learns records
-//! from other daemons. Each record therefore has a revision, its offset in the topic, and a
+//! The operator writes evacuations as records to a topic of the log, which daemons follow in the
+//! same way as the topic of the configuration. Reads may be stale, a listing may be older than a
+//! record, and a daemon that cannot read the log receives records from other daemons. Each record therefore has a revision, its offset in the topic, and a
 //! record or listing that is older than the known one is ignored.
 
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 pub enum State {
     /// The zone's servers receive no requests.
     Evacuated,
-    /// The zone is in service.
+    /// The zone is in service: it was never evacuated, or its evacuation has ended.
     Open,
 }
 
--- a/crates/topology/src/freshness.rs
+++ b/crates/topology/src/freshness.rs
@@ -1,15 +1,15 @@
-//! Whether the operator's records that a daemon knows are recent enough to act on.
+//! Whether the evacuation records that a daemon knows are recent enough to act on.
 //!
-//! A process that was suspended resumes with outdated records, and a daemon that reaches neither
+//! A process that was paused resumes with outdated records, and a daemon that reaches neither
 //! the log nor another daemon receives no new ones. An outage of the log alone does not make the
 //! records stale: no daemon can know newer ones then, and the service has to go on.
 
-/// A process counts as suspended if it did not run for longer than this, in milliseconds. A busy
-/// event loop takes less time to come round. After a shorter suspension the records are still
-/// younger than any limit.
-const SUSPENDED_MS: u64 = 1_000;
+/// A process counts as paused if it did not run for longer than this, in milliseconds. One
+/// iteration of a busy event loop takes less time. After a shorter pause the records are still
+/// younger than any configured limit.
+const PAUSED_MS: u64 = 1_000;
 
-/// Tracks suspensions of the process and whether its records were confirmed since.
+/// Tracks pauses of the process and whether its records were confirmed since.
 #[derive(Clone, Debug)]
 pub struct Freshness {
     limit_ms: u64,
@@ -18,8 +18,8 @@
 }
 
 impl Freshness {
-    /// Creates a tracker. After a suspension, records are stale if they were last confirmed more
-    /// than `limit_ms` ago.
+    /// Creates a tracker. After a pause, and while the daemon is isolated, records are stale if
+    /// they were last confirmed more than `limit_ms` ago.
     pub fn new(limit_ms: u64) -> Self {
         Self {
             limit_ms,
@@ -28,17 +28,17 @@
         }
     }
 
-    /// Records that the process is running and that its records were last confirmed `age_ms` ago.
-    /// Returns true if the process was suspended since the previous call.
+    /// Notes that the process is running and that the known records were last confirmed `age_ms`
+    /// ago. Returns true if the process was paused since the previous call.
     pub fn record_run(&mut self, now_ms: u64, age_ms: u64) -> bool {
-        let was_suspended = now_ms.saturating_sub(self.last_run_ms) > SUSPENDED_MS;
+        let was_paused = now_ms.saturating_sub(self.last_run_ms) > PAUSED_MS;
         self.last_run_ms = now_ms;
-        if was_suspended {
+        if was_paused {
             self.resumed_ms = Some(now_ms);
         } else if self.is_confirmed_since_resume(now_ms, age_ms) {
             self.resumed_ms = None;
         }
-        was_suspended
+        was_paused
     }
 
     /// Accepts the known records without confirmation, because the other daemons that answered
@@ -47,12 +47,12 @@
         self.resumed_ms = None;
     }
 
-    /// Whether the records have to be confirmed before any request is sent. `is_isolated` means
-    /// that neither the log nor another daemon answers.
+    /// Whether the records, last confirmed `age_ms` ago, have to be confirmed again before any
+    /// request is sent. `is_isolated` means that neither the log nor another daemon answers.
     pub fn is_stale(&self, now_ms: u64, age_ms: u64, is_isolated: bool) -> bool {
         let is_over_limit = age_ms > self.limit_ms;
-        let is_suspended_now = now_ms.saturating_sub(self.last_run_ms) > SUSPENDED_MS;
-        is_over_limit && (is_isolated || is_suspended_now || self.resumed_ms.is_some())
+        let is_paused_now = now_ms.saturating_sub(self.last_run_ms) > PAUSED_MS;
+        is_over_limit && (is_isolated || is_paused_now || self.resumed_ms.is_some())
     }
 
     fn is_confirmed_since_resume(&self, now_ms: u64, age_ms: u64) -> bool {
--- a/crates/topology/tests/places.rs
+++ b/crates/topology/tests/zone_rule.rs
@@ -40,13 +40,13 @@
 #[test]
 fn an_evacuated_zone_serves_nothing_but_may_store() {
     let map = map();
-    let homes = RegionSet::from_names(["a"]);
+    let allowed_regions = RegionSet::from_names(["a"]);
     let mut evacuations = Evacuations::default();
     assert!(evacuations.apply("a2", State::Evacuated, 5, 100));
     let rule = ZoneRule {
         map: &map,
         evacuations: &evacuations,
-        allowed_regions: &homes,
+        allowed_regions: &allowed_regions,
         from_zone: "a1",
     };
     assert_eq!(rule.serving_distance("a1"), Ok(Distance::SameZone));
@@ -71,7 +71,7 @@
 }
 
 /// An update that reaches a daemon: a record that it reads or gets from another daemon, at any
-/// time and in any order, or a listing as of some end of the topic.
+/// time and in any order, or a listing that was read when the topic ended at some offset.
 #[derive(Clone, Debug)]
 enum Update {
     Record(u8),
