--- a/crates/gateway/src/follow/config.rs
+++ b/crates/gateway/src/follow/config.rs
@@ -63,7 +63,7 @@
     }
 }
 
-/// Applies records of the operator's topic; returns the zones that they evacuate.
+/// Applies records of the configuration topic; returns the zones that they evacuate.
 fn apply_all<'a>(daemon: &Daemon, records: &'a [(u64, KeyedRecord)]) -> Vec<&'a str> {
     let mut evacuated = Vec::new();
     let mut unreadable = UnreadableReport::new(UNREADABLE_EVACUATION, &daemon.metrics);
@@ -107,6 +107,8 @@
         }
         let version = daemon.owner.config.version();
         let replies = daemon.ledger.query_peer_configs(version).await;
+        // During an outage the log cannot confirm the known evacuations; answers of other daemons
+        // do.
         if is_outage && !replies.is_empty() {
             daemon.zone_state.confirm();
         }
--- a/crates/gateway/src/follow/config_cache.rs
+++ b/crates/gateway/src/follow/config_cache.rs
@@ -1,8 +1,8 @@
 //! Cache of the newest configuration document, from which daemons that cannot read the log get
 //! the configuration.
 //!
-//! Without it, a daemon that the log refuses while it serves others would keep accepting revoked
-//! API keys and reject new ones (docs/design/tenants.md).
+//! Without it, a daemon that gets no answers from the log while others do would keep accepting
+//! revoked API keys and reject new ones (docs/design/tenants.md).
 
 use crate::zone_state::ZoneState;
 use fieldhook_ledger::message::ConfigUpdate;
--- a/crates/gateway/src/follow/long_poll.rs
+++ b/crates/gateway/src/follow/long_poll.rs
@@ -1,19 +1,20 @@
 //! Wait times of long-poll reads of followed topics. Every read is a billed log call, so reads
 //! wait as long as the time bounds in the settings allow.
 //!
-//! An open connection may stop responding for good, which only the time-out of a read reveals. This
+//! An open connection may stop responding for good, which only the timeout of a read reveals. This
 //! counts as lost contact: the time bounds of the settings apply again once contact has been
-//! undisturbed for `contact_ms`. A read that was sent right before the connection stopped
-//! responding ends with its time-out, and the next read, on a new connection, has to be answered
-//! within `contact_ms` as well. A read may therefore wait for `contact_ms` less the margin of a
-//! read's time-out and the pauses until the next read. The bounds of configuration, draining and
+//! undisturbed for `contact_ms`. If a connection stops responding right after a read was sent,
+//! that read has to time out and the next one, on a new connection, has to be answered, both within
+//! `contact_ms`. A read may therefore wait for `contact_ms` less [`READ_MARGIN`], [`RESUME_DELAY`]
+//! and the pause between reads. The bounds of configuration, draining and
 //! evacuation are not affected, since a healthy connection delivers a change at once.
 
 use crate::settings::GatewaySettings;
 use fieldhook_log::follow::{READ_MARGIN, RESUME_DELAY};
 use std::time::Duration;
 
-/// Shortest wait. Shorter reads cost more log calls than they are worth in any deployment.
+/// Shortest wait, also where the time bounds ask for less. Shorter reads cost more log calls than
+/// they are worth in any deployment.
 const MIN_WAIT: Duration = Duration::from_millis(500);
 /// Longest wait that the log accepts.
 const MAX_WAIT: Duration = Duration::from_millis(30_000);
@@ -28,7 +29,7 @@
     wait.clamp(MIN_WAIT, MAX_WAIT)
 }
 
-/// Returns the longest wait of a read of the operator's topic (configuration and evacuations).
+/// Returns the longest wait of a read of the configuration topic, which also has evacuations.
 pub fn max_config_wait(settings: &GatewaySettings) -> Duration {
     let wait = max_wait(contact(settings), Duration::ZERO);
     match settings.revocation_ms {
--- a/crates/gateway/src/follow/unreadable.rs
+++ b/crates/gateway/src/follow/unreadable.rs
@@ -4,8 +4,8 @@
 use crate::metrics::Metrics;
 
 /// Number of records of one update that are logged individually, one line each; the remaining ones
-/// are only counted. A service discovery holds a few hundred entries, and twenty examples are
-/// enough to find the common cause.
+/// are only counted. A listing may have hundreds of entries or more, and twenty examples are enough
+/// to find the common cause.
 const MAX_LOGGED_RECORDS: u32 = 20;
 /// Number of characters of a key or a problem that are logged. Other writers may leave keys of
 /// any length.
--- a/crates/gateway/src/ledger/assigner.rs
+++ b/crates/gateway/src/ledger/assigner.rs
@@ -1,4 +1,5 @@
-//! Assigns engines to the turns of programs whose partitions this daemon owns.
+//! Assigns engines to the turns of programs whose partitions this daemon owns. An engine is a
+//! server that runs turns; the server directory lists it as a [`ServerEntry`].
 
 use crate::cold::ColdServers;
 use crate::upstream::pool::Pools;
@@ -18,8 +19,8 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// Smallest number of engines drawn from a group to choose from. If evacuated zones or disallowed
-/// regions leave fewer, the engines are drawn from all groups.
+/// Smallest number of candidates that are drawn from a group. If evacuated zones or disallowed
+/// regions leave fewer, the candidates are drawn from all groups.
 const MIN_DRAWN: usize = 8;
 
 /// The engine groups of a service, computed for a version of its engine list.
@@ -96,8 +97,8 @@
         Some(engine.to_string())
     }
 
-    /// Returns all engines of a small service, and the fraction of the home group's programs that
-    /// this daemon sees.
+    /// Returns all engines of a small service, and the fraction of the programs of the partition's
+    /// engine group that this daemon owns.
     fn small_service_engines<'a>(
         &self,
         service: &str,
@@ -113,11 +114,12 @@
         (engines, self.share(groups.count(), home))
     }
 
-    /// Returns the engines of a large service to choose from for a turn, and the fraction of the
-    /// home group's programs that this daemon sees. The engines are a sample of the group and the
-    /// engine that the program last ran on. The sample is selected by the prompt prefix, so that
-    /// turns that share a prefix get the same sample. A group is an arc of the hash ring of
-    /// engines, so it need not be recomputed when an engine is added or removed.
+    /// Returns the candidates for a turn from the engines of a large service, and the fraction of
+    /// the programs of the partition's engine group that this daemon owns. The candidates are a
+    /// sample of the group and the engine that the program last ran on. The sample is selected by
+    /// the prompt prefix, so that turns that share a prefix get the same sample. A group is an arc
+    /// of the hash ring of engines, so it need not be recomputed when an engine is added or
+    /// removed.
     fn large_service_engines<'a>(
         &self,
         directory: &'a Directory,
@@ -219,7 +221,7 @@
         groups
     }
 
-    /// Returns the fraction of a group's programs that this daemon sees as an owner; `groups` is
+    /// Returns the fraction of a group's programs whose partitions this daemon owns; `groups` is
     /// the number of groups.
     fn share(&self, groups: u32, group: u32) -> f64 {
         let owned = self.owned.borrow();
--- a/crates/gateway/src/ledger/client.rs
+++ b/crates/gateway/src/ledger/client.rs
@@ -21,13 +21,12 @@
 
 /// An owner that does not answer a request in this time is suspected.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(250);
-/// Time that an owner has to append the end of a turn after it has noted it. After that the request
-/// is repeated, because the owner may be paused or cut off.
+/// Time that an owner has to append the end of a turn after accepting it. After that the request is
+/// sent again, because the owner may be paused or cut off.
 const APPEND_TIMEOUT: Duration = Duration::from_millis(900);
-/// Pause before a turn's end is sent again while this daemon is cut off with a minority of the
-/// zones.
+/// Pause before a turn's end is sent again while this daemon is in [`Reach::Minority`].
 const MINORITY_RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// How often [`LedgerClient::wait_until_cut_off`] checks the condition.
+/// How often [`LedgerClient::wait_until_cut_off`] checks whether this daemon is in a minority.
 const MINORITY_CHECK_PERIOD: Duration = Duration::from_millis(50);
 /// Longest wait for an ownership change before a request is retried.
 pub(super) const OWNER_CHANGE_WAIT: Duration = Duration::from_millis(40);
@@ -142,9 +141,10 @@
     }
 
     /// Opens a turn. If the program's own partition does not know the previous turn, the other
-    /// partitions are queried, since the turn may belong to another program; `request` then states
-    /// that the chain is supplied. `in_doubt` tells whether an owner may have opened the turn
-    /// without having replied, even if this future is dropped.
+    /// partitions are queried, since the turn may belong to another program;
+    /// `request.supplies_chain` is then set, because the owner does not have the chain. `in_doubt`
+    /// tells whether an owner may have opened the turn without having replied, even if this future
+    /// is dropped.
     ///
     /// # Errors
     /// The turn may not be opened, or no owner replied by the deadline.
@@ -291,7 +291,8 @@
                 Err(_) => return false,
                 Ok(Some(LedgerReply::Durable)) => opened.durable = true,
                 Ok(_) => {
-                    // The turn is closed in any case, so doubt need not be tracked.
+                    // The turn will be closed in any case, so it does not matter whether an owner
+                    // acted on this request.
                     let in_doubt = Cell::default();
                     let program_request = request.program_partition_request();
                     match self
@@ -307,7 +308,8 @@
         true
     }
 
-    /// Returns the partition that orders the turns of a program.
+    /// Returns the global partition that the name of a program or tenant hashes to. Its owner
+    /// orders the turns of the program, or counts the requests of the tenant.
     pub fn partition_of(&self, program: &str) -> u32 {
         self.owner.zone_state.layout.program_partition(program)
     }
@@ -318,8 +320,8 @@
         self.owner.zone_state.layout.home_partition(program, homes)
     }
 
-    /// Completes once this daemon is cut off from the log together with a minority of the zones,
-    /// so that it cannot have anything recorded.
+    /// Completes once this daemon is in [`Reach::Minority`] and its log calls fail, so that it
+    /// cannot have anything recorded.
     pub async fn wait_until_cut_off(&self) {
         while self.reach.get() != Reach::Minority || !self.log_health.is_failing() {
             sleep(MINORITY_CHECK_PERIOD).await;
@@ -349,7 +351,8 @@
         false
     }
 
-    /// Sends a request to the owner of its partition until an owner answers.
+    /// Sends a request to the owner of its partition until an owner answers; replaces owners that
+    /// do not. [`Self::exchange`] sends a request only once.
     pub(super) async fn ask(
         &self,
         request: &LedgerRequest,
@@ -374,8 +377,8 @@
             match exchange {
                 Err(_) => return None,
                 Ok(Exchange::Answered(reply, replies)) => return Some((reply, replies)),
-                // A daemon in the minority replaces no owners, and the request has better chances
-                // at another daemon in the time that is left.
+                // A daemon in a minority replaces no owners, and another daemon is more likely to
+                // serve the request in the time that is left.
                 Ok(Exchange::OwnerGone(_) | Exchange::OwnerSilent(_))
                     if self.reach.get() == Reach::Minority =>
                 {
--- a/crates/gateway/src/ledger/closing.rs
+++ b/crates/gateway/src/ledger/closing.rs
@@ -9,13 +9,14 @@
 /// How long closing an incomplete turn is retried. This outlasts an outage of the log, and ends
 /// before the owner deletes the program, 180 s after its last change.
 const RETRY_FOR: Duration = Duration::from_secs(120);
-/// Time limit of one attempt. It suffices to notice that an owner does not answer and to send the
+/// Timeout of one attempt. It suffices to notice that an owner does not answer and to send the
 /// request once more.
 const ATTEMPT_LIMIT: Duration = Duration::from_millis(1_200);
-/// First and longest pause between attempts while no ownership change is reported. Hundreds of
-/// clients disconnect when an owner stops answering, and every close sends requests and searches
-/// for owners in addition to the requests that wait for the same partition.
+/// First pause between attempts while no ownership change is reported; it doubles with each
+/// attempt. Hundreds of clients disconnect when an owner stops answering, and every close sends
+/// requests and searches for owners in addition to the requests that wait for the same partition.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
+/// Longest pause between attempts.
 const LONGEST_PAUSE: Duration = Duration::from_secs(2);
 
 /// Counts a turn that is being closed until it is dropped.
@@ -29,7 +30,7 @@
 
 impl LedgerClient {
     /// Closes an incomplete turn in the background, so that this happens even if its request is
-    /// dropped. Until the owner has noted the close, the turn's token maximum stays reserved.
+    /// dropped. Until the owner has accepted the close, the turn's token maximum stays reserved.
     pub fn close_in_background(self: &Rc<Self>, close: CloseTurn) {
         self.pending_closes.set(self.pending_closes.get() + 1);
         let pending = PendingClose(self.clone());
--- a/crates/gateway/src/ledger/cold.rs
+++ b/crates/gateway/src/ledger/cold.rs
@@ -1,4 +1,5 @@
-//! Admission of requests to cold servers. The owner of the partition that a server's identity
+//! Admission of requests to cold servers, which started recently and can handle only few requests
+//! per second. The owner of the partition that a server's identity
 //! hashes to counts them, while a lease confirmed by the log guarantees that it is the only owner.
 
 use super::client::LedgerClient;
@@ -20,11 +21,11 @@
 
 /// A permit that arrives later than this is not used.
 const PERMIT_TIMEOUT: Duration = Duration::from_millis(PERMIT_VALIDITY_MS);
-/// Pause before the request is sent to an owner that this daemon just learned of.
+/// Pause before a request is sent again after the owner or the connection to it has changed.
 const RETRY_PAUSE: Duration = Duration::from_millis(1);
 /// Pause after the log did not confirm an owner, in milliseconds.
 const CONFIRM_RETRY_MS: u64 = 100;
-/// Time limit of the background search for an owner after one did not answer: an owner is
+/// Timeout of the background search for an owner after one did not answer: an owner is
 /// suspected after 250 ms, and a claim takes two log calls.
 const OWNER_SEARCH_LIMIT: Duration = Duration::from_millis(700);
 
@@ -110,6 +111,7 @@
                 let limits = &owner.cold_counters.limits;
                 break LedgerReply::Quota(limits.admit(partition, &claim, &question));
             }
+            // The lease of the previous owner may still be valid.
             State::Waiting(retry_after_ms) => {
                 break LedgerReply::Quota(QuotaReply::Refused { retry_after_ms });
             }
--- a/crates/gateway/src/ledger/exchange.rs
+++ b/crates/gateway/src/ledger/exchange.rs
@@ -9,7 +9,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, timeout};
 
-/// A time-out that fires this much late shows that this process was paused.
+/// If a timeout fires this much too late, this process was paused.
 const PROCESS_PAUSE: Duration = Duration::from_millis(150);
 
 /// Outcome of one request to the owner of a partition.
@@ -21,7 +21,8 @@
     OwnerGone(Option<u64>),
     /// The owner does not answer; the epoch is that of its claim.
     OwnerSilent(u64),
-    /// The owner has claimed the partition and is loading it; the epoch is that of its claim.
+    /// The owner answers but cannot serve the request: it is loading or releasing the partition, or
+    /// the turn was closed already. The epoch is that of its claim.
     OwnerLoading(u64),
     /// Retry once an ownership change is reported, or after a short wait.
     RetryAfterChange,
@@ -30,7 +31,7 @@
 }
 
 impl Exchange {
-    /// Returns what is wrong with the owner, if anything.
+    /// Returns why the owner cannot serve the request, if so.
     fn suspicion(&self) -> Option<Suspicion> {
         match self {
             Self::OwnerGone(epoch) => Some((*epoch, "gone")),
@@ -45,11 +46,11 @@
 enum WaitEnd {
     /// A reply; `None` if the connection closed.
     Reply(Option<LedgerReply>),
-    /// The partition has a newer claim than the one that the request was sent by.
+    /// The partition has a newer claim than that of the owner that the request was sent to.
     NewClaim,
 }
 
-/// Epoch of a suspected owner, and what is wrong with it.
+/// Epoch of an owner that cannot serve a request, and the reason as logged.
 pub(super) type Suspicion = (Option<u64>, &'static str);
 
 impl LedgerClient {
@@ -155,6 +156,8 @@
         in_doubt.set(was_in_doubt);
         match reply {
             LedgerReply::Unavailable => Exchange::OwnerLoading(claim.epoch),
+            // The owner cannot load the partition because the log does not answer it, so it is
+            // replaced like one that does not answer.
             LedgerReply::NotLoaded => Exchange::OwnerSilent(claim.epoch),
             LedgerReply::NotOwner(Some(known)) if self.learn_owner(partition, &known) => {
                 Exchange::RetryAfterChange
@@ -168,7 +171,7 @@
     }
 
     /// Waits for a reply or for a newer claim: once any daemon has replaced a lost owner, the
-    /// others need not wait for their own time-outs.
+    /// others need not wait for their own timeouts.
     async fn wait_for_reply(
         &self,
         partition: u32,
--- a/crates/gateway/src/ledger/homes.rs
+++ b/crates/gateway/src/ledger/homes.rs
@@ -13,9 +13,7 @@
 
 /// An owner that does not answer in this time is suspected.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(250);
-/// Shortest pause between two checks of the owners of a region. Daemons of the region notice a lost
-/// owner by their clients' requests. The check serves clients in other regions, whose daemons may
-/// not take over.
+/// Shortest pause between two checks of the owners of a region.
 const CHECK_PERIOD: Duration = Duration::from_millis(500);
 /// Largest random addition to the pause, so that not all daemons notice a lost owner at the same
 /// moment.
@@ -37,6 +35,9 @@
 
 /// Checks the owners of this region's home partitions until the daemon stops. Partitions that were
 /// never claimed are skipped.
+///
+/// Daemons of the region also notice a lost owner by their own clients' requests. The check serves
+/// clients in other regions, whose daemons may not take over.
 pub async fn watch_owners(ledger: Rc<LedgerClient>) {
     loop {
         let jitter = Duration::from_millis(fastrand::u64(0..CHECK_JITTER_MS));
@@ -50,7 +51,8 @@
     }
 }
 
-/// Queries the owner of a partition, and replaces it if it does not answer or has lost the log.
+/// Asks the owner of a partition whether the log answers it, and replaces it if the log does not or
+/// if the owner does not answer.
 async fn check_owner(ledger: &LedgerClient, partition: u32) {
     let claims = &ledger.owner.claims;
     let Some(claim) = claims.claim(partition) else {
--- a/crates/gateway/src/ledger/limits.rs
+++ b/crates/gateway/src/ledger/limits.rs
@@ -78,7 +78,7 @@
         })
     }
 
-    /// Calls `act` with the counters of a claim, which start anew with each claim.
+    /// Calls `act` with the counters of a claim, which start empty with each claim.
     fn with_counters(
         &self,
         partition: u32,
--- a/crates/gateway/src/ledger/load.rs
+++ b/crates/gateway/src/ledger/load.rs
@@ -49,8 +49,8 @@
     }
 
     /// Performs the next step; returns the partition once it is loaded completely. Earlier owners
-    /// are fenced before anything is read, so that no record that one of them had acknowledged
-    /// can be missed.
+    /// are fenced before anything is read, so that no record acknowledged by an earlier owner can
+    /// be missed.
     ///
     /// # Errors
     /// [`StoreError::Fenced`] if a later owner has fenced this one. After any other error the step
--- a/crates/gateway/src/ledger/owner.rs
+++ b/crates/gateway/src/ledger/owner.rs
@@ -39,6 +39,7 @@
 /// consider the log lost, so that no daemon confirms the log's availability by a reply from
 /// before an outage.
 const RECENT_LOG_REPLY: Duration = Duration::from_millis(800);
+/// How often expired turns and programs are deleted.
 const EXPIRY_PERIOD: Duration = Duration::from_secs(5);
 
 /// The partitions that this daemon owns, with the state that is needed to serve them.
@@ -151,11 +152,14 @@
     ) {
         let partition = request.partition(self.zone_state.layout.global_count());
         match request {
+            // Asked before an owner is replaced and to tell an outage of the log from a daemon that
+            // is cut off: replies of the log from before an outage must not count.
             LedgerRequest::HasRecentLogContact => {
                 let has_log = self.log_health.answered_within(RECENT_LOG_REPLY)
                     && !self.log_health.is_failing();
                 let _ = sender.send(LedgerReply::LogContact(has_log));
             }
+            // Asked by the periodic check of owners in the same region.
             LedgerRequest::HasLogContact => {
                 let _ = sender.send(LedgerReply::LogContact(!self.log_health.is_lost()));
             }
@@ -183,6 +187,7 @@
             LedgerRequest::Cold(request) => {
                 ntex::rt::spawn(cold::answer(self.clone(), partition, request, sender));
             }
+            // The reply names the owner that this daemon knows, which may be itself.
             LedgerRequest::FindOwner(_) => {
                 let _ = sender.send(LedgerReply::NotOwner(self.known_owner(partition)));
             }
@@ -354,8 +359,8 @@
     }
 }
 
-/// Claims a partition on request of a daemon that cannot reach the log, and replies with the
-/// resulting owner.
+/// Claims a partition on request of a daemon that does not reach the log or is in another region.
+/// Replies with the resulting owner.
 async fn claim_on_request(
     owner: Rc<Owner>,
     claim: ClaimPartition,
--- a/crates/gateway/src/ledger/quota.rs
+++ b/crates/gateway/src/ledger/quota.rs
@@ -12,11 +12,12 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time limit to get a reply of the owner, which includes finding a new one. After that a request
-/// is decided without the owner.
+/// Timeout for a reply of the owner of a tenant's partition, which includes finding a new owner.
+/// After that a request is decided without the owner.
 const OWNER_LIMIT: Duration = Duration::from_millis(300);
-/// The same while this daemon is cut off with a minority of the zones, where owners that cannot be
-/// reached are not replaced. This is several times what an owner in the same zone takes to reply.
+/// Timeout for a reply of the owner while this daemon is cut off with a minority of the daemons or
+/// zones, where owners that cannot be reached are not replaced. This is several times what an owner
+/// in the same zone takes to reply.
 const MINORITY_OWNER_LIMIT: Duration = Duration::from_millis(60);
 /// For this long after an owner did not answer, requests that the local share covers are admitted
 /// without a request to the owner.
@@ -81,7 +82,7 @@
         self.with_share(tenant, |share, now_ms| share.take(self.window_ms, now_ms))
     }
 
-    /// Decides on one request of a tenant, by the owner of its limit if that answers.
+    /// Decides on one request of a tenant, by the owner of the tenant's partition if that answers.
     pub async fn acquire(&self, ledger: &LedgerClient, quota_request: &QuotaRequest) -> Outcome {
         let tenant = &quota_request.tenant;
         let partition = ledger.partition_of(tenant);
@@ -121,9 +122,10 @@
 }
 
 impl LedgerClient {
-    /// Reports to the owner of a limit, in the background, that a client disconnected. The report
-    /// is sent only once: hundreds of clients disconnect when owners stop answering, and an owner
-    /// that misses a report merely counts the program as a short one.
+    /// Reports to the owner of a tenant's partition, in the background, that a client disconnected.
+    /// The report is sent only once: hundreds of clients disconnect when owners stop answering, and
+    /// an owner that misses a report merely refunds nothing and counts the program as one that
+    /// ended after few requests.
     pub(crate) fn report_client_left(self: &Rc<Self>, report: QuotaRequest) {
         let ledger = self.clone();
         ntex::rt::spawn(async move {
--- a/crates/gateway/src/ledger/reach.rs
+++ b/crates/gateway/src/ledger/reach.rs
@@ -13,8 +13,9 @@
 
 /// Pause between two assessments.
 const PERIOD: Duration = Duration::from_millis(200);
-/// After this time without being ready, a daemon has failed two of the platform's readiness checks,
-/// which are sent every second, and gets no new connections.
+/// After this time in [`Reach::Minority`], a daemon has failed two of the platform's readiness
+/// checks, which are sent every second, and gets no new connections. It then closes idle
+/// connections.
 const AWAY_AFTER: Duration = Duration::from_millis(2_100);
 /// Partition of the log that is probed. Any will do, since a network partition cuts off machines
 /// and not single partitions.
--- a/crates/gateway/src/ledger/region.rs
+++ b/crates/gateway/src/ledger/region.rs
@@ -14,17 +14,17 @@
 
 /// How long no daemon of a home partition's region may answer before the region counts as lost.
 /// This leaves time for two requests and for a claim between them. If the region is lost, there
-/// is no owner to wait for, and the client is told so before its deadline.
+/// is no owner to wait for, and the client gets an error before its deadline.
 pub(super) const SILENCE_LIMIT: Duration = Duration::from_millis(600);
 /// Shortest pause between two rounds of claim requests for an unowned partition, so that many
-/// waiting requests cause no more of them than a single one.
+/// waiting requests do not multiply the claim requests.
 const CLAIM_REQUEST_PERIOD: Duration = Duration::from_millis(300);
 /// Time that a daemon has to claim the partition.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(400);
 /// Number of daemons that are asked to claim if owners of other partitions of the region are known.
 const KNOWN_OWNERS_ASKED: usize = 3;
 /// Number of daemons that are asked to claim if no daemon is known to be in the region. With three
-/// regions, two such rounds in a row hardly ever miss the right one.
+/// regions, two such rounds almost always include a daemon of the region.
 const UNKNOWN_DAEMONS_ASKED: usize = 8;
 
 /// Activity in the regions of home partitions, by partition.
--- a/crates/gateway/src/ledger/release.rs
+++ b/crates/gateway/src/ledger/release.rs
@@ -24,8 +24,10 @@
         .await;
     }
 
-    /// Releases a partition once everything that it granted is durable. Until then this daemon
-    /// serves it: while the log is down, no other daemon could take it over.
+    /// Releases a partition once everything that it granted is durable. This daemon serves the
+    /// partition until a first append is durable, however long that takes: while the log is down,
+    /// no other daemon could take it over. It then waits for a second append for at most
+    /// [`HANDOVER_LIMIT`].
     async fn release_partition(&self, partition: u32) {
         self.append_handover(partition).await;
         self.stop_serving(partition);
@@ -39,9 +41,9 @@
         self.drop_partition(partition, None);
     }
 
-    /// Appends the program records that the next owner of a partition needs. Once these and
-    /// everything before them are durable, returns how long programs that earlier owners left
-    /// without a record stay uncertain for the next owner; `None` if this owner was fenced.
+    /// Appends the program records that the next owner of a partition needs; see
+    /// `ServedPartition::append_handover`. Returns `None` if this owner was fenced or the partition
+    /// is not loaded.
     fn append_handover(&self, partition: u32) -> impl Future<Output = Option<u64>> + use<> {
         let handover = match self.held.borrow().get(&partition) {
             Some(HeldPartition::Serving(served) | HeldPartition::Releasing(served)) => {
--- a/crates/gateway/src/ledger/replace.rs
+++ b/crates/gateway/src/ledger/replace.rs
@@ -17,7 +17,7 @@
 /// Number of daemons that a query is sent to.
 const QUERIED_PEERS: usize = 3;
 /// Number of daemons that are polled to find out whether this daemon is cut off together with a few
-/// others. With a sample of this size, those few are seldom half of it.
+/// others. In a sample of this size, those few are seldom as many as half.
 const REACHABILITY_SAMPLE: usize = 16;
 /// Time that a daemon has to answer a query.
 const PEER_TIMEOUT: Duration = Duration::from_millis(120);
@@ -49,6 +49,9 @@
 
 impl LedgerClient {
     /// Records what another daemon knows of an owner. Returns whether it was new.
+    ///
+    /// The message does not name the previous owner, so it counts as lost: it may then have granted
+    /// what was not recorded.
     pub(super) fn learn_owner(&self, partition: u32, known: &KnownOwner) -> bool {
         let Ok(address) = known.address.parse() else {
             return false;
@@ -63,7 +66,7 @@
         self.owner.claims.learn(partition, claim)
     }
 
-    /// Queries some other daemons for the owner of a partition, since a daemon that is cut off
+    /// Asks some other daemons for the owner of a partition, since a daemon that is cut off
     /// from the log does not see new claims. Returns whether one of them knew a newer owner.
     async fn learn_owner_from_peers(&self, partition: u32, epoch: Option<u64>) -> bool {
         let suspected = self
@@ -122,7 +125,7 @@
         self.peers.request(address, request, limit).await
     }
 
-    /// Queries some daemons whether the log answers them.
+    /// Asks some daemons whether the log answers them.
     pub async fn poll_peers_for_log(&self) -> Round {
         let answers = self
             .query_peers(None, &LedgerRequest::HasRecentLogContact, PEER_TIMEOUT)
@@ -144,7 +147,7 @@
         (answers.len(), answers.iter().flatten().count())
     }
 
-    /// Queries some daemons for a configuration newer than this version.
+    /// Asks some daemons for a configuration newer than this version.
     pub async fn query_peer_configs(&self, version: u64) -> Vec<ConfigUpdate> {
         let request = LedgerRequest::Config(version);
         let answers = self.query_peers(None, &request, PEER_TIMEOUT).await;
@@ -195,7 +198,8 @@
     /// Waits for an ownership change of a partition that only daemons of another region may own;
     /// returns false at once if this daemon may own it. The daemons of that region watch their
     /// owners themselves: a daemon that is cut off from the region would otherwise replace owners
-    /// that work well there. If the partition has no owner, they are asked to claim it.
+    /// that work well there. If the partition has no owner, the daemons of its region are asked to
+    /// claim it.
     async fn defer_to_region(&self, partition: u32, epoch: Option<u64>) -> bool {
         if self.owner.claims.is_eligible(partition) {
             return false;
@@ -209,8 +213,9 @@
         true
     }
 
-    /// Takes over a partition from an owner that noted the end of a turn but does not append it,
-    /// if the owner itself replies that the log does not answer it, or does not reply.
+    /// Takes over a partition from an owner that may be unable to append: it has accepted the end
+    /// of a turn but not recorded it, or gave no permit for a cold server in time. Does so only if
+    /// the owner replies that the log does not answer it, or does not reply.
     pub(super) async fn replace_stuck(&self, partition: u32) {
         let claims = &self.owner.claims;
         let Some(claim) = claims.claim(partition) else {
@@ -283,8 +288,8 @@
             return;
         }
         if self.reach.get() == Reach::Minority {
-            // The majority of the zones continues without this daemon, and would take the
-            // partition back.
+            // The majority of the daemons or zones continues without this daemon, and would take
+            // the partition back.
             let _ = timeout(OWNER_CHANGE_WAIT, self.owner.claims.changed.notified()).await;
             return;
         }
--- a/crates/gateway/src/ledger/served.rs
+++ b/crates/gateway/src/ledger/served.rs
@@ -38,6 +38,7 @@
             LedgerRequest::Open(open) => self.open(&open, sender),
             LedgerRequest::Close(close) => self.close(&close, sender),
             LedgerRequest::Find(find) => self.find(&find.turn, sender),
+            // Answered by `Owner::handle`, which passes on only requests about turns.
             LedgerRequest::FindOwner(_)
             | LedgerRequest::HasRecentLogContact
             | LedgerRequest::HasLogContact
@@ -77,8 +78,8 @@
                     self.push(records, pending, urgency);
                 }
             }
-            // A refusal has to be correct: it is sent once an append shows that no other owner
-            // has fenced this one.
+            // A refusal by an owner that has been replaced could be wrong, so it is sent only once
+            // an append has shown that no later owner has fenced this one.
             OpenOutcome::BudgetSpent(shortage) => {
                 self.reply_after_fence_check(sender, LedgerReply::BudgetSpent(shortage));
             }
@@ -114,6 +115,9 @@
     /// Appends the program records that the next owner needs. Once these and everything before
     /// them are durable, the receiver gets how long programs without a record stay uncertain for
     /// the next owner, in milliseconds; `None` if this owner was fenced.
+    ///
+    /// A program without a record is uncertain while an earlier owner may have granted it tokens
+    /// that were not recorded.
     pub(super) fn append_handover(&self) -> oneshot::Receiver<Option<u64>> {
         let (sender, receiver) = oneshot::channel();
         let records = self.state.borrow_mut().handover_records();
@@ -126,8 +130,8 @@
         receiver
     }
 
-    /// Appends the record that lets programs start while the log is down, as long as programs
-    /// without a record are uncertain.
+    /// While programs without a record are uncertain (see [`Self::append_handover`]), appends the
+    /// record that lets new programs start during an outage of the log.
     pub(super) fn claim_unrecorded_share(&self) {
         let records = self.state.borrow().claim_unrecorded_share(unix_ms());
         if !records.is_empty() {
