--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -5,7 +5,7 @@
 use crate::ledger::assigner::Assigner;
 use crate::ledger::client::LedgerClient;
 use crate::ledger::owner::Owner;
-use crate::ledger::quota::TenantShares;
+use crate::ledger::quota::LocalShares;
 use crate::memory::Memory;
 use crate::metrics::Metrics;
 use crate::relay::{self, Relay};
@@ -81,7 +81,7 @@
     /// Client for the owners of ledger partitions.
     pub ledger: Rc<LedgerClient>,
     /// Shares of tenants' limits granted to this daemon.
-    pub quota: TenantShares,
+    pub quota: LocalShares,
     /// Limits the memory for data buffered for slow peers.
     pub memory: Rc<Memory>,
     /// Metrics.
@@ -145,7 +145,7 @@
             incarnation,
         );
         let ledger = Rc::new(LedgerClient::new(owner.clone(), adapter.log_health.clone()));
-        let quota = TenantShares::new(settings.quota.window_ms);
+        let quota = LocalShares::new(settings.quota.window_ms);
         let memory = Rc::new(Memory::new(settings.slow_peers, adapter.metrics.clone()));
         Rc::new(Self {
             settings,
--- a/crates/gateway/src/follow/config.rs
+++ b/crates/gateway/src/follow/config.rs
@@ -112,14 +112,14 @@
         if is_outage && !replies.is_empty() {
             daemon.zone_state.confirm();
         }
-        for news in replies {
-            if let Some(document) = news.document {
+        for update in replies {
+            if let Some(document) = update.document {
                 apply(&daemon, None, &document);
             }
-            for evacuation in &news.evacuations {
+            for evacuation in &update.evacuations {
                 daemon.zone_state.apply_peer_status(evacuation);
             }
-            if let Some(age_ms) = news.age_ms {
+            if let Some(age_ms) = update.age_ms {
                 daemon.owner.config.confirm(age_ms);
             }
         }
@@ -183,8 +183,8 @@
         daemon.owner.set_longest_turn(longest_ms);
     }
     daemon.cold.set_config(&config);
-    let former = daemon.routes.borrow().clone();
-    let table = RouteTable::new(config, former.as_deref(), fastrand::u64(..));
+    let previous = daemon.routes.borrow().clone();
+    let table = RouteTable::new(config, previous.as_deref(), fastrand::u64(..));
     daemon.routes.replace(Some(Rc::new(table)));
     daemon.routes_changed.notify_waiters();
 }
--- a/crates/gateway/src/follow/servers.rs
+++ b/crates/gateway/src/follow/servers.rs
@@ -40,8 +40,8 @@
             Update::Listing(records) => apply_listing(&daemon, &records, follower.position()),
             Update::Records(records) => DirectoryUpdate::new(&daemon).apply_all(&records),
         }
-        let known = daemon.directory.borrow().len();
-        daemon.relay.set_server_count(known);
+        let server_count = daemon.directory.borrow().len();
+        daemon.relay.set_server_count(server_count);
         sleep(PAUSE).await;
     }
 }
@@ -50,13 +50,13 @@
 fn apply_listing(daemon: &Daemon, records: &[(u64, KeyedRecord)], end: u64) {
     let listed: HashSet<Cow<'_, str>> = records.iter().map(|(_, record)| name_of(record)).collect();
     let mut update = DirectoryUpdate::new(daemon);
-    let gone = daemon
+    let removed = daemon
         .directory
         .borrow_mut()
         .retain(&|name| listed.contains(name), end);
-    for id in gone {
+    for id in removed {
         daemon.cold.remove(&id);
-        update.log_gone(&id, "not listed", end);
+        update.log_removal(&id, "not listed", end);
     }
     update.apply_all(records);
     daemon.cold.finish_initial_listing();
@@ -72,8 +72,8 @@
 struct DirectoryUpdate<'a> {
     daemon: &'a Daemon,
     unreadable: UnreadableReport<'a>,
-    known: u32,
-    gone: u32,
+    changed: u32,
+    removed: u32,
 }
 
 impl<'a> DirectoryUpdate<'a> {
@@ -81,8 +81,8 @@
         Self {
             daemon,
             unreadable: UnreadableReport::new(UNREADABLE_ENTRY, &daemon.metrics),
-            known: 0,
-            gone: 0,
+            changed: 0,
+            removed: 0,
         }
     }
 
@@ -112,7 +112,7 @@
 
     fn insert(&mut self, name: &str, entry: ServerEntry, offset: u64) {
         let daemon = self.daemon;
-        let former = daemon
+        let previous = daemon
             .directory
             .borrow()
             .current_identity(name)
@@ -125,19 +125,24 @@
             return;
         }
         daemon.cold.record_report(&server);
-        if let Some(former) = former.filter(|_| change == DirectoryChange::Restarted) {
-            daemon.cold.remove(&former);
-            tracing::info!(event = "server_restarted", server = id, former, offset);
+        if let Some(previous) = previous.filter(|_| change == DirectoryChange::Restarted) {
+            daemon.cold.remove(&previous);
+            tracing::info!(
+                event = "server_restarted",
+                server = id,
+                former = previous,
+                offset
+            );
         }
         if change != DirectoryChange::Unchanged {
-            self.log_known(&server, offset);
+            self.log_change(&server, offset);
         }
     }
 
     /// Logs a server that is new, has restarted or has started draining.
-    fn log_known(&mut self, server: &ServerEntry, offset: u64) {
-        self.known += 1;
-        if self.known > MAX_LOGGED_CHANGES {
+    fn log_change(&mut self, server: &ServerEntry, offset: u64) {
+        self.changed += 1;
+        if self.changed > MAX_LOGGED_CHANGES {
             return;
         }
         tracing::info!(
@@ -157,14 +162,14 @@
         let removed = self.daemon.directory.borrow_mut().remove(name, offset);
         if let Some(id) = removed {
             self.daemon.cold.remove(&id);
-            self.log_gone(&id, cause, offset);
+            self.log_removal(&id, cause, offset);
         }
     }
 
     /// Logs a server that was removed.
-    fn log_gone(&mut self, id: &str, cause: &'static str, offset: u64) {
-        self.gone += 1;
-        if self.gone <= MAX_LOGGED_CHANGES {
+    fn log_removal(&mut self, id: &str, cause: &'static str, offset: u64) {
+        self.removed += 1;
+        if self.removed <= MAX_LOGGED_CHANGES {
             tracing::info!(event = "server_gone", server = id, cause, offset);
         }
     }
@@ -172,13 +177,13 @@
 
 impl Drop for DirectoryUpdate<'_> {
     fn drop(&mut self) {
-        let known = self.known.saturating_sub(MAX_LOGGED_CHANGES);
-        let gone = self.gone.saturating_sub(MAX_LOGGED_CHANGES);
-        if known + gone > 0 {
+        let changed = self.changed.saturating_sub(MAX_LOGGED_CHANGES);
+        let removed = self.removed.saturating_sub(MAX_LOGGED_CHANGES);
+        if changed + removed > 0 {
             tracing::info!(
                 event = "servers_changed",
-                unnamed_known = known,
-                unnamed_gone = gone
+                unnamed_known = changed,
+                unnamed_gone = removed
             );
         }
     }
--- a/crates/gateway/src/follow/unreadable.rs
+++ b/crates/gateway/src/follow/unreadable.rs
@@ -61,11 +61,11 @@
 
 impl Drop for UnreadableReport<'_> {
     fn drop(&mut self) {
-        let unnamed = self.found.saturating_sub(MAX_LOGGED_RECORDS);
-        if unnamed > 0 {
+        let omitted = self.found.saturating_sub(MAX_LOGGED_RECORDS);
+        if omitted > 0 {
             tracing::error!(
                 event = self.source.event,
-                unnamed,
+                unnamed = omitted,
                 remedy = self.source.remedy
             );
         }
--- a/crates/gateway/src/ledger/assigner.rs
+++ b/crates/gateway/src/ledger/assigner.rs
@@ -21,7 +21,7 @@
 
 /// Smallest number of candidates that are drawn from a group. If evacuated zones or disallowed
 /// regions leave fewer, the candidates are drawn from all groups.
-const MIN_DRAWN: usize = 8;
+const MIN_CANDIDATES: usize = 8;
 
 /// The engine groups of a service, computed for a version of its engine list.
 struct CachedGroups {
@@ -78,7 +78,7 @@
         let directory = self.directory.borrow();
         let serving = directory.active_servers(&placement.service)?;
         let partition = partition_of(&open.program, self.partitions);
-        let (mut engines, share) = match serving.all.len() <= FULL_SCAN_MAX {
+        let (mut engines, owned_fraction) = match serving.all.len() <= FULL_SCAN_MAX {
             true => self.small_service_engines(&placement.service, serving, partition),
             false => self.large_service_engines(&directory, serving, open, placement, partition),
         };
@@ -93,7 +93,7 @@
         let engine = self
             .table
             .borrow_mut()
-            .assign(&turn, &engines, share, now_ms)?;
+            .assign(&turn, &engines, owned_fraction, now_ms)?;
         Some(engine.to_string())
     }
 
@@ -106,12 +106,12 @@
         partition: u32,
     ) -> (Vec<Engine<'a>>, f64) {
         let groups = self.groups(service, serving);
-        let home = groups.partition_group(partition);
+        let own_group = groups.partition_group(partition);
         let mut engines = sorted_engines(serving);
         for engine in &mut engines {
-            engine.is_in_group = groups.engine_group(engine.id) == Some(home);
+            engine.is_in_group = groups.engine_group(engine.id) == Some(own_group);
         }
-        (engines, self.share(groups.count(), home))
+        (engines, self.owned_fraction(groups.count(), own_group))
     }
 
     /// Returns the candidates for a turn from the engines of a large service, and the fraction of
@@ -129,8 +129,8 @@
         partition: u32,
     ) -> (Vec<Engine<'a>>, f64) {
         let count = group_count(serving.all.len(), self.partitions);
-        let home = partition % count;
-        let arc = HashRange::nth_of(home, count);
+        let own_group = partition % count;
+        let arc = HashRange::nth_of(own_group, count);
         let regions = allowed_regions(placement);
         let servers = self
             .zone_state
@@ -141,9 +141,9 @@
                     range: arc,
                     start: placement.prefix_hash,
                 };
-                let drawn = select_candidates(serving, &from(arc), &is_usable).servers;
-                match drawn.len() >= MIN_DRAWN {
-                    true => drawn,
+                let candidates = select_candidates(serving, &from(arc), &is_usable).servers;
+                match candidates.len() >= MIN_CANDIDATES {
+                    true => candidates,
                     false => select_candidates(serving, &from(HashRange::FULL), &is_usable).servers,
                 }
             });
@@ -153,15 +153,15 @@
         let previous = previous
             .and_then(|id| directory.entry(id))
             .filter(|server| {
-                let is_drawn = servers.iter().any(|drawn| drawn.id == server.id);
-                !is_drawn && !server.draining && server.service == placement.service
+                let is_candidate = servers.iter().any(|candidate| candidate.id == server.id);
+                !is_candidate && !server.draining && server.service == placement.service
             });
         servers.extend(previous);
         let engines = servers.into_iter().map(|server| Engine {
             is_in_group: arc.contains(ring_position(&server.id)),
             ..engine(server)
         });
-        (engines.collect(), self.share(count, home))
+        (engines.collect(), self.owned_fraction(count, own_group))
     }
 
     /// Removes engines whose zones may not serve the turn, and sets the distance of the others.
@@ -223,7 +223,7 @@
 
     /// Returns the fraction of a group's programs whose partitions this daemon owns; `groups` is
     /// the number of groups.
-    fn share(&self, groups: u32, group: u32) -> f64 {
+    fn owned_fraction(&self, groups: u32, group: u32) -> f64 {
         let owned = self.owned.borrow();
         let of_group = owned
             .iter()
--- a/crates/gateway/src/ledger/client.rs
+++ b/crates/gateway/src/ledger/client.rs
@@ -3,7 +3,7 @@
 use super::exchange::{Exchange, Suspicion};
 use super::owner::Owner;
 use super::peer::Peers;
-use super::region::{RegionActivity, SILENCE_LIMIT};
+use super::region::{RegionActivity, SILENCE_TIMEOUT};
 use fieldhook_ledger::message::{
     BudgetUsage, CloseTurn, FindChain, LedgerReply, LedgerRequest, OpenTurn,
 };
@@ -26,7 +26,7 @@
 const APPEND_TIMEOUT: Duration = Duration::from_millis(900);
 /// Pause before a turn's end is sent again while this daemon is in [`Reach::Minority`].
 const MINORITY_RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// How often [`LedgerClient::wait_until_cut_off`] checks whether this daemon is in a minority.
+/// How often [`LedgerClient::wait_until_in_minority`] checks whether this daemon is in a minority.
 const MINORITY_CHECK_PERIOD: Duration = Duration::from_millis(50);
 /// Longest wait for an ownership change before a request is retried.
 pub(super) const OWNER_CHANGE_WAIT: Duration = Duration::from_millis(40);
@@ -221,12 +221,12 @@
                 })
             })
             .collect();
-        let until = deadline.min(Instant::now() + SILENCE_LIMIT);
-        let asked = requests.iter().map(|request| {
+        let until = deadline.min(Instant::now() + SILENCE_TIMEOUT);
+        let queries = requests.iter().map(|request| {
             let is_home = request.partition(layout.global_count()) >= layout.global_count();
-            self.ask(request, if is_home { until } else { deadline })
+            self.request_until_answered(request, if is_home { until } else { deadline })
         });
-        let mut answers: FuturesUnordered<_> = asked.collect();
+        let mut answers: FuturesUnordered<_> = queries.collect();
         let mut failure = OpenFailure::UnknownTurn;
         while let Some(answer) = answers.next().await {
             match answer {
@@ -250,7 +250,7 @@
         let partition = request.partition(self.owner.zone_state.layout.global_count());
         let answer = tokio::select! {
             biased;
-            answer = self.ask_tracked(&request, in_doubt, deadline) => answer,
+            answer = self.request_until_answered_tracked(&request, in_doubt, deadline) => answer,
             () = self.wait_for_region_silence(partition) => None,
         };
         match answer {
@@ -310,8 +310,8 @@
 
     /// Returns the global partition that the name of a program or tenant hashes to. Its owner
     /// orders the turns of the program, or counts the requests of the tenant.
-    pub fn partition_of(&self, program: &str) -> u32 {
-        self.owner.zone_state.layout.program_partition(program)
+    pub fn partition_of(&self, name: &str) -> u32 {
+        self.owner.zone_state.layout.program_partition(name)
     }
 
     /// Returns the home partition that stores the contents of a program, if the program is
@@ -322,7 +322,7 @@
 
     /// Completes once this daemon is in [`Reach::Minority`] and its log calls fail, so that it
     /// cannot have anything recorded.
-    pub async fn wait_until_cut_off(&self) {
+    pub async fn wait_until_in_minority(&self) {
         while self.reach.get() != Reach::Minority || !self.log_health.is_failing() {
             sleep(MINORITY_CHECK_PERIOD).await;
         }
@@ -333,7 +333,7 @@
         let request = LedgerRequest::Close(request.clone());
         let partition = request.partition(self.owner.zone_state.layout.global_count());
         while Instant::now() < deadline {
-            let answer = self.ask(&request, deadline).await;
+            let answer = self.request_until_answered(&request, deadline).await;
             let Some((LedgerReply::Accepted, mut replies)) = answer else {
                 if self.reach.get() != Reach::Minority {
                     return false;
@@ -353,17 +353,18 @@
 
     /// Sends a request to the owner of its partition until an owner answers; replaces owners that
     /// do not. [`Self::exchange`] sends a request only once.
-    pub(super) async fn ask(
+    pub(super) async fn request_until_answered(
         &self,
         request: &LedgerRequest,
         deadline: Instant,
     ) -> Option<(LedgerReply, mpsc::UnboundedReceiver<LedgerReply>)> {
-        self.ask_tracked(request, &Cell::default(), deadline).await
+        self.request_until_answered_tracked(request, &Cell::default(), deadline)
+            .await
     }
 
-    /// Like [`Self::ask`]; `in_doubt` tells whether an owner may have acted on the request without
-    /// having replied, even if this future is dropped.
-    async fn ask_tracked(
+    /// Like [`Self::request_until_answered`]; `in_doubt` tells whether an owner may have acted on
+    /// the request without having replied, even if this future is dropped.
+    async fn request_until_answered_tracked(
         &self,
         request: &LedgerRequest,
         in_doubt: &Cell<bool>,
--- a/crates/gateway/src/ledger/closing.rs
+++ b/crates/gateway/src/ledger/closing.rs
@@ -7,11 +7,12 @@
 use tokio::time::{Instant, timeout};
 
 /// How long closing an incomplete turn is retried. This outlasts an outage of the log, and ends
-/// before the owner deletes the program, 180 s after its last change.
+/// before the owner deletes the program, 180 s after its last change (`PROGRAM_RETENTION_MS` in
+/// fieldhook-ledger).
 const RETRY_FOR: Duration = Duration::from_secs(120);
 /// Timeout of one attempt. It suffices to notice that an owner does not answer and to send the
 /// request once more.
-const ATTEMPT_LIMIT: Duration = Duration::from_millis(1_200);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// First pause between attempts while no ownership change is reported; it doubles with each
 /// attempt. Hundreds of clients disconnect when an owner stops answering, and every close sends
 /// requests and searches for owners in addition to the requests that wait for the same partition.
@@ -52,7 +53,7 @@
         let until = Instant::now() + RETRY_FOR;
         let mut pause = FIRST_PAUSE;
         while Instant::now() < until {
-            if self.close(close, Instant::now() + ATTEMPT_LIMIT).await {
+            if self.close(close, Instant::now() + ATTEMPT_TIMEOUT).await {
                 return true;
             }
             // Retry at once when the owner changes: a new owner may answer the client's next
--- a/crates/gateway/src/ledger/cold.rs
+++ b/crates/gateway/src/ledger/cold.rs
@@ -27,7 +27,7 @@
 const CONFIRM_RETRY_MS: u64 = 100;
 /// Timeout of the background search for an owner after one did not answer: an owner is
 /// suspected after 250 ms, and a claim takes two log calls.
-const OWNER_SEARCH_LIMIT: Duration = Duration::from_millis(700);
+const OWNER_SEARCH_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Counters of requests to cold servers, by partition, and the leases under which they may be
 /// used.
@@ -107,9 +107,9 @@
                 if needs_renewal {
                     ntex::rt::spawn(confirm(owner.clone(), partition, claim));
                 }
-                let question = limits::cold_question(&request);
+                let admission_request = limits::cold_admission_request(&request);
                 let limits = &owner.cold_counters.limits;
-                break LedgerReply::Quota(limits.admit(partition, &claim, &question));
+                break LedgerReply::Quota(limits.admit(partition, &claim, &admission_request));
             }
             // The lease of the previous owner may still be valid.
             State::Waiting(retry_after_ms) => {
@@ -141,12 +141,12 @@
         return;
     }
     let asked_ms = counters.now_ms();
-    let limit = Duration::from_millis(TERM_MS);
+    let append_timeout = Duration::from_millis(TERM_MS);
     let fenced = fence(
         owner.store.as_ref(),
         owner.log_partition(partition),
         claim.epoch,
-        limit,
+        append_timeout,
     )
     .await;
     counters.confirming.borrow_mut().remove(&partition);
@@ -187,7 +187,7 @@
             let ledger = self.clone();
             ntex::rt::spawn(async move {
                 let answer = ledger
-                    .ask(&request, Instant::now() + OWNER_SEARCH_LIMIT)
+                    .request_until_answered(&request, Instant::now() + OWNER_SEARCH_TIMEOUT)
                     .await;
                 if answer.is_none() {
                     // The owner may answer but not be confirmed by the log.
--- a/crates/gateway/src/ledger/limits.rs
+++ b/crates/gateway/src/ledger/limits.rs
@@ -55,15 +55,15 @@
         &self,
         partition: u32,
         claim: &Claim,
-        question: &AdmissionRequest<'_>,
+        request: &AdmissionRequest<'_>,
     ) -> QuotaReply {
         self.with_counters(partition, claim, |counters, now_ms| {
-            quota_answer(counters.decide(question, now_ms))
+            quota_reply(counters.decide(request, now_ms))
         })
     }
 
     /// Records that the client of a program's last request disconnected.
-    pub(super) fn client_left(
+    pub(super) fn record_disconnect(
         &self,
         partition: u32,
         claim: &Claim,
@@ -116,7 +116,7 @@
 }
 
 /// Converts a request about a cold server.
-pub(super) fn cold_question(request: &ColdServerRequest) -> AdmissionRequest<'_> {
+pub(super) fn cold_admission_request(request: &ColdServerRequest) -> AdmissionRequest<'_> {
     cold::permit_request(
         &request.server,
         request.rate_per_s,
@@ -126,7 +126,7 @@
 }
 
 /// Converts a request about a tenant.
-pub(super) fn tenant_question(request: &QuotaRequest) -> AdmissionRequest<'_> {
+pub(super) fn tenant_admission_request(request: &QuotaRequest) -> AdmissionRequest<'_> {
     AdmissionRequest {
         tenant: &request.tenant,
         limit: Limit {
@@ -142,8 +142,8 @@
     }
 }
 
-fn quota_answer(answer: QuotaDecision) -> QuotaReply {
-    match answer {
+fn quota_reply(decision: QuotaDecision) -> QuotaReply {
+    match decision {
         QuotaDecision::Granted { used } => QuotaReply::Granted { used },
         QuotaDecision::Refused { retry_after_ms } => QuotaReply::Refused { retry_after_ms },
     }
--- a/crates/gateway/src/ledger/owner.rs
+++ b/crates/gateway/src/ledger/owner.rs
@@ -233,10 +233,12 @@
         let reply = match claim {
             Some(claim) => LedgerReply::Quota(match request.event {
                 QuotaEvent::Request => {
-                    let question = limits::tenant_question(request);
-                    self.limits.admit(partition, &claim, &question)
+                    let admission_request = limits::tenant_admission_request(request);
+                    self.limits.admit(partition, &claim, &admission_request)
+                }
+                QuotaEvent::Interrupted => {
+                    self.limits.record_disconnect(partition, &claim, request)
                 }
-                QuotaEvent::Interrupted => self.limits.client_left(partition, &claim, request),
             }),
             None if may_be_replaced => LedgerReply::NotOwner(None),
             None => LedgerReply::NotOwner(self.known_owner(partition)),
--- a/crates/gateway/src/ledger/peer.rs
+++ b/crates/gateway/src/ledger/peer.rs
@@ -114,12 +114,12 @@
     }
 }
 
-type Replies = mpsc::UnboundedSender<LedgerReply>;
+type ReplySender = mpsc::UnboundedSender<LedgerReply>;
 
 /// An outgoing connection to another daemon.
 pub struct PeerConnection {
     frames: mpsc::UnboundedSender<Vec<u8>>,
-    calls: RefCell<HashMap<u64, Replies>>,
+    calls: RefCell<HashMap<u64, ReplySender>>,
     next_call_id: Cell<u64>,
     closed: Cell<bool>,
     discarded: Cell<bool>,
@@ -251,13 +251,13 @@
         &self,
         address: SocketAddr,
         request: &LedgerRequest,
-        limit: Duration,
+        reply_timeout: Duration,
     ) -> Option<LedgerReply> {
         let exchange = async {
             let connection = self.connection(address).await.ok()?;
             connection.call(request.clone()).recv().await
         };
-        timeout(limit, exchange).await.ok().flatten()
+        timeout(reply_timeout, exchange).await.ok().flatten()
     }
 
     fn open_connection(&self, address: SocketAddr) -> Option<Rc<PeerConnection>> {
--- a/crates/gateway/src/ledger/quota.rs
+++ b/crates/gateway/src/ledger/quota.rs
@@ -14,11 +14,11 @@
 
 /// Timeout for a reply of the owner of a tenant's partition, which includes finding a new owner.
 /// After that a request is decided without the owner.
-const OWNER_LIMIT: Duration = Duration::from_millis(300);
+const OWNER_TIMEOUT: Duration = Duration::from_millis(300);
 /// Timeout for a reply of the owner while this daemon is cut off with a minority of the daemons or
 /// zones, where owners that cannot be reached are not replaced. This is several times what an owner
 /// in the same zone takes to reply.
-const MINORITY_OWNER_LIMIT: Duration = Duration::from_millis(60);
+const MINORITY_OWNER_TIMEOUT: Duration = Duration::from_millis(60);
 /// For this long after an owner did not answer, requests that the local share covers are admitted
 /// without a request to the owner.
 const SKIP_OWNER_FOR: Duration = Duration::from_millis(400);
@@ -39,8 +39,8 @@
     Unknown,
 }
 
-/// This daemon's shares of the tenants' limits, as granted by the owners.
-pub struct TenantShares {
+/// This daemon's local shares of the tenants' limits, as granted by the owners.
+pub struct LocalShares {
     by_tenant: RefCell<HashMap<Rc<str>, FallbackQuota>>,
     /// Until when the owner of a partition is not asked before the local share is used.
     skip_owner_until: RefCell<HashMap<u32, Instant>>,
@@ -48,7 +48,7 @@
     started: Instant,
 }
 
-impl TenantShares {
+impl LocalShares {
     /// Creates empty shares. Limits apply to windows of this length.
     pub fn new(window_ms: u64) -> Self {
         Self {
@@ -90,12 +90,12 @@
             return Outcome::AdmittedLocally;
         }
         let request = LedgerRequest::Quota(quota_request.clone());
-        let limit = match ledger.reach.get() {
-            Reach::Minority => MINORITY_OWNER_LIMIT,
-            _ => OWNER_LIMIT,
+        let owner_timeout = match ledger.reach.get() {
+            Reach::Minority => MINORITY_OWNER_TIMEOUT,
+            _ => OWNER_TIMEOUT,
         };
-        let deadline = Instant::now() + limit;
-        match ledger.ask(&request, deadline).await {
+        let deadline = Instant::now() + owner_timeout;
+        match ledger.request_until_answered(&request, deadline).await {
             Some((LedgerReply::Quota(QuotaReply::Granted { used }), _)) => {
                 self.skip_owner_until.borrow_mut().remove(&partition);
                 let window_s = self.window_ms as f64 / 1_000.0;
@@ -126,13 +126,13 @@
     /// The report is sent only once: hundreds of clients disconnect when owners stop answering, and
     /// an owner that misses a report merely refunds nothing and counts the program as one that
     /// ended after few requests.
-    pub(crate) fn report_client_left(self: &Rc<Self>, report: QuotaRequest) {
+    pub(crate) fn report_disconnect(self: &Rc<Self>, report: QuotaRequest) {
         let ledger = self.clone();
         ntex::rt::spawn(async move {
             let partition = ledger.partition_of(&report.tenant);
             let (program, tenant) = (report.program.clone(), report.tenant.clone());
             let request = LedgerRequest::Quota(report);
-            let answer = ledger.exchange(partition, &request, OWNER_LIMIT).await;
+            let answer = ledger.exchange(partition, &request, OWNER_TIMEOUT).await;
             if !matches!(answer, Exchange::Answered(..)) {
                 tracing::info!(event = "left_untold", program, tenant, partition);
             }
--- a/crates/gateway/src/ledger/reach.rs
+++ b/crates/gateway/src/ledger/reach.rs
@@ -12,11 +12,11 @@
 use tokio::time::{Instant, sleep};
 
 /// Pause between two assessments.
-const PERIOD: Duration = Duration::from_millis(200);
+const ASSESSMENT_PERIOD: Duration = Duration::from_millis(200);
 /// After this time in [`Reach::Minority`], a daemon has failed two of the platform's readiness
 /// checks, which are sent every second, and gets no new connections. It then closes idle
 /// connections.
-const AWAY_AFTER: Duration = Duration::from_millis(2_100);
+const CLOSE_IDLE_AFTER: Duration = Duration::from_millis(2_100);
 /// Partition of the log that is probed. Any will do, since a network partition cuts off machines
 /// and not single partitions.
 const PROBED_PARTITION: u32 = 0;
@@ -30,18 +30,19 @@
     let mut tracker = ReachTracker::default();
     let mut changed = Instant::now();
     loop {
-        sleep(PERIOD).await;
-        let away = ledger.reach.get() == Reach::Minority && changed.elapsed() >= AWAY_AFTER;
+        sleep(ASSESSMENT_PERIOD).await;
+        let closes_idle =
+            ledger.reach.get() == Reach::Minority && changed.elapsed() >= CLOSE_IDLE_AFTER;
         daemon
             .close_idle
-            .send_if_modified(|now| std::mem::replace(now, away) != away);
+            .send_if_modified(|now| std::mem::replace(now, closes_idle) != closes_idle);
         let round = match ledger.log_health.is_lost() {
             true => ledger.poll_peers_for_log().await,
             false => Round::Heard,
         };
-        let must_look = ledger.owner_timed_out.take() || tracker.reach() == Reach::Minority;
-        let look = match must_look {
-            true => Some(probe_surroundings(&daemon).await),
+        let must_check = ledger.owner_timed_out.take() || tracker.reach() == Reach::Minority;
+        let look = match must_check {
+            true => Some(check_reachability(&daemon).await),
             false => None,
         };
         let Some(reach) = tracker.update_with(round, look) else {
@@ -63,7 +64,7 @@
 }
 
 /// Probes the zones, the owners and the log.
-async fn probe_surroundings(daemon: &Daemon) -> Look {
+async fn check_reachability(daemon: &Daemon) -> Look {
     let (zones, (asked, answered), log) = tokio::join!(
         probe_zones(daemon),
         daemon.ledger.poll_reachable_peers(),
@@ -109,7 +110,8 @@
 /// Whether the log answered recently or answers now.
 async fn reaches_log(daemon: &Daemon) -> bool {
     let ledger = &daemon.ledger;
-    ledger.log_health.answered_within(PERIOD) || ledger.log_accepts_appends(PROBED_PARTITION).await
+    ledger.log_health.answered_within(ASSESSMENT_PERIOD)
+        || ledger.log_accepts_appends(PROBED_PARTITION).await
 }
 
 /// Whether at least one of a sample of the servers can be reached.
--- a/crates/gateway/src/ledger/region.rs
+++ b/crates/gateway/src/ledger/region.rs
@@ -15,7 +15,7 @@
 /// How long no daemon of a home partition's region may answer before the region counts as lost.
 /// This leaves time for two requests and for a claim between them. If the region is lost, there
 /// is no owner to wait for, and the client gets an error before its deadline.
-pub(super) const SILENCE_LIMIT: Duration = Duration::from_millis(600);
+pub(super) const SILENCE_TIMEOUT: Duration = Duration::from_millis(600);
 /// Shortest pause between two rounds of claim requests for an unowned partition, so that many
 /// waiting requests do not multiply the claim requests.
 const CLAIM_REQUEST_PERIOD: Duration = Duration::from_millis(300);
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Completes once no daemon of a home partition's region has answered for [`SILENCE_LIMIT`].
+    /// Completes once no daemon of a home partition's region has answered for [`SILENCE_TIMEOUT`].
     /// Never completes for a global partition.
     pub(super) async fn wait_for_region_silence(&self, partition: u32) {
         if self.owner.zone_state.layout.region(partition).is_none() {
@@ -66,7 +66,8 @@
                 .answered
                 .get(&partition)
                 .copied();
-            let until = answered.map_or(started, |answered| answered.max(started)) + SILENCE_LIMIT;
+            let until =
+                answered.map_or(started, |answered| answered.max(started)) + SILENCE_TIMEOUT;
             if Instant::now() >= until {
                 return;
             }
--- a/crates/gateway/src/ledger/release.rs
+++ b/crates/gateway/src/ledger/release.rs
@@ -9,7 +9,7 @@
 use tokio::time::timeout;
 
 /// How long a planned stop waits for the last appends of a partition that is no longer served.
-const HANDOVER_LIMIT: Duration = Duration::from_millis(1_500);
+const HANDOVER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 impl Owner {
     /// Releases all partitions, so that other daemons can claim them at once.
@@ -27,16 +27,20 @@
     /// Releases a partition once everything that it granted is durable. This daemon serves the
     /// partition until a first append is durable, however long that takes: while the log is down,
     /// no other daemon could take it over. It then waits for a second append for at most
-    /// [`HANDOVER_LIMIT`].
+    /// [`HANDOVER_TIMEOUT`].
     async fn release_partition(&self, partition: u32) {
         self.append_handover(partition).await;
         self.stop_serving(partition);
         // Records what was granted in the meantime.
-        let settled = timeout(HANDOVER_LIMIT, self.append_handover(partition)).await;
-        let settled_doubt_ms = settled.ok().flatten();
-        let released = self.claims.release(partition, settled_doubt_ms).await;
+        let handover = timeout(HANDOVER_TIMEOUT, self.append_handover(partition)).await;
+        let uncertainty_ms = handover.ok().flatten();
+        let released = self.claims.release(partition, uncertainty_ms).await;
         if released.is_ok() {
-            tracing::info!(event = "partition_released", partition, settled_doubt_ms);
+            tracing::info!(
+                event = "partition_released",
+                partition,
+                settled_doubt_ms = uncertainty_ms
+            );
         }
         self.drop_partition(partition, None);
     }
--- a/crates/gateway/src/ledger/replace.rs
+++ b/crates/gateway/src/ledger/replace.rs
@@ -26,7 +26,7 @@
 /// Time that the log has to answer a probe of a partition.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 /// Time without a failed log call after which an owner that does not answer may be replaced.
-const STEADY: Duration = Duration::from_millis(800);
+const MIN_TIME_SINCE_LOG_FAILURE: Duration = Duration::from_millis(800);
 
 /// Time without a failed log call after which this daemon was certainly not cut off recently: a
 /// call that is cut off fails after at most 1.5 s. Before that, the owner's missing reply may be
@@ -91,9 +91,9 @@
         &self,
         except: Option<SocketAddr>,
         request: &LedgerRequest,
-        limit: Duration,
+        reply_timeout: Duration,
     ) -> Vec<Option<LedgerReply>> {
-        self.query_sample(QUERIED_PEERS, except, request, limit)
+        self.query_sample(QUERIED_PEERS, except, request, reply_timeout)
             .await
     }
 
@@ -103,16 +103,16 @@
         count: usize,
         except: Option<SocketAddr>,
         request: &LedgerRequest,
-        limit: Duration,
+        reply_timeout: Duration,
     ) -> Vec<Option<LedgerReply>> {
         let mut others = self.owner.claims.addresses();
         others.retain(|other| *other != self.owner.claims.address && Some(*other) != except);
         fastrand::shuffle(&mut others);
-        let asked = others
+        let queries = others
             .into_iter()
             .take(count)
-            .map(|other| self.query_peer(other, request, limit));
-        join_all(asked).await
+            .map(|other| self.query_peer(other, request, reply_timeout));
+        join_all(queries).await
     }
 
     /// Sends a query to one daemon; `None` if it does not answer in time.
@@ -120,9 +120,9 @@
         &self,
         address: SocketAddr,
         request: &LedgerRequest,
-        limit: Duration,
+        reply_timeout: Duration,
     ) -> Option<LedgerReply> {
-        self.peers.request(address, request, limit).await
+        self.peers.request(address, request, reply_timeout).await
     }
 
     /// Asks some daemons whether the log answers them.
@@ -151,12 +151,13 @@
     pub async fn query_peer_configs(&self, version: u64) -> Vec<ConfigUpdate> {
         let request = LedgerRequest::Config(version);
         let answers = self.query_peers(None, &request, PEER_TIMEOUT).await;
-        let news = answers.into_iter().flatten();
-        news.filter_map(|answer| match answer {
-            LedgerReply::Config(news) => Some(news),
-            _ => None,
-        })
-        .collect()
+        let replies = answers.into_iter().flatten();
+        replies
+            .filter_map(|answer| match answer {
+                LedgerReply::Config(update) => Some(update),
+                _ => None,
+            })
+            .collect()
     }
 
     /// Asks daemons that reach the log to claim a partition. Returns whether there is a newer
@@ -269,7 +270,7 @@
         if self.defer_to_region(partition, Some(epoch)).await {
             return;
         }
-        let may_claim = self.log_health.no_failure_for(STEADY)
+        let may_claim = self.log_health.no_failure_for(MIN_TIME_SINCE_LOG_FAILURE)
             && self.log_accepts_appends(partition).await
             && (self.log_health.no_failure_for(NOT_RECENTLY_CUT_OFF)
                 || !self.owner_answers(partition).await);
--- a/crates/gateway/src/serve/quota.rs
+++ b/crates/gateway/src/serve/quota.rs
@@ -55,7 +55,7 @@
     fn drop(&mut self) {
         if let Some((daemon, request)) = self.report.take() {
             daemon.metrics.quota.with_label_values(&["left"]).inc();
-            daemon.ledger.report_client_left(request);
+            daemon.ledger.report_disconnect(request);
         }
     }
 }
--- a/crates/gateway/src/serve/turn_record.rs
+++ b/crates/gateway/src/serve/turn_record.rs
@@ -25,7 +25,7 @@
             biased;
             recorded = self.record_all(context.deadline) => recorded,
             // The client sends the turn again elsewhere while it has time.
-            () = self.ledger.wait_until_cut_off() => false,
+            () = self.ledger.wait_until_in_minority() => false,
         };
         // Without a budget, the partition that orders the turn gets a separate report of its end
         // when the turn is dropped.
