--- a/crates/gateway/src/ledger/closing.rs
+++ b/crates/gateway/src/ledger/closing.rs
@@ -7,15 +7,17 @@
 use tokio::time::{Instant, timeout};
 
 /// How long closing an incomplete turn is retried. This outlasts an outage of the log, and ends
-/// before the owner deletes the program, 180 s after its last change.
+/// before the owner deletes the program, 180 s after its last change (`PROGRAM_RETENTION_MS` in
+/// fieldhook-ledger).
 const RETRY_FOR: Duration = Duration::from_secs(120);
-/// Time limit of one attempt. It suffices to notice that an owner does not answer and to send the
+/// Timeout of one attempt. It suffices to notice that an owner does not answer and to send the
 /// request once more.
-const ATTEMPT_LIMIT: Duration = Duration::from_millis(1_200);
-/// First and longest pause between attempts while no ownership change is reported. Hundreds of
-/// clients disconnect when an owner stops answering, and every close sends requests and searches
-/// for owners in addition to the requests that wait for the same partition.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// First pause between attempts while no ownership change is reported; it doubles with each
+/// attempt. Hundreds of clients disconnect when an owner stops answering, and every close sends
+/// requests and searches for owners in addition to the requests that wait for the same partition.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
+/// Longest pause between attempts.
 const LONGEST_PAUSE: Duration = Duration::from_secs(2);
 
 /// Counts a turn that is being closed until it is dropped.
@@ -29,7 +31,7 @@
 
 impl LedgerClient {
     /// Closes an incomplete turn in the background, so that this happens even if its request is
-    /// dropped. Until the owner has noted the close, the turn's token maximum stays reserved.
+    /// dropped. Until the owner has accepted the close, the turn's token maximum stays reserved.
     pub fn close_in_background(self: &Rc<Self>, close: CloseTurn) {
         self.pending_closes.set(self.pending_closes.get() + 1);
         let pending = PendingClose(self.clone());
@@ -51,7 +53,7 @@
         let until = Instant::now() + RETRY_FOR;
         let mut pause = FIRST_PAUSE;
         while Instant::now() < until {
-            if self.close(close, Instant::now() + ATTEMPT_LIMIT).await {
+            if self.close(close, Instant::now() + ATTEMPT_TIMEOUT).await {
                 return true;
             }
             // Retry at once when the owner changes: a new owner may answer the client's next
