--- a/crates/bench/src/ways.rs
+++ b/crates/bench/src/append_strategies.rs
@@ -18,14 +18,14 @@
 const PARTITIONS: u32 = 8;
 const GATEWAYS: usize = 12;
 /// What a call of the log takes.
-const CALL_TIME: Duration = Duration::from_millis(5);
+const LOG_CALL_TIME: Duration = Duration::from_millis(5);
 const TIMEOUT: Duration = Duration::from_secs(2);
 const RECORD_BYTES: usize = 1_200;
 const EPOCH: u64 = 1;
 
 /// Figures of one way.
 #[derive(Clone, Debug, Serialize)]
-pub struct WayFigures {
+pub struct StrategyResult {
     /// Turns recorded.
     pub turns: u64,
     /// Calls of the log for each turn.
@@ -38,54 +38,57 @@
 
 /// Both ways under the same load.
 #[derive(Clone, Debug, Serialize)]
-pub struct WaysReport {
+pub struct StrategyReport {
     /// Turns a second.
     pub turns_per_second: u64,
     /// Owners with fences and group commit.
-    pub owners: WayFigures,
+    pub owners: StrategyResult,
     /// Conditional appends by the gateways, that read on where they had stopped.
-    pub conditional: WayFigures,
+    pub conditional: StrategyResult,
 }
 
 /// Measures both ways.
 ///
 /// # Errors
 /// The log refuses what it should take.
-pub async fn measure(turns_per_second: u64, seconds: u64) -> Result<WaysReport, Box<dyn Error>> {
-    let load = Load {
+pub async fn measure(
+    turns_per_second: u64,
+    seconds: u64,
+) -> Result<StrategyReport, Box<dyn Error>> {
+    let load = TurnLoad {
         turns: turns_per_second * seconds,
-        pause: Duration::from_secs(1) / turns_per_second.max(1) as u32,
+        interval: Duration::from_secs(1) / turns_per_second.max(1) as u32,
     };
-    Ok(WaysReport {
+    Ok(StrategyReport {
         turns_per_second,
-        owners: by_owners(load).await?,
-        conditional: by_condition(load).await?,
+        owners: measure_owners(load).await?,
+        conditional: measure_conditional(load).await?,
     })
 }
 
 #[derive(Clone, Copy)]
-struct Load {
+struct TurnLoad {
     turns: u64,
-    pause: Duration,
+    interval: Duration,
 }
 
-/// Times of recorded turns.
-struct Times(RefCell<Histogram<u64>>);
+/// Latencies of recorded turns.
+struct Latencies(RefCell<Histogram<u64>>);
 
-impl Times {
+impl Latencies {
     fn new() -> Result<Rc<Self>, Box<dyn Error>> {
         Ok(Rc::new(Self(RefCell::new(Histogram::new(3)?))))
     }
 
-    fn add(&self, took: Duration) {
-        let _ = self.0.borrow_mut().record(took.as_micros() as u64);
+    fn add(&self, latency: Duration) {
+        let _ = self.0.borrow_mut().record(latency.as_micros() as u64);
     }
 
-    fn figures(&self, calls: u64) -> WayFigures {
-        let times = self.0.borrow();
-        let turns = times.len();
-        let milliseconds = |quantile| times.value_at_quantile(quantile) as f64 / 1e3;
-        WayFigures {
+    fn result(&self, calls: u64) -> StrategyResult {
+        let latencies = self.0.borrow();
+        let turns = latencies.len();
+        let milliseconds = |quantile| latencies.value_at_quantile(quantile) as f64 / 1e3;
+        StrategyResult {
             turns,
             calls_per_turn: calls as f64 / turns.max(1) as f64,
             p50_ms: milliseconds(0.5),
@@ -94,7 +97,7 @@
     }
 }
 
-fn place(number: u32) -> Partition {
+fn log_partition(number: u32) -> Partition {
     Partition {
         topic: TOPIC.to_owned(),
         number,
@@ -108,75 +111,80 @@
     }
 }
 
-fn client(log: &Rc<SharedLog>) -> Rc<MemoryLog> {
+fn slow_log_client(log: &Rc<SharedLog>) -> Rc<MemoryLog> {
     let store = Rc::new(MemoryLog::new(log.clone()));
-    store.set_fault(LogFault::Slow(CALL_TIME));
+    store.set_fault(LogFault::Slow(LOG_CALL_TIME));
     store
 }
 
-async fn by_owners(load: Load) -> Result<WayFigures, Box<dyn Error>> {
+async fn measure_owners(load: TurnLoad) -> Result<StrategyResult, Box<dyn Error>> {
     let log = Rc::new(SharedLog::default());
     let mut owners = Vec::new();
     for number in 0..PARTITIONS {
-        let store = client(&log);
-        fence(store.as_ref(), place(number), EPOCH, TIMEOUT).await?;
-        let appender = Appender::new(place(number), EPOCH, store.clone(), Rc::default());
+        let store = slow_log_client(&log);
+        fence(store.as_ref(), log_partition(number), EPOCH, TIMEOUT).await?;
+        let appender = Appender::new(log_partition(number), EPOCH, store.clone(), Rc::default());
         let appender = Rc::new(appender);
         let running = appender.clone();
         ntex::rt::spawn(async move { running.run(|_| {}).await });
         owners.push((appender, store));
     }
-    let times = Times::new()?;
-    let mut waiting = Vec::new();
+    let latencies = Latencies::new()?;
+    let mut pending = Vec::new();
     for turn in 0..load.turns {
         let (appender, _) = &owners[fastrand::usize(..owners.len())];
         let (sender, receiver) = oneshot::channel();
-        let begun = Instant::now();
-        let times = times.clone();
+        let started = Instant::now();
+        let latencies = latencies.clone();
         let done = move |_| {
-            times.add(begun.elapsed());
+            latencies.add(started.elapsed());
             let _ = sender.send(());
         };
         appender.push(vec![record(turn)], Urgency::Now, Box::new(done));
-        waiting.push(receiver);
-        sleep(load.pause).await;
+        pending.push(receiver);
+        sleep(load.interval).await;
     }
-    for receiver in waiting {
+    for receiver in pending {
         receiver.await?;
     }
     let calls = owners.iter().map(|(_, store)| store.calls.get()).sum();
-    Ok(times.figures(calls))
+    Ok(latencies.result(calls))
 }
 
 /// What one gateway has read of each partition.
 struct Gateway {
     store: Rc<MemoryLog>,
-    ends: Vec<Cell<u64>>,
+    known_ends: Vec<Cell<u64>>,
 }
 
 impl Gateway {
     /// Appends where the partition ends; where it has moved on, reads what came first.
     async fn record(&self, number: u32, turn: u64) -> Result<(), StoreError> {
-        let end = &self.ends[number as usize];
+        let known_end = &self.known_ends[number as usize];
         loop {
             let append = Append {
-                partition: place(number),
+                partition: log_partition(number),
                 records: vec![record(turn)],
                 producer: None,
-                expected_end: Some(end.get()),
+                expected_end: Some(known_end.get()),
                 timeout: TIMEOUT,
             };
             match self.store.append(append).await {
                 Ok(appended) => {
-                    end.set(appended.end);
+                    known_end.set(appended.end);
                     return Ok(());
                 }
                 Err(StoreError::Moved(_)) => {
                     let batch = self
                         .store
-                        .read(place(number), end.get(), Duration::ZERO, TIMEOUT)
+                        .read(
+                            log_partition(number),
+                            known_end.get(),
+                            Duration::ZERO,
+                            TIMEOUT,
+                        )
                         .await?;
-                    end.set(end.get().max(batch.next));
+                    known_end.set(known_end.get().max(batch.next));
                 }
                 Err(error) => return Err(error),
             }
@@ -184,38 +192,38 @@
     }
 }
 
-async fn by_condition(load: Load) -> Result<WayFigures, Box<dyn Error>> {
+async fn measure_conditional(load: TurnLoad) -> Result<StrategyResult, Box<dyn Error>> {
     let log = Rc::new(SharedLog::default());
     let gateways: Vec<Rc<Gateway>> = (0..GATEWAYS)
         .map(|_| {
             Rc::new(Gateway {
-                store: client(&log),
-                ends: (0..PARTITIONS).map(|_| Cell::new(0)).collect(),
+                store: slow_log_client(&log),
+                known_ends: (0..PARTITIONS).map(|_| Cell::new(0)).collect(),
             })
         })
         .collect();
-    let times = Times::new()?;
-    let mut waiting = Vec::new();
+    let latencies = Latencies::new()?;
+    let mut pending = Vec::new();
     for turn in 0..load.turns {
         let gateway = gateways[fastrand::usize(..GATEWAYS)].clone();
         let number = fastrand::u32(..PARTITIONS);
-        let times = times.clone();
+        let latencies = latencies.clone();
         let (sender, receiver) = oneshot::channel();
         ntex::rt::spawn(async move {
-            let begun = Instant::now();
+            let started = Instant::now();
             let result = gateway.record(number, turn).await;
-            times.add(begun.elapsed());
+            latencies.add(started.elapsed());
             let _ = sender.send(result);
         });
-        waiting.push(receiver);
-        sleep(load.pause).await;
+        pending.push(receiver);
+        sleep(load.interval).await;
     }
-    for receiver in waiting {
+    for receiver in pending {
         receiver.await??;
     }
     let calls = gateways
         .iter()
         .map(|gateway| gateway.store.calls.get())
         .sum();
-    Ok(times.figures(calls))
+    Ok(latencies.result(calls))
 }
--- a/crates/bench/src/caller.rs
+++ b/crates/bench/src/caller.rs
@@ -1,11 +1,12 @@
 //! An agent program's side of the caller interface, with its own account of
 //! the conversation, by which every answer is checked.
 
-mod end;
-mod reading;
+mod attempt;
+mod outcome;
 
-pub use end::{CallEnd, Violation};
+pub use outcome::{CallOutcome, Violation};
 
+use attempt::StreamState;
 use fieldhook_emulator::engine::expected_answer;
 use fieldhook_http::{HttpClient, SendError};
 use fieldhook_model::api::{
@@ -15,26 +16,25 @@
 use fieldhook_model::error::Executed;
 use ntex::http::Method;
 use ntex::time::{Millis, sleep};
-use reading::Reading;
 use std::time::{Duration, Instant};
 
 const OPEN_TIMEOUT: Duration = Duration::from_secs(15);
 const CALL_TIMEOUT: Duration = Duration::from_secs(60);
-const RETRY: Millis = Millis(50);
+const RETRY_PAUSE: Millis = Millis(50);
 
 /// Times of one call as the caller saw it.
 #[derive(Clone, Debug, Default)]
 pub struct CallTimes {
     /// Until the first piece of text.
-    pub first: Option<Duration>,
+    pub first_token: Option<Duration>,
     /// Longest pause between two pieces.
     pub longest_pause: Duration,
     /// Until the end.
     pub total: Duration,
     /// Times the caller had to ask again.
-    pub asked_again: u32,
+    pub retries: u32,
     /// Times an answer broke off after it had begun.
-    pub broken: u32,
+    pub interruptions: u32,
 }
 
 /// One program as its caller sees it.
@@ -55,14 +55,14 @@
 }
 
 /// A user's message.
-pub fn user(content: impl Into<String>) -> Message {
+pub fn user_message(content: impl Into<String>) -> Message {
     Message {
         role: "user".to_owned(),
         content: content.into(),
     }
 }
 
-fn open_body(tenant: &str, key: &str, budget: i64) -> OpenProgramRequest {
+fn open_request(tenant: &str, key: &str, budget: i64) -> OpenProgramRequest {
     OpenProgramRequest {
         tenant: tenant.to_owned(),
         labels: Default::default(),
@@ -74,9 +74,9 @@
     }
 }
 
-enum Asked {
-    End(CallEnd),
-    Again(String),
+enum AttemptOutcome {
+    Final(CallOutcome),
+    Retry(String),
 }
 
 impl Caller {
@@ -91,7 +91,7 @@
         key: &str,
         budget: i64,
     ) -> Result<Self, SendError> {
-        Self::open_with(client, gateways, &open_body(tenant, key, budget)).await
+        Self::open_with(client, gateways, &open_request(tenant, key, budget)).await
     }
 
     /// Opens a program as described.
@@ -104,7 +104,7 @@
         body: &OpenProgramRequest,
     ) -> Result<Self, SendError> {
         let mut gateway = fastrand::usize(..gateways.len());
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
             let url = format!("http://{}/v1/programs", gateways[gateway]);
             let opened: Result<OpenProgramResponse, SendError> =
@@ -127,23 +127,23 @@
                         status: 400..=499, ..
                     },
                 ) => return Err(error),
-                Err(error) if begun.elapsed() > CALL_TIMEOUT => return Err(error),
+                Err(error) if started.elapsed() > CALL_TIMEOUT => return Err(error),
                 Err(_) => gateway = (gateway + 1) % gateways.len(),
             }
-            sleep(RETRY).await;
+            sleep(RETRY_PAUSE).await;
         }
     }
 
     /// Asks a model; the history is kept by the system and, apart from it, here.
-    pub async fn ask_model(&mut self, model: &str, content: &str, max_tokens: u32) -> CallEnd {
-        let messages = vec![user(content)];
+    pub async fn call_model(&mut self, model: &str, content: &str, max_tokens: u32) -> CallOutcome {
+        let messages = vec![user_message(content)];
         let call = ModelCall {
             model: model.to_owned(),
             messages: messages.clone(),
             max_tokens,
         };
-        let end = self.call(CallSpec::Model(call), None, true).await;
-        if let CallEnd::Answered(answer) = &end {
+        let outcome = self.call(CallSpec::Model(call), None, true).await;
+        if let CallOutcome::Answered(answer) = &outcome {
             self.history.extend(messages);
             self.check_answer(answer, max_tokens);
             self.history.push(Message {
@@ -151,7 +151,7 @@
                 content: answer.content.clone(),
             });
         }
-        end
+        outcome
     }
 
     fn check_answer(&mut self, answer: &Answer, max_tokens: u32) {
@@ -167,7 +167,12 @@
     }
 
     /// Asks a server.
-    pub async fn ask_server(&mut self, service: &str, path: &str, repeatable: bool) -> CallEnd {
+    pub async fn call_server(
+        &mut self,
+        service: &str,
+        path: &str,
+        repeatable: bool,
+    ) -> CallOutcome {
         let call = ServerCall {
             service: service.to_owned(),
             path: path.to_owned(),
@@ -188,7 +193,7 @@
         spec: CallSpec,
         repeatable: Option<bool>,
         stream: bool,
-    ) -> CallEnd {
+    ) -> CallOutcome {
         let number = self.calls + 1;
         let request = CallRequest {
             call_number: number,
@@ -197,37 +202,37 @@
             repeatable,
             stream,
         };
-        let end = self.ask_until_end(&request).await;
+        let outcome = self.retry_until_final(&request).await;
         // A refused call that did not run leaves its number free.
-        if !matches!(&end, CallEnd::Refused(error) if error.executed == Executed::No) {
+        if !matches!(&outcome, CallOutcome::Refused(error) if error.executed == Executed::No) {
             self.calls = number;
         }
-        end
+        outcome
     }
 
-    async fn ask_until_end(&mut self, request: &CallRequest) -> CallEnd {
-        let begun = Instant::now();
+    async fn retry_until_final(&mut self, request: &CallRequest) -> CallOutcome {
+        let started = Instant::now();
         self.times = CallTimes::default();
-        let mut reading = Reading::default();
+        let mut state = StreamState::default();
         loop {
-            let asked = if request.stream {
-                self.ask_stream(request, &mut reading, begun).await
+            let outcome = if request.stream {
+                self.attempt_stream(request, &mut state, started).await
             } else {
-                self.ask_whole(request).await
+                self.attempt_whole(request).await
             };
-            match asked {
-                Asked::End(end) => {
-                    self.times.total = begun.elapsed();
-                    return end;
+            match outcome {
+                AttemptOutcome::Final(outcome) => {
+                    self.times.total = started.elapsed();
+                    return outcome;
                 }
-                Asked::Again(cause) if begun.elapsed() > CALL_TIMEOUT => {
-                    return CallEnd::NoAnswer(cause);
+                AttemptOutcome::Retry(cause) if started.elapsed() > CALL_TIMEOUT => {
+                    return CallOutcome::NoAnswer(cause);
                 }
-                Asked::Again(_) => {}
+                AttemptOutcome::Retry(_) => {}
             }
-            self.times.asked_again += 1;
+            self.times.retries += 1;
             self.gateway = (self.gateway + 1) % self.gateways.len();
-            sleep(RETRY).await;
+            sleep(RETRY_PAUSE).await;
         }
     }
 
@@ -254,27 +259,27 @@
                 Err(error) => last = error,
             }
             self.gateway = (self.gateway + 1) % self.gateways.len();
-            sleep(RETRY).await;
+            sleep(RETRY_PAUSE).await;
         }
         Err(last)
     }
 
     /// Ends the program; asks again until it is acknowledged. False if it never was.
-    pub async fn end(&mut self) -> bool {
+    pub async fn end_program(&mut self) -> bool {
         for _ in 0..self.gateways.len() * 8 {
             let url = format!(
                 "http://{}/v1/programs/{}",
                 self.gateways[self.gateway], self.program
             );
-            let reply = self
+            let response = self
                 .client
                 .fetch(Method::DELETE, &url, &[], Vec::new(), OPEN_TIMEOUT)
                 .await;
-            if reply.is_ok_and(|reply| reply.status == 200) {
+            if response.is_ok_and(|response| response.status == 200) {
                 return true;
             }
             self.gateway = (self.gateway + 1) % self.gateways.len();
-            sleep(RETRY).await;
+            sleep(RETRY_PAUSE).await;
         }
         false
     }
--- a/crates/bench/src/caller/reading.rs
+++ b/crates/bench/src/caller/attempt.rs
@@ -1,6 +1,6 @@
 //! Asking for one answer, whole or as a stream, and checking the pieces of a stream.
 
-use super::{Asked, CALL_TIMEOUT, CallEnd, Caller, Violation};
+use super::{AttemptOutcome, CALL_TIMEOUT, CallOutcome, Caller, Violation};
 use fieldhook_http::{SseDecoder, SseEvent};
 use fieldhook_model::api::{Answer, CallRequest};
 use fieldhook_model::error::{CallError, ErrorKind};
@@ -11,35 +11,35 @@
 use std::time::{Duration, Instant};
 
 /// Longest silence of a stream before the caller asks another daemon.
-const SILENCE: Duration = Duration::from_secs(5);
+const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl Caller {
-    pub(super) async fn ask_whole(&self, request: &CallRequest) -> Asked {
+    pub(super) async fn attempt_whole(&self, request: &CallRequest) -> AttemptOutcome {
         let body = serde_json::to_vec(request).unwrap_or_default();
         let headers = [("content-type", "application/json")];
-        let reply = self
+        let response = self
             .client
             .fetch(Method::POST, &self.url(), &headers, body, CALL_TIMEOUT)
             .await;
-        match reply {
-            Ok(reply) if reply.status == 200 => match serde_json::from_str(&reply.body) {
-                Ok(answer) => Asked::End(CallEnd::Answered(answer)),
-                Err(error) => Asked::Again(error.to_string()),
+        match response {
+            Ok(response) if response.status == 200 => match serde_json::from_str(&response.body) {
+                Ok(answer) => AttemptOutcome::Final(CallOutcome::Answered(answer)),
+                Err(error) => AttemptOutcome::Retry(error.to_string()),
             },
-            Ok(reply) => refused(&reply.body),
-            Err(error) => Asked::Again(error.to_string()),
+            Ok(response) => classify_error(&response.body),
+            Err(error) => AttemptOutcome::Retry(error.to_string()),
         }
     }
 
-    pub(super) async fn ask_stream(
+    pub(super) async fn attempt_stream(
         &mut self,
         request: &CallRequest,
-        reading: &mut Reading,
-        begun: Instant,
-    ) -> Asked {
+        state: &mut StreamState,
+        started: Instant,
+    ) -> AttemptOutcome {
         let body = serde_json::to_vec(request).unwrap_or_default();
         let mut headers = vec![("content-type", "application/json")];
-        let last_event = reading.last_event.clone();
+        let last_event = state.last_event.clone();
         if !last_event.is_empty() {
             headers.push(("last-event-id", &last_event));
         }
@@ -49,7 +49,7 @@
             .await;
         let mut response = match opened {
             Ok(response) => response,
-            Err(error) => return Asked::Again(error.to_string()),
+            Err(error) => return AttemptOutcome::Retry(error.to_string()),
         };
         if !response.status().is_success() {
             let body = response
@@ -57,9 +57,9 @@
                 .await
                 .map(|bytes| bytes.to_vec())
                 .unwrap_or_default();
-            return refused(&String::from_utf8_lossy(&body));
+            return classify_error(&String::from_utf8_lossy(&body));
         }
-        self.read_stream(request, &mut response, reading, begun)
+        self.read_stream(request, &mut response, state, started)
             .await
     }
 
@@ -67,68 +67,68 @@
         &mut self,
         request: &CallRequest,
         response: &mut ClientResponse,
-        reading: &mut Reading,
-        begun: Instant,
-    ) -> Asked {
+        state: &mut StreamState,
+        started: Instant,
+    ) -> AttemptOutcome {
         let mut decoder = SseDecoder::default();
         loop {
-            let Ok(Some(Ok(chunk))) = timeout(SILENCE, response.next()).await else {
-                self.times.broken += 1;
-                return Asked::Again("the stream broke off".to_owned());
+            let Ok(Some(Ok(chunk))) = timeout(STREAM_IDLE_TIMEOUT, response.next()).await else {
+                self.times.interruptions += 1;
+                return AttemptOutcome::Retry("the stream broke off".to_owned());
             };
             for event in decoder.push(&chunk) {
-                if let Some(end) = self.take_event(request, &event, reading, begun) {
-                    return end;
+                if let Some(outcome) = self.handle_event(request, &event, state, started) {
+                    return outcome;
                 }
             }
         }
     }
 
-    fn take_event(
+    fn handle_event(
         &mut self,
         request: &CallRequest,
         event: &SseEvent,
-        reading: &mut Reading,
-        begun: Instant,
-    ) -> Option<Asked> {
+        state: &mut StreamState,
+        started: Instant,
+    ) -> Option<AttemptOutcome> {
         match event.event.as_str() {
             "delta" => {
-                reading.take_delta(event);
-                self.note_piece(reading, begun);
+                state.apply_delta(event);
+                self.record_delta(state, started);
                 None
             }
             "reset" => {
-                reading.text.clear();
-                reading.last_event.clear();
+                state.text.clear();
+                state.last_event.clear();
                 None
             }
             "done" => match serde_json::from_str::<Answer>(&event.data) {
                 Ok(answer) => {
-                    self.check_pieces(request, reading, &answer);
-                    Some(Asked::End(CallEnd::Answered(answer)))
+                    self.check_deltas(request, state, &answer);
+                    Some(AttemptOutcome::Final(CallOutcome::Answered(answer)))
                 }
-                Err(error) => Some(Asked::Again(error.to_string())),
+                Err(error) => Some(AttemptOutcome::Retry(error.to_string())),
             },
-            "error" => Some(refused(&event.data)),
+            "error" => Some(classify_error(&event.data)),
             _ => None,
         }
     }
 
-    fn note_piece(&mut self, reading: &mut Reading, begun: Instant) {
+    fn record_delta(&mut self, state: &mut StreamState, started: Instant) {
         let now = Instant::now();
-        match reading.last_piece {
-            None => self.times.first = Some(begun.elapsed()),
+        match state.last_delta_at {
+            None => self.times.first_token = Some(started.elapsed()),
             Some(last) => self.times.longest_pause = self.times.longest_pause.max(now - last),
         }
-        reading.last_piece = Some(now);
+        state.last_delta_at = Some(now);
     }
 
-    fn check_pieces(&mut self, request: &CallRequest, reading: &Reading, answer: &Answer) {
-        if reading.text != answer.content {
+    fn check_deltas(&mut self, request: &CallRequest, state: &StreamState, answer: &Answer) {
+        if state.text != answer.content {
             self.violations.push(Violation::PiecesDiffer {
                 program: self.program.clone(),
                 call: request.call_number,
-                pieces: reading.text.clone(),
+                pieces: state.text.clone(),
                 whole: answer.content.clone(),
             });
         }
@@ -137,14 +137,14 @@
 
 /// What a reader has of a streamed answer.
 #[derive(Default)]
-pub(super) struct Reading {
+pub(super) struct StreamState {
     text: String,
     last_event: String,
-    last_piece: Option<Instant>,
+    last_delta_at: Option<Instant>,
 }
 
-impl Reading {
-    fn take_delta(&mut self, event: &SseEvent) {
+impl StreamState {
+    fn apply_delta(&mut self, event: &SseEvent) {
         let data: serde_json::Value = serde_json::from_str(&event.data).unwrap_or_default();
         self.text
             .push_str(data["text"].as_str().unwrap_or_default());
@@ -153,12 +153,12 @@
 }
 
 /// A refusal: final, unless it says to ask again and another daemon may do better.
-fn refused(body: &str) -> Asked {
+fn classify_error(body: &str) -> AttemptOutcome {
     match serde_json::from_str::<CallError>(body) {
         Ok(error) if matches!(error.kind, ErrorKind::NotReady | ErrorKind::Unavailable) => {
-            Asked::Again(error.to_string())
+            AttemptOutcome::Retry(error.to_string())
         }
-        Ok(error) => Asked::End(CallEnd::Refused(error)),
-        Err(error) => Asked::Again(format!("{error}: {body}")),
+        Ok(error) => AttemptOutcome::Final(CallOutcome::Refused(error)),
+        Err(error) => AttemptOutcome::Retry(format!("{error}: {body}")),
     }
 }
--- a/crates/bench/src/caller/end.rs
+++ b/crates/bench/src/caller/outcome.rs
@@ -39,7 +39,7 @@
 
 /// How a call ended for the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CallEnd {
+pub enum CallOutcome {
     /// With a whole answer.
     Answered(Answer),
     /// With an error body.
--- a/crates/bench/src/cluster/shape.rs
+++ b/crates/bench/src/cluster/config.rs
@@ -4,7 +4,7 @@
 
 /// One engine of a cluster.
 #[derive(Clone, Debug)]
-pub struct EngineShape {
+pub struct EngineConfig {
     /// Model that it has loaded.
     pub model: String,
     /// Zone.
@@ -15,7 +15,7 @@
 
 /// What a cluster consists of.
 #[derive(Clone, Debug)]
-pub struct Shape {
+pub struct ClusterConfig {
     /// Zones; daemons are spread over them in turn.
     pub zones: Vec<String>,
     /// Number of daemons.
@@ -23,7 +23,7 @@
     /// Number of shards.
     pub shards: u16,
     /// Engines.
-    pub engines: Vec<EngineShape>,
+    pub engines: Vec<EngineConfig>,
     /// Services, each with one server; `false` for one without look-up.
     pub services: Vec<(String, bool)>,
     /// Lag of the machine list in milliseconds.
@@ -32,14 +32,14 @@
     pub settings: String,
 }
 
-impl Default for Shape {
+impl Default for ClusterConfig {
     fn default() -> Self {
         let zones = ["imanta", "purvciems", "tornakalns"]
             .map(str::to_owned)
             .to_vec();
         let engines = zones
             .iter()
-            .map(|zone| EngineShape {
+            .map(|zone| EngineConfig {
                 model: "chat".to_owned(),
                 zone: zone.clone(),
                 flags: Vec::new(),
--- a/crates/bench/src/cluster/mod.rs
+++ b/crates/bench/src/cluster/mod.rs
@@ -1,10 +1,10 @@
 //! A cluster of real processes on loopback: stand-ins and daemons.
 
-mod ask;
+mod config;
 mod process;
+mod query;
 mod running;
-mod shape;
 
+pub use config::{ClusterConfig, DaemonHandle, EngineConfig};
 pub use process::{Process, ProcessError, Signal, free_port};
 pub use running::Cluster;
-pub use shape::{DaemonHandle, EngineShape, Shape};
--- a/crates/bench/src/cluster/process.rs
+++ b/crates/bench/src/cluster/process.rs
@@ -9,7 +9,7 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-const WAIT_STEP: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Why a process could not be started or spoken to.
 #[derive(Debug)]
@@ -21,7 +21,7 @@
     /// It did not become ready in time.
     NotReady(String),
     /// It ended by itself while the others were started.
-    Ended(PathBuf),
+    Exited(PathBuf),
 }
 
 impl fmt::Display for ProcessError {
@@ -41,7 +41,7 @@
                     "{what} was not ready in time; read its log in the run's folder"
                 )
             }
-            Self::Ended(log) => {
+            Self::Exited(log) => {
                 write!(
                     formatter,
                     "a process ended by itself; read {}",
@@ -74,7 +74,7 @@
 }
 
 impl Signal {
-    fn option(self) -> &'static str {
+    fn kill_argument(self) -> &'static str {
         match self {
             Self::Kill => "-KILL",
             Self::Terminate => "-TERM",
@@ -141,7 +141,9 @@
     /// Sends a signal.
     pub fn signal(&self, signal: Signal) {
         let id = self.child.id().to_string();
-        let _ = Command::new("kill").args([signal.option(), &id]).status();
+        let _ = Command::new("kill")
+            .args([signal.kill_argument(), &id])
+            .status();
     }
 
     /// Ends the process at once and waits until it is gone.
@@ -157,12 +159,12 @@
 
     /// Waits for its end.
     pub async fn wait(&mut self, limit: Duration) -> Option<ExitStatus> {
-        let begun = Instant::now();
-        while begun.elapsed() < limit {
+        let started = Instant::now();
+        while started.elapsed() < limit {
             if let Ok(Some(status)) = self.child.try_wait() {
                 return Some(status);
             }
-            ntex::time::sleep(WAIT_STEP).await;
+            ntex::time::sleep(POLL_INTERVAL).await;
         }
         None
     }
@@ -185,7 +187,7 @@
 /// Ports that were handed out. The system gives one again as soon as it is let go, which is
 /// before the process that it was meant for has bound it: of 600 in a row 26 were given
 /// twice, and the second process ended at once.
-static HANDED_OUT: Mutex<BTreeSet<u16>> = Mutex::new(BTreeSet::new());
+static ALLOCATED_PORTS: Mutex<BTreeSet<u16>> = Mutex::new(BTreeSet::new());
 
 /// A port that is free for TCP and UDP, each once in the life of this process.
 ///
@@ -195,8 +197,10 @@
     loop {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let port = listener.local_addr()?.port();
-        let mut handed_out = HANDED_OUT.lock().unwrap_or_else(PoisonError::into_inner);
-        if !handed_out.insert(port) {
+        let mut allocated = ALLOCATED_PORTS
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        if !allocated.insert(port) {
             continue;
         }
         // Ports that the system hands out for outgoing connections may be taken
--- a/crates/bench/src/cluster/ask.rs
+++ b/crates/bench/src/cluster/query.rs
@@ -1,6 +1,6 @@
 //! What a running cluster answers: who is ready, who owns what, where things listen.
 
-use super::running::{Cluster, READY_LIMIT, READY_STEP, REQUEST_TIMEOUT};
+use super::running::{Cluster, READY_POLL_INTERVAL, READY_TIMEOUT, REQUEST_TIMEOUT};
 use crate::cluster::process::{Process, ProcessError};
 use fieldhook_http::TextResponse;
 use fieldhook_model::operator::OwnedShardStatus;
@@ -29,16 +29,16 @@
     /// # Errors
     /// It does not in time.
     pub async fn wait_daemon_ready(&self, address: &str) -> Result<(), ProcessError> {
-        let begun = Instant::now();
-        while begun.elapsed() < READY_LIMIT {
+        let started = Instant::now();
+        while started.elapsed() < READY_TIMEOUT {
             if self
                 .get(address, "/readyz")
                 .await
-                .is_some_and(|reply| reply.status == 200)
+                .is_some_and(|response| response.status == 200)
             {
                 return Ok(());
             }
-            ntex::time::sleep(READY_STEP).await;
+            ntex::time::sleep(READY_POLL_INTERVAL).await;
         }
         Err(ProcessError::NotReady(format!("daemon {address}")))
     }
@@ -53,16 +53,16 @@
     }
 
     /// Index of the daemon that leads a shard, as daemons say.
-    pub async fn owner_of(&self, shard: u16) -> Option<usize> {
+    pub async fn owner_index(&self, shard: u16) -> Option<usize> {
         for daemon in self
             .daemons
             .iter()
             .filter(|daemon| daemon.process.is_some())
         {
-            let Some(reply) = self.get(&daemon.address, "/v1/status").await else {
+            let Some(response) = self.get(&daemon.address, "/v1/status").await else {
                 continue;
             };
-            let status: serde_json::Value = serde_json::from_str(&reply.body).ok()?;
+            let status: serde_json::Value = serde_json::from_str(&response.body).ok()?;
             let shards = status["shards"].as_array()?;
             let route = shards.iter().find(|route| route["shard"] == shard)?;
             let owner = route["owner"].as_str()?;
@@ -78,29 +78,29 @@
     ///
     /// # Errors
     /// Some shard has no owner in time.
-    pub async fn wait_whole(&self) -> Result<(), ProcessError> {
+    pub async fn wait_shards_owned(&self) -> Result<(), ProcessError> {
         self.wait_ready().await?;
-        let begun = Instant::now();
-        while begun.elapsed() < READY_LIMIT {
-            if self.is_whole().await.unwrap_or(false) {
+        let started = Instant::now();
+        while started.elapsed() < READY_TIMEOUT {
+            if self.all_shards_owned().await.unwrap_or(false) {
                 return Ok(());
             }
-            ntex::time::sleep(READY_STEP).await;
+            ntex::time::sleep(READY_POLL_INTERVAL).await;
         }
         Err(ProcessError::NotReady("an owner of every shard".to_owned()))
     }
 
-    async fn is_whole(&self) -> Option<bool> {
+    async fn all_shards_owned(&self) -> Option<bool> {
         let mut owned: Vec<OwnedShardStatus> = Vec::new();
         for daemon in self
             .daemons
             .iter()
             .filter(|daemon| daemon.process.is_some())
         {
-            let held = self.get(&daemon.address, "/v1/operator/shards").await?;
-            owned.extend(serde_json::from_str::<Vec<OwnedShardStatus>>(&held.body).ok()?);
+            let response = self.get(&daemon.address, "/v1/operator/shards").await?;
+            owned.extend(serde_json::from_str::<Vec<OwnedShardStatus>>(&response.body).ok()?);
         }
-        Some(owned.len() == usize::from(self.shape.shards))
+        Some(owned.len() == usize::from(self.config.shards))
     }
 
     /// Addresses of the engines.
@@ -110,7 +110,7 @@
 
     /// Addresses of the servers of a service.
     pub fn servers(&self, service: &str) -> Vec<String> {
-        let offers = |machine: &&Machine| {
+        let serves = |machine: &&Machine| {
             machine
                 .labels
                 .get("service")
@@ -118,7 +118,7 @@
         };
         self.listed
             .iter()
-            .filter(offers)
+            .filter(serves)
             .map(|machine| machine.address.clone())
             .collect()
     }
@@ -135,7 +135,7 @@
             .iter()
             .filter_map(|daemon| daemon.process.as_ref());
         daemons
-            .chain(self.stand_ins.values())
+            .chain(self.emulators.values())
             .map(Process::id)
             .collect()
     }
--- a/crates/bench/src/cluster/running.rs
+++ b/crates/bench/src/cluster/running.rs
@@ -1,6 +1,6 @@
 //! A cluster that runs: starting it, ending parts of it, causing faults.
 
-use super::shape::{DaemonHandle, EngineShape, Shape};
+use super::config::{ClusterConfig, DaemonHandle, EngineConfig};
 use crate::cluster::process::{Process, ProcessError, Signal, free_port};
 use fieldhook_emulator::faults::FaultPlan;
 use fieldhook_http::HttpClient;
@@ -12,8 +12,8 @@
 use std::time::{Duration, Instant};
 
 pub(super) const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-pub(super) const READY_LIMIT: Duration = Duration::from_secs(30);
-pub(super) const READY_STEP: ntex::time::Millis = ntex::time::Millis(25);
+pub(super) const READY_TIMEOUT: Duration = Duration::from_secs(30);
+pub(super) const READY_POLL_INTERVAL: ntex::time::Millis = ntex::time::Millis(25);
 const SETTINGS_FILE: &str = "fieldhookd.toml";
 
 /// A running cluster; everything ends when it is dropped.
@@ -21,11 +21,11 @@
     /// The folder with settings and logs.
     pub folder: PathBuf,
     /// What it consists of.
-    pub shape: Shape,
+    pub config: ClusterConfig,
     /// Daemons.
     pub daemons: Vec<DaemonHandle>,
     /// Stand-ins by address.
-    pub stand_ins: BTreeMap<String, Process>,
+    pub emulators: BTreeMap<String, Process>,
     /// Address of the log.
     pub log: String,
     /// Address of the machine list.
@@ -45,63 +45,63 @@
     ///
     /// # Errors
     /// Something cannot be started or is not ready in time.
-    pub async fn start(shape: Shape, folder: &Path) -> Result<Self, ProcessError> {
+    pub async fn start(config: ClusterConfig, folder: &Path) -> Result<Self, ProcessError> {
         std::fs::create_dir_all(folder)?;
         let mut cluster = Self {
             folder: folder.to_owned(),
             daemons: Vec::new(),
-            stand_ins: BTreeMap::new(),
+            emulators: BTreeMap::new(),
             log: new_address()?,
             machines: new_address()?,
             listed: Vec::new(),
             client: HttpClient::new().await,
-            shape,
+            config,
         };
-        cluster.start_stand_ins().await?;
-        cluster.place_daemons()?;
+        cluster.start_emulators().await?;
+        cluster.assign_daemons()?;
         for index in 0..cluster.daemons.len() {
             cluster.start_daemon(index)?;
         }
         cluster.wait_ready().await?;
-        cluster.check_stand_ins()?;
+        cluster.check_emulators()?;
         Ok(cluster)
     }
 
     /// Daemons may be ready without a stand-in that could not be started.
-    fn check_stand_ins(&mut self) -> Result<(), ProcessError> {
-        for process in self.stand_ins.values_mut() {
+    fn check_emulators(&mut self) -> Result<(), ProcessError> {
+        for process in self.emulators.values_mut() {
             if !process.is_running() {
-                return Err(ProcessError::Ended(process.log().to_owned()));
+                return Err(ProcessError::Exited(process.log().to_owned()));
             }
         }
         Ok(())
     }
 
-    fn start_stand_in(
+    fn start_emulator(
         &mut self,
         kind: &str,
         address: &str,
-        more: &[String],
+        extra_arguments: &[String],
     ) -> Result<(), ProcessError> {
         let mut arguments = vec![kind.to_owned(), "--listen".to_owned(), address.to_owned()];
-        arguments.extend(more.iter().cloned());
+        arguments.extend(extra_arguments.iter().cloned());
         let log = self
             .folder
             .join(format!("{kind}-{}.log", address.replace(':', "-")));
         let process = Process::start("fieldhook-emulator", &arguments, &log)?;
-        self.stand_ins.insert(address.to_owned(), process);
+        self.emulators.insert(address.to_owned(), process);
         Ok(())
     }
 
-    async fn start_stand_ins(&mut self) -> Result<(), ProcessError> {
-        let lag = vec!["--lag-ms".to_owned(), self.shape.list_lag_ms.to_string()];
-        self.start_stand_in("log", &self.log.clone(), &[])?;
-        self.start_stand_in("machines", &self.machines.clone(), &lag)?;
-        for (index, engine) in self.shape.engines.clone().into_iter().enumerate() {
+    async fn start_emulators(&mut self) -> Result<(), ProcessError> {
+        let lag = vec!["--lag-ms".to_owned(), self.config.list_lag_ms.to_string()];
+        self.start_emulator("log", &self.log.clone(), &[])?;
+        self.start_emulator("machines", &self.machines.clone(), &lag)?;
+        for (index, engine) in self.config.engines.clone().into_iter().enumerate() {
             let address = new_address()?;
             self.start_engine(&address, &engine)?;
             let labels = Labels::from([("model".to_owned(), engine.model)]);
-            self.list(
+            self.add_machine(
                 format!("engine-{index}"),
                 address,
                 MachineKind::Engine,
@@ -109,17 +109,17 @@
                 labels,
             );
         }
-        for (index, (service, lookup)) in self.shape.services.clone().into_iter().enumerate() {
+        for (index, (service, lookup)) in self.config.services.clone().into_iter().enumerate() {
             let address = new_address()?;
             let flags = if lookup {
                 Vec::new()
             } else {
                 vec!["--no-lookup".to_owned()]
             };
-            self.start_stand_in("server", &address, &flags)?;
+            self.start_emulator("server", &address, &flags)?;
             let labels = Labels::from([("service".to_owned(), service)]);
-            let zone = self.shape.zones[index % self.shape.zones.len()].clone();
-            self.list(
+            let zone = self.config.zones[index % self.config.zones.len()].clone();
+            self.add_machine(
                 format!("server-{index}"),
                 address,
                 MachineKind::Server,
@@ -137,14 +137,14 @@
     pub fn start_engine(
         &mut self,
         address: &str,
-        engine: &EngineShape,
+        engine: &EngineConfig,
     ) -> Result<(), ProcessError> {
         let mut flags = vec!["--model".to_owned(), engine.model.clone()];
         flags.extend(engine.flags.clone());
-        self.start_stand_in("engine", address, &flags)
+        self.start_emulator("engine", address, &flags)
     }
 
-    fn list(
+    fn add_machine(
         &mut self,
         name: String,
         address: String,
@@ -169,25 +169,25 @@
     pub async fn publish_list(&self) -> Result<(), ProcessError> {
         let url = format!("http://{}/control/machines", self.machines);
         let body = serde_json::to_vec(&self.listed).unwrap_or_default();
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
             let sent = self
                 .client
                 .fetch(Method::POST, &url, &[], body.clone(), REQUEST_TIMEOUT)
                 .await;
-            if sent.is_ok_and(|reply| reply.status == 200) {
+            if sent.is_ok_and(|response| response.status == 200) {
                 return Ok(());
             }
-            if begun.elapsed() > READY_LIMIT {
+            if started.elapsed() > READY_TIMEOUT {
                 return Err(ProcessError::NotReady("machine list".to_owned()));
             }
-            ntex::time::sleep(READY_STEP).await;
+            ntex::time::sleep(READY_POLL_INTERVAL).await;
         }
     }
 
-    fn place_daemons(&mut self) -> Result<(), ProcessError> {
-        for index in 0..self.shape.daemons {
-            let zone = self.shape.zones[index % self.shape.zones.len()].clone();
+    fn assign_daemons(&mut self) -> Result<(), ProcessError> {
+        for index in 0..self.config.daemons {
+            let zone = self.config.zones[index % self.config.zones.len()].clone();
             self.daemons.push(DaemonHandle {
                 address: new_address()?,
                 zone,
@@ -229,8 +229,8 @@
         format!(
             "seeds = [{}]\nshards = {}\n{}\n[platform]\nlog = {:?}\nmachines = {:?}\n",
             seeds.join(", "),
-            self.shape.shards,
-            self.shape.settings,
+            self.config.shards,
+            self.config.settings,
             self.log,
             self.machines,
         )
@@ -275,7 +275,7 @@
                 process.detach();
             }
         }
-        for process in std::mem::take(&mut self.stand_ins).into_values() {
+        for process in std::mem::take(&mut self.emulators).into_values() {
             process.detach();
         }
     }
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -1,6 +1,6 @@
 //! Load: many programs that converse at once, each checked by its caller.
 
-use crate::caller::{CallEnd, Caller, Violation};
+use crate::caller::{CallOutcome, Caller, Violation};
 use fieldhook_http::HttpClient;
 use fieldhook_model::api::OpenProgramRequest;
 use fieldhook_model::error::{CallError, Executed};
@@ -71,19 +71,19 @@
 }
 
 /// Everything the callers saw.
-pub struct Tally {
+pub struct LoadStats {
     /// Calls that were answered.
     pub answered: u64,
     /// Refusals and failures.
     pub refused: Vec<CallError>,
     /// Calls that never got a final answer.
-    pub no_answer: Vec<String>,
+    pub unanswered: Vec<String>,
     /// Wrong answers.
     pub violations: Vec<Violation>,
     /// Conversations that the system shows otherwise than the caller knows them.
-    pub wrong_histories: Vec<String>,
+    pub history_mismatches: Vec<String>,
     /// Programs that spent more than their budget.
-    pub overspent: Vec<String>,
+    pub over_budget: Vec<String>,
     /// Programs that ran to their end.
     pub finished: u64,
     /// Identifiers of all programs.
@@ -91,9 +91,9 @@
     /// Requests that are not repeatable, by server key.
     pub server_outcomes: BTreeMap<String, ServerOutcome>,
     /// Times that a caller had to ask again.
-    pub asked_again: u64,
+    pub retries: u64,
     /// Times that an opened answer broke off.
-    pub broken: u64,
+    pub interruptions: u64,
     /// Time to the first token, in microseconds.
     pub first_token: Histogram<u64>,
     /// Longest silence within each streamed answer, in microseconds.
@@ -106,28 +106,29 @@
     pub cached_tokens: u64,
 }
 
-const HIGHEST_US: u64 = 600_000_000;
-const DIGITS: u8 = 3;
+const MAX_US: u64 = 600_000_000;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 fn histogram() -> Histogram<u64> {
     // The bounds are constants that the library accepts.
-    Histogram::new_with_bounds(1, HIGHEST_US, DIGITS).unwrap_or_else(|error| panic!("{error}"))
+    Histogram::new_with_bounds(1, MAX_US, SIGNIFICANT_DIGITS)
+        .unwrap_or_else(|error| panic!("{error}"))
 }
 
-impl Default for Tally {
+impl Default for LoadStats {
     fn default() -> Self {
         Self {
             answered: 0,
             refused: Vec::new(),
-            no_answer: Vec::new(),
+            unanswered: Vec::new(),
             violations: Vec::new(),
-            wrong_histories: Vec::new(),
-            overspent: Vec::new(),
+            history_mismatches: Vec::new(),
+            over_budget: Vec::new(),
             finished: 0,
             programs: Vec::new(),
             server_outcomes: BTreeMap::new(),
-            asked_again: 0,
-            broken: 0,
+            retries: 0,
+            interruptions: 0,
             first_token: histogram(),
             pauses: histogram(),
             program_time: histogram(),
@@ -138,33 +139,33 @@
 }
 
 fn micros(span: Duration) -> u64 {
-    (span.as_micros() as u64).clamp(1, HIGHEST_US)
+    (span.as_micros() as u64).clamp(1, MAX_US)
 }
 
-impl Tally {
-    fn note_call(&mut self, caller: &Caller, end: &CallEnd) {
-        self.asked_again += u64::from(caller.times.asked_again);
-        self.broken += u64::from(caller.times.broken);
-        if let Some(first) = caller.times.first {
+impl LoadStats {
+    fn record_call(&mut self, caller: &Caller, outcome: &CallOutcome) {
+        self.retries += u64::from(caller.times.retries);
+        self.interruptions += u64::from(caller.times.interruptions);
+        if let Some(first) = caller.times.first_token {
             self.first_token.saturating_record(micros(first));
             self.pauses
                 .saturating_record(micros(caller.times.longest_pause));
         }
-        match end {
-            CallEnd::Answered(answer) => {
+        match outcome {
+            CallOutcome::Answered(answer) => {
                 self.answered += 1;
                 self.prompt_tokens += answer.usage.prompt_tokens;
                 self.cached_tokens += answer.usage.cached_tokens;
             }
-            CallEnd::Refused(error) => self.refused.push(error.clone()),
-            CallEnd::NoAnswer(cause) => self.no_answer.push(cause.clone()),
+            CallOutcome::Refused(error) => self.refused.push(error.clone()),
+            CallOutcome::NoAnswer(cause) => self.unanswered.push(cause.clone()),
         }
     }
 
-    fn note_server_call(&mut self, caller: &Caller, number: u64, end: &CallEnd) {
-        let outcome = match end {
-            CallEnd::Answered(_) => ServerOutcome::Answered,
-            CallEnd::Refused(error) if error.executed == Executed::No => ServerOutcome::NotRun,
+    fn record_server_call(&mut self, caller: &Caller, number: u64, outcome: &CallOutcome) {
+        let outcome = match outcome {
+            CallOutcome::Answered(_) => ServerOutcome::Answered,
+            CallOutcome::Refused(error) if error.executed == Executed::No => ServerOutcome::NotRun,
             _ => ServerOutcome::Unknown,
         };
         let key = format!("{}.{}", caller.program, caller.request_key(number));
@@ -176,7 +177,7 @@
 #[derive(Clone)]
 pub struct Load {
     /// What was seen so far.
-    pub tally: Rc<RefCell<Tally>>,
+    pub stats: Rc<RefCell<LoadStats>>,
     running: Rc<RefCell<usize>>,
 }
 
@@ -184,14 +185,14 @@
     /// Starts all programs of a workload.
     pub fn start(client: &HttpClient, gateways: &[String], workload: &Workload) -> Self {
         let load = Self {
-            tally: Rc::default(),
+            stats: Rc::default(),
             running: Rc::new(RefCell::new(workload.programs)),
         };
         for index in 0..workload.programs {
             let (load, client) = (load.clone(), client.clone());
             let (gateways, workload) = (gateways.to_vec(), workload.clone());
             ntex::rt::spawn(async move {
-                load.converse(&client, &gateways, &workload, index).await;
+                load.run_program(&client, &gateways, &workload, index).await;
                 *load.running.borrow_mut() -= 1;
             });
         }
@@ -199,32 +200,32 @@
     }
 
     /// What was seen, taken out after the end.
-    pub fn take_tally(&self) -> Tally {
-        self.tally.take()
+    pub fn take_stats(&self) -> LoadStats {
+        self.stats.take()
     }
 
     /// Whether all programs have ended.
-    pub fn is_over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         *self.running.borrow() == 0
     }
 
     /// Waits until all programs have ended; false if they have not in time.
     pub async fn wait(&self, limit: Duration) -> bool {
-        let begun = Instant::now();
-        while !self.is_over() && begun.elapsed() < limit {
+        let started = Instant::now();
+        while !self.is_finished() && started.elapsed() < limit {
             sleep(Millis(20)).await;
         }
-        self.is_over()
+        self.is_finished()
     }
 
-    async fn converse(
+    async fn run_program(
         &self,
         client: &HttpClient,
         gateways: &[String],
         workload: &Workload,
         index: usize,
     ) {
-        let begun = Instant::now();
+        let started = Instant::now();
         let body = OpenProgramRequest {
             tenant: workload.tenant.clone(),
             labels: workload.labels.clone(),
@@ -237,67 +238,67 @@
         let mut caller = match Caller::open_with(client, gateways, &body).await {
             Ok(caller) => caller,
             Err(error) => {
-                self.tally
+                self.stats
                     .borrow_mut()
-                    .no_answer
+                    .unanswered
                     .push(format!("open: {error}"));
                 return;
             }
         };
-        self.tally
+        self.stats
             .borrow_mut()
             .programs
             .push(caller.program.clone());
         for turn in 1..=workload.turns {
-            self.take_turn(&mut caller, workload, turn).await;
+            self.run_turn(&mut caller, workload, turn).await;
             sleep(Millis(fastrand::u32(..=workload.pause_ms))).await;
         }
-        self.close(&mut caller, workload, begun).await;
+        self.finish_program(&mut caller, workload, started).await;
     }
 
-    async fn take_turn(&self, caller: &mut Caller, workload: &Workload, turn: u32) {
+    async fn run_turn(&self, caller: &mut Caller, workload: &Workload, turn: u32) {
         let to_service = workload.service_every > 0 && turn.is_multiple_of(workload.service_every);
         if to_service {
             let number = caller.calls + 1;
-            let end = caller.ask_server(&workload.service, "create", false).await;
-            let mut tally = self.tally.borrow_mut();
-            tally.note_server_call(caller, number, &end);
-            tally.note_call(caller, &end);
+            let outcome = caller.call_server(&workload.service, "create", false).await;
+            let mut stats = self.stats.borrow_mut();
+            stats.record_server_call(caller, number, &outcome);
+            stats.record_call(caller, &outcome);
             return;
         }
         let mut content = format!("turn {turn} of {}: ", caller.program);
         while content.len() < workload.message_bytes {
             content.push_str("lorem ");
         }
-        let end = caller
-            .ask_model(&workload.model, &content, workload.max_tokens)
+        let outcome = caller
+            .call_model(&workload.model, &content, workload.max_tokens)
             .await;
-        self.tally.borrow_mut().note_call(caller, &end);
+        self.stats.borrow_mut().record_call(caller, &outcome);
     }
 
-    async fn close(&self, caller: &mut Caller, workload: &Workload, begun: Instant) {
+    async fn finish_program(&self, caller: &mut Caller, workload: &Workload, started: Instant) {
         let view = caller.view().await;
-        let ended = caller.end().await;
-        let mut tally = self.tally.borrow_mut();
-        tally.violations.append(&mut caller.violations);
+        let ended = caller.end_program().await;
+        let mut stats = self.stats.borrow_mut();
+        stats.violations.append(&mut caller.violations);
         match view {
             Ok(view) => {
                 if view.history != caller.history {
-                    tally.wrong_histories.push(caller.program.clone());
+                    stats.history_mismatches.push(caller.program.clone());
                 }
                 if view.spent + view.reserved > workload.budget as u64 {
-                    tally.overspent.push(caller.program.clone());
+                    stats.over_budget.push(caller.program.clone());
                 }
             }
-            Err(error) => tally.no_answer.push(format!("view: {error}")),
+            Err(error) => stats.unanswered.push(format!("view: {error}")),
         }
         if ended {
-            tally.finished += 1;
+            stats.finished += 1;
         } else {
-            tally.no_answer.push(format!("end of {}", caller.program));
+            stats.unanswered.push(format!("end of {}", caller.program));
         }
-        tally
+        stats
             .program_time
-            .saturating_record(micros(begun.elapsed()));
+            .saturating_record(micros(started.elapsed()));
     }
 }
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,14 +1,14 @@
 //! `fieldhook-bench`: load, faults and experiments.
 
 use fieldhook_bench::scenario::Scenario;
-use fieldhook_bench::{experiment, memory, overhead, quickstart, ways};
+use fieldhook_bench::{append_strategies, experiment, memory, overhead, quickstart};
 use gumdrop::Options;
 use serde::Serialize;
 use std::error::Error;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-const VIOLATED: &str = "something was violated; see the report";
+const VIOLATIONS_FOUND: &str = "something was violated; see the report";
 
 /// Load, fault and experiment tool.
 #[derive(Debug, Options)]
@@ -117,8 +117,12 @@
         Some(Command::Quickstart(options)) => quickstart::run(options.keep, &options.folder).await,
         Some(Command::Run(options)) => {
             let scenario = Scenario::read(&options.scenario)?;
-            let good = experiment::run(&scenario, &options.report).await?;
-            if good { Ok(()) } else { Err(VIOLATED.into()) }
+            let passed = experiment::run(&scenario, &options.report).await?;
+            if passed {
+                Ok(())
+            } else {
+                Err(VIOLATIONS_FOUND.into())
+            }
         }
         Some(Command::Overhead(options)) => {
             print(&overhead::measure(options.calls, &options.folder).await?)
@@ -127,7 +131,7 @@
             print(&memory::measure(options.programs, options.megabytes, &options.folder).await?)
         }
         Some(Command::Ways(options)) => {
-            print(&ways::measure(options.turns, options.seconds).await?)
+            print(&append_strategies::measure(options.turns, options.seconds).await?)
         }
         None => Err("name a command; see --help".into()),
     }
--- a/crates/bench/src/memory.rs
+++ b/crates/bench/src/memory.rs
@@ -1,20 +1,20 @@
 //! Memory of a daemon: slopes per idle program and per megabyte of history.
 
-use crate::caller::{CallEnd, Caller};
-use crate::cluster::{Cluster, Shape};
-use crate::report::memory_kb;
+use crate::caller::{CallOutcome, Caller};
+use crate::cluster::{Cluster, ClusterConfig};
+use crate::report::resident_memory_kb;
 use ntex::time::{Millis, sleep};
 use serde::Serialize;
 use std::error::Error;
 use std::path::Path;
 
-const SETTLE: Millis = Millis(1_500);
+const SETTLE_TIME: Millis = Millis(1_500);
 const MESSAGE_BYTES: usize = 64 << 10;
 const BUDGET: i64 = 1_000_000_000;
 
 /// Slopes of one run; every daemon of the three holds every program.
 #[derive(Clone, Debug, Serialize)]
-pub struct MemorySlopes {
+pub struct MemoryReport {
     /// Idle programs opened.
     pub programs: usize,
     /// Bytes of history added.
@@ -39,32 +39,32 @@
     programs: usize,
     megabytes: usize,
     folder: &Path,
-) -> Result<MemorySlopes, Box<dyn Error>> {
-    let cluster = Cluster::start(Shape::default(), folder).await?;
-    cluster.wait_whole().await?;
+) -> Result<MemoryReport, Box<dyn Error>> {
+    let cluster = Cluster::start(ClusterConfig::default(), folder).await?;
+    cluster.wait_shards_owned().await?;
     let gateways = cluster.gateways();
-    sleep(SETTLE).await;
+    sleep(SETTLE_TIME).await;
     let empty_kb = mean_memory_kb(&cluster);
     let mut callers = Vec::new();
     for index in 0..programs {
         let key = format!("idle-{index}");
         callers.push(Caller::open(&cluster.client, &gateways, "riga", &key, BUDGET).await?);
     }
-    sleep(SETTLE).await;
+    sleep(SETTLE_TIME).await;
     let idle_kb = mean_memory_kb(&cluster);
     let content = "goal ".repeat(MESSAGE_BYTES / 5);
     let messages = (megabytes << 20) / content.len();
     for index in 0..messages {
-        let place = index % callers.len();
-        let end = callers[place].ask_model("chat", &content, 1).await;
-        if !matches!(end, CallEnd::Answered(_)) {
-            return Err(format!("no answer: {end:?}").into());
+        let caller = index % callers.len();
+        let outcome = callers[caller].call_model("chat", &content, 1).await;
+        if !matches!(outcome, CallOutcome::Answered(_)) {
+            return Err(format!("no answer: {outcome:?}").into());
         }
     }
-    sleep(SETTLE).await;
+    sleep(SETTLE_TIME).await;
     let history_kb = mean_memory_kb(&cluster);
     let history_bytes = messages * content.len();
-    Ok(MemorySlopes {
+    Ok(MemoryReport {
         programs,
         history_bytes,
         empty_kb,
@@ -80,6 +80,8 @@
         .daemons
         .iter()
         .filter_map(|daemon| daemon.process.as_ref());
-    let sizes: Vec<u64> = processes.map(|process| memory_kb(process.id())).collect();
+    let sizes: Vec<u64> = processes
+        .map(|process| resident_memory_kb(process.id()))
+        .collect();
     sizes.iter().sum::<u64>() as f64 / sizes.len().max(1) as f64
 }
--- a/crates/bench/src/overhead.rs
+++ b/crates/bench/src/overhead.rs
@@ -1,8 +1,8 @@
 //! The time that fieldhook adds to a call's first token: the same engine asked
 //! directly and through fieldhook, in turn, at light load.
 
-use crate::caller::{Caller, user};
-use crate::cluster::{Cluster, Shape};
+use crate::caller::{Caller, user_message};
+use crate::cluster::{Cluster, ClusterConfig};
 use crate::report::Percentiles;
 use fieldhook_http::{HttpClient, SseDecoder};
 use fieldhook_model::platform::GenerateRequest;
@@ -15,15 +15,15 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-const LIMIT: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 const WARM_UP: usize = 50;
 const PAUSE: Millis = Millis(3);
 const TOKENS: u32 = 3;
-const HIGHEST_US: u64 = 60_000_000;
+const MAX_US: u64 = 60_000_000;
 
 /// First-token times of one run.
 #[derive(Clone, Debug, Serialize)]
-pub struct Overhead {
+pub struct OverheadReport {
     /// The engine asked directly, in milliseconds.
     pub direct_ms: Percentiles,
     /// Asked through fieldhook, in milliseconds.
@@ -38,12 +38,12 @@
 ///
 /// # Errors
 /// The cluster cannot be started or a call fails.
-pub async fn measure(calls: usize, folder: &Path) -> Result<Overhead, Box<dyn Error>> {
-    let mut shape = Shape::default();
-    shape.engines.truncate(1);
+pub async fn measure(calls: usize, folder: &Path) -> Result<OverheadReport, Box<dyn Error>> {
+    let mut config = ClusterConfig::default();
+    config.engines.truncate(1);
     // A step as short as the stand-in's clock allows, so that its length hides
     // as little as possible.
-    shape.engines[0].flags = [
+    config.engines[0].flags = [
         "--step-base-us",
         "1000",
         "--decode-us",
@@ -53,30 +53,30 @@
     ]
     .map(str::to_owned)
     .into();
-    let cluster = Cluster::start(shape, folder).await?;
-    cluster.wait_whole().await?;
+    let cluster = Cluster::start(config, folder).await?;
+    cluster.wait_shards_owned().await?;
     let gateways = cluster.gateways();
     let engine = cluster.engines()[0].clone();
-    let mut direct = Histogram::<u64>::new_with_bounds(1, HIGHEST_US, 3)?;
+    let mut direct = Histogram::<u64>::new_with_bounds(1, MAX_US, 3)?;
     let mut through = direct.clone();
     for index in 0..calls + WARM_UP {
         let key = format!("overhead-{index}");
         let mut caller = Caller::open(&cluster.client, &gateways, "tambak", &key, 100_000).await?;
         sleep(PAUSE).await;
-        caller.ask_model("chat", "How much is it?", TOKENS).await;
+        caller.call_model("chat", "How much is it?", TOKENS).await;
         let first = caller
             .times
-            .first
+            .first_token
             .ok_or("no first token through fieldhook")?;
         sleep(PAUSE).await;
-        let plain = ask_directly(&cluster.client, &engine, &key).await?;
+        let first_direct = measure_direct(&cluster.client, &engine, &key).await?;
         if index >= WARM_UP {
             through.saturating_record(first.as_micros() as u64);
-            direct.saturating_record(plain.as_micros() as u64);
+            direct.saturating_record(first_direct.as_micros() as u64);
         }
     }
     let (direct_ms, through_ms) = (Percentiles::of(&direct), Percentiles::of(&through));
-    Ok(Overhead {
+    Ok(OverheadReport {
         direct_ms,
         through_ms,
         added_p50_ms: through_ms.p50 - direct_ms.p50,
@@ -84,7 +84,7 @@
     })
 }
 
-async fn ask_directly(
+async fn measure_direct(
     client: &HttpClient,
     engine: &str,
     key: &str,
@@ -93,23 +93,23 @@
         stream: format!("direct-{key}"),
         program: format!("direct-{key}"),
         model: "chat".to_owned(),
-        messages: vec![user("How much is it?")],
+        messages: vec![user_message("How much is it?")],
         max_tokens: TOKENS,
         priority: 50,
         continues: false,
     };
-    let begun = Instant::now();
+    let started = Instant::now();
     let url = format!("http://{engine}/v1/generate");
     let body = serde_json::to_vec(&request)?;
     let headers = [("content-type", "application/json")];
     let mut response = client
-        .send(Method::POST, &url, &headers, body, LIMIT)
+        .send(Method::POST, &url, &headers, body, TIMEOUT)
         .await?;
     let mut decoder = SseDecoder::default();
     let mut first = None;
     while let Some(chunk) = response.next().await {
         if !decoder.push(&chunk?).is_empty() {
-            first.get_or_insert_with(|| begun.elapsed());
+            first.get_or_insert_with(|| started.elapsed());
         }
     }
     first.ok_or_else(|| "no first token from the engine".into())
--- a/crates/bench/src/quickstart.rs
+++ b/crates/bench/src/quickstart.rs
@@ -1,8 +1,8 @@
 //! The first run of a newcomer: a cluster on loopback, a published
 //! configuration, a checkout conversation, and its end.
 
-use crate::caller::{CallEnd, Caller};
-use crate::cluster::{Cluster, Shape};
+use crate::caller::{CallOutcome, Caller};
+use crate::cluster::{Cluster, ClusterConfig};
 use fieldhook_model::api::Answer;
 use fieldhook_model::config_log::{CONFIG_STREAM, ConfigChange};
 use ntex::http::Method;
@@ -14,25 +14,25 @@
 
 const TIMEOUT: Duration = Duration::from_secs(5);
 const BUDGET: i64 = 100_000;
-const RELEASE_CHECKS: u32 = 100;
-const CHECK_PAUSE: Millis = Millis(50);
+const MAX_CHECKS: u32 = 100;
+const CHECK_INTERVAL: Millis = Millis(50);
 
 /// The configuration that the quickstart publishes.
 pub const CONFIGURATION: &str = include_str!("../../../scenarios/quickstart-config.toml");
 
-type Outcome<T> = Result<T, Box<dyn Error>>;
+type QuickstartResult<T> = Result<T, Box<dyn Error>>;
 
 /// Runs the quickstart; with `keep` the processes stay.
 ///
 /// # Errors
 /// The first thing that did not go as it should.
-pub async fn run(keep: bool, folder: &Path) -> Outcome<()> {
+pub async fn run(keep: bool, folder: &Path) -> QuickstartResult<()> {
     println!("Starting log, machine list, 3 engines, 2 servers and 3 daemons in 3 zones ...");
-    let cluster = Cluster::start(Shape::default(), folder).await?;
+    let cluster = Cluster::start(ClusterConfig::default(), folder).await?;
     publish(&cluster).await?;
-    converse(&cluster).await?;
+    run_conversation(&cluster).await?;
     if keep {
-        explain(&cluster);
+        print_instructions(&cluster);
         cluster.detach();
     } else {
         println!("Stopping everything that was started.");
@@ -40,7 +40,7 @@
     Ok(())
 }
 
-async fn publish(cluster: &Cluster) -> Outcome<()> {
+async fn publish(cluster: &Cluster) -> QuickstartResult<()> {
     let change = ConfigChange {
         based_on: 0,
         change_key: "quickstart".to_owned(),
@@ -64,43 +64,47 @@
 ///
 /// # Errors
 /// It has not in time.
-pub async fn wait_for_version(cluster: &Cluster, daemon: &str, version: u64) -> Outcome<()> {
-    for _ in 0..RELEASE_CHECKS {
-        if let Some(reply) = cluster.get(daemon, "/v1/config").await {
-            let config: serde_json::Value = serde_json::from_str(&reply.body)?;
+pub async fn wait_for_version(
+    cluster: &Cluster,
+    daemon: &str,
+    version: u64,
+) -> QuickstartResult<()> {
+    for _ in 0..MAX_CHECKS {
+        if let Some(response) = cluster.get(daemon, "/v1/config").await {
+            let config: serde_json::Value = serde_json::from_str(&response.body)?;
             if config["version"].as_u64() >= Some(version) {
                 return Ok(());
             }
         }
-        sleep(CHECK_PAUSE).await;
+        sleep(CHECK_INTERVAL).await;
     }
     Err(format!("{daemon} does not have configuration version {version} in force").into())
 }
 
-async fn converse(cluster: &Cluster) -> Outcome<()> {
+async fn run_conversation(cluster: &Cluster) -> QuickstartResult<()> {
     let gateways = cluster.gateways();
     let mut caller =
         Caller::open(&cluster.client, &gateways, "tambak", "checkout-1", BUDGET).await?;
     println!("Program {} is open.\n", caller.program);
-    turn(
+    run_turn(
         &mut caller,
         "May I pay the 900 ringgit phone in instalments?",
     )
     .await?;
-    let limit = answered(caller.ask_server("limits", "limit/shopper-7", true).await)?;
+    let limit = require_answer(caller.call_server("limits", "limit/shopper-7", true).await)?;
     println!("tool  limits       {}: {}", limit.served_by, limit.content);
-    turn(
+    run_turn(
         &mut caller,
         "The limit look-up says 1200 ringgit. Which plans are there?",
     )
     .await?;
-    turn(&mut caller, "I take three instalments.").await?;
-    let plan = answered(caller.ask_server("instalments", "plans", false).await)?;
+    run_turn(&mut caller, "I take three instalments.").await?;
+    let plan = require_answer(caller.call_server("instalments", "plans", false).await)?;
     println!(
         "tool  instalments  {}: {} (not repeatable)",
         plan.served_by, plan.content
     );
-    turn(&mut caller, "The plan is created. Please confirm it.").await?;
+    run_turn(&mut caller, "The plan is created. Please confirm it.").await?;
     if let Some(violation) = caller.violations.first() {
         return Err(format!("an answer was wrong: {violation}").into());
     }
@@ -109,26 +113,26 @@
     if executions != [1] {
         return Err("the request that is not repeatable did not run exactly once".into());
     }
-    end(cluster, &mut caller).await
+    end_program(cluster, &mut caller).await
 }
 
-async fn turn(caller: &mut Caller, text: &str) -> Outcome<()> {
+async fn run_turn(caller: &mut Caller, text: &str) -> QuickstartResult<()> {
     println!("user  {text}");
-    let answer = answered(caller.ask_model("chat", text, 12).await)?;
+    let answer = require_answer(caller.call_model("chat", text, 12).await)?;
     println!(
         "model {}\n      served by {}, {} of {} prompt tokens cached, first token after {:.1} ms",
         answer.content,
         answer.served_by,
         answer.usage.cached_tokens,
         answer.usage.prompt_tokens,
-        caller.times.first.unwrap_or_default().as_secs_f64() * 1e3,
+        caller.times.first_token.unwrap_or_default().as_secs_f64() * 1e3,
     );
     Ok(())
 }
 
-fn answered(end: CallEnd) -> Outcome<Answer> {
-    match end {
-        CallEnd::Answered(answer) => Ok(answer),
+fn require_answer(outcome: CallOutcome) -> QuickstartResult<Answer> {
+    match outcome {
+        CallOutcome::Answered(answer) => Ok(answer),
         other => Err(format!("no answer: {other:?}").into()),
     }
 }
@@ -137,52 +141,53 @@
 ///
 /// # Errors
 /// A server does not answer.
-pub async fn executions(cluster: &Cluster, service: &str) -> Outcome<Vec<u64>> {
+pub async fn executions(cluster: &Cluster, service: &str) -> QuickstartResult<Vec<u64>> {
     let mut counts = Vec::new();
     for server in cluster.servers(service) {
-        let reply = cluster
+        let response = cluster
             .get(&server, "/v1/executions")
             .await
             .ok_or("server is silent")?;
-        let seen: BTreeMap<String, serde_json::Value> = serde_json::from_str(&reply.body)?;
+        let executions: BTreeMap<String, serde_json::Value> = serde_json::from_str(&response.body)?;
         counts.extend(
-            seen.values()
+            executions
+                .values()
                 .filter_map(|execution| execution["count"].as_u64()),
         );
     }
     Ok(counts)
 }
 
-async fn end(cluster: &Cluster, caller: &mut Caller) -> Outcome<()> {
-    let held = held_tokens(cluster, &caller.program).await;
-    println!("Before its end engines hold {held} tokens for the program.");
-    if !caller.end().await {
+async fn end_program(cluster: &Cluster, caller: &mut Caller) -> QuickstartResult<()> {
+    let tokens = cached_tokens(cluster, &caller.program).await;
+    println!("Before its end engines hold {tokens} tokens for the program.");
+    if !caller.end_program().await {
         return Err("the program's end was not acknowledged".into());
     }
-    for _ in 0..RELEASE_CHECKS {
-        if held_tokens(cluster, &caller.program).await == 0 {
+    for _ in 0..MAX_CHECKS {
+        if cached_tokens(cluster, &caller.program).await == 0 {
             println!("After its end they hold 0.");
             return Ok(());
         }
-        sleep(CHECK_PAUSE).await;
+        sleep(CHECK_INTERVAL).await;
     }
     Err("engines still hold memory for the ended program".into())
 }
 
 /// Tokens that all engines hold for a program.
-pub async fn held_tokens(cluster: &Cluster, program: &str) -> u64 {
+pub async fn cached_tokens(cluster: &Cluster, program: &str) -> u64 {
     let mut sum = 0;
     for engine in cluster.engines() {
-        let Some(reply) = cluster.get(&engine, "/v1/programs").await else {
+        let Some(response) = cluster.get(&engine, "/v1/programs").await else {
             continue;
         };
-        let held: BTreeMap<String, u64> = serde_json::from_str(&reply.body).unwrap_or_default();
+        let held: BTreeMap<String, u64> = serde_json::from_str(&response.body).unwrap_or_default();
         sum += held.get(program).copied().unwrap_or(0);
     }
     sum
 }
 
-fn explain(cluster: &Cluster) {
+fn print_instructions(cluster: &Cluster) {
     let ids: Vec<String> = cluster.process_ids().iter().map(u32::to_string).collect();
     println!("\nThe cluster stays. Daemons:");
     for daemon in &cluster.daemons {
--- a/crates/bench/src/report.rs
+++ b/crates/bench/src/report.rs
@@ -1,7 +1,7 @@
 //! What a run shows: `summary.json` for tools, `report.html` for people.
 
 use crate::cluster::Cluster;
-use crate::load::Tally;
+use crate::load::LoadStats;
 use hdrhistogram::Histogram;
 use plotters::prelude::{
     ChartBuilder, Color, IntoDrawingArea, LineSeries, PathElement, RGBColor, SVGBackend, WHITE,
@@ -54,7 +54,7 @@
 
 /// One fault that was caused.
 #[derive(Clone, Debug, Serialize)]
-pub struct FaultNote {
+pub struct InjectedFault {
     /// When, in milliseconds from the load's start.
     pub at_ms: u64,
     /// What.
@@ -96,32 +96,32 @@
 
 impl WorkloadSummary {
     /// From what the callers saw.
-    pub fn new(name: &str, tally: &Tally) -> Self {
+    pub fn new(name: &str, stats: &LoadStats) -> Self {
         let mut refused = BTreeMap::new();
-        for error in &tally.refused {
+        for error in &stats.refused {
             *refused.entry(format!("{:?}", error.kind)).or_insert(0) += 1;
         }
-        let mut noticed = tally.pauses.clone();
-        noticed.reset();
-        for value in tally.pauses.iter_recorded() {
+        let mut noticeable = stats.pauses.clone();
+        noticeable.reset();
+        for value in stats.pauses.iter_recorded() {
             if value.value_iterated_to() >= NOTICEABLE_US {
-                let _ = noticed.record_n(value.value_iterated_to(), value.count_at_value());
+                let _ = noticeable.record_n(value.value_iterated_to(), value.count_at_value());
             }
         }
         Self {
             name: name.to_owned(),
-            programs: tally.finished,
-            answered: tally.answered,
+            programs: stats.finished,
+            answered: stats.answered,
             refused,
-            asked_again: tally.asked_again,
-            broken: tally.broken,
-            program_ms: Percentiles::of(&tally.program_time),
-            first_token_ms: Percentiles::of(&tally.first_token),
-            longest_pause_ms: Percentiles::of(&tally.pauses),
-            noticed_pause_ms: Percentiles::of(&noticed),
-            prompt_tokens: tally.prompt_tokens,
-            cached_share: tally.cached_tokens as f64 / tally.prompt_tokens.max(1) as f64,
-            first_token: tally.first_token.clone(),
+            asked_again: stats.retries,
+            broken: stats.interruptions,
+            program_ms: Percentiles::of(&stats.program_time),
+            first_token_ms: Percentiles::of(&stats.first_token),
+            longest_pause_ms: Percentiles::of(&stats.pauses),
+            noticed_pause_ms: Percentiles::of(&noticeable),
+            prompt_tokens: stats.prompt_tokens,
+            cached_share: stats.cached_tokens as f64 / stats.prompt_tokens.max(1) as f64,
+            first_token: stats.first_token.clone(),
         }
     }
 }
@@ -149,7 +149,7 @@
     /// Length of the load, in milliseconds.
     pub length_ms: u64,
     /// Faults.
-    pub faults: Vec<FaultNote>,
+    pub faults: Vec<InjectedFault>,
     /// Workloads.
     pub workloads: Vec<WorkloadSummary>,
     /// Longest time until engines held nothing for ended programs, in milliseconds.
@@ -162,7 +162,7 @@
 
 impl Summary {
     /// A summary without workloads.
-    pub fn new(name: &str, seed: u64, length: Duration, faults: Vec<FaultNote>) -> Self {
+    pub fn new(name: &str, seed: u64, length: Duration, faults: Vec<InjectedFault>) -> Self {
         Self {
             name: name.to_owned(),
             seed,
@@ -176,18 +176,18 @@
     }
 
     /// Adds what the running daemons spent.
-    pub async fn read_daemons(&mut self, cluster: &Cluster) {
+    pub async fn add_daemons(&mut self, cluster: &Cluster) {
         for daemon in &cluster.daemons {
             let Some(process) = &daemon.process else {
                 continue;
             };
             let metrics = cluster.get(&daemon.address, "/metrics").await;
-            let text = metrics.map(|reply| reply.body).unwrap_or_default();
+            let text = metrics.map(|response| response.body).unwrap_or_default();
             self.daemons.push(DaemonSummary {
                 address: daemon.address.clone(),
                 control_bytes: metric(&text, "fieldhook_control_bytes_total") as u64,
-                processor_ms: processor_ms(process.id()),
-                memory_kb: memory_kb(process.id()),
+                processor_ms: cpu_time_ms(process.id()),
+                memory_kb: resident_memory_kb(process.id()),
             });
         }
     }
@@ -203,17 +203,17 @@
 }
 
 /// Processor time of a process in milliseconds, from `/proc/PID/stat`.
-pub fn processor_ms(id: u32) -> u64 {
+pub fn cpu_time_ms(id: u32) -> u64 {
     const TICK_MS: u64 = 10;
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
     let after_name = stat.rsplit(')').next().unwrap_or_default();
     let fields: Vec<&str> = after_name.split_whitespace().collect();
-    let ticks = |place: usize| fields.get(place).and_then(|text| text.parse::<u64>().ok());
+    let ticks = |index: usize| fields.get(index).and_then(|text| text.parse::<u64>().ok());
     (ticks(11).unwrap_or(0) + ticks(12).unwrap_or(0)) * TICK_MS
 }
 
 /// Resident memory of a process in kilobytes, from `/proc/PID/status`.
-pub fn memory_kb(id: u32) -> u64 {
+pub fn resident_memory_kb(id: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
     let line = status
         .lines()
@@ -233,12 +233,12 @@
     std::fs::create_dir_all(folder)?;
     let json = serde_json::to_string_pretty(summary)?;
     std::fs::write(folder.join("summary.json"), &json)?;
-    std::fs::write(folder.join("report.html"), page(summary)?)?;
+    std::fs::write(folder.join("report.html"), render_html(summary)?)?;
     println!("{json}\nreport: {}", folder.join("report.html").display());
     Ok(())
 }
 
-fn page(summary: &Summary) -> Result<String, Box<dyn Error>> {
+fn render_html(summary: &Summary) -> Result<String, Box<dyn Error>> {
     let verdict = if summary.violations.is_empty() {
         "<p class=\"good\">Nothing was violated.</p>".to_owned()
     } else {
@@ -270,8 +270,8 @@
         name = escape(&summary.name),
         seed = summary.seed,
         length = summary.length_ms as f64 / 1e3,
-        table = table(summary),
-        plot = plot_first_token(summary)?,
+        table = render_table(summary),
+        plot = render_first_token_plot(summary)?,
     ))
 }
 
@@ -281,7 +281,7 @@
         .replace('>', "&gt;")
 }
 
-fn table(summary: &Summary) -> String {
+fn render_table(summary: &Summary) -> String {
     let rows: String = summary
         .workloads
         .iter()
@@ -310,7 +310,7 @@
 }
 
 /// Share of calls whose first token came within a time.
-fn plot_first_token(summary: &Summary) -> Result<String, Box<dyn Error>> {
+fn render_first_token_plot(summary: &Summary) -> Result<String, Box<dyn Error>> {
     let histograms = summary
         .workloads
         .iter()
--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -1,7 +1,7 @@
 //! Scenarios: what to start, what load to put on it, and which faults to cause
 //! when. An unknown key or an impossible shape is an error with a remedy.
 
-use crate::cluster::{EngineShape, Shape};
+use crate::cluster::{ClusterConfig, EngineConfig};
 use crate::load::Workload;
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -16,7 +16,7 @@
     /// Not TOML, or an unknown or missing key.
     Syntax(String),
     /// The shape cannot work.
-    Impossible(String),
+    Invalid(String),
 }
 
 impl fmt::Display for ScenarioError {
@@ -29,7 +29,7 @@
                     "{cause}\nremedy: see scenarios/README.md for every key"
                 )
             }
-            Self::Impossible(cause) => formatter.write_str(cause),
+            Self::Invalid(cause) => formatter.write_str(cause),
         }
     }
 }
@@ -56,11 +56,11 @@
     /// Its name.
     pub name: String,
     /// Whether the server can be asked for past requests.
-    #[serde(default = "yes")]
+    #[serde(default = "default_true")]
     pub lookup: bool,
 }
 
-fn yes() -> bool {
+fn default_true() -> bool {
     true
 }
 
@@ -191,10 +191,10 @@
     }
 
     fn validate(&self) -> Result<(), ScenarioError> {
-        let impossible = |cause: String| Err(ScenarioError::Impossible(cause));
+        let invalid = |cause: String| Err(ScenarioError::Invalid(cause));
         let cluster = &self.cluster;
         if cluster.zones.is_empty() || cluster.daemons == 0 || cluster.shards == 0 {
-            return impossible("cluster needs zones, daemons and shards; give at least one".into());
+            return invalid("cluster needs zones, daemons and shards; give at least one".into());
         }
         for workload in &self.workload {
             if !cluster
@@ -202,17 +202,17 @@
                 .iter()
                 .any(|engines| engines.model == workload.model)
             {
-                return impossible(format!(
+                return invalid(format!(
                     "workload {:?} asks for model {:?}, which no engine has; add one",
                     workload.name, workload.model
                 ));
             }
-            let served = cluster
+            let has_service = cluster
                 .services
                 .iter()
                 .any(|service| service.name == workload.service);
-            if workload.service_every > 0 && !served {
-                return impossible(format!(
+            if workload.service_every > 0 && !has_service {
+                return invalid(format!(
                     "workload {:?} asks for service {:?}, which is not listed; add it",
                     workload.name, workload.service
                 ));
@@ -225,7 +225,7 @@
                 _ => cluster.daemons,
             };
             if fault.target >= limit {
-                return impossible(format!(
+                return invalid(format!(
                     "fault target {} is not below {limit}",
                     fault.target
                 ));
@@ -235,17 +235,17 @@
     }
 
     /// The cluster to start.
-    pub fn shape(&self) -> Shape {
+    pub fn cluster_config(&self) -> ClusterConfig {
         let mut engines = Vec::new();
         for kind in &self.cluster.engines {
             for _ in 0..kind.count {
                 let zone = self.cluster.zones[engines.len() % self.cluster.zones.len()].clone();
                 let (model, flags) = (kind.model.clone(), kind.flags.clone());
-                engines.push(EngineShape { model, zone, flags });
+                engines.push(EngineConfig { model, zone, flags });
             }
         }
         let services = self.cluster.services.iter();
-        Shape {
+        ClusterConfig {
             zones: self.cluster.zones.clone(),
             daemons: self.cluster.daemons,
             shards: self.cluster.shards,
@@ -253,7 +253,7 @@
             services: services
                 .map(|service| (service.name.clone(), service.lookup))
                 .collect(),
-            ..Shape::default()
+            ..ClusterConfig::default()
         }
     }
 }
--- a/crates/bench/tests/processes/configuration.rs
+++ b/crates/bench/tests/processes/configuration.rs
@@ -1,14 +1,14 @@
 //! Configuration among real processes: races, outages, restarts.
 
 use crate::input::program;
-use crate::support::{pause, run, start};
-use fieldhook_bench::cluster::{Cluster, Shape};
+use crate::support::{run, sleep_ms, start};
+use fieldhook_bench::cluster::{Cluster, ClusterConfig};
 use fieldhook_emulator::faults::FaultPlan;
 use fieldhook_model::operator::ConfigStatus;
 use std::path::PathBuf;
 use std::process::{Child, Command, Output, Stdio};
 
-const OUT_OF_DATE: i32 = 4;
+const EXIT_OUT_OF_DATE: i32 = 4;
 
 fn document(cluster: &Cluster, name: &str) -> PathBuf {
     let path = cluster.folder.join(format!("{name}.toml"));
@@ -20,7 +20,7 @@
     path
 }
 
-pub fn client(cluster: &Cluster, daemon: usize, arguments: &[&str]) -> Child {
+pub fn spawn_client(cluster: &Cluster, daemon: usize, arguments: &[&str]) -> Child {
     Command::new(program("fieldhook"))
         .args([
             "--daemon",
@@ -36,50 +36,50 @@
         .expect("starts")
 }
 
-pub fn finish(child: Child) -> Output {
+pub fn wait_for_exit(child: Child) -> Output {
     child.wait_with_output().expect("ends")
 }
 
-async fn versions(cluster: &Cluster) -> Vec<ConfigStatus> {
+async fn config_statuses(cluster: &Cluster) -> Vec<ConfigStatus> {
     let mut versions = Vec::new();
     for daemon in &cluster.daemons {
-        let reply = cluster
+        let response = cluster
             .get(&daemon.address, "/v1/config")
             .await
             .expect("answers");
-        versions.push(serde_json::from_str(&reply.body).expect("a configuration"));
+        versions.push(serde_json::from_str(&response.body).expect("a configuration"));
     }
     versions
 }
 
 #[test]
-fn racing_operators_get_one_winner_and_nobody_goes_back() {
+fn concurrent_publishes_have_one_winner_and_restarts_keep_the_version() {
     run(async {
-        let mut cluster = start("config", Shape::default()).await;
-        let racers: Vec<Child> = (0..4)
+        let mut cluster = start("config", ClusterConfig::default()).await;
+        let publishers: Vec<Child> = (0..4)
             .map(|index| {
                 let file = document(&cluster, &format!("racer-{index}"));
                 let file = file.to_string_lossy().into_owned();
-                client(
+                spawn_client(
                     &cluster,
                     index % 3,
                     &["config", "publish", &file, "--based-on", "0", "--wait"],
                 )
             })
             .collect();
-        let outcomes: Vec<Output> = racers.into_iter().map(finish).collect();
+        let outcomes: Vec<Output> = publishers.into_iter().map(wait_for_exit).collect();
         let won = outcomes
             .iter()
             .filter(|output| output.status.success())
             .count();
         assert_eq!(won, 1, "{outcomes:?}");
         for lost in outcomes.iter().filter(|output| !output.status.success()) {
-            assert_eq!(lost.status.code(), Some(OUT_OF_DATE), "{lost:?}");
+            assert_eq!(lost.status.code(), Some(EXIT_OUT_OF_DATE), "{lost:?}");
             let text = String::from_utf8_lossy(&lost.stderr);
             assert!(text.contains("+name = "), "says what changed: {text}");
         }
         assert!(
-            versions(&cluster)
+            config_statuses(&cluster)
                 .await
                 .iter()
                 .all(|config| config.version == 1)
@@ -92,7 +92,7 @@
         };
         cluster.set_faults(&cluster.log, &lose).await;
         let second = document(&cluster, "second").to_string_lossy().into_owned();
-        let output = finish(client(
+        let output = wait_for_exit(spawn_client(
             &cluster,
             0,
             &["config", "publish", &second, "--wait"],
@@ -109,12 +109,12 @@
         cluster.start_daemon(1).expect("restarts");
         cluster.wait_ready().await.expect("ready in the outage");
         for _ in 0..100 {
-            if versions(&cluster).await[1].version == 2 {
+            if config_statuses(&cluster).await[1].version == 2 {
                 break;
             }
-            pause(20).await;
+            sleep_ms(20).await;
         }
-        let after = versions(&cluster).await;
+        let after = config_statuses(&cluster).await;
         assert!(after.iter().all(|config| config.version == 2), "{after:?}");
         assert!(
             after
--- a/crates/bench/tests/processes/survival.rs
+++ b/crates/bench/tests/processes/faults.rs
@@ -1,17 +1,19 @@
 //! Kills, freezes, lost answers, outages and planned stops under load.
 
-use crate::support::{commands_waiting, dispatched, finish, pause, run, start, start_load};
-use fieldhook_bench::caller::{CallEnd, Caller};
-use fieldhook_bench::cluster::{EngineShape, Shape, Signal};
+use crate::support::{
+    accepted_requests, commands_waiting, finish_and_check, run, sleep_ms, start, start_load,
+};
+use fieldhook_bench::caller::{CallOutcome, Caller};
+use fieldhook_bench::cluster::{ClusterConfig, EngineConfig, Signal};
 use fieldhook_bench::load::Workload;
 use fieldhook_emulator::faults::FaultPlan;
 use fieldhook_model::error::{ErrorKind, Executed};
 use std::time::Duration;
 
 #[test]
-fn killed_daemons_lose_nothing() {
+fn killed_daemons_lose_no_programs_or_calls() {
     run(async {
-        let mut cluster = start("kill", Shape::default()).await;
+        let mut cluster = start("kill", ClusterConfig::default()).await;
         let workload = Workload {
             turns: 30,
             pause_ms: 300,
@@ -19,23 +21,23 @@
         };
         let load = start_load(&cluster, &workload);
         for index in 0..cluster.daemons.len() {
-            pause(700).await;
+            sleep_ms(700).await;
             cluster.kill_daemon(index);
-            pause(1_500).await;
+            sleep_ms(1_500).await;
             cluster.start_daemon(index).expect("restarts");
             cluster
-                .wait_whole()
+                .wait_shards_owned()
                 .await
                 .expect("every shard has an owner");
         }
-        finish(&cluster, &load, &workload).await;
+        finish_and_check(&cluster, &load, &workload).await;
     });
 }
 
 #[test]
-fn frozen_leaders_do_no_harm_when_they_wake() {
+fn resumed_daemons_cause_no_violations() {
     run(async {
-        let cluster = start("freeze", Shape::default()).await;
+        let cluster = start("freeze", ClusterConfig::default()).await;
         let workload = Workload {
             turns: 25,
             pause_ms: 300,
@@ -43,20 +45,20 @@
         };
         let load = start_load(&cluster, &workload);
         for index in 0..cluster.daemons.len() {
-            pause(500).await;
+            sleep_ms(500).await;
             cluster.signal_daemon(index, Signal::Stop);
-            pause(2_500).await;
+            sleep_ms(2_500).await;
             cluster.signal_daemon(index, Signal::Continue);
-            pause(2_000).await;
+            sleep_ms(2_000).await;
         }
-        finish(&cluster, &load, &workload).await;
+        finish_and_check(&cluster, &load, &workload).await;
     });
 }
 
 #[test]
-fn lost_engine_is_replaced_in_mid_stream() {
+fn streams_continue_after_an_engine_is_killed() {
     run(async {
-        let mut cluster = start("engine", Shape::default()).await;
+        let mut cluster = start("engine", ClusterConfig::default()).await;
         let workload = Workload {
             max_tokens: 80,
             turns: 12,
@@ -64,52 +66,52 @@
         };
         let load = start_load(&cluster, &workload);
         for address in cluster.engines() {
-            pause(800).await;
-            if let Some(process) = cluster.stand_ins.get_mut(&address) {
+            sleep_ms(800).await;
+            if let Some(process) = cluster.emulators.get_mut(&address) {
                 process.kill();
             }
-            pause(800).await;
-            let engine = EngineShape {
+            sleep_ms(800).await;
+            let engine = EngineConfig {
                 model: "chat".to_owned(),
                 zone: "imanta".to_owned(),
                 flags: Vec::new(),
             };
             cluster.start_engine(&address, &engine).expect("restarts");
-            pause(1_500).await;
+            sleep_ms(1_500).await;
         }
-        finish(&cluster, &load, &workload).await;
+        finish_and_check(&cluster, &load, &workload).await;
     });
 }
 
 /// What must last lives on the log: while it is down calls wait, and what was
 /// answered before is there when it returns, whichever daemons were lost meanwhile.
 #[test]
-fn an_outage_of_the_log_loses_nothing_though_daemons_are_lost_in_it() {
+fn log_outage_with_daemon_restarts_loses_nothing() {
     run(async {
-        let mut cluster = start("outage", Shape::default()).await;
+        let mut cluster = start("outage", ClusterConfig::default()).await;
         let workload = Workload {
             turns: 40,
             pause_ms: 300,
             ..Workload::default()
         };
         let load = start_load(&cluster, &workload);
-        pause(1_500).await;
+        sleep_ms(1_500).await;
         let down = FaultPlan {
             down: true,
             ..FaultPlan::default()
         };
         cluster.set_faults(&cluster.log, &down).await;
-        pause(500).await;
+        sleep_ms(500).await;
         for index in 0..cluster.daemons.len() {
             cluster.kill_daemon(index);
             cluster.start_daemon(index).expect("restarts");
         }
-        pause(1_500).await;
+        sleep_ms(1_500).await;
         cluster
             .set_faults(&cluster.log, &FaultPlan::default())
             .await;
         cluster
-            .wait_whole()
+            .wait_shards_owned()
             .await
             .expect("every shard has an owner");
         let late = Workload {
@@ -118,30 +120,32 @@
             ..workload.clone()
         };
         let new_programs = start_load(&cluster, &late);
-        finish(&cluster, &new_programs, &late).await;
-        finish(&cluster, &load, &workload).await;
+        finish_and_check(&cluster, &new_programs, &late).await;
+        finish_and_check(&cluster, &load, &workload).await;
         for _ in 0..100 {
             if commands_waiting(&cluster).await == 0.0 {
                 return;
             }
-            pause(100).await;
+            sleep_ms(100).await;
         }
         panic!("commands still wait for the log after the outage");
     });
 }
 
 #[test]
-fn programs_outlive_the_loss_of_all_daemons_at_once() {
+fn programs_survive_the_loss_of_all_daemons() {
     run(async {
-        let mut cluster = start("cold", Shape::default()).await;
+        let mut cluster = start("cold", ClusterConfig::default()).await;
         let gateways = cluster.gateways();
         let mut callers = Vec::new();
         for index in 0..6 {
             let key = format!("cold-{index}");
             let caller = Caller::open(&cluster.client, &gateways, "riga", &key, 100_000).await;
             let mut caller = caller.expect("opens");
-            let end = caller.ask_model("chat", "Who leads at half time?", 8).await;
-            assert!(matches!(end, CallEnd::Answered(_)), "{end:?}");
+            let outcome = caller
+                .call_model("chat", "Who leads at half time?", 8)
+                .await;
+            assert!(matches!(outcome, CallOutcome::Answered(_)), "{outcome:?}");
             callers.push(caller);
         }
         for index in 0..cluster.daemons.len() {
@@ -152,26 +156,26 @@
         }
         cluster.wait_ready().await.expect("daemons recover");
         for mut caller in callers {
-            let end = caller.ask_model("chat", "And who scored last?", 8).await;
-            assert!(matches!(end, CallEnd::Answered(_)), "{end:?}");
+            let outcome = caller.call_model("chat", "And who scored last?", 8).await;
+            assert!(matches!(outcome, CallOutcome::Answered(_)), "{outcome:?}");
             assert_eq!(caller.violations, []);
             assert_eq!(caller.view().await.expect("shown").history, caller.history);
-            assert!(caller.end().await);
+            assert!(caller.end_program().await);
         }
     });
 }
 
 #[test]
-fn lost_answers_double_nothing() {
+fn lost_responses_cause_no_second_execution() {
     run(async {
-        let shape = Shape {
+        let config = ClusterConfig {
             services: vec![
                 ("instalments".to_owned(), true),
                 ("penalties".to_owned(), false),
             ],
-            ..Shape::default()
+            ..ClusterConfig::default()
         };
-        let cluster = start("lost", shape).await;
+        let cluster = start("lost", config).await;
         for service in ["instalments", "penalties"] {
             let workload = Workload {
                 service: service.to_owned(),
@@ -181,7 +185,7 @@
             };
             let load = start_load(&cluster, &workload);
             for _ in 0..5 {
-                pause(150).await;
+                sleep_ms(150).await;
                 let lose = FaultPlan {
                     lose_answers: 2,
                     ..FaultPlan::default()
@@ -193,8 +197,8 @@
                     cluster.set_faults(&engine, &lose).await;
                 }
             }
-            let tally = finish(&cluster, &load, &workload).await;
-            let unknown = tally
+            let stats = finish_and_check(&cluster, &load, &workload).await;
+            let unknown = stats
                 .refused
                 .iter()
                 .filter(|error| error.kind == ErrorKind::OutcomeUnknown);
@@ -203,10 +207,10 @@
                 unknown.count() > 0,
                 expect_unknown,
                 "refused: {:?}",
-                tally.refused
+                stats.refused
             );
             assert!(
-                tally
+                stats
                     .refused
                     .iter()
                     .all(|error| error.executed == Executed::Unknown)
@@ -216,9 +220,9 @@
 }
 
 #[test]
-fn planned_stops_cut_off_nothing() {
+fn planned_stops_interrupt_no_stream() {
     run(async {
-        let mut cluster = start("stop", Shape::default()).await;
+        let mut cluster = start("stop", ClusterConfig::default()).await;
         let workload = Workload {
             turns: 30,
             max_tokens: 60,
@@ -227,38 +231,38 @@
         };
         let load = start_load(&cluster, &workload);
         for index in 0..cluster.daemons.len() {
-            pause(700).await;
+            sleep_ms(700).await;
             cluster.signal_daemon(index, Signal::Terminate);
             let process = cluster.daemons[index].process.as_mut().expect("runs");
             let status = process.wait(Duration::from_secs(30)).await.expect("ends");
             assert_eq!(status.code(), Some(0));
             cluster.start_daemon(index).expect("restarts");
             cluster
-                .wait_whole()
+                .wait_shards_owned()
                 .await
                 .expect("every shard has an owner");
         }
-        let tally = finish(&cluster, &load, &workload).await;
-        assert_eq!(tally.broken, 0, "answers broke off");
-        assert_eq!(tally.refused, []);
+        let stats = finish_and_check(&cluster, &load, &workload).await;
+        assert_eq!(stats.interruptions, 0, "answers broke off");
+        assert_eq!(stats.refused, []);
     });
 }
 
 #[test]
-fn leaving_engine_gets_no_new_work_though_the_list_lags() {
+fn leaving_engine_gets_no_new_requests_before_the_machine_list_updates() {
     run(async {
-        let shape = Shape {
+        let config = ClusterConfig {
             list_lag_ms: 20_000,
-            ..Shape::default()
+            ..ClusterConfig::default()
         };
-        let cluster = start("leaving", shape).await;
+        let cluster = start("leaving", config).await;
         let workload = Workload {
             turns: 30,
             pause_ms: 200,
             ..Workload::default()
         };
         let load = start_load(&cluster, &workload);
-        pause(1_000).await;
+        sleep_ms(1_000).await;
         let leaving = cluster.engines()[0].clone();
         let url = format!("http://{leaving}/control/leave");
         let limit = Duration::from_secs(2);
@@ -266,30 +270,33 @@
             .client
             .fetch(ntex::http::Method::POST, &url, &[], Vec::new(), limit)
             .await;
-        let status = sent.map(|reply| reply.status);
+        let status = sent.map(|response| response.status);
         assert_eq!(status, Ok(200), "the engine was not told to leave");
-        pause(2_000).await;
-        let before = dispatched(&cluster, &leaving).await;
-        pause(2_000).await;
-        assert!(!load.is_over(), "the load ended too early to show anything");
+        sleep_ms(2_000).await;
+        let before = accepted_requests(&cluster, &leaving).await;
+        sleep_ms(2_000).await;
+        assert!(
+            !load.is_finished(),
+            "the load ended too early to show anything"
+        );
         assert_eq!(
-            dispatched(&cluster, &leaving).await,
+            accepted_requests(&cluster, &leaving).await,
             before,
             "new work at a leaving engine"
         );
-        finish(&cluster, &load, &workload).await;
+        finish_and_check(&cluster, &load, &workload).await;
     });
 }
 
 #[test]
-fn frozen_engines_do_not_hold_answers_up() {
+fn frozen_engines_do_not_stall_streams() {
     run(async {
         let settings = "[limits]\nstall_ms = 500\nfirst_token_ms = 1000\n".to_owned();
         let cluster = start(
             "frozen-engine",
-            Shape {
+            ClusterConfig {
                 settings,
-                ..Shape::default()
+                ..ClusterConfig::default()
             },
         )
         .await;
@@ -299,7 +306,7 @@
             ..Workload::default()
         };
         let load = start_load(&cluster, &workload);
-        pause(500).await;
+        sleep_ms(500).await;
         let freeze = FaultPlan {
             freeze_ms: 8_000,
             ..FaultPlan::default()
@@ -307,9 +314,9 @@
         for engine in &cluster.engines()[..2] {
             cluster.set_faults(engine, &freeze).await;
         }
-        let tally = finish(&cluster, &load, &workload).await;
-        assert_eq!(tally.refused, []);
-        let longest_ms = tally.pauses.max() / 1_000;
+        let stats = finish_and_check(&cluster, &load, &workload).await;
+        assert_eq!(stats.refused, []);
+        let longest_ms = stats.pauses.max() / 1_000;
         assert!(
             longest_ms < 5_000,
             "a reader waited {longest_ms} ms for a frozen engine"
--- a/crates/bench/tests/processes/input.rs
+++ b/crates/bench/tests/processes/input.rs
@@ -1,45 +1,45 @@
 //! Bad input: each gets a typed error and changes nothing.
 
 use crate::support::{run, start};
-use fieldhook_bench::caller::{CallEnd, Caller};
-use fieldhook_bench::cluster::{Cluster, Shape};
+use fieldhook_bench::caller::{CallOutcome, Caller};
+use fieldhook_bench::cluster::{Cluster, ClusterConfig};
 use fieldhook_model::error::{CallError, ErrorKind, Executed};
 use ntex::http::Method;
 use std::process::Command;
 use std::time::Duration;
 
-const LIMIT: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-async fn refusal(cluster: &Cluster, path: &str, body: &str) -> (u16, CallError) {
+async fn post_invalid(cluster: &Cluster, path: &str, body: &str) -> (u16, CallError) {
     let url = format!("http://{}{path}", cluster.daemons[0].address);
     let body = body.as_bytes().to_vec();
-    let reply = cluster
+    let response = cluster
         .client
-        .fetch(Method::POST, &url, &[], body, LIMIT)
+        .fetch(Method::POST, &url, &[], body, TIMEOUT)
         .await
         .expect("answers");
-    let error: CallError = serde_json::from_str(&reply.body).expect("a typed error");
+    let error: CallError = serde_json::from_str(&response.body).expect("a typed error");
     assert_eq!(error.executed, Executed::No);
     assert!(!error.remedy.is_empty());
-    (reply.status, error)
+    (response.status, error)
 }
 
 #[test]
-fn bad_input_gets_typed_errors_and_changes_nothing() {
+fn invalid_requests_get_typed_errors_and_change_nothing() {
     run(async {
         let cluster = start(
             "input",
-            Shape {
+            ClusterConfig {
                 daemons: 1,
-                ..Shape::default()
+                ..ClusterConfig::default()
             },
         )
         .await;
         let opened = Caller::open(&cluster.client, &cluster.gateways(), "riga", "k", 500).await;
         let mut caller = opened.expect("opens");
         assert!(matches!(
-            caller.ask_model("chat", "hello", 4).await,
-            CallEnd::Answered(_)
+            caller.call_model("chat", "hello", 4).await,
+            CallOutcome::Answered(_)
         ));
         let before = caller.view().await.expect("shown");
         let calls = format!("/v1/programs/{}/calls", caller.program);
@@ -118,7 +118,7 @@
             ),
         ];
         for (path, body, status, kind) in cases {
-            let (got, error) = refusal(&cluster, path, &body).await;
+            let (got, error) = post_invalid(&cluster, path, &body).await;
             assert_eq!(
                 (got, error.kind),
                 (status, kind),
@@ -132,15 +132,15 @@
             "a refusal changed the program"
         );
         assert!(matches!(
-            caller.ask_model("chat", "go on", 4).await,
-            CallEnd::Answered(_)
+            caller.call_model("chat", "go on", 4).await,
+            CallOutcome::Answered(_)
         ));
         assert_eq!(caller.violations, []);
     });
 }
 
 #[test]
-fn daemon_refuses_bad_settings_with_exit_code_two_and_a_remedy() {
+fn daemon_rejects_invalid_settings_with_exit_code_two_and_a_remedy() {
     let cases = [
         (vec!["--address", "here:7001"], "address"),
         (
--- a/crates/bench/tests/processes/main.rs
+++ b/crates/bench/tests/processes/main.rs
@@ -3,7 +3,7 @@
 
 mod configuration;
 mod evacuation;
+mod faults;
 mod input;
 mod ports;
 mod support;
-mod survival;
--- a/crates/bench/tests/processes/ports.rs
+++ b/crates/bench/tests/processes/ports.rs
@@ -7,7 +7,7 @@
 const PORTS: usize = 600;
 
 #[test]
-fn no_two_processes_get_the_same_port() {
+fn free_port_never_repeats_a_port() {
     let ports: HashSet<u16> = (0..PORTS).map(|_| free_port().expect("a port")).collect();
     assert_eq!(ports.len(), PORTS);
 }
--- a/crates/bench/tests/processes/support.rs
+++ b/crates/bench/tests/processes/support.rs
@@ -1,20 +1,20 @@
 //! What the process tests share.
 
 use fieldhook_bench::audit::{audit, time_to_release};
-use fieldhook_bench::cluster::{Cluster, Shape};
-use fieldhook_bench::load::{Load, Tally, Workload};
+use fieldhook_bench::cluster::{Cluster, ClusterConfig};
+use fieldhook_bench::load::{Load, LoadStats, Workload};
 use ntex::time::{Millis, sleep};
 use std::path::PathBuf;
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
-static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
+static TEST_LOCK: Mutex<()> = Mutex::new(());
 pub const RUN_LIMIT: Duration = Duration::from_secs(100);
 const RELEASE_LIMIT: Duration = Duration::from_secs(10);
 
 /// Runs a test on the runtime of the clients, with the machine to itself.
 pub fn run<F: Future<Output = ()> + 'static>(test: F) {
-    let _alone = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
+    let _alone = TEST_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     ntex::rt::System::build()
         .build(ntex::rt::DefaultRuntime)
         .block_on(test);
@@ -26,8 +26,8 @@
     folder
 }
 
-pub async fn start(name: &str, shape: Shape) -> Cluster {
-    Cluster::start(shape, &folder(name))
+pub async fn start(name: &str, config: ClusterConfig) -> Cluster {
+    Cluster::start(config, &folder(name))
         .await
         .expect("the cluster starts")
 }
@@ -37,26 +37,26 @@
 }
 
 /// Waits for the load's end and checks everything.
-pub async fn finish(cluster: &Cluster, load: &Load, workload: &Workload) -> Tally {
+pub async fn finish_and_check(cluster: &Cluster, load: &Load, workload: &Workload) -> LoadStats {
     assert!(load.wait(RUN_LIMIT).await, "programs did not end in time");
-    let tally = load.take_tally();
-    let broken = audit(cluster, &tally, &workload.service).await;
-    assert!(broken.is_empty(), "violations: {broken:#?}");
-    assert_eq!(tally.finished, workload.programs as u64);
-    let released = time_to_release(cluster, &tally.programs, RELEASE_LIMIT).await;
+    let stats = load.take_stats();
+    let violations = audit(cluster, &stats, &workload.service).await;
+    assert!(violations.is_empty(), "violations: {violations:#?}");
+    assert_eq!(stats.finished, workload.programs as u64);
+    let released = time_to_release(cluster, &stats.programs, RELEASE_LIMIT).await;
     assert!(released.is_some(), "engines hold memory for ended programs");
     eprintln!(
         "answered {} refused {} asked again {} broken {} longest pause {} ms",
-        tally.answered,
-        tally.refused.len(),
-        tally.asked_again,
-        tally.broken,
-        tally.pauses.max() / 1_000,
+        stats.answered,
+        stats.refused.len(),
+        stats.retries,
+        stats.interruptions,
+        stats.pauses.max() / 1_000,
     );
-    tally
+    stats
 }
 
-pub async fn pause(ms: u32) {
+pub async fn sleep_ms(ms: u32) {
     sleep(Millis(ms)).await;
 }
 
@@ -71,18 +71,18 @@
 pub async fn commands_waiting(cluster: &Cluster) -> f64 {
     let mut lag = 0.0;
     for daemon in &cluster.daemons {
-        if let Some(reply) = cluster.get(&daemon.address, "/metrics").await {
-            lag += metric(&reply.body, "fieldhook_commands_waiting");
+        if let Some(response) = cluster.get(&daemon.address, "/metrics").await {
+            lag += metric(&response.body, "fieldhook_commands_waiting");
         }
     }
     lag
 }
 
 /// Requests that an engine has taken so far: its newest cache event counts them.
-pub async fn dispatched(cluster: &Cluster, engine: &str) -> u64 {
-    let reply = cluster
+pub async fn accepted_requests(cluster: &Cluster, engine: &str) -> u64 {
+    let response = cluster
         .get(engine, "/control/generated")
         .await
         .expect("engine answers");
-    reply.body.trim().parse().expect("a number")
+    response.body.trim().parse().expect("a number")
 }
