--- a/crates/bench/src/cluster/config.rs
+++ b/crates/bench/src/cluster/config.rs
@@ -1,34 +1,35 @@
-//! What a cluster consists of.
+//! Configuration of a cluster.
 
 use crate::cluster::process::Process;
 
-/// One engine of a cluster.
+/// Configuration of one engine.
 #[derive(Clone, Debug)]
 pub struct EngineConfig {
-    /// Model that it has loaded.
+    /// Model that the engine has loaded.
     pub model: String,
-    /// Zone.
+    /// Zone of the engine.
     pub zone: String,
-    /// More flags of the stand-in.
+    /// Additional command-line flags of the emulator.
     pub flags: Vec<String>,
 }
 
-/// What a cluster consists of.
+/// Processes of a cluster and their settings.
 #[derive(Clone, Debug)]
 pub struct ClusterConfig {
-    /// Zones; daemons are spread over them in turn.
+    /// Zones; daemons and servers are assigned to them round-robin.
     pub zones: Vec<String>,
     /// Number of daemons.
     pub daemons: usize,
     /// Number of shards.
     pub shards: u16,
-    /// Engines.
+    /// Engines, each with its own process.
     pub engines: Vec<EngineConfig>,
-    /// Services, each with one server; `false` for one without look-up.
+    /// Services, each with one server, and whether the server supports the lookup of past
+    /// requests.
     pub services: Vec<(String, bool)>,
-    /// Lag of the machine list in milliseconds.
+    /// Delay after which the machine list shows a change, in milliseconds.
     pub list_lag_ms: u64,
-    /// More lines of the daemons' settings file.
+    /// Additional lines of the daemons' settings file.
     pub settings: String,
 }
 
@@ -60,13 +61,13 @@
     }
 }
 
-/// One daemon of a cluster.
+/// A daemon of a running cluster.
 #[derive(Debug)]
 pub struct DaemonHandle {
-    /// IP and port.
+    /// IP address and port.
     pub address: String,
-    /// Zone.
+    /// Zone of the daemon.
     pub zone: String,
-    /// The process, unless it was ended.
+    /// The process; `None` before its start and after it was killed.
     pub process: Option<Process>,
 }
--- a/crates/bench/src/cluster/mod.rs
+++ b/crates/bench/src/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! A cluster of real processes on loopback: stand-ins and daemons.
+//! Clusters of real processes on loopback: daemons, and emulators of the services around them.
 
 mod config;
 mod process;
--- a/crates/bench/src/cluster/process.rs
+++ b/crates/bench/src/cluster/process.rs
@@ -1,4 +1,4 @@
-//! One started process, ended again when its handle is dropped.
+//! Child processes, killed when their handle is dropped, and ports for them.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -11,16 +11,16 @@
 
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Why a process could not be started or spoken to.
+/// Why a process could not be started or did not become ready.
 #[derive(Debug)]
 pub enum ProcessError {
-    /// The program is not there.
+    /// The executable does not exist.
     Missing(PathBuf),
-    /// The system refused.
+    /// A system call failed.
     Io(std::io::Error),
-    /// It did not become ready in time.
+    /// The named process or condition was not ready in time.
     NotReady(String),
-    /// It ended by itself while the others were started.
+    /// The process exited while the cluster was starting; holds the path of its log.
     Exited(PathBuf),
 }
 
@@ -34,7 +34,10 @@
                     path.display()
                 )
             }
-            Self::Io(error) => write!(formatter, "{error}; check limits and free space"),
+            Self::Io(error) => write!(
+                formatter,
+                "{error}; check resource limits and free disk space"
+            ),
             Self::NotReady(what) => {
                 write!(
                     formatter,
@@ -44,7 +47,7 @@
             Self::Exited(log) => {
                 write!(
                     formatter,
-                    "a process ended by itself; read {}",
+                    "a process exited unexpectedly; read {}",
                     log.display()
                 )
             }
@@ -60,16 +63,16 @@
     }
 }
 
-/// A signal to a process.
+/// A signal that can be sent to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// Ends it at once.
+    /// SIGKILL: ends the process immediately.
     Kill,
-    /// Asks it to end in order.
+    /// SIGTERM: requests a planned shutdown.
     Terminate,
-    /// Freezes it.
+    /// SIGSTOP: suspends the process.
     Stop,
-    /// Thaws it.
+    /// SIGCONT: resumes a suspended process.
     Continue,
 }
 
@@ -84,18 +87,18 @@
     }
 }
 
-/// One started process.
+/// A running child process; dropping the handle kills it.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
     log: PathBuf,
 }
 
-/// Where the project's programs are: beside the running one, or, from a test,
-/// one folder up.
+/// Returns the path of one of the project's executables: next to the running executable or,
+/// from a test, in the parent of its `deps` folder.
 fn program_path(name: &str) -> Result<PathBuf, ProcessError> {
-    let own = std::env::current_exe()?;
-    let folder = own.parent().unwrap_or(Path::new("."));
+    let executable = std::env::current_exe()?;
+    let folder = executable.parent().unwrap_or(Path::new("."));
     let folder = if folder.ends_with("deps") {
         folder.parent().unwrap_or(folder)
     } else {
@@ -110,10 +113,10 @@
 }
 
 impl Process {
-    /// Starts one of the project's programs; its log goes to a file.
+    /// Starts one of the project's executables with its stderr appended to the file `log`.
     ///
     /// # Errors
-    /// The program is missing or cannot be started.
+    /// The executable is missing or cannot be started.
     pub fn start(program: &str, arguments: &[String], log: &Path) -> Result<Self, ProcessError> {
         let file = File::options().create(true).append(true).open(log)?;
         let child = Command::new(program_path(program)?)
@@ -128,17 +131,17 @@
         })
     }
 
-    /// Process id.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// File with the log.
+    /// Returns the path of the log file.
     pub fn log(&self) -> &Path {
         &self.log
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
         let id = self.child.id().to_string();
         let _ = Command::new("kill")
@@ -146,18 +149,18 @@
             .status();
     }
 
-    /// Ends the process at once and waits until it is gone.
+    /// Kills the process and waits until it has exited.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Whether it still runs.
+    /// Returns whether the process is still running.
     pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Waits for its end.
+    /// Waits up to `limit` for the process to exit and returns its exit status.
     pub async fn wait(&mut self, limit: Duration) -> Option<ExitStatus> {
         let started = Instant::now();
         while started.elapsed() < limit {
@@ -169,7 +172,7 @@
         None
     }
 
-    /// Leaves the process running after the handle is dropped.
+    /// Consumes the handle and leaves the process running.
     pub fn detach(self) {
         std::mem::forget(self);
     }
@@ -184,15 +187,15 @@
     }
 }
 
-/// Ports that were handed out. The system gives one again as soon as it is let go, which is
-/// before the process that it was meant for has bound it: of 600 in a row 26 were given
-/// twice, and the second process ended at once.
+/// Ports that [`free_port`] has returned. The system may assign a port again as soon as the
+/// probing socket is closed, before the intended process has bound it: 26 of 600 consecutive
+/// ports were assigned twice, and the second process then exited at once.
 static ALLOCATED_PORTS: Mutex<BTreeSet<u16>> = Mutex::new(BTreeSet::new());
 
-/// A port that is free for TCP and UDP, each once in the life of this process.
+/// Returns a port that is free for TCP and UDP; never returns the same port twice.
 ///
 /// # Errors
-/// None is.
+/// No port can be bound.
 pub fn free_port() -> Result<u16, ProcessError> {
     loop {
         let listener = TcpListener::bind("127.0.0.1:0")?;
@@ -203,8 +206,8 @@
         if !allocated.insert(port) {
             continue;
         }
-        // Ports that the system hands out for outgoing connections may be taken
-        // by one before the process binds; high ones are least likely so.
+        // The port is from the ephemeral range, so an outgoing connection may still take it
+        // before the process binds it; this is least likely for high ports.
         if UdpSocket::bind(("127.0.0.1", port)).is_ok() {
             return Ok(port);
         }
--- a/crates/bench/src/cluster/query.rs
+++ b/crates/bench/src/cluster/query.rs
@@ -1,4 +1,4 @@
-//! What a running cluster answers: who is ready, who owns what, where things listen.
+//! Queries to a running cluster: readiness, shard ownership, addresses, process ids.
 
 use super::running::{Cluster, READY_POLL_INTERVAL, READY_TIMEOUT, REQUEST_TIMEOUT};
 use crate::cluster::process::{Process, ProcessError};
@@ -9,10 +9,10 @@
 use std::time::Instant;
 
 impl Cluster {
-    /// Waits until every started daemon serves.
+    /// Waits until every running daemon is ready.
     ///
     /// # Errors
-    /// One does not in time.
+    /// A daemon is not ready in time.
     pub async fn wait_ready(&self) -> Result<(), ProcessError> {
         for daemon in self
             .daemons
@@ -24,10 +24,10 @@
         Ok(())
     }
 
-    /// Waits until one daemon serves.
+    /// Waits until the daemon at `address` is ready.
     ///
     /// # Errors
-    /// It does not in time.
+    /// The daemon is not ready in time.
     pub async fn wait_daemon_ready(&self, address: &str) -> Result<(), ProcessError> {
         let started = Instant::now();
         while started.elapsed() < READY_TIMEOUT {
@@ -43,7 +43,7 @@
         Err(ProcessError::NotReady(format!("daemon {address}")))
     }
 
-    /// Reads a path of any process of the cluster.
+    /// Sends a GET request to a process of the cluster; returns `None` if it fails.
     pub async fn get(&self, address: &str, path: &str) -> Option<TextResponse> {
         let url = format!("http://{address}{path}");
         self.client
@@ -52,7 +52,8 @@
             .ok()
     }
 
-    /// Index of the daemon that leads a shard, as daemons say.
+    /// Returns the index of the daemon that owns a shard, according to the first daemon that
+    /// reports its status.
     pub async fn owner_index(&self, shard: u16) -> Option<usize> {
         for daemon in self
             .daemons
@@ -74,10 +75,10 @@
         None
     }
 
-    /// Waits until every shard is served by a process that runs now.
+    /// Waits until every shard is owned by a running daemon.
     ///
     /// # Errors
-    /// Some shard has no owner in time.
+    /// A daemon is not ready, or a shard has no owner, in time.
     pub async fn wait_shards_owned(&self) -> Result<(), ProcessError> {
         self.wait_ready().await?;
         let started = Instant::now();
@@ -87,7 +88,9 @@
             }
             ntex::time::sleep(READY_POLL_INTERVAL).await;
         }
-        Err(ProcessError::NotReady("an owner of every shard".to_owned()))
+        Err(ProcessError::NotReady(
+            "an owner for every shard".to_owned(),
+        ))
     }
 
     async fn all_shards_owned(&self) -> Option<bool> {
@@ -103,12 +106,12 @@
         Some(owned.len() == usize::from(self.config.shards))
     }
 
-    /// Addresses of the engines.
+    /// Returns the addresses of the engines.
     pub fn engines(&self) -> Vec<String> {
         self.addresses(MachineKind::Engine)
     }
 
-    /// Addresses of the servers of a service.
+    /// Returns the addresses of the servers of a service.
     pub fn servers(&self, service: &str) -> Vec<String> {
         let serves = |machine: &&Machine| {
             machine
@@ -128,7 +131,7 @@
         machines.map(|machine| machine.address.clone()).collect()
     }
 
-    /// Process ids of everything that runs.
+    /// Returns the process ids of all running daemons and emulators.
     pub fn process_ids(&self) -> Vec<u32> {
         let daemons = self
             .daemons
--- a/crates/bench/src/cluster/running.rs
+++ b/crates/bench/src/cluster/running.rs
@@ -1,4 +1,4 @@
-//! A cluster that runs: starting it, ending parts of it, causing faults.
+//! Starting and stopping the processes of a cluster, and injecting faults into them.
 
 use super::config::{ClusterConfig, DaemonHandle, EngineConfig};
 use crate::cluster::process::{Process, ProcessError, Signal, free_port};
@@ -16,23 +16,23 @@
 pub(super) const READY_POLL_INTERVAL: ntex::time::Millis = ntex::time::Millis(25);
 const SETTINGS_FILE: &str = "fieldhookd.toml";
 
-/// A running cluster; everything ends when it is dropped.
+/// A running cluster; dropping it kills all of its processes.
 pub struct Cluster {
-    /// The folder with settings and logs.
+    /// Folder with the settings file and the logs.
     pub folder: PathBuf,
-    /// What it consists of.
+    /// Configuration from which the cluster was started.
     pub config: ClusterConfig,
-    /// Daemons.
+    /// The daemons, in order of their index.
     pub daemons: Vec<DaemonHandle>,
-    /// Stand-ins by address.
+    /// Emulator processes by address.
     pub emulators: BTreeMap<String, Process>,
-    /// Address of the log.
+    /// Address of the log service.
     pub log: String,
-    /// Address of the machine list.
+    /// Address of the machine list service.
     pub machines: String,
-    /// What the machine list was last told.
+    /// Machines that [`Cluster::publish_list`] sends to the machine list.
     pub listed: Vec<Machine>,
-    /// A client.
+    /// HTTP client for requests to the cluster's processes.
     pub client: HttpClient,
 }
 
@@ -41,10 +41,10 @@
 }
 
 impl Cluster {
-    /// Starts everything and waits until all daemons serve.
+    /// Starts all processes and waits until all daemons are ready.
     ///
     /// # Errors
-    /// Something cannot be started or is not ready in time.
+    /// A process cannot be started, exits, or is not ready in time.
     pub async fn start(config: ClusterConfig, folder: &Path) -> Result<Self, ProcessError> {
         std::fs::create_dir_all(folder)?;
         let mut cluster = Self {
@@ -67,7 +67,8 @@
         Ok(cluster)
     }
 
-    /// Daemons may be ready without a stand-in that could not be started.
+    /// Checks that all emulators are running: daemons can become ready although an emulator
+    /// failed to start.
     fn check_emulators(&mut self) -> Result<(), ProcessError> {
         for process in self.emulators.values_mut() {
             if !process.is_running() {
@@ -130,10 +131,10 @@
         self.publish_list().await
     }
 
-    /// Starts an engine at an address, also anew after it was ended.
+    /// Starts an engine emulator at an address; also restarts one that was killed.
     ///
     /// # Errors
-    /// The stand-in cannot be started.
+    /// The emulator cannot be started.
     pub fn start_engine(
         &mut self,
         address: &str,
@@ -162,10 +163,10 @@
         });
     }
 
-    /// Tells the machine list what there is; readers see it after its lag.
+    /// Sends the machines to the machine list, which shows them to readers after its lag.
     ///
     /// # Errors
-    /// The list is not reachable.
+    /// The machine list does not accept them in time.
     pub async fn publish_list(&self) -> Result<(), ProcessError> {
         let url = format!("http://{}/control/machines", self.machines);
         let body = serde_json::to_vec(&self.listed).unwrap_or_default();
@@ -198,10 +199,10 @@
         Ok(())
     }
 
-    /// Starts a daemon, also anew after it was ended.
+    /// Starts a daemon; also restarts one that was stopped or killed.
     ///
     /// # Errors
-    /// The program cannot be started.
+    /// The daemon cannot be started.
     pub fn start_daemon(&mut self, index: usize) -> Result<(), ProcessError> {
         let settings = self.folder.join(SETTINGS_FILE);
         let daemon = &self.daemons[index];
@@ -236,7 +237,7 @@
         )
     }
 
-    /// Addresses of all daemons, any of which takes requests.
+    /// Returns the addresses of all daemons; each of them accepts requests.
     pub fn gateways(&self) -> Vec<String> {
         self.daemons
             .iter()
@@ -244,7 +245,7 @@
             .collect()
     }
 
-    /// Sets the faults of a stand-in.
+    /// Sets the fault plan of an emulator.
     pub async fn set_faults(&self, address: &str, plan: &FaultPlan) {
         let url = format!("http://{address}/control/faults");
         let body = serde_json::to_vec(plan).unwrap_or_default();
@@ -254,21 +255,21 @@
             .await;
     }
 
-    /// Sends a signal to a daemon.
+    /// Sends a signal to a daemon if it is running.
     pub fn signal_daemon(&self, index: usize, signal: Signal) {
         if let Some(process) = &self.daemons[index].process {
             process.signal(signal);
         }
     }
 
-    /// Ends a daemon at once.
+    /// Kills a daemon if it is running.
     pub fn kill_daemon(&mut self, index: usize) {
         if let Some(mut process) = self.daemons[index].process.take() {
             process.kill();
         }
     }
 
-    /// Leaves everything running.
+    /// Consumes the handle and leaves all processes running.
     pub fn detach(mut self) {
         for daemon in &mut self.daemons {
             if let Some(process) = daemon.process.take() {
