--- a/crates/bench/src/caller.rs
+++ b/crates/bench/src/caller.rs
@@ -1,5 +1,5 @@
-//! An agent program's side of the caller interface, with its own account of
-//! the conversation, by which every answer is checked.
+//! Client for the caller API. Keeps its own copy of the conversation and checks every answer
+//! against it.
 
 mod attempt;
 mod outcome;
@@ -22,39 +22,39 @@
 const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 const RETRY_PAUSE: Millis = Millis(50);
 
-/// Times of one call as the caller saw it.
+/// Timings and retries of one call, measured by the caller.
 #[derive(Clone, Debug, Default)]
 pub struct CallTimes {
-    /// Until the first piece of text.
+    /// Time to the first token of a streamed answer.
     pub first_token: Option<Duration>,
-    /// Longest pause between two pieces.
+    /// Longest pause between two consecutive deltas of a stream.
     pub longest_pause: Duration,
-    /// Until the end.
+    /// Time until the call had a final outcome.
     pub total: Duration,
-    /// Times the caller had to ask again.
+    /// Number of times that the request was sent again.
     pub retries: u32,
-    /// Times an answer broke off after it had begun.
+    /// Number of times that an open stream broke off or timed out.
     pub interruptions: u32,
 }
 
-/// One program as its caller sees it.
+/// Client of one program.
 pub struct Caller {
     client: HttpClient,
     gateways: Vec<String>,
     gateway: usize,
-    /// Identifier of the program.
+    /// Id of the program.
     pub program: String,
-    /// Calls issued so far.
+    /// Number of the last call that was made.
     pub calls: u64,
-    /// The conversation, by the caller's own account.
+    /// The caller's own copy of the conversation.
     pub history: Vec<Message>,
-    /// What was wrong so far.
+    /// Violations found so far.
     pub violations: Vec<Violation>,
-    /// Times of the last call.
+    /// Timings of the last call.
     pub times: CallTimes,
 }
 
-/// A user's message.
+/// Returns a message with the role `user`.
 pub fn user_message(content: impl Into<String>) -> Message {
     Message {
         role: "user".to_owned(),
@@ -74,16 +74,18 @@
     }
 }
 
+/// Result of sending a call's request once.
 enum AttemptOutcome {
     Final(CallOutcome),
+    /// The request has to be sent again; holds the cause.
     Retry(String),
 }
 
 impl Caller {
-    /// Opens a program; asks again under the same key until it is answered.
+    /// Opens a program; retries with the same request key, each time at the next daemon.
     ///
     /// # Errors
-    /// No daemon answered in time, or the request is refused for good.
+    /// No daemon answered in time, or the request was refused with a 4xx status.
     pub async fn open(
         client: &HttpClient,
         gateways: &[String],
@@ -94,10 +96,10 @@
         Self::open_with(client, gateways, &open_request(tenant, key, budget)).await
     }
 
-    /// Opens a program as described.
+    /// Opens a program with the given request body; retries as [`Caller::open`] does.
     ///
     /// # Errors
-    /// No daemon answered in time, or the request is refused for good.
+    /// No daemon answered in time, or the request was refused with a 4xx status.
     pub async fn open_with(
         client: &HttpClient,
         gateways: &[String],
@@ -134,7 +136,8 @@
         }
     }
 
-    /// Asks a model; the history is kept by the system and, apart from it, here.
+    /// Calls a model with a user message, and checks the answer against the caller's own copy of
+    /// the conversation.
     pub async fn call_model(&mut self, model: &str, content: &str, max_tokens: u32) -> CallOutcome {
         let messages = vec![user_message(content)];
         let call = ModelCall {
@@ -166,7 +169,7 @@
         }
     }
 
-    /// Asks a server.
+    /// Calls a server of a service.
     pub async fn call_server(
         &mut self,
         service: &str,
@@ -182,12 +185,14 @@
             .await
     }
 
-    /// Key of a call number; stable, so that asking again is recognised.
+    /// Returns the request key of a call. All retries of the call use the same key, by which the
+    /// system recognises them.
     pub fn request_key(&self, number: u64) -> String {
         format!("call-{number}")
     }
 
-    /// Issues the next call and asks again, elsewhere, until it has an end.
+    /// Makes the next call and retries it, each time at the next daemon, until it has a final
+    /// outcome or times out.
     pub async fn call(
         &mut self,
         spec: CallSpec,
@@ -203,7 +208,7 @@
             stream,
         };
         let outcome = self.retry_until_final(&request).await;
-        // A refused call that did not run leaves its number free.
+        // The number of a call that was refused and did not run is used again.
         if !matches!(&outcome, CallOutcome::Refused(error) if error.executed == Executed::No) {
             self.calls = number;
         }
@@ -218,7 +223,7 @@
             let outcome = if request.stream {
                 self.attempt_stream(request, &mut state, started).await
             } else {
-                self.attempt_whole(request).await
+                self.attempt_plain(request).await
             };
             match outcome {
                 AttemptOutcome::Final(outcome) => {
@@ -243,10 +248,10 @@
         )
     }
 
-    /// The program as the system shows it.
+    /// Reads the state of the program; retries at the other daemons.
     ///
     /// # Errors
-    /// No answer from any daemon.
+    /// All attempts failed.
     pub async fn view(&mut self) -> Result<ProgramView, SendError> {
         let mut last = SendError::NotSent("no daemon".to_owned());
         for _ in 0..self.gateways.len() * 4 {
@@ -264,7 +269,7 @@
         Err(last)
     }
 
-    /// Ends the program; asks again until it is acknowledged. False if it never was.
+    /// Ends the program; retries at the other daemons. Returns whether the end was acknowledged.
     pub async fn end_program(&mut self) -> bool {
         for _ in 0..self.gateways.len() * 8 {
             let url = format!(
--- a/crates/bench/src/caller/attempt.rs
+++ b/crates/bench/src/caller/attempt.rs
@@ -1,4 +1,4 @@
-//! Asking for one answer, whole or as a stream, and checking the pieces of a stream.
+//! One attempt at a call, with a plain or a streamed response, and the checks on a stream.
 
 use super::{AttemptOutcome, CALL_TIMEOUT, CallOutcome, Caller, Violation};
 use fieldhook_http::{SseDecoder, SseEvent};
@@ -10,11 +10,12 @@
 use ntex::time::timeout;
 use std::time::{Duration, Instant};
 
-/// Longest silence of a stream before the caller asks another daemon.
+/// Time without data after which a stream is abandoned and the call is retried at another
+/// daemon.
 const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl Caller {
-    pub(super) async fn attempt_whole(&self, request: &CallRequest) -> AttemptOutcome {
+    pub(super) async fn attempt_plain(&self, request: &CallRequest) -> AttemptOutcome {
         let body = serde_json::to_vec(request).unwrap_or_default();
         let headers = [("content-type", "application/json")];
         let response = self
@@ -74,7 +75,7 @@
         loop {
             let Ok(Some(Ok(chunk))) = timeout(STREAM_IDLE_TIMEOUT, response.next()).await else {
                 self.times.interruptions += 1;
-                return AttemptOutcome::Retry("the stream broke off".to_owned());
+                return AttemptOutcome::Retry("the stream was interrupted".to_owned());
             };
             for event in decoder.push(&chunk) {
                 if let Some(outcome) = self.handle_event(request, &event, state, started) {
@@ -135,7 +136,8 @@
     }
 }
 
-/// What a reader has of a streamed answer.
+/// Part of a streamed answer that has been received; kept across attempts so that a retry can
+/// resume after the last event.
 #[derive(Default)]
 pub(super) struct StreamState {
     text: String,
@@ -152,7 +154,8 @@
     }
 }
 
-/// A refusal: final, unless it says to ask again and another daemon may do better.
+/// Classifies an error response: `NotReady`, `Unavailable` and bodies that are no `CallError`
+/// are retried at another daemon, other errors are final.
 fn classify_error(body: &str) -> AttemptOutcome {
     match serde_json::from_str::<CallError>(body) {
         Ok(error) if matches!(error.kind, ErrorKind::NotReady | ErrorKind::Unavailable) => {
--- a/crates/bench/src/caller/outcome.rs
+++ b/crates/bench/src/caller/outcome.rs
@@ -1,32 +1,32 @@
-//! How calls end, and what may be wrong with them.
+//! Outcomes of calls and the violations that a caller detects.
 
 use fieldhook_model::api::Answer;
 use fieldhook_model::error::CallError;
 use std::fmt;
 
-/// What is wrong with an answer, seen from outside.
+/// An incorrect answer, detected by the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// The text is not the one that this conversation must give.
+    /// The text differs from the one expected for this conversation.
     WrongAnswer {
-        /// The program.
+        /// Program id.
         program: String,
-        /// The call.
+        /// Call number.
         call: u64,
-        /// What came.
+        /// Text that was received.
         got: String,
-        /// What had to come.
+        /// Text that was expected.
         wanted: String,
     },
-    /// The pieces of a stream do not make up its closing event's whole.
+    /// The concatenated deltas of a stream differ from the answer in its `done` event.
     PiecesDiffer {
-        /// The program.
+        /// Program id.
         program: String,
-        /// The call.
+        /// Call number.
         call: u64,
-        /// Pieces put together.
+        /// The concatenated deltas.
         pieces: String,
-        /// The whole.
+        /// Text of the `done` event.
         whole: String,
     },
 }
@@ -37,13 +37,13 @@
     }
 }
 
-/// How a call ended for the caller.
+/// Outcome of a call, as reported to the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// With a whole answer.
+    /// The call was answered completely.
     Answered(Answer),
-    /// With an error body.
+    /// The call ended with an error response.
     Refused(CallError),
-    /// Without any final answer in the caller's time.
+    /// No final response before the caller's timeout; holds the last cause.
     NoAnswer(String),
 }
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -1,4 +1,4 @@
-//! Load: many programs that converse at once, each checked by its caller.
+//! Load generation: many concurrent programs, each checked by its caller.
 
 use crate::caller::{CallOutcome, Caller, Violation};
 use fieldhook_http::HttpClient;
@@ -11,32 +11,32 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// One kind of program, run many times.
+/// Programs of one kind that run concurrently.
 #[derive(Clone, Debug)]
 pub struct Workload {
     /// Tenant of the programs.
     pub tenant: String,
     /// Labels of the programs.
     pub labels: BTreeMap<String, String>,
-    /// Model asked for.
+    /// Model that is called.
     pub model: String,
-    /// Service for requests that are not repeatable; none if empty.
+    /// Service that receives the requests that are not repeatable; empty if there are none.
     pub service: String,
-    /// Programs at once.
+    /// Number of concurrent programs.
     pub programs: usize,
-    /// Calls of each program.
+    /// Number of calls of each program.
     pub turns: u32,
-    /// Every so many calls one goes to the service; 0 for none.
+    /// Every n-th call goes to the service; 0 for none.
     pub service_every: u32,
-    /// Bytes of each user message.
+    /// Minimum size of each user message.
     pub message_bytes: usize,
-    /// Tokens of each answer.
+    /// Number of tokens of each answer.
     pub max_tokens: u32,
-    /// Longest pause between calls, in milliseconds.
+    /// Upper bound of the random pause after each call, in milliseconds.
     pub pause_ms: u32,
     /// Budget of each program.
     pub budget: i64,
-    /// Distinguishes runs on one cluster.
+    /// Prefix of the request keys; distinguishes several loads on one cluster.
     pub run: String,
 }
 
@@ -59,50 +59,50 @@
     }
 }
 
-/// What became of a request that is not repeatable, as its caller was told.
+/// Outcome of a request that is not repeatable, as reported to its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerOutcome {
-    /// Answered: it ran.
+    /// Answered, so it ran.
     Answered,
-    /// Refused as not run.
+    /// Refused, and reported as not run.
     NotRun,
-    /// Nobody knows.
+    /// Not known whether it ran.
     Unknown,
 }
 
-/// Everything the callers saw.
+/// Results of a load, as seen by the callers.
 pub struct LoadStats {
-    /// Calls that were answered.
+    /// Number of calls that were answered.
     pub answered: u64,
-    /// Refusals and failures.
+    /// Errors of the calls that were refused or failed.
     pub refused: Vec<CallError>,
-    /// Calls that never got a final answer.
+    /// Causes of calls and requests that never got a final response.
     pub unanswered: Vec<String>,
-    /// Wrong answers.
+    /// Incorrect answers.
     pub violations: Vec<Violation>,
-    /// Conversations that the system shows otherwise than the caller knows them.
+    /// Ids of programs whose history in the system differs from the caller's copy.
     pub history_mismatches: Vec<String>,
-    /// Programs that spent more than their budget.
+    /// Ids of programs that spent or reserved more than their budget.
     pub over_budget: Vec<String>,
-    /// Programs that ran to their end.
+    /// Number of programs whose end was acknowledged.
     pub finished: u64,
-    /// Identifiers of all programs.
+    /// Ids of all programs.
     pub programs: Vec<String>,
-    /// Requests that are not repeatable, by server key.
+    /// Outcomes of requests that are not repeatable, by the request key at the server.
     pub server_outcomes: BTreeMap<String, ServerOutcome>,
-    /// Times that a caller had to ask again.
+    /// Number of retries.
     pub retries: u64,
-    /// Times that an opened answer broke off.
+    /// Number of streams that broke off or timed out.
     pub interruptions: u64,
     /// Time to the first token, in microseconds.
     pub first_token: Histogram<u64>,
-    /// Longest silence within each streamed answer, in microseconds.
+    /// Longest pause within each streamed answer, in microseconds.
     pub pauses: Histogram<u64>,
-    /// Time of whole programs, in microseconds.
+    /// Duration of whole programs, in microseconds.
     pub program_time: Histogram<u64>,
     /// Prompt tokens of all answers.
     pub prompt_tokens: u64,
-    /// Prompt tokens that engines found cached.
+    /// Prompt tokens that the engines had cached.
     pub cached_tokens: u64,
 }
 
@@ -110,7 +110,7 @@
 const SIGNIFICANT_DIGITS: u8 = 3;
 
 fn histogram() -> Histogram<u64> {
-    // The bounds are constants that the library accepts.
+    // Cannot fail: the bounds are constants that the library accepts.
     Histogram::new_with_bounds(1, MAX_US, SIGNIFICANT_DIGITS)
         .unwrap_or_else(|error| panic!("{error}"))
 }
@@ -173,16 +173,16 @@
     }
 }
 
-/// Programs under way, and what their callers see.
+/// A running load and its results so far.
 #[derive(Clone)]
 pub struct Load {
-    /// What was seen so far.
+    /// Results so far.
     pub stats: Rc<RefCell<LoadStats>>,
     running: Rc<RefCell<usize>>,
 }
 
 impl Load {
-    /// Starts all programs of a workload.
+    /// Starts all programs of a workload in the background.
     pub fn start(client: &HttpClient, gateways: &[String], workload: &Workload) -> Self {
         let load = Self {
             stats: Rc::default(),
@@ -199,17 +199,17 @@
         load
     }
 
-    /// What was seen, taken out after the end.
+    /// Takes the results out, leaving empty ones; called after the load has finished.
     pub fn take_stats(&self) -> LoadStats {
         self.stats.take()
     }
 
-    /// Whether all programs have ended.
+    /// Returns whether all programs have ended.
     pub fn is_finished(&self) -> bool {
         *self.running.borrow() == 0
     }
 
-    /// Waits until all programs have ended; false if they have not in time.
+    /// Waits up to `limit` until all programs have ended; returns whether they have.
     pub async fn wait(&self, limit: Duration) -> bool {
         let started = Instant::now();
         while !self.is_finished() && started.elapsed() < limit {
