--- a/crates/bench/src/append_strategies.rs
+++ b/crates/bench/src/append_strategies.rs
@@ -1,6 +1,6 @@
-//! The two best ways to record turns on a log, side by side on the same stand-in:
-//! owners that append in groups, and gateways that append on condition without owners.
-//! docs/PLATFORM.md, "Ways weighed", has the figures.
+//! Compares two strategies for recording turns on a log, on the same in-memory log: owners
+//! with group commit, and conditional appends by gateways without owners.
+//! docs/PLATFORM.md, "Ways weighed", has the results.
 
 use fieldhook_emulator::log::memory::{LogFault, MemoryLog, SharedLog};
 use fieldhook_log::api::{Append, KeyedRecord, LogStore, Partition, StoreError};
@@ -17,40 +17,40 @@
 const TOPIC: &str = "keyed.ways";
 const PARTITIONS: u32 = 8;
 const GATEWAYS: usize = 12;
-/// What a call of the log takes.
+/// Simulated duration of each call to the log.
 const LOG_CALL_TIME: Duration = Duration::from_millis(5);
 const TIMEOUT: Duration = Duration::from_secs(2);
 const RECORD_BYTES: usize = 1_200;
 const EPOCH: u64 = 1;
 
-/// Figures of one way.
+/// Results of one strategy.
 #[derive(Clone, Debug, Serialize)]
 pub struct StrategyResult {
-    /// Turns recorded.
+    /// Number of recorded turns.
     pub turns: u64,
-    /// Calls of the log for each turn.
+    /// Calls to the log per turn.
     pub calls_per_turn: f64,
-    /// Milliseconds until a turn's end was durable, median.
+    /// Median time until a turn's record was durable, in milliseconds.
     pub p50_ms: f64,
-    /// The same for 99 in 100.
+    /// 99th percentile of the same.
     pub p99_ms: f64,
 }
 
-/// Both ways under the same load.
+/// Results of both strategies under the same load.
 #[derive(Clone, Debug, Serialize)]
 pub struct StrategyReport {
-    /// Turns a second.
+    /// Turns per second.
     pub turns_per_second: u64,
-    /// Owners with fences and group commit.
+    /// Fenced owners with group commit.
     pub owners: StrategyResult,
-    /// Conditional appends by the gateways, that read on where they had stopped.
+    /// Conditional appends by gateways, which read on from their last position after a conflict.
     pub conditional: StrategyResult,
 }
 
-/// Measures both ways.
+/// Measures both strategies.
 ///
 /// # Errors
-/// The log refuses what it should take.
+/// The log refused an operation that should succeed.
 pub async fn measure(
     turns_per_second: u64,
     seconds: u64,
@@ -151,14 +151,16 @@
     Ok(latencies.result(calls))
 }
 
-/// What one gateway has read of each partition.
+/// A gateway without an owner; `known_ends` holds the end of each partition as far as it has
+/// read.
 struct Gateway {
     store: Rc<MemoryLog>,
     known_ends: Vec<Cell<u64>>,
 }
 
 impl Gateway {
-    /// Appends where the partition ends; where it has moved on, reads what came first.
+    /// Appends a record on the condition that the partition's end is unchanged; on a conflict
+    /// reads the new records and retries.
     async fn record(&self, number: u32, turn: u64) -> Result<(), StoreError> {
         let known_end = &self.known_ends[number as usize];
         loop {
--- a/crates/bench/src/audit.rs
+++ b/crates/bench/src/audit.rs
@@ -1,4 +1,4 @@
-//! Checking from outside what must always hold, after a run.
+//! Checks of the guarantees after a run, from the outside.
 
 use crate::cluster::Cluster;
 use crate::load::{LoadStats, ServerOutcome};
@@ -8,48 +8,48 @@
 use std::time::{Duration, Instant};
 
 const POLL_INTERVAL: Millis = Millis(50);
-/// A server whose record cannot be read in so many tries makes the audit fail.
+/// Attempts to read the executions of a server; if all fail, the audit reports a violation.
 const MAX_READ_ATTEMPTS: usize = 20;
 
-/// Everything that did not hold, in words; empty if all held.
+/// Returns a description of each violated guarantee; empty if there are none.
 pub async fn audit(cluster: &Cluster, stats: &LoadStats, service: &str) -> Vec<String> {
     let mut violations = check_callers(stats);
     match executions(cluster, service).await {
         Ok(executions) => violations.extend(check_executions(stats, &executions)),
-        Err(server) => violations.push(format!("what ran at {server} could not be read")),
+        Err(server) => violations.push(format!("cannot read the executions of server {server}")),
     }
     violations
 }
 
-/// What the callers themselves noticed.
+/// Returns the violations that the callers detected.
 pub fn check_callers(stats: &LoadStats) -> Vec<String> {
     let mut violations: Vec<String> = stats
         .violations
         .iter()
-        .map(|violation| format!("whole answer: {violation}"))
+        .map(|violation| format!("incorrect answer: {violation}"))
         .collect();
     violations.extend(
         stats
             .history_mismatches
             .iter()
-            .map(|id| format!("history of {id} differs")),
+            .map(|id| format!("history of {id} differs from the caller's copy")),
     );
     violations.extend(
         stats
             .over_budget
             .iter()
-            .map(|id| format!("{id} spent beyond its budget")),
+            .map(|id| format!("{id} exceeded its budget")),
     );
     violations.extend(
         stats
             .unanswered
             .iter()
-            .map(|cause| format!("no final answer: {cause}")),
+            .map(|cause| format!("no final response: {cause}")),
     );
     violations
 }
 
-/// What ran at the servers against what callers were told.
+/// Compares the executions at the servers with the outcomes reported to the callers.
 pub fn check_executions(stats: &LoadStats, executions: &BTreeMap<String, u32>) -> Vec<String> {
     let mut violations = Vec::new();
     for (key, count) in executions {
@@ -61,10 +61,10 @@
         let ran = executions.get(key).copied().unwrap_or(0) > 0;
         match outcome {
             ServerOutcome::Answered if !ran => {
-                violations.push(format!("{key} answered but not run"))
+                violations.push(format!("{key} was answered but did not run"))
             }
             ServerOutcome::NotRun if ran => {
-                violations.push(format!("{key} refused as not run, but ran"))
+                violations.push(format!("{key} was refused as not run, but ran"))
             }
             _ => {}
         }
@@ -72,10 +72,11 @@
     violations
 }
 
-/// How often each key ran at the servers of a service.
+/// Returns how often each request key was executed by the servers of a service.
 ///
 /// # Errors
-/// A server whose record could not be read: without it nothing can be said of what ran.
+/// The address of a server whose executions cannot be read; without them the counts would be
+/// incomplete.
 pub async fn executions(cluster: &Cluster, service: &str) -> Result<BTreeMap<String, u32>, String> {
     let mut counts = BTreeMap::new();
     for server in cluster.servers(service) {
@@ -99,8 +100,8 @@
     None
 }
 
-/// Time until engines hold nothing for the ended programs; nothing if they
-/// still do after the limit.
+/// Waits until no engine has tokens cached for the given programs and returns the time this
+/// took; `None` if it exceeds the limit.
 pub async fn time_to_release(
     cluster: &Cluster,
     programs: &[String],
@@ -109,8 +110,8 @@
     let started = Instant::now();
     let ended: BTreeSet<&String> = programs.iter().collect();
     while started.elapsed() < limit {
-        let held = programs_with_cache(cluster).await;
-        if !held.iter().any(|program| ended.contains(program)) {
+        let cached = programs_with_cache(cluster).await;
+        if !cached.iter().any(|program| ended.contains(program)) {
             return Some(started.elapsed());
         }
         sleep(POLL_INTERVAL).await;
@@ -119,14 +120,14 @@
 }
 
 async fn programs_with_cache(cluster: &Cluster) -> BTreeSet<String> {
-    let mut held = BTreeSet::new();
+    let mut cached = BTreeSet::new();
     for engine in cluster.engines() {
         let Some(response) = cluster.get(&engine, "/v1/programs").await else {
             continue;
         };
         let programs: BTreeMap<String, u64> =
             serde_json::from_str(&response.body).unwrap_or_default();
-        held.extend(programs.into_keys());
+        cached.extend(programs.into_keys());
     }
-    held
+    cached
 }
--- a/crates/bench/src/experiment.rs
+++ b/crates/bench/src/experiment.rs
@@ -1,4 +1,5 @@
-//! Running a scenario: start, load, faults in time, checks, report.
+//! Runs a scenario: starts the cluster and the load, injects the faults on schedule, checks
+//! the guarantees, and writes the report.
 
 use crate::audit::{audit, time_to_release};
 use crate::cluster::{Cluster, EngineConfig, ProcessError, Signal};
@@ -19,7 +20,7 @@
 const LOST_ANSWERS: u32 = 4;
 const SLOW_LOG_MS: u64 = 800;
 
-/// Runs a scenario and writes its report; true if nothing was violated.
+/// Runs a scenario and writes its report; returns whether all guarantees held.
 ///
 /// # Errors
 /// The cluster cannot be started, or the report cannot be written.
@@ -54,7 +55,7 @@
             }
             None => summary
                 .violations
-                .push("engines hold memory for ended programs".to_owned()),
+                .push("engines still have tokens cached for ended programs".to_owned()),
         }
         summary
             .workloads
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,5 +1,5 @@
-//! `fieldhook-bench`: starts clusters of real processes on loopback, drives
-//! them as callers do, causes faults, and checks from outside what must hold.
+//! `fieldhook-bench`: starts clusters of real processes on loopback, generates load through
+//! the caller API, injects faults, and checks the guarantees from outside.
 
 pub mod append_strategies;
 pub mod audit;
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,4 +1,4 @@
-//! `fieldhook-bench`: load, faults and experiments.
+//! Command line of `fieldhook-bench`.
 
 use fieldhook_bench::scenario::Scenario;
 use fieldhook_bench::{append_strategies, experiment, memory, overhead, quickstart};
@@ -8,9 +8,9 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-const VIOLATIONS_FOUND: &str = "something was violated; see the report";
+const VIOLATIONS_FOUND: &str = "the run violated at least one guarantee; see the report";
 
-/// Load, fault and experiment tool.
+/// Load generation, fault injection and measurements.
 #[derive(Debug, Options)]
 struct Arguments {
     /// Show this help.
@@ -29,7 +29,7 @@
     Overhead(OverheadArguments),
     /// Measure the memory of idle programs and of history.
     Memory(MemoryArguments),
-    /// Compare owners with group commit and conditional appends without owners.
+    /// Compare owners with group commit to conditional appends without owners.
     Ways(WaysArguments),
 }
 
@@ -38,7 +38,7 @@
 struct QuickstartArguments {
     /// Show this help.
     help: bool,
-    /// Leave everything running.
+    /// Leave the cluster running.
     keep: bool,
     /// Folder for settings and logs.
     #[options(default = "reports/quickstart", meta = "DIR")]
@@ -50,7 +50,7 @@
 struct RunArguments {
     /// Show this help.
     help: bool,
-    /// The scenario (TOML); see scenarios/README.md.
+    /// Scenario file (TOML); see scenarios/README.md.
     #[options(free, required)]
     scenario: PathBuf,
     /// Folder for summary.json, report.html, settings and logs.
@@ -63,7 +63,7 @@
 struct OverheadArguments {
     /// Show this help.
     help: bool,
-    /// Calls of each kind.
+    /// Number of calls through fieldhook and directly, each.
     #[options(default = "500")]
     calls: usize,
     /// Folder for settings and logs.
@@ -76,7 +76,7 @@
 struct MemoryArguments {
     /// Show this help.
     help: bool,
-    /// Idle programs.
+    /// Number of idle programs.
     #[options(default = "2000")]
     programs: usize,
     /// Megabytes of history.
@@ -87,15 +87,15 @@
     folder: PathBuf,
 }
 
-/// Compare owners with group commit and conditional appends without owners.
+/// Compare owners with group commit to conditional appends without owners.
 #[derive(Debug, Options)]
 struct WaysArguments {
     /// Show this help.
     help: bool,
-    /// Turns a second.
+    /// Turns per second.
     #[options(default = "93")]
     turns: u64,
-    /// Seconds.
+    /// Duration in seconds.
     #[options(default = "10")]
     seconds: u64,
 }
@@ -133,7 +133,7 @@
         Some(Command::Ways(options)) => {
             print(&append_strategies::measure(options.turns, options.seconds).await?)
         }
-        None => Err("name a command; see --help".into()),
+        None => Err("no command given; see --help".into()),
     }
 }
 
--- a/crates/bench/src/memory.rs
+++ b/crates/bench/src/memory.rs
@@ -1,4 +1,4 @@
-//! Memory of a daemon: slopes per idle program and per megabyte of history.
+//! Measures how a daemon's memory grows per idle program and per megabyte of history.
 
 use crate::caller::{CallOutcome, Caller};
 use crate::cluster::{Cluster, ClusterConfig};
@@ -12,18 +12,18 @@
 const MESSAGE_BYTES: usize = 64 << 10;
 const BUDGET: i64 = 1_000_000_000;
 
-/// Slopes of one run; every daemon of the three holds every program.
+/// Results of one run; each of the three daemons holds every program.
 #[derive(Clone, Debug, Serialize)]
 pub struct MemoryReport {
-    /// Idle programs opened.
+    /// Number of idle programs that were opened.
     pub programs: usize,
     /// Bytes of history added.
     pub history_bytes: usize,
-    /// Memory of a daemon at the start, in kilobytes (mean of three).
+    /// Memory of a daemon at the start, in kilobytes (mean of the three daemons).
     pub empty_kb: f64,
-    /// Memory with the idle programs.
+    /// The same with the idle programs.
     pub idle_kb: f64,
-    /// Memory with the history as well.
+    /// The same with the idle programs and the history.
     pub history_kb: f64,
     /// Kilobytes per 1,000 idle programs.
     pub kb_per_1000_programs: f64,
@@ -31,7 +31,7 @@
     pub per_history_megabyte: f64,
 }
 
-/// Measures with so many programs and megabytes of history.
+/// Measures with the given numbers of idle programs and megabytes of history.
 ///
 /// # Errors
 /// The cluster cannot be started or a call fails.
@@ -55,8 +55,8 @@
     let content = "goal ".repeat(MESSAGE_BYTES / 5);
     let messages = (megabytes << 20) / content.len();
     for index in 0..messages {
-        let caller = index % callers.len();
-        let outcome = callers[caller].call_model("chat", &content, 1).await;
+        let caller_index = index % callers.len();
+        let outcome = callers[caller_index].call_model("chat", &content, 1).await;
         if !matches!(outcome, CallOutcome::Answered(_)) {
             return Err(format!("no answer: {outcome:?}").into());
         }
--- a/crates/bench/src/overhead.rs
+++ b/crates/bench/src/overhead.rs
@@ -1,5 +1,5 @@
-//! The time that fieldhook adds to a call's first token: the same engine asked
-//! directly and through fieldhook, in turn, at light load.
+//! Measures the latency that fieldhook adds to a call's first token: sends alternate calls to
+//! the same engine through fieldhook and directly, at light load.
 
 use crate::caller::{Caller, user_message};
 use crate::cluster::{Cluster, ClusterConfig};
@@ -21,12 +21,12 @@
 const TOKENS: u32 = 3;
 const MAX_US: u64 = 60_000_000;
 
-/// First-token times of one run.
+/// Times to the first token in one run.
 #[derive(Clone, Debug, Serialize)]
 pub struct OverheadReport {
-    /// The engine asked directly, in milliseconds.
+    /// Direct requests to the engine, in milliseconds.
     pub direct_ms: Percentiles,
-    /// Asked through fieldhook, in milliseconds.
+    /// Calls through fieldhook, in milliseconds.
     pub through_ms: Percentiles,
     /// Difference of the medians, in milliseconds.
     pub added_p50_ms: f64,
@@ -34,15 +34,15 @@
     pub added_p99_ms: f64,
 }
 
-/// Measures with `calls` calls of each kind.
+/// Measures with `calls` calls through fieldhook and as many directly.
 ///
 /// # Errors
 /// The cluster cannot be started or a call fails.
 pub async fn measure(calls: usize, folder: &Path) -> Result<OverheadReport, Box<dyn Error>> {
     let mut config = ClusterConfig::default();
     config.engines.truncate(1);
-    // A step as short as the stand-in's clock allows, so that its length hides
-    // as little as possible.
+    // The shortest step that the emulator's clock allows, so that the step time hides as little
+    // of the added latency as possible.
     config.engines[0].flags = [
         "--step-base-us",
         "1000",
--- a/crates/bench/src/quickstart.rs
+++ b/crates/bench/src/quickstart.rs
@@ -1,5 +1,5 @@
-//! The first run of a newcomer: a cluster on loopback, a published
-//! configuration, a checkout conversation, and its end.
+//! The quickstart: starts a cluster on loopback, publishes a configuration, holds a short
+//! checkout conversation, and ends it.
 
 use crate::caller::{CallOutcome, Caller};
 use crate::cluster::{Cluster, ClusterConfig};
@@ -22,10 +22,10 @@
 
 type QuickstartResult<T> = Result<T, Box<dyn Error>>;
 
-/// Runs the quickstart; with `keep` the processes stay.
+/// Runs the quickstart; with `keep` the processes are left running.
 ///
 /// # Errors
-/// The first thing that did not go as it should.
+/// A step failed; the later ones are not run.
 pub async fn run(keep: bool, folder: &Path) -> QuickstartResult<()> {
     println!("Starting log, machine list, 3 engines, 2 servers and 3 daemons in 3 zones ...");
     let cluster = Cluster::start(ClusterConfig::default(), folder).await?;
@@ -56,11 +56,11 @@
     for daemon in &cluster.daemons {
         wait_for_version(cluster, &daemon.address, 1).await?;
     }
-    println!("Configuration version 1 is in force on all daemons.");
+    println!("Configuration version 1 is applied on all daemons.");
     Ok(())
 }
 
-/// Waits until a daemon has a configuration version in force.
+/// Waits until a daemon has applied a configuration version.
 ///
 /// # Errors
 /// It has not in time.
@@ -78,7 +78,7 @@
         }
         sleep(CHECK_INTERVAL).await;
     }
-    Err(format!("{daemon} does not have configuration version {version} in force").into())
+    Err(format!("{daemon} did not apply configuration version {version} in time").into())
 }
 
 async fn run_conversation(cluster: &Cluster) -> QuickstartResult<()> {
@@ -106,7 +106,7 @@
     );
     run_turn(&mut caller, "The plan is created. Please confirm it.").await?;
     if let Some(violation) = caller.violations.first() {
-        return Err(format!("an answer was wrong: {violation}").into());
+        return Err(format!("incorrect answer: {violation}").into());
     }
     let executions = executions(cluster, "instalments").await?;
     println!("\nThe instalment plan was created {executions:?} time(s).");
@@ -137,17 +137,17 @@
     }
 }
 
-/// How often each request key ran at the servers of a service.
+/// Returns how often each request key was executed by the servers of a service.
 ///
 /// # Errors
-/// A server does not answer.
+/// A server does not respond.
 pub async fn executions(cluster: &Cluster, service: &str) -> QuickstartResult<Vec<u64>> {
     let mut counts = Vec::new();
     for server in cluster.servers(service) {
         let response = cluster
             .get(&server, "/v1/executions")
             .await
-            .ok_or("server is silent")?;
+            .ok_or("a server does not respond")?;
         let executions: BTreeMap<String, serde_json::Value> = serde_json::from_str(&response.body)?;
         counts.extend(
             executions
@@ -160,36 +160,37 @@
 
 async fn end_program(cluster: &Cluster, caller: &mut Caller) -> QuickstartResult<()> {
     let tokens = cached_tokens(cluster, &caller.program).await;
-    println!("Before its end engines hold {tokens} tokens for the program.");
+    println!("Before the program ends, engines have {tokens} tokens cached for it.");
     if !caller.end_program().await {
         return Err("the program's end was not acknowledged".into());
     }
     for _ in 0..MAX_CHECKS {
         if cached_tokens(cluster, &caller.program).await == 0 {
-            println!("After its end they hold 0.");
+            println!("After its end, they have 0.");
             return Ok(());
         }
         sleep(CHECK_INTERVAL).await;
     }
-    Err("engines still hold memory for the ended program".into())
+    Err("engines still have tokens cached for the ended program".into())
 }
 
-/// Tokens that all engines hold for a program.
+/// Returns the number of tokens that all engines together have cached for a program.
 pub async fn cached_tokens(cluster: &Cluster, program: &str) -> u64 {
     let mut sum = 0;
     for engine in cluster.engines() {
         let Some(response) = cluster.get(&engine, "/v1/programs").await else {
             continue;
         };
-        let held: BTreeMap<String, u64> = serde_json::from_str(&response.body).unwrap_or_default();
-        sum += held.get(program).copied().unwrap_or(0);
+        let cached: BTreeMap<String, u64> =
+            serde_json::from_str(&response.body).unwrap_or_default();
+        sum += cached.get(program).copied().unwrap_or(0);
     }
     sum
 }
 
 fn print_instructions(cluster: &Cluster) {
     let ids: Vec<String> = cluster.process_ids().iter().map(u32::to_string).collect();
-    println!("\nThe cluster stays. Daemons:");
+    println!("\nThe cluster is left running. Daemons:");
     for daemon in &cluster.daemons {
         println!("  http://{} in zone {}", daemon.address, daemon.zone);
     }
@@ -198,7 +199,7 @@
         cluster.log,
         cluster.folder.display()
     );
-    println!("Talk to it as docs/API.md shows, for instance:");
+    println!("Send requests to it as described in docs/API.md, for example:");
     println!("  curl -s http://{}/v1/status", cluster.daemons[0].address);
     println!("Stop it with:\n  kill {}", ids.join(" "));
 }
--- a/crates/bench/src/report.rs
+++ b/crates/bench/src/report.rs
@@ -1,4 +1,4 @@
-//! What a run shows: `summary.json` for tools, `report.html` for people.
+//! The report of a run: `summary.json` for tools, `report.html` for people.
 
 use crate::cluster::Cluster;
 use crate::load::LoadStats;
@@ -20,26 +20,26 @@
     RGBColor(148, 103, 189),
 ];
 const PLOT_POINTS: u32 = 200;
-/// Silence within a stream, in microseconds, that a reader would notice.
+/// Shortest pause within a stream that a reader would notice, in microseconds.
 const NOTICEABLE_US: u64 = 200_000;
 
-/// Percentiles, in milliseconds.
+/// Percentiles of a distribution, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Percentiles {
     /// Number of values.
     pub count: u64,
-    /// Half of the values are at most this.
+    /// Median.
     pub p50: f64,
-    /// 95 in 100 are at most this.
+    /// 95th percentile.
     pub p95: f64,
-    /// 99 in 100 are at most this.
+    /// 99th percentile.
     pub p99: f64,
-    /// The largest.
+    /// Maximum.
     pub max: f64,
 }
 
 impl Percentiles {
-    /// Percentiles of a histogram in microseconds.
+    /// Computes the percentiles of a histogram whose values are microseconds.
     pub fn of(histogram: &Histogram<u64>) -> Self {
         let at = |quantile: f64| histogram.value_at_quantile(quantile) as f64 / 1e3;
         Self {
@@ -52,50 +52,50 @@
     }
 }
 
-/// One fault that was caused.
+/// A fault that was injected.
 #[derive(Clone, Debug, Serialize)]
 pub struct InjectedFault {
-    /// When, in milliseconds from the load's start.
+    /// Time of the fault, in milliseconds since the start of the load.
     pub at_ms: u64,
-    /// What.
+    /// Kind of the fault.
     pub kind: String,
-    /// Which daemon or engine.
+    /// Index of the daemon or engine.
     pub target: usize,
 }
 
-/// What the callers of one workload saw.
+/// Results of one workload, as seen by its callers.
 #[derive(Clone, Debug, Serialize)]
 pub struct WorkloadSummary {
-    /// Name.
+    /// Name of the workload.
     pub name: String,
-    /// Programs that ended.
+    /// Number of programs whose end was acknowledged.
     pub programs: u64,
-    /// Calls that were answered.
+    /// Number of calls that were answered.
     pub answered: u64,
-    /// Refusals and failures by kind.
+    /// Number of refused and failed calls by error kind.
     pub refused: BTreeMap<String, u64>,
-    /// Times a caller had to ask again.
+    /// Number of retries.
     pub asked_again: u64,
-    /// Answers that broke off towards the caller.
+    /// Number of streams that broke off or timed out.
     pub broken: u64,
-    /// Time of whole programs, in milliseconds.
+    /// Duration of whole programs, in milliseconds.
     pub program_ms: Percentiles,
     /// Time to the first token, in milliseconds.
     pub first_token_ms: Percentiles,
-    /// Longest silence within each stream, in milliseconds.
+    /// Longest pause within each stream, in milliseconds.
     pub longest_pause_ms: Percentiles,
-    /// The same, of streams whose silence a reader would notice (over 200 ms).
+    /// The same, only for streams with a pause that a reader would notice (200 ms or more).
     pub noticed_pause_ms: Percentiles,
-    /// Prompt tokens.
+    /// Prompt tokens of all answers.
     pub prompt_tokens: u64,
-    /// Share of them that engines found cached.
+    /// Share of the prompt tokens that the engines had cached.
     pub cached_share: f64,
     #[serde(skip)]
     first_token: Histogram<u64>,
 }
 
 impl WorkloadSummary {
-    /// From what the callers saw.
+    /// Summarises the results of a load.
     pub fn new(name: &str, stats: &LoadStats) -> Self {
         let mut refused = BTreeMap::new();
         for error in &stats.refused {
@@ -126,42 +126,43 @@
     }
 }
 
-/// What one daemon spent.
+/// Resource usage of one daemon.
 #[derive(Clone, Debug, Serialize)]
 pub struct DaemonSummary {
-    /// IP and port.
+    /// IP address and port.
     pub address: String,
-    /// Bytes for control (membership, heartbeats, votes) since its start.
+    /// Bytes of control traffic (membership, heartbeats, votes) since its start.
     pub control_bytes: u64,
-    /// Processor time since its start, in milliseconds.
+    /// CPU time since its start, in milliseconds.
     pub processor_ms: u64,
     /// Resident memory, in kilobytes.
     pub memory_kb: u64,
 }
 
-/// Everything a run shows.
+/// Results of a run, as written to `summary.json`.
 #[derive(Clone, Debug, Serialize)]
 pub struct Summary {
     /// Name of the scenario.
     pub name: String,
-    /// Seed.
+    /// Seed of the scenario.
     pub seed: u64,
-    /// Length of the load, in milliseconds.
+    /// Duration of the load, in milliseconds.
     pub length_ms: u64,
-    /// Faults.
+    /// Faults that were injected.
     pub faults: Vec<InjectedFault>,
-    /// Workloads.
+    /// Results of each workload.
     pub workloads: Vec<WorkloadSummary>,
-    /// Longest time until engines held nothing for ended programs, in milliseconds.
+    /// Longest time until no engine had tokens cached for the ended programs of a workload, in
+    /// milliseconds.
     pub release_ms: u64,
-    /// Daemons.
+    /// Resource usage of each daemon.
     pub daemons: Vec<DaemonSummary>,
-    /// What did not hold; empty in a good run.
+    /// Violated guarantees; empty if the run passed.
     pub violations: Vec<String>,
 }
 
 impl Summary {
-    /// A summary without workloads.
+    /// Creates a summary without workloads, daemons and violations.
     pub fn new(name: &str, seed: u64, length: Duration, faults: Vec<InjectedFault>) -> Self {
         Self {
             name: name.to_owned(),
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Adds what the running daemons spent.
+    /// Adds the resource usage of the running daemons.
     pub async fn add_daemons(&mut self, cluster: &Cluster) {
         for daemon in &cluster.daemons {
             let Some(process) = &daemon.process else {
@@ -193,7 +194,7 @@
     }
 }
 
-/// Value of a metric in Prometheus text.
+/// Returns the value of a metric without labels from Prometheus text; 0 if it is missing.
 pub fn metric(text: &str, name: &str) -> f64 {
     let line = text
         .lines()
@@ -202,7 +203,7 @@
         .unwrap_or(0.0)
 }
 
-/// Processor time of a process in milliseconds, from `/proc/PID/stat`.
+/// Returns the CPU time of a process in milliseconds, from `/proc/PID/stat`; 0 if unreadable.
 pub fn cpu_time_ms(id: u32) -> u64 {
     const TICK_MS: u64 = 10;
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
@@ -212,7 +213,8 @@
     (ticks(11).unwrap_or(0) + ticks(12).unwrap_or(0)) * TICK_MS
 }
 
-/// Resident memory of a process in kilobytes, from `/proc/PID/status`.
+/// Returns the resident memory of a process in kilobytes, from `/proc/PID/status`; 0 if
+/// unreadable.
 pub fn resident_memory_kb(id: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
     let line = status
@@ -240,7 +242,7 @@
 
 fn render_html(summary: &Summary) -> Result<String, Box<dyn Error>> {
     let verdict = if summary.violations.is_empty() {
-        "<p class=\"good\">Nothing was violated.</p>".to_owned()
+        "<p class=\"good\">No violations.</p>".to_owned()
     } else {
         let items: String = summary
             .violations
@@ -265,7 +267,7 @@
          table{{border-collapse:collapse}}td,th{{border:1px solid #bbb;padding:.3rem .6rem;\
          text-align:right}}.good{{color:#176117}}.bad{{color:#a11}}svg{{max-width:100%}}</style>\
          <h1>{name}</h1><p>Seed {seed}, {length:.1} s.</p>{verdict}\
-         <h2>What callers saw</h2>{table}\
+         <h2>Workloads</h2>{table}\
          <h2>Time to the first token</h2>{plot}<h2>Faults</h2><ul>{faults}</ul></html>",
         name = escape(&summary.name),
         seed = summary.seed,
@@ -309,7 +311,7 @@
     )
 }
 
-/// Share of calls whose first token came within a time.
+/// Plots the share of calls whose first token arrived within a given time, as SVG.
 fn render_first_token_plot(summary: &Summary) -> Result<String, Box<dyn Error>> {
     let histograms = summary
         .workloads
--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -1,5 +1,5 @@
-//! Scenarios: what to start, what load to put on it, and which faults to cause
-//! when. An unknown key or an impossible shape is an error with a remedy.
+//! Scenario files: the cluster to start, the load, and the faults to inject and when. An
+//! unknown key or an invalid configuration is an error that says how to fix it.
 
 use crate::cluster::{ClusterConfig, EngineConfig};
 use crate::load::Workload;
@@ -8,21 +8,21 @@
 use std::fmt;
 use std::path::Path;
 
-/// What is wrong with a scenario.
+/// Why a scenario cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ScenarioError {
     /// The file cannot be read.
     Unreadable(String),
-    /// Not TOML, or an unknown or missing key.
+    /// The file is not valid TOML, or a key is unknown or missing.
     Syntax(String),
-    /// The shape cannot work.
+    /// The values contradict each other, or a number is too small.
     Invalid(String),
 }
 
 impl fmt::Display for ScenarioError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Unreadable(cause) => write!(formatter, "{cause}; name a readable file"),
+            Self::Unreadable(cause) => write!(formatter, "{cause}; pass a readable file"),
             Self::Syntax(cause) => {
                 write!(
                     formatter,
@@ -36,15 +36,15 @@
 
 impl std::error::Error for ScenarioError {}
 
-/// Engines of one kind.
+/// A group of engines with the same model and flags.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Engines {
-    /// Model that they have loaded.
+    /// Model that the engines have loaded.
     pub model: String,
-    /// Number of them; spread over the zones in turn.
+    /// Number of engines; they are assigned to the zones round-robin.
     pub count: usize,
-    /// More flags of the stand-in.
+    /// Additional command-line flags of the emulator.
     #[serde(default)]
     pub flags: Vec<String>,
 }
@@ -53,9 +53,9 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// Whether the server can be asked for past requests.
+    /// Whether the server supports the lookup of past requests.
     #[serde(default = "default_true")]
     pub lookup: bool,
 }
@@ -64,7 +64,7 @@
     true
 }
 
-/// What to start.
+/// The cluster of a scenario.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClusterSpec {
@@ -74,102 +74,102 @@
     pub daemons: usize,
     /// Number of shards.
     pub shards: u16,
-    /// Engines.
+    /// Groups of engines.
     pub engines: Vec<Engines>,
     /// Services.
     #[serde(default)]
     pub services: Vec<Service>,
 }
 
-/// Programs of one kind.
+/// Programs of one kind that run concurrently.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WorkloadSpec {
     /// Name in the report.
     pub name: String,
-    /// Tenant.
+    /// Tenant of the programs.
     pub tenant: String,
-    /// Labels.
+    /// Labels of the programs.
     #[serde(default)]
     pub labels: BTreeMap<String, String>,
-    /// Model asked for.
+    /// Model that is called.
     pub model: String,
-    /// Service for requests that are not repeatable.
+    /// Service that receives the requests that are not repeatable.
     #[serde(default)]
     pub service: String,
-    /// Every so many calls one goes to the service; 0 for none.
+    /// Every n-th call goes to the service; 0 for none.
     #[serde(default)]
     pub service_every: u32,
-    /// Programs at once.
+    /// Number of concurrent programs.
     pub programs: usize,
-    /// Calls of each.
+    /// Number of calls of each program.
     pub turns: u32,
-    /// Bytes of each user message.
+    /// Minimum size of each user message.
     pub message_bytes: usize,
-    /// Tokens of each answer.
+    /// Number of tokens of each answer.
     pub max_tokens: u32,
-    /// Longest pause between calls, in milliseconds.
+    /// Upper bound of the random pause after each call, in milliseconds.
     pub pause_ms: u32,
     /// Budget of each program.
     pub budget: i64,
 }
 
-/// What goes wrong.
+/// Kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// Ends a daemon at once and starts it anew after `for_ms`.
+    /// Kills a daemon and restarts it after `for_ms`.
     KillDaemon,
-    /// Stops a daemon in order and starts it anew.
+    /// Shuts a daemon down with SIGTERM and restarts it.
     StopDaemon,
-    /// Freezes a daemon for `for_ms`.
+    /// Suspends a daemon for `for_ms`.
     FreezeDaemon,
-    /// Ends an engine at once and starts it anew after `for_ms`.
+    /// Kills an engine and restarts it after `for_ms`.
     KillEngine,
-    /// The log answers nothing for `for_ms`.
+    /// Every request to the log fails for `for_ms`.
     LogDown,
-    /// The log waits before each answer for `for_ms`.
+    /// The log delays every request for `for_ms`.
     LogSlow,
-    /// The next answers of every server are lost after the effect.
+    /// The next responses of every server are lost after the request took effect.
     LoseServerAnswers,
 }
 
-/// One fault.
+/// A fault to inject.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultSpec {
-    /// When, in milliseconds from the load's start.
+    /// Time of the fault, in milliseconds since the start of the load.
     pub at_ms: u64,
-    /// What.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// Which daemon or engine.
+    /// Index of the daemon or engine.
     #[serde(default)]
     pub target: usize,
-    /// For how long, in milliseconds.
+    /// Duration of the fault, in milliseconds.
     #[serde(default)]
     pub for_ms: u64,
 }
 
-/// A scenario.
+/// A cluster, the load on it, and the faults to inject.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
     /// Name in the report.
     pub name: String,
-    /// Seed of all random choices of the load.
+    /// Seed of the load's random choices.
     #[serde(default)]
     pub seed: u64,
-    /// What to start.
+    /// The cluster to start.
     pub cluster: ClusterSpec,
-    /// Load.
+    /// The workloads; all of them run at the same time.
     pub workload: Vec<WorkloadSpec>,
-    /// Faults, in order of time.
+    /// The faults, ordered by time.
     #[serde(default)]
     pub fault: Vec<FaultSpec>,
 }
 
 impl Scenario {
-    /// Reads and checks a scenario.
+    /// Reads a scenario file and validates it.
     ///
     /// # Errors
     /// The first problem found.
@@ -179,7 +179,7 @@
         Self::parse(&text)
     }
 
-    /// Parses and checks a scenario.
+    /// Parses a scenario and validates it.
     ///
     /// # Errors
     /// The first problem found.
@@ -194,7 +194,7 @@
         let invalid = |cause: String| Err(ScenarioError::Invalid(cause));
         let cluster = &self.cluster;
         if cluster.zones.is_empty() || cluster.daemons == 0 || cluster.shards == 0 {
-            return invalid("cluster needs zones, daemons and shards; give at least one".into());
+            return invalid("a cluster needs at least one zone, daemon and shard".into());
         }
         for workload in &self.workload {
             if !cluster
@@ -203,7 +203,7 @@
                 .any(|engines| engines.model == workload.model)
             {
                 return invalid(format!(
-                    "workload {:?} asks for model {:?}, which no engine has; add one",
+                    "workload {:?} uses model {:?}, which no engine has; add an engine",
                     workload.name, workload.model
                 ));
             }
@@ -213,7 +213,7 @@
                 .any(|service| service.name == workload.service);
             if workload.service_every > 0 && !has_service {
                 return invalid(format!(
-                    "workload {:?} asks for service {:?}, which is not listed; add it",
+                    "workload {:?} uses service {:?}, which is not defined; add it",
                     workload.name, workload.service
                 ));
             }
@@ -226,7 +226,7 @@
             };
             if fault.target >= limit {
                 return invalid(format!(
-                    "fault target {} is not below {limit}",
+                    "fault target {} must be less than {limit}",
                     fault.target
                 ));
             }
@@ -234,7 +234,7 @@
         Ok(())
     }
 
-    /// The cluster to start.
+    /// Returns the configuration of the cluster to start.
     pub fn cluster_config(&self) -> ClusterConfig {
         let mut engines = Vec::new();
         for kind in &self.cluster.engines {
@@ -259,7 +259,7 @@
 }
 
 impl WorkloadSpec {
-    /// The load of this kind.
+    /// Returns the workload for the load generator.
     pub fn workload(&self) -> Workload {
         Workload {
             tenant: self.tenant.clone(),
@@ -273,7 +273,7 @@
             max_tokens: self.max_tokens,
             pause_ms: self.pause_ms,
             budget: self.budget,
-            // Names are for people; request keys take no spaces.
+            // A request key must not contain spaces; names may.
             run: self.name.replace(' ', "-"),
         }
     }
