--- a/crates/bench/tests/processes/configuration.rs
+++ b/crates/bench/tests/processes/configuration.rs
@@ -1,7 +1,8 @@
-//! Configuration among real processes: races, outages, restarts.
+//! Configuration changes across processes: concurrent publishes, a lost response, a restart
+//! during a log outage.
 
 use crate::input::program;
-use crate::support::{run, sleep_ms, start};
+use crate::support::{run_exclusively, sleep_ms, start};
 use fieldhook_bench::cluster::{Cluster, ClusterConfig};
 use fieldhook_emulator::faults::FaultPlan;
 use fieldhook_model::operator::ConfigStatus;
@@ -46,7 +47,7 @@
         let response = cluster
             .get(&daemon.address, "/v1/config")
             .await
-            .expect("answers");
+            .expect("responds");
         versions.push(serde_json::from_str(&response.body).expect("a configuration"));
     }
     versions
@@ -54,7 +55,7 @@
 
 #[test]
 fn concurrent_publishes_have_one_winner_and_restarts_keep_the_version() {
-    run(async {
+    run_exclusively(async {
         let mut cluster = start("config", ClusterConfig::default()).await;
         let publishers: Vec<Child> = (0..4)
             .map(|index| {
@@ -68,15 +69,22 @@
             })
             .collect();
         let outcomes: Vec<Output> = publishers.into_iter().map(wait_for_exit).collect();
-        let won = outcomes
+        let winners = outcomes
             .iter()
             .filter(|output| output.status.success())
             .count();
-        assert_eq!(won, 1, "{outcomes:?}");
-        for lost in outcomes.iter().filter(|output| !output.status.success()) {
-            assert_eq!(lost.status.code(), Some(EXIT_OUT_OF_DATE), "{lost:?}");
-            let text = String::from_utf8_lossy(&lost.stderr);
-            assert!(text.contains("+name = "), "says what changed: {text}");
+        assert_eq!(winners, 1, "{outcomes:?}");
+        for rejected in outcomes.iter().filter(|output| !output.status.success()) {
+            assert_eq!(
+                rejected.status.code(),
+                Some(EXIT_OUT_OF_DATE),
+                "{rejected:?}"
+            );
+            let text = String::from_utf8_lossy(&rejected.stderr);
+            assert!(
+                text.contains("+name = "),
+                "the error shows what changed: {text}"
+            );
         }
         assert!(
             config_statuses(&cluster)
@@ -85,7 +93,7 @@
                 .all(|config| config.version == 1)
         );
 
-        // The log goes down with its last answer lost: the change stands.
+        // A publish whose response from the log is lost still takes effect.
         let lose = FaultPlan {
             lose_answers: 1,
             ..FaultPlan::default()
@@ -99,7 +107,7 @@
         ));
         assert!(output.status.success(), "{output:?}");
 
-        // A daemon that restarts in an outage has the newest from its peers.
+        // A daemon that restarts during a log outage gets the newest version from its peers.
         let down = FaultPlan {
             down: true,
             ..FaultPlan::default()
@@ -107,7 +115,7 @@
         cluster.set_faults(&cluster.log, &down).await;
         cluster.kill_daemon(1);
         cluster.start_daemon(1).expect("restarts");
-        cluster.wait_ready().await.expect("ready in the outage");
+        cluster.wait_ready().await.expect("ready during the outage");
         for _ in 0..100 {
             if config_statuses(&cluster).await[1].version == 2 {
                 break;
--- a/crates/bench/tests/processes/evacuation.rs
+++ b/crates/bench/tests/processes/evacuation.rs
@@ -1,15 +1,18 @@
-//! A zone evacuated by the operators' client.
+//! Evacuation of a zone with the command-line client.
 
 use crate::configuration::{spawn_client, wait_for_exit};
-use crate::support::{accepted_requests, finish_and_check, run, sleep_ms, start, start_load};
+use crate::support::{
+    accepted_requests, finish_and_check, run_exclusively, sleep_ms, start, start_load,
+};
 use fieldhook_bench::cluster::{Cluster, ClusterConfig};
 use fieldhook_bench::load::Workload;
 
-/// Work that was placed before the rule was in force has ended after this time.
+/// Requests that were placed before the evacuation took effect have completed after this time.
 const SETTLE_MS: u32 = 2_000;
 
-/// The engine that has taken most so far, by its number: programs stay at the engine where they
-/// began, and of idle ones the first by address is chosen, so that another one may have none.
+/// Returns the index of the engine with the most requests. Programs stay on the engine where
+/// they started, and among idle engines the first by address is selected, so any other engine
+/// may have had no requests.
 async fn busiest_engine(cluster: &Cluster) -> usize {
     let mut busiest = (0, 0);
     for (number, engine) in cluster.engines().iter().enumerate() {
@@ -20,7 +23,7 @@
 
 #[test]
 fn evacuated_zone_gets_no_new_requests() {
-    run(async {
+    run_exclusively(async {
         let cluster = start("evacuation", ClusterConfig::default()).await;
         let workload = Workload {
             turns: 40,
@@ -36,12 +39,9 @@
         assert!(evacuated.status.success(), "{evacuated:?}");
         sleep_ms(SETTLE_MS).await;
         let before = accepted_requests(&cluster, &engine).await;
-        assert!(before > 0, "the zone was used before");
+        assert!(before > 0, "the zone got requests before the evacuation");
         sleep_ms(SETTLE_MS).await;
-        assert!(
-            !load.is_finished(),
-            "the load ended too early to show anything"
-        );
+        assert!(!load.is_finished(), "the load ended before the check");
         assert_eq!(accepted_requests(&cluster, &engine).await, before);
         let reopened = wait_for_exit(spawn_client(&cluster, 2, &["evacuate", &zone, "--end"]));
         assert!(reopened.status.success(), "{reopened:?}");
--- a/crates/bench/tests/processes/faults.rs
+++ b/crates/bench/tests/processes/faults.rs
@@ -1,7 +1,8 @@
-//! Kills, freezes, lost answers, outages and planned stops under load.
+//! Killed and suspended processes, lost responses, log outages and planned stops under load.
 
 use crate::support::{
-    accepted_requests, commands_waiting, finish_and_check, run, sleep_ms, start, start_load,
+    accepted_requests, commands_waiting, finish_and_check, run_exclusively, sleep_ms, start,
+    start_load,
 };
 use fieldhook_bench::caller::{CallOutcome, Caller};
 use fieldhook_bench::cluster::{ClusterConfig, EngineConfig, Signal};
@@ -12,7 +13,7 @@
 
 #[test]
 fn killed_daemons_lose_no_programs_or_calls() {
-    run(async {
+    run_exclusively(async {
         let mut cluster = start("kill", ClusterConfig::default()).await;
         let workload = Workload {
             turns: 30,
@@ -36,7 +37,7 @@
 
 #[test]
 fn resumed_daemons_cause_no_violations() {
-    run(async {
+    run_exclusively(async {
         let cluster = start("freeze", ClusterConfig::default()).await;
         let workload = Workload {
             turns: 25,
@@ -57,7 +58,7 @@
 
 #[test]
 fn streams_continue_after_an_engine_is_killed() {
-    run(async {
+    run_exclusively(async {
         let mut cluster = start("engine", ClusterConfig::default()).await;
         let workload = Workload {
             max_tokens: 80,
@@ -83,11 +84,11 @@
     });
 }
 
-/// What must last lives on the log: while it is down calls wait, and what was
-/// answered before is there when it returns, whichever daemons were lost meanwhile.
+/// All durable state is on the log: calls wait during an outage, and calls that were answered
+/// before it are still recorded afterwards, even if all daemons were killed in between.
 #[test]
 fn log_outage_with_daemon_restarts_loses_nothing() {
-    run(async {
+    run_exclusively(async {
         let mut cluster = start("outage", ClusterConfig::default()).await;
         let workload = Workload {
             turns: 40,
@@ -128,13 +129,13 @@
             }
             sleep_ms(100).await;
         }
-        panic!("commands still wait for the log after the outage");
+        panic!("commands are still waiting for the log after the outage");
     });
 }
 
 #[test]
 fn programs_survive_the_loss_of_all_daemons() {
-    run(async {
+    run_exclusively(async {
         let mut cluster = start("cold", ClusterConfig::default()).await;
         let gateways = cluster.gateways();
         let mut callers = Vec::new();
@@ -167,7 +168,7 @@
 
 #[test]
 fn lost_responses_cause_no_second_execution() {
-    run(async {
+    run_exclusively(async {
         let config = ClusterConfig {
             services: vec![
                 ("instalments".to_owned(), true),
@@ -221,7 +222,7 @@
 
 #[test]
 fn planned_stops_interrupt_no_stream() {
-    run(async {
+    run_exclusively(async {
         let mut cluster = start("stop", ClusterConfig::default()).await;
         let workload = Workload {
             turns: 30,
@@ -243,14 +244,14 @@
                 .expect("every shard has an owner");
         }
         let stats = finish_and_check(&cluster, &load, &workload).await;
-        assert_eq!(stats.interruptions, 0, "answers broke off");
+        assert_eq!(stats.interruptions, 0, "streams were interrupted");
         assert_eq!(stats.refused, []);
     });
 }
 
 #[test]
 fn leaving_engine_gets_no_new_requests_before_the_machine_list_updates() {
-    run(async {
+    run_exclusively(async {
         let config = ClusterConfig {
             list_lag_ms: 20_000,
             ..ClusterConfig::default()
@@ -271,18 +272,19 @@
             .fetch(ntex::http::Method::POST, &url, &[], Vec::new(), limit)
             .await;
         let status = sent.map(|response| response.status);
-        assert_eq!(status, Ok(200), "the engine was not told to leave");
+        assert_eq!(
+            status,
+            Ok(200),
+            "the engine did not accept the leave request"
+        );
         sleep_ms(2_000).await;
         let before = accepted_requests(&cluster, &leaving).await;
         sleep_ms(2_000).await;
-        assert!(
-            !load.is_finished(),
-            "the load ended too early to show anything"
-        );
+        assert!(!load.is_finished(), "the load ended before the check");
         assert_eq!(
             accepted_requests(&cluster, &leaving).await,
             before,
-            "new work at a leaving engine"
+            "a leaving engine accepted new requests"
         );
         finish_and_check(&cluster, &load, &workload).await;
     });
@@ -290,7 +292,7 @@
 
 #[test]
 fn frozen_engines_do_not_stall_streams() {
-    run(async {
+    run_exclusively(async {
         let settings = "[limits]\nstall_ms = 500\nfirst_token_ms = 1000\n".to_owned();
         let cluster = start(
             "frozen-engine",
@@ -319,7 +321,7 @@
         let longest_ms = stats.pauses.max() / 1_000;
         assert!(
             longest_ms < 5_000,
-            "a reader waited {longest_ms} ms for a frozen engine"
+            "a stream paused for {longest_ms} ms on a suspended engine"
         );
     });
 }
--- a/crates/bench/tests/processes/input.rs
+++ b/crates/bench/tests/processes/input.rs
@@ -1,6 +1,6 @@
-//! Bad input: each gets a typed error and changes nothing.
+//! Invalid input: requests get typed errors and change nothing, settings are rejected.
 
-use crate::support::{run, start};
+use crate::support::{run_exclusively, start};
 use fieldhook_bench::caller::{CallOutcome, Caller};
 use fieldhook_bench::cluster::{Cluster, ClusterConfig};
 use fieldhook_model::error::{CallError, ErrorKind, Executed};
@@ -17,7 +17,7 @@
         .client
         .fetch(Method::POST, &url, &[], body, TIMEOUT)
         .await
-        .expect("answers");
+        .expect("responds");
     let error: CallError = serde_json::from_str(&response.body).expect("a typed error");
     assert_eq!(error.executed, Executed::No);
     assert!(!error.remedy.is_empty());
@@ -26,7 +26,7 @@
 
 #[test]
 fn invalid_requests_get_typed_errors_and_change_nothing() {
-    run(async {
+    run_exclusively(async {
         let cluster = start(
             "input",
             ClusterConfig {
@@ -129,7 +129,7 @@
         assert_eq!(
             caller.view().await.expect("shown"),
             before,
-            "a refusal changed the program"
+            "a refused request changed the program"
         );
         assert!(matches!(
             caller.call_model("chat", "go on", 4).await,
@@ -176,10 +176,11 @@
     }
 }
 
-/// Path of one of the project's programs.
+/// Returns the path of one of the project's executables.
 pub fn program(name: &str) -> std::path::PathBuf {
-    let own = std::env::current_exe().expect("own path");
-    own.parent()
+    let executable = std::env::current_exe().expect("path of the test executable");
+    executable
+        .parent()
         .and_then(|deps| deps.parent())
         .expect("target folder")
         .join(name)
--- a/crates/bench/tests/processes/main.rs
+++ b/crates/bench/tests/processes/main.rs
@@ -1,5 +1,5 @@
-//! Real processes under load and faults. One test at a time, so that each has
-//! the machine to itself.
+//! Tests with real processes under load and faults. They run one at a time, so that they don't
+//! disturb each other's timing.
 
 mod configuration;
 mod evacuation;
--- a/crates/bench/tests/processes/ports.rs
+++ b/crates/bench/tests/processes/ports.rs
@@ -1,9 +1,9 @@
-//! Addresses of a cluster's processes.
+//! Port allocation for a cluster's processes.
 
 use fieldhook_bench::cluster::free_port;
 use std::collections::HashSet;
 
-/// So many that the system, which draws among some thousands, gives some port again.
+/// Enough for the system, which picks from some thousands of ports, to repeat one.
 const PORTS: usize = 600;
 
 #[test]
--- a/crates/bench/tests/processes/support.rs
+++ b/crates/bench/tests/processes/support.rs
@@ -1,4 +1,4 @@
-//! What the process tests share.
+//! Helpers for the process tests.
 
 use fieldhook_bench::audit::{audit, time_to_release};
 use fieldhook_bench::cluster::{Cluster, ClusterConfig};
@@ -12,22 +12,22 @@
 pub const RUN_LIMIT: Duration = Duration::from_secs(100);
 const RELEASE_LIMIT: Duration = Duration::from_secs(10);
 
-/// Runs a test on the runtime of the clients, with the machine to itself.
-pub fn run<F: Future<Output = ()> + 'static>(test: F) {
-    let _alone = TEST_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
+/// Runs a test on the ntex runtime while no other process test is running.
+pub fn run_exclusively<F: Future<Output = ()> + 'static>(test: F) {
+    let _guard = TEST_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     ntex::rt::System::build()
         .build(ntex::rt::DefaultRuntime)
         .block_on(test);
 }
 
-pub fn folder(name: &str) -> PathBuf {
+pub fn empty_folder(name: &str) -> PathBuf {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = std::fs::remove_dir_all(&folder);
     folder
 }
 
 pub async fn start(name: &str, config: ClusterConfig) -> Cluster {
-    Cluster::start(config, &folder(name))
+    Cluster::start(config, &empty_folder(name))
         .await
         .expect("the cluster starts")
 }
@@ -36,7 +36,8 @@
     Load::start(&cluster.client, &cluster.gateways(), workload)
 }
 
-/// Waits for the load's end and checks everything.
+/// Waits until the load has finished, then checks the guarantees and that the engines release
+/// the cache of the ended programs.
 pub async fn finish_and_check(cluster: &Cluster, load: &Load, workload: &Workload) -> LoadStats {
     assert!(load.wait(RUN_LIMIT).await, "programs did not end in time");
     let stats = load.take_stats();
@@ -44,9 +45,12 @@
     assert!(violations.is_empty(), "violations: {violations:#?}");
     assert_eq!(stats.finished, workload.programs as u64);
     let released = time_to_release(cluster, &stats.programs, RELEASE_LIMIT).await;
-    assert!(released.is_some(), "engines hold memory for ended programs");
+    assert!(
+        released.is_some(),
+        "engines still have tokens cached for ended programs"
+    );
     eprintln!(
-        "answered {} refused {} asked again {} broken {} longest pause {} ms",
+        "answered {} refused {} retries {} interruptions {} longest pause {} ms",
         stats.answered,
         stats.refused.len(),
         stats.retries,
@@ -69,20 +73,20 @@
 }
 
 pub async fn commands_waiting(cluster: &Cluster) -> f64 {
-    let mut lag = 0.0;
+    let mut waiting = 0.0;
     for daemon in &cluster.daemons {
         if let Some(response) = cluster.get(&daemon.address, "/metrics").await {
-            lag += metric(&response.body, "fieldhook_commands_waiting");
+            waiting += metric(&response.body, "fieldhook_commands_waiting");
         }
     }
-    lag
+    waiting
 }
 
-/// Requests that an engine has taken so far: its newest cache event counts them.
+/// Returns the number of generate requests that an engine has accepted so far.
 pub async fn accepted_requests(cluster: &Cluster, engine: &str) -> u64 {
     let response = cluster
         .get(engine, "/control/generated")
         .await
-        .expect("engine answers");
+        .expect("engine responds");
     response.body.trim().parse().expect("a number")
 }
