--- a/crates/bench/src/append_strategies.rs
+++ b/crates/bench/src/append_strategies.rs
@@ -1,5 +1,5 @@
-//! Compares two strategies for recording turns on a log, on the same in-memory log: owners
-//! with group commit, and conditional appends by gateways without owners.
+//! Compares the two best strategies for recording turns on a log, on the same in-memory log:
+//! owners with group commit, and conditional appends by gateways without owners.
 //! docs/PLATFORM.md, "Ways weighed", has the results.
 
 use fieldhook_emulator::log::memory::{LogFault, MemoryLog, SharedLog};
@@ -151,8 +151,8 @@
     Ok(latencies.result(calls))
 }
 
-/// A gateway without an owner; `known_ends` holds the end of each partition as far as it has
-/// read.
+/// A gateway that appends directly; `known_ends` holds the position up to which it has read
+/// each partition.
 struct Gateway {
     store: Rc<MemoryLog>,
     known_ends: Vec<Cell<u64>>,
--- a/crates/bench/src/caller.rs
+++ b/crates/bench/src/caller.rs
@@ -33,7 +33,7 @@
     pub total: Duration,
     /// Number of times that the request was sent again.
     pub retries: u32,
-    /// Number of times that an open stream broke off or timed out.
+    /// Number of times that an open stream was interrupted or timed out.
     pub interruptions: u32,
 }
 
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -92,7 +92,7 @@
     pub server_outcomes: BTreeMap<String, ServerOutcome>,
     /// Number of retries.
     pub retries: u64,
-    /// Number of streams that broke off or timed out.
+    /// Number of streams that were interrupted or timed out.
     pub interruptions: u64,
     /// Time to the first token, in microseconds.
     pub first_token: Histogram<u64>,
--- a/crates/bench/src/quickstart.rs
+++ b/crates/bench/src/quickstart.rs
@@ -63,7 +63,7 @@
 /// Waits until a daemon has applied a configuration version.
 ///
 /// # Errors
-/// It has not in time.
+/// The daemon has not applied it in time.
 pub async fn wait_for_version(
     cluster: &Cluster,
     daemon: &str,
--- a/crates/bench/src/report.rs
+++ b/crates/bench/src/report.rs
@@ -76,7 +76,7 @@
     pub refused: BTreeMap<String, u64>,
     /// Number of retries.
     pub asked_again: u64,
-    /// Number of streams that broke off or timed out.
+    /// Number of streams that were interrupted or timed out.
     pub broken: u64,
     /// Duration of whole programs, in milliseconds.
     pub program_ms: Percentiles,
--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -15,7 +15,7 @@
     Unreadable(String),
     /// The file is not valid TOML, or a key is unknown or missing.
     Syntax(String),
-    /// The values contradict each other, or a number is too small.
+    /// A value is out of range or contradicts another one.
     Invalid(String),
 }
 
--- a/crates/bench/tests/processes/configuration.rs
+++ b/crates/bench/tests/processes/configuration.rs
@@ -17,7 +17,7 @@
         "[[rules]]\nname = {name:?}\npriority = 70\n\
          programs = [{{ key = \"tenant\", operator = \"in\", values = [\"tambak\"] }}]\n"
     );
-    std::fs::write(&path, text).expect("written");
+    std::fs::write(&path, text).expect("the document can be written");
     path
 }
 
@@ -34,11 +34,11 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("starts")
+        .expect("the executable starts")
 }
 
 pub fn wait_for_exit(child: Child) -> Output {
-    child.wait_with_output().expect("ends")
+    child.wait_with_output().expect("the client exits")
 }
 
 async fn config_statuses(cluster: &Cluster) -> Vec<ConfigStatus> {
@@ -47,8 +47,8 @@
         let response = cluster
             .get(&daemon.address, "/v1/config")
             .await
-            .expect("responds");
-        versions.push(serde_json::from_str(&response.body).expect("a configuration"));
+            .expect("the daemon responds");
+        versions.push(serde_json::from_str(&response.body).expect("the body is a ConfigStatus"));
     }
     versions
 }
@@ -114,7 +114,7 @@
         };
         cluster.set_faults(&cluster.log, &down).await;
         cluster.kill_daemon(1);
-        cluster.start_daemon(1).expect("restarts");
+        cluster.start_daemon(1).expect("the daemon restarts");
         cluster.wait_ready().await.expect("ready during the outage");
         for _ in 0..100 {
             if config_statuses(&cluster).await[1].version == 2 {
--- a/crates/bench/tests/processes/faults.rs
+++ b/crates/bench/tests/processes/faults.rs
@@ -25,7 +25,7 @@
             sleep_ms(700).await;
             cluster.kill_daemon(index);
             sleep_ms(1_500).await;
-            cluster.start_daemon(index).expect("restarts");
+            cluster.start_daemon(index).expect("the daemon restarts");
             cluster
                 .wait_shards_owned()
                 .await
@@ -77,7 +77,9 @@
                 zone: "imanta".to_owned(),
                 flags: Vec::new(),
             };
-            cluster.start_engine(&address, &engine).expect("restarts");
+            cluster
+                .start_engine(&address, &engine)
+                .expect("the engine restarts");
             sleep_ms(1_500).await;
         }
         finish_and_check(&cluster, &load, &workload).await;
@@ -105,7 +107,7 @@
         sleep_ms(500).await;
         for index in 0..cluster.daemons.len() {
             cluster.kill_daemon(index);
-            cluster.start_daemon(index).expect("restarts");
+            cluster.start_daemon(index).expect("the daemon restarts");
         }
         sleep_ms(1_500).await;
         cluster
@@ -142,7 +144,7 @@
         for index in 0..6 {
             let key = format!("cold-{index}");
             let caller = Caller::open(&cluster.client, &gateways, "riga", &key, 100_000).await;
-            let mut caller = caller.expect("opens");
+            let mut caller = caller.expect("the program opens");
             let outcome = caller
                 .call_model("chat", "Who leads at half time?", 8)
                 .await;
@@ -153,14 +155,21 @@
             cluster.kill_daemon(index);
         }
         for index in 0..cluster.daemons.len() {
-            cluster.start_daemon(index).expect("restarts");
+            cluster.start_daemon(index).expect("the daemon restarts");
         }
-        cluster.wait_ready().await.expect("daemons recover");
+        cluster.wait_ready().await.expect("all daemons recover");
         for mut caller in callers {
             let outcome = caller.call_model("chat", "And who scored last?", 8).await;
             assert!(matches!(outcome, CallOutcome::Answered(_)), "{outcome:?}");
             assert_eq!(caller.violations, []);
-            assert_eq!(caller.view().await.expect("shown").history, caller.history);
+            assert_eq!(
+                caller
+                    .view()
+                    .await
+                    .expect("the program can be read")
+                    .history,
+                caller.history
+            );
             assert!(caller.end_program().await);
         }
     });
@@ -234,10 +243,16 @@
         for index in 0..cluster.daemons.len() {
             sleep_ms(700).await;
             cluster.signal_daemon(index, Signal::Terminate);
-            let process = cluster.daemons[index].process.as_mut().expect("runs");
-            let status = process.wait(Duration::from_secs(30)).await.expect("ends");
+            let process = cluster.daemons[index]
+                .process
+                .as_mut()
+                .expect("the daemon is running");
+            let status = process
+                .wait(Duration::from_secs(30))
+                .await
+                .expect("the daemon exits");
             assert_eq!(status.code(), Some(0));
-            cluster.start_daemon(index).expect("restarts");
+            cluster.start_daemon(index).expect("the daemon restarts");
             cluster
                 .wait_shards_owned()
                 .await
--- a/crates/bench/tests/processes/input.rs
+++ b/crates/bench/tests/processes/input.rs
@@ -17,8 +17,8 @@
         .client
         .fetch(Method::POST, &url, &[], body, TIMEOUT)
         .await
-        .expect("responds");
-    let error: CallError = serde_json::from_str(&response.body).expect("a typed error");
+        .expect("the daemon responds");
+    let error: CallError = serde_json::from_str(&response.body).expect("the body is a CallError");
     assert_eq!(error.executed, Executed::No);
     assert!(!error.remedy.is_empty());
     (response.status, error)
@@ -36,12 +36,12 @@
         )
         .await;
         let opened = Caller::open(&cluster.client, &cluster.gateways(), "riga", "k", 500).await;
-        let mut caller = opened.expect("opens");
+        let mut caller = opened.expect("the program opens");
         assert!(matches!(
             caller.call_model("chat", "hello", 4).await,
             CallOutcome::Answered(_)
         ));
-        let before = caller.view().await.expect("shown");
+        let before = caller.view().await.expect("the program can be read");
         let calls = format!("/v1/programs/{}/calls", caller.program);
         let call = |number: i64, key: &str, rest: &str| {
             format!(
@@ -127,7 +127,7 @@
             );
         }
         assert_eq!(
-            caller.view().await.expect("shown"),
+            caller.view().await.expect("the program can be read"),
             before,
             "a refused request changed the program"
         );
@@ -166,7 +166,7 @@
             .args(platform)
             .args(&flags)
             .output()
-            .expect("starts");
+            .expect("the executable starts");
         let text = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(2), "{flags:?}: {text}");
         assert!(
--- a/crates/bench/tests/processes/ports.rs
+++ b/crates/bench/tests/processes/ports.rs
@@ -8,6 +8,8 @@
 
 #[test]
 fn free_port_never_repeats_a_port() {
-    let ports: HashSet<u16> = (0..PORTS).map(|_| free_port().expect("a port")).collect();
+    let ports: HashSet<u16> = (0..PORTS)
+        .map(|_| free_port().expect("a free port"))
+        .collect();
     assert_eq!(ports.len(), PORTS);
 }
--- a/crates/bench/tests/processes/support.rs
+++ b/crates/bench/tests/processes/support.rs
@@ -87,6 +87,6 @@
     let response = cluster
         .get(engine, "/control/generated")
         .await
-        .expect("engine responds");
-    response.body.trim().parse().expect("a number")
+        .expect("the engine responds");
+    response.body.trim().parse().expect("the body is a number")
 }
