--- a/crates/gateway/src/serve/admission.rs
+++ b/crates/gateway/src/serve/admission.rs
@@ -6,7 +6,7 @@
 use crate::dialect::RequestMeta;
 use fieldhook_traffic::config::Route;
 use fieldhook_traffic::route_table::RouteTable;
-use fieldhook_traffic::tenants::{ApiKey, Denial, Tenant};
+use fieldhook_traffic::tenants::{ApiKey, KeyDenial, Tenant};
 use std::rc::Rc;
 
 /// Returns the tenant of a request, or `None` if no tenants are configured.
@@ -51,7 +51,7 @@
 }
 
 fn denied_response(
-    denial: Denial,
+    denial: KeyDenial,
     table: &RouteTable,
     route: &Route,
     meta: &RequestMeta,
--- a/crates/gateway/src/serve/attempt.rs
+++ b/crates/gateway/src/serve/attempt.rs
@@ -190,8 +190,8 @@
     /// Ends an attempt whose response was read completely; the connection may serve another
     /// request.
     pub fn finish(self, context: &RequestContext) {
-        observe(context, &self.server, Observation::Answered, "answered");
-        context.daemon.retry_budget.borrow_mut().record_answer();
+        observe(context, &self.server, Observation::Completed, "answered");
+        context.daemon.retry_budget.borrow_mut().record_completed();
         let keep_alive = self.response.meta.keep_alive_ms.map(Duration::from_millis);
         context
             .daemon
--- a/crates/gateway/src/serve/buffered.rs
+++ b/crates/gateway/src/serve/buffered.rs
@@ -114,7 +114,7 @@
     mut attempt: Attempt,
 ) -> Result<ReadResponse, (Attempt, ExchangeError)> {
     let memory = &context.daemon.memory;
-    let held = memory.open(Purpose::Incoming);
+    let held = memory.open(Purpose::InProgress);
     let mut body = BytesMut::new();
     loop {
         let next = attempt.connection.next_piece(&mut attempt.response.body);
--- a/crates/gateway/src/serve/homes.rs
+++ b/crates/gateway/src/serve/homes.rs
@@ -5,7 +5,7 @@
 use super::request::RequestContext;
 use crate::daemon::Daemon;
 use fieldhook_topology::region::RegionSet;
-use fieldhook_topology::zone_rule::Denial;
+use fieldhook_topology::zone_rule::ZoneDenial;
 use fieldhook_traffic::config::Route;
 use fieldhook_traffic::residency;
 use fieldhook_traffic::tenants::Tenant;
@@ -85,7 +85,7 @@
     let homes = current(context);
     let directory = daemon.directory.borrow();
     let zone = &daemon.settings.zone;
-    let denials: Vec<Denial> = daemon.zone_state.with_rule(&homes, zone, |rule| {
+    let denials: Vec<ZoneDenial> = daemon.zone_state.with_rule(&homes, zone, |rule| {
         let zones = directory.zones_of(service);
         zones
             .filter_map(|zone| rule.serving_distance(zone).err())
@@ -93,7 +93,7 @@
     });
     let not_home = denials
         .iter()
-        .filter(|denial| **denial == Denial::RegionNotAllowed);
+        .filter(|denial| **denial == ZoneDenial::RegionNotAllowed);
     let not_home = not_home.count();
     if denials.is_empty() {
         return;
@@ -110,7 +110,7 @@
         homes = %homes,
         not_home,
         evacuated = denials.len() - not_home,
-        rule = denials.first().map(Denial::to_string),
+        rule = denials.first().map(ZoneDenial::to_string),
         age_ms = context.age_ms()
     );
 }
--- a/crates/gateway/src/serve/reader.rs
+++ b/crates/gateway/src/serve/reader.rs
@@ -130,7 +130,7 @@
         writer: &mut ClientWriter,
         started: Instant,
     ) -> Result<ClientRequest, ReadFailure> {
-        let held = self.memory.open(Purpose::Incoming);
+        let held = self.memory.open(Purpose::InProgress);
         let head = loop {
             match decode_request_head(&mut self.buffer, limits.header_bytes) {
                 Ok(Some(head)) => break head,
--- a/crates/gateway/src/serve/retry.rs
+++ b/crates/gateway/src/serve/retry.rs
@@ -6,7 +6,7 @@
 use super::local_response::LocalResponse;
 use super::request::{RETRY_LATER_MS, RETRY_SOON_MS, RequestContext};
 use fieldhook_traffic::attempt::{Attempts, NextStep, TimeLeft};
-use fieldhook_traffic::tenants::Denial;
+use fieldhook_traffic::tenants::KeyDenial;
 use std::time::Duration;
 use tokio::time::sleep;
 
@@ -65,7 +65,7 @@
                 return Ok(());
             }
             DispatchFailure::KeyRevoked if self.attempts.may_have_run == 0 => {
-                return Err(LocalResponse::new(401, Denial::UnknownKey.remedy()));
+                return Err(LocalResponse::new(401, KeyDenial::UnknownKey.remedy()));
             }
             DispatchFailure::KeyRevoked => return Err(LocalResponse::new(502, OUTCOME_UNKNOWN)),
             // Only if no server has refused: such a server may have capacity again before a cold
--- a/crates/gateway/src/serve/send_check.rs
+++ b/crates/gateway/src/serve/send_check.rs
@@ -4,7 +4,7 @@
 use super::attempt::DispatchFailure;
 use super::homes;
 use super::request::RequestContext;
-use fieldhook_topology::zone_rule::Denial;
+use fieldhook_topology::zone_rule::ZoneDenial;
 use fieldhook_traffic::attempt::AttemptFailure;
 use fieldhook_traffic::directory::ServerEntry;
 use std::time::Duration;
@@ -90,14 +90,14 @@
     let directory = daemon.directory.borrow();
     let zone = &daemon.settings.zone;
     let homes = homes::current(context);
-    let denials: Result<Vec<Denial>, ()> = daemon.zone_state.with_rule(&homes, zone, |rule| {
+    let denials: Result<Vec<ZoneDenial>, ()> = daemon.zone_state.with_rule(&homes, zone, |rule| {
         let zones = directory.zones_of(service);
         zones
             .map(|zone| rule.serving_distance(zone).err().ok_or(()))
             .collect()
     });
     match denials {
-        Ok(denials) if denials.contains(&Denial::Evacuated) => DispatchFailure::Evacuated,
+        Ok(denials) if denials.contains(&ZoneDenial::Evacuated) => DispatchFailure::Evacuated,
         _ => DispatchFailure::NoServer,
     }
 }
--- a/crates/gateway/src/serve/writer.rs
+++ b/crates/gateway/src/serve/writer.rs
@@ -32,7 +32,7 @@
         Self {
             half,
             backlog: BytesMut::new(),
-            held: memory.open(Purpose::Outgoing),
+            held: memory.open(Purpose::Delivery),
             last_progress: Instant::now(),
             request: String::new(),
         }
--- a/crates/gateway/tests/gateway/keep_alive.rs
+++ b/crates/gateway/tests/gateway/keep_alive.rs
@@ -119,7 +119,7 @@
             ..SlowPeers::default()
         });
         assert_answered_during(world, |gateway, write| async move {
-            let held = gateway.daemon.memory.open(Purpose::Incoming);
+            let held = gateway.daemon.memory.open(Purpose::InProgress);
             assert!(held.grow(4_096).is_ok());
             sleep(ms(600)).await;
             drop(write);
--- a/crates/topology/src/evacuation.rs
+++ b/crates/topology/src/evacuation.rs
@@ -2,8 +2,9 @@
 //!
 //! The operator writes evacuations as records to a topic of the log, which daemons follow in the
 //! same way as the topic of the configuration. Reads may be stale, a listing may be older than a
-//! record, and a daemon that cannot read the log receives records from other daemons. Each record therefore has a revision, its offset in the topic, and a
-//! record or listing that is older than the known one is ignored.
+//! record, and a daemon that cannot read the log receives records from other daemons. Each record
+//! therefore has a revision, its offset in the topic, and a record or listing that is older than
+//! the known one is ignored.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/topology/src/zone_rule.rs
+++ b/crates/topology/src/zone_rule.rs
@@ -7,14 +7,14 @@
 
 /// Why a zone may not serve a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Denial {
+pub enum ZoneDenial {
     /// The zone is evacuated.
     Evacuated,
     /// The zone's region is not among the allowed regions of the request.
     RegionNotAllowed,
 }
 
-impl fmt::Display for Denial {
+impl fmt::Display for ZoneDenial {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             Self::Evacuated => "its zone is evacuated; end the evacuation to use it again",
@@ -43,12 +43,12 @@
     ///
     /// # Errors
     /// Servers of the zone may not serve the request.
-    pub fn serving_distance(&self, zone: &str) -> Result<Distance, Denial> {
+    pub fn serving_distance(&self, zone: &str) -> Result<Distance, ZoneDenial> {
         if !self.may_store(zone) {
-            return Err(Denial::RegionNotAllowed);
+            return Err(ZoneDenial::RegionNotAllowed);
         }
         if self.evacuations.is_evacuated(zone) {
-            return Err(Denial::Evacuated);
+            return Err(ZoneDenial::Evacuated);
         }
         Ok(self.map.distance(self.from_zone, zone))
     }
--- a/crates/topology/tests/zone_rule.rs
+++ b/crates/topology/tests/zone_rule.rs
@@ -3,7 +3,7 @@
 use fieldhook_topology::evacuation::{Evacuations, State};
 use fieldhook_topology::region::RegionSet;
 use fieldhook_topology::zone::{Distance, Map};
-use fieldhook_topology::zone_rule::{Denial, ZoneRule};
+use fieldhook_topology::zone_rule::{ZoneDenial, ZoneRule};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeMap;
 
@@ -50,8 +50,11 @@
         from_zone: "a1",
     };
     assert_eq!(rule.serving_distance("a1"), Ok(Distance::SameZone));
-    assert_eq!(rule.serving_distance("a2"), Err(Denial::Evacuated));
-    assert_eq!(rule.serving_distance("b1"), Err(Denial::RegionNotAllowed));
+    assert_eq!(rule.serving_distance("a2"), Err(ZoneDenial::Evacuated));
+    assert_eq!(
+        rule.serving_distance("b1"),
+        Err(ZoneDenial::RegionNotAllowed)
+    );
     assert!(rule.may_store("a2") && !rule.may_store("b1"));
 }
 
--- a/crates/traffic/src/assignment.rs
+++ b/crates/traffic/src/assignment.rs
@@ -3,16 +3,16 @@
 //! Engines cache the prompts that they have processed. A turn that runs on the engine of the
 //! previous turns processes only its new input, and programs with a common prompt prefix process
 //! the prefix once if they share an engine. The owner of a program's partition sees all turns of
-//! the program, whichever gateways receive them, and therefore assigns the engine.
-//! docs/POLICY.md compares this with other policies.
+//! the program, whichever gateways receive them, and therefore assigns the engine
+//! (docs/POLICY.md).
 //!
 //! A program gets an engine of its partition's group ([`crate::groups`]), whose load the owner
 //! sees, unless the group is full. Engines are ranked by a hash of the prompt prefix, so that all
 //! owners rank them identically without communication. The program is assigned to the first engine
-//! below its fair load ([`AssignmentSettings`]), so that programs with a common prefix spread over as many engines as their
-//! load requires. Engines in the zone that received the program are preferred, then engines in
-//! its region, because connections and traffic to them cost less, and a distant region adds its
-//! latency to each event.
+//! below its fair load ([`AssignmentSettings`]), so that programs with a common prefix spread over
+//! as many engines as their load requires. Engines in the zone that received the program are
+//! preferred, then engines in its region, because connections and traffic to them cost less, and
+//! a distant region adds its latency to each event.
 
 use fieldhook_topology::zone::Distance;
 use std::cmp::Reverse;
@@ -36,8 +36,9 @@
 const SWEEP_THRESHOLD: usize = 1_024;
 
 /// Load limits of the assignment. The fair load of an engine is the mean number of open turns over
-/// all engines of the group, or `light_load` times the engine's slots if that is more. The other
-/// limits are multiples of the fair load.
+/// all engines of the group, or `light_load` times the slots that the owner may fill (its fraction
+/// of the group's programs, times the engine's slots) if that is more. The other limits are
+/// multiples of the fair load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AssignmentSettings {
     /// Fraction of an engine's slots below which its load is too light to prefer another engine.
@@ -116,7 +117,7 @@
     /// Mean number of open turns of the engines in the turn's group, including this turn.
     mean: f64,
     /// Fraction of the group's programs that the owner sees.
-    share: f64,
+    program_fraction: f64,
 }
 
 impl AssignmentTable {
@@ -128,13 +129,13 @@
         }
     }
 
-    /// Assigns an engine to a turn and counts the turn as open there. `share` is the fraction of
-    /// the programs of the turn's group that this owner sees.
+    /// Assigns an engine to a turn and counts the turn as open there. `program_fraction` is
+    /// the fraction of the programs of the turn's group that this owner sees.
     pub fn assign(
         &mut self,
         turn: &Turn<'_>,
         engines: &[Engine<'_>],
-        share: f64,
+        program_fraction: f64,
         now_ms: u64,
     ) -> Option<Rc<str>> {
         self.remove_expired(now_ms);
@@ -145,7 +146,7 @@
         let choice = Choice {
             engines,
             mean: f64::from(open_turns + 1) / group_engines(engines).count().max(1) as f64,
-            share,
+            program_fraction,
         };
         let engine = match self.keep_engine(turn.program, &choice) {
             Some(engine) => engine,
@@ -205,17 +206,18 @@
         let engines = &mut choice.engines.iter();
         let engine = engines.find(|engine| *engine.id == *program.engine)?;
         let max_load = self.max_load(engine, choice, self.settings.max_load_kept);
-        let is_available = !engine.is_cold || !self.is_cold_full(engine, choice.share);
+        let is_available = !engine.is_cold || !self.is_cold_full(engine, choice.program_fraction);
         (is_available && f64::from(self.open_turns(engine.id)) < max_load)
             .then(|| program.engine.clone())
     }
 
     fn choose_engine<'a>(&self, turn: &Turn<'_>, choice: &Choice<'a, '_>) -> Option<&'a str> {
-        let (engines, share) = (choice.engines, choice.share);
+        let (engines, program_fraction) = (choice.engines, choice.program_fraction);
         let rank = |engine: &&Engine<'_>| xxh3_64_with_seed(engine.id.as_bytes(), turn.prefix);
         let is_available = |engine: &&Engine<'_>| {
             let max_load = self.max_load(engine, choice, self.settings.max_load_new);
-            f64::from(self.open_turns(engine.id)) < max_load && !self.is_full(engine, share)
+            f64::from(self.open_turns(engine.id)) < max_load
+                && !self.is_full(engine, program_fraction)
         };
         let available = || group_engines(engines).filter(is_available);
         let preferred = available().max_by_key(|engine| (Reverse(engine.distance), rank(engine)));
@@ -224,10 +226,10 @@
         }
         let load = |engine: &&Engine<'_>| (self.open_turns(engine.id), rank(engine));
         let least_loaded = group_engines(engines).min_by_key(load);
-        match least_loaded.filter(|engine| !self.is_full(engine, share)) {
+        match least_loaded.filter(|engine| !self.is_full(engine, program_fraction)) {
             Some(engine) => Some(engine.id),
             None => self
-                .all_groups(engines, share)
+                .all_groups(engines, program_fraction)
                 .min_by_key(load)
                 .map(|engine| engine.id),
         }
@@ -238,10 +240,11 @@
     fn all_groups<'a, 'b>(
         &'b self,
         engines: &'b [Engine<'a>],
-        share: f64,
+        program_fraction: f64,
     ) -> impl Iterator<Item = &'b Engine<'a>> {
-        let is_available =
-            move |engine: &&Engine<'_>| !engine.is_cold || !self.is_cold_full(engine, share);
+        let is_available = move |engine: &&Engine<'_>| {
+            !engine.is_cold || !self.is_cold_full(engine, program_fraction)
+        };
         let all_full = !engines.iter().any(|engine| is_available(&engine));
         engines
             .iter()
@@ -249,20 +252,22 @@
     }
 
     /// Whether a cold engine has as many open turns as it can handle.
-    fn is_cold_full(&self, engine: &Engine<'_>, share: f64) -> bool {
-        f64::from(self.open_turns(engine.id)) >= f64::from(engine.slots) * share
+    fn is_cold_full(&self, engine: &Engine<'_>, program_fraction: f64) -> bool {
+        f64::from(self.open_turns(engine.id)) >= f64::from(engine.slots) * program_fraction
     }
 
     /// Whether an engine of the group gets no more programs.
-    fn is_full(&self, engine: &Engine<'_>, share: f64) -> bool {
+    fn is_full(&self, engine: &Engine<'_>, program_fraction: f64) -> bool {
         if engine.is_cold {
-            return self.is_cold_full(engine, share);
+            return self.is_cold_full(engine, program_fraction);
         }
-        f64::from(self.open_turns(engine.id)) >= f64::from(engine.slots) * share * FULL_ENGINE_LOAD
+        f64::from(self.open_turns(engine.id))
+            >= f64::from(engine.slots) * program_fraction * FULL_ENGINE_LOAD
     }
 
     fn max_load(&self, engine: &Engine<'_>, choice: &Choice<'_, '_>, factor: f64) -> f64 {
-        let light_load = f64::from(engine.slots) * choice.share * self.settings.light_load;
+        let light_load =
+            f64::from(engine.slots) * choice.program_fraction * self.settings.light_load;
         factor * light_load.max(choice.mean)
     }
 
--- a/crates/traffic/src/attempt.rs
+++ b/crates/traffic/src/attempt.rs
@@ -1,15 +1,15 @@
-//! Decides what follows an attempt that ended without an answer.
+//! Decides what follows an attempt that ended without a response.
 
 use crate::config::RouteKind;
 
-/// How an attempt at a server ended without an answer for the client.
+/// How an attempt at a server ended without a response for the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptFailure {
     /// Nothing was sent to the server.
     NotSent,
     /// The server reported that it did not run the request.
     NotRun,
-    /// The request may have run: the connection broke, or the answer was not valid.
+    /// The request may have run: the connection broke, or the response was not valid.
     MayHaveRun,
 }
 
@@ -50,9 +50,9 @@
 /// What the remaining time of a request allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimeLeft {
-    /// There is enough time for another attempt and its answer.
+    /// There is enough time for another attempt and its response.
     pub enough_for_attempt: bool,
-    /// There is enough time for a wait, and for the answer after it.
+    /// There is enough time for a wait, and for the response after it.
     pub enough_for_wait: bool,
 }
 
--- a/crates/traffic/src/attempt_timeout.rs
+++ b/crates/traffic/src/attempt_timeout.rs
@@ -1,8 +1,8 @@
 //! Timeout of an attempt that may be retried at another server.
 //!
-//! A server may lose an answer without closing the connection. Waiting until the request's
+//! A server may lose a response without closing the connection. Waiting until the request's
 //! deadline would fail the request, and with it the program that made the call, although another
-//! server would have answered at once (docs/SIZE.md).
+//! server would have responded at once (docs/SIZE.md).
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 /// least as much time.
 const MAX_TIMEOUT_DIVISOR: u32 = 2;
 
-/// Returns how long to wait for an answer before the attempt is abandoned for another one, or
+/// Returns how long to wait for a response before the attempt is abandoned for another one, or
 /// `None` if another attempt could not be expected to finish in time. `late_after` is the
 /// time after which a response of this kind counts as late, according to earlier responses. `left`
 /// is the remaining time of the request.
--- a/crates/traffic/src/buffer_memory.rs
+++ b/crates/traffic/src/buffer_memory.rs
@@ -1,15 +1,15 @@
 //! Limits the memory that one daemon uses for data that slow peers have not read yet.
 //!
-//! Answers for a client that does not read, and requests for a server that does not read, are
+//! Responses for a client that does not read, and requests for a server that does not read, are
 //! buffered in the daemon's memory. A few such peers can fill the memory of a small machine, and
 //! when the daemon is killed for that, all its other clients lose their connections. All buffers
-//! are therefore counted against one limit. When it is reached, the answer whose client has read
-//! nothing for the longest time is dropped first. While every client reads something, new data is
-//! refused.
+//! are therefore counted against one limit. When it is reached, the response whose client has
+//! read nothing for the longest time is dropped first. While every client reads something, new
+//! data is refused.
 
 use std::collections::HashMap;
 
-/// A client that has read nothing for this long, in milliseconds, is stalled, and its answer may
+/// A client that has read nothing for this long, in milliseconds, is stalled, and its response may
 /// be dropped to free memory. A client that reads at all does so in every round trip. The
 /// farthest clients have round trips of tens of milliseconds, and a lost packet is sent again
 /// within a second.
@@ -21,11 +21,11 @@
 /// Purpose of a buffer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
-    /// A request that is being sent to a server, or an answer that is still being received. It is
-    /// never dropped, because the request may be running.
-    Incoming,
-    /// An answer that is being sent to its client.
-    Outgoing,
+    /// A request that is being received or sent to a server, or a response that is being received.
+    /// It is never dropped, because the request may be running.
+    InProgress,
+    /// A response that is being sent to its client.
+    Delivery,
 }
 
 /// Result of a request for more memory.
@@ -119,10 +119,10 @@
         }
     }
 
-    /// Records that the buffered answer is being sent to its client from now on.
+    /// Records that the buffered response is being sent to its client from now on.
     pub fn start_delivery(&mut self, id: BufferId, now_ms: u64) {
         if let Some(buffer) = self.buffers.get_mut(&id) {
-            buffer.purpose = Purpose::Outgoing;
+            buffer.purpose = Purpose::Delivery;
             buffer.last_read_ms = now_ms;
         }
     }
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Returns answers of stalled clients, the longest stalled first, that together hold at least
+    /// Returns responses of stalled clients, the longest stalled first, that together hold at least
     /// the needed bytes. Returns `None` if there are not enough of them.
     fn select_stalled(&self, except: BufferId, needed: u64, now_ms: u64) -> Option<Vec<BufferId>> {
         if needed == 0 {
@@ -165,7 +165,7 @@
 
 impl Buffer {
     fn is_stalled(&self, now_ms: u64) -> bool {
-        let is_outgoing = self.purpose == Purpose::Outgoing && self.bytes > 0;
-        is_outgoing && now_ms >= self.last_read_ms + STALLED_MS
+        let is_delivery = self.purpose == Purpose::Delivery && self.bytes > 0;
+        is_delivery && now_ms >= self.last_read_ms + STALLED_MS
     }
 }
--- a/crates/traffic/src/candidates.rs
+++ b/crates/traffic/src/candidates.rs
@@ -1,9 +1,9 @@
 //! Selects the candidate servers for a request: all servers of a small service. For a large
 //! service, some servers of the daemon's zone and some of all zones.
 //!
-//! The cost of a request must not grow with the number of servers. A part of the servers
-//! is enough. It is taken from the hash ring at a position that depends on the request's key:
-//! requests with the same key get the same candidates, so that cached prompts and open connections are
+//! The cost of a request must not grow with the number of servers. A part of the servers is
+//! enough. It is taken from the hash ring at a position that depends on the request's key: requests
+//! with the same key get the same candidates, so that cached prompts and open connections are
 //! reused.
 
 use crate::directory::{ActiveServers, ServerEntry};
--- a/crates/traffic/src/config.rs
+++ b/crates/traffic/src/config.rs
@@ -24,7 +24,7 @@
         matches!(self, Self::Safe | Self::Stream { resumable: true })
     }
 
-    /// Whether the answer is a stream of events.
+    /// Whether the response is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
@@ -52,7 +52,7 @@
     pub kind: RouteKind,
     /// Time after which a request fails, in milliseconds.
     pub timeout_ms: u64,
-    /// Latency within which an answer is on time, in milliseconds.
+    /// Latency within which a response is on time, in milliseconds.
     pub target_latency_ms: u64,
     /// Priority of the requests. 0 is the most urgent.
     pub priority: u8,
--- a/crates/traffic/src/fallback_quota.rs
+++ b/crates/traffic/src/fallback_quota.rs
@@ -11,7 +11,8 @@
 const MAX_USAGE: f64 = 0.5;
 
 /// Number of daemons in the largest supported deployment. Each may send a few spare requests at
-/// once while it reaches no owner. If all of them do so, the total stays within what the tenant leaves unused.
+/// once while it reaches no owner. If all of them do so, the total stays within what the
+/// tenant leaves unused.
 const MAX_DAEMONS: f64 = 350.0;
 
 /// Recent grants of one tenant's quota to this daemon, and what it may send without an owner.
--- a/crates/traffic/src/health.rs
+++ b/crates/traffic/src/health.rs
@@ -12,14 +12,14 @@
 /// What an attempt showed about a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Observation {
-    /// The server answered.
-    Answered,
+    /// The response of the server was read completely.
+    Completed,
     /// The server refused the request because it is full.
     Full,
     /// An idle connection turned out to be closed when it was reused. This says nothing about
     /// the health of the server.
     Stale,
-    /// No connection, an invalid answer, or no answer.
+    /// No connection, an invalid response, or no response.
     Failed,
 }
 
@@ -34,7 +34,7 @@
     /// Updates the health after an attempt.
     pub fn observe(&mut self, now_ms: u64, observation: Observation) {
         match observation {
-            Observation::Answered => *self = Self::default(),
+            Observation::Completed => *self = Self::default(),
             Observation::Full => {
                 self.backoff_until_ms = self.backoff_until_ms.max(now_ms + FULL_BACKOFF_MS);
             }
@@ -52,7 +52,7 @@
         now_ms < self.backoff_until_ms
     }
 
-    /// Whether the last attempts failed. This holds until the server answers again, also after
+    /// Whether the last attempts failed. This holds until an attempt is completed again, also after
     /// the backoff has ended.
     pub fn is_unhealthy(&self) -> bool {
         self.failures >= UNHEALTHY_FAILURES
--- a/crates/traffic/src/idle_limit.rs
+++ b/crates/traffic/src/idle_limit.rs
@@ -1,8 +1,8 @@
 //! How long a connection to a server may be idle before it is no longer reused.
 //!
-//! A server may drop idle connections silently and earlier than it announces. A connection that turns
-//! out to be closed when it is reused is stale: the next request on it is reset, and fails if it
-//! may not be retried. Therefore the idle time of a stale connection limits the connections that
+//! A server may drop idle connections silently and earlier than it announces. A connection that
+//! turns out to be closed when it is reused is stale: the next request on it is reset, and fails if
+//! it may not be retried. Therefore the idle time of a stale connection limits the connections that
 //! are reused after it.
 
 /// The limit is the idle time of the stale connection divided by this.
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -1,7 +1,8 @@
 //! Decisions about requests: which route a request takes, which server may serve it, and whether
 //! it may be retried. This crate does no I/O.
 //!
-//! A program is a sequence of calls (turns) of one client. An engine is a server that runs a model.
+//! A program is a sequence of requests of one client that belong together, and each of them that
+//! an engine runs is a turn. An engine is a server that runs a model.
 //! Programs and limits belong to partitions, and the owner of a partition is the daemon that holds
 //! its lease. The gateway is the part of a daemon that receives the requests of clients and sends
 //! them to servers.
--- a/crates/traffic/src/quota.rs
+++ b/crates/traffic/src/quota.rs
@@ -2,8 +2,8 @@
 //! partition, which is called the owner of the limit below.
 //!
 //! A limit applies to all daemons together and to every window of time. One owner at a time
-//! counts the requests of a tenant ([`crate::sliding_window`]). A new owner grants little at first, so that no
-//! window that spans the change exceeds the limit.
+//! counts the requests of a tenant ([`crate::sliding_window`]). A new owner grants little at
+//! first, so that no window that spans the change exceeds the limit.
 //!
 //! A program is useful only if it completes, so near the limit running programs take precedence
 //! over new ones. Each tenant has a token bucket that fills at the tenant's rate. A program that
@@ -18,7 +18,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Expected cost of a program, in requests, until programs of its route have ended. It lies
-/// between the short and the long programs of the deployments so far (8 and 40).
+/// between the short and the long programs of the measured deployments (8 and 40).
 const INITIAL_COST: f64 = 12.0;
 /// Weight of an ended program in the moving average cost of its route.
 const COST_WEIGHT: f64 = 0.1;
--- a/crates/traffic/src/quota_wait.rs
+++ b/crates/traffic/src/quota_wait.rs
@@ -3,7 +3,7 @@
 //! When requests of running programs coincide, a tenant may be at its limit for a moment, and
 //! the owner of the limit tells each request when it can be granted. Refusing such a request would
 //! end its program, or the caller would retry it once or twice over a new connection. A request
-//! therefore waits as long as its answer can still arrive in time. A request that cannot be
+//! therefore waits as long as its response can still arrive in time. A request that cannot be
 //! answered in time is refused immediately with the time to retry, because waiting in vain only
 //! makes the failure later.
 
--- a/crates/traffic/src/retry_budget.rs
+++ b/crates/traffic/src/retry_budget.rs
@@ -2,12 +2,12 @@
 //!
 //! Each request limits its own attempts ([`crate::attempt`]). If every server refuses requests,
 //! however, every request uses all its attempts, and the servers receive many attempts for each
-//! answer that they give. Retries are therefore limited in proportion to the answers, plus a
-//! constant rate so that a daemon with little traffic is not held back.
+//! one that they complete. Retries are therefore limited in proportion to the completed attempts,
+//! plus a constant rate so that a daemon with little traffic is not held back.
 
-/// Retries that each answer allows.
-const PER_ANSWER: f64 = 0.5;
-/// Retries per second that are allowed without any answer.
+/// Retries that each completed attempt allows.
+const PER_COMPLETED: f64 = 0.5;
+/// Retries per second that are allowed without any completed attempt.
 const PER_SECOND: f64 = 20.0;
 /// Maximum number of saved retries. It covers some seconds of a busy daemon, so that retries
 /// still bridge a short outage of a service.
@@ -30,9 +30,9 @@
 }
 
 impl RetryBudget {
-    /// Records that a server answered.
-    pub fn record_answer(&mut self) {
-        self.left = (self.left + PER_ANSWER).min(MAX_SAVED);
+    /// Records that an attempt was completed: the server ran it and its response was read.
+    pub fn record_completed(&mut self) {
+        self.left = (self.left + PER_COMPLETED).min(MAX_SAVED);
     }
 
     /// Takes one retry from the budget. Returns false if none is left.
--- a/crates/traffic/src/route_table.rs
+++ b/crates/traffic/src/route_table.rs
@@ -3,7 +3,7 @@
 
 use crate::config::{Route, TrafficConfig};
 use crate::round_robin::WeightedRoundRobin;
-use crate::tenants::{ApiKey, Denial, Tenant, TenantIndex};
+use crate::tenants::{ApiKey, KeyDenial, Tenant, TenantIndex};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -89,7 +89,7 @@
         &self,
         route: &Route,
         key: Option<&ApiKey>,
-    ) -> Result<Option<Rc<Tenant>>, Denial> {
+    ) -> Result<Option<Rc<Tenant>>, KeyDenial> {
         match &self.tenants {
             Some(tenants) => tenants.authenticate(key, route.is_public),
             None => Ok(None),
--- a/crates/traffic/src/silence.rs
+++ b/crates/traffic/src/silence.rs
@@ -1,8 +1,8 @@
 //! Detects silent servers: servers that are no longer reachable over the network. The `unreachable`
 //! state in [`crate::cold`] is separate: one failed connection attempt sets it.
 //!
-//! A request to a machine without power, or behind a broken link, is never answered, while a slow
-//! server answers late. The time without an answer does not distinguish the two, but the
+//! A request to a machine without power, or behind a broken link, never gets a response, while a
+//! slow server responds late. The time without a response does not distinguish the two, but the
 //! machine's network stack does: it accepts connections even while its server is busy or hangs.
 //! A server that has not sent anything for longer than usual is therefore probed with a new
 //! connection, and only connect timeouts count against it.
@@ -21,7 +21,7 @@
 /// Connect timeouts after which a server is silent if nothing was received from any server since
 /// the first of them.
 const TIMEOUTS_WITHOUT_CONTACT: u32 = 4;
-/// Number of servers with connect timeouts from which their zone is suspect.
+/// Number of servers with connect timeouts at which their zone becomes suspect.
 const SUSPECT_ZONE_SERVERS: usize = 2;
 /// Connect timeouts expire this long after the last one, in milliseconds. The server then
 /// receives requests again.
@@ -83,7 +83,7 @@
         !was_silent && self.is_silent(server, now_ms)
     }
 
-    /// Whether a server is silent, so that no answer is expected from it for now.
+    /// Whether a server is silent, so that no response is expected from it for now.
     pub fn is_silent(&self, server: &str, now_ms: u64) -> bool {
         let Some(state) = self.timed_out.get(server) else {
             return false;
@@ -117,7 +117,8 @@
     }
 
     /// Whether a server is possibly unreachable: it or its zone has connect timeouts. A kept
-    /// connection to it may then be dead. A new connection has to be established before anything is sent.
+    /// connection to it may then be dead. A new connection has to be established before
+    /// anything is sent.
     pub fn is_suspect(&self, server: &str, zone: &str, now_ms: u64) -> bool {
         let timed_out = self.timed_out.get(server);
         timed_out.is_some_and(|state| state.is_current(now_ms))
--- a/crates/traffic/src/sliding_window.rs
+++ b/crates/traffic/src/sliding_window.rs
@@ -7,18 +7,18 @@
 //! grants at most `D + R t` requests in the last `t`, where `R` is a fraction of the limit's rate.
 //! A successor grants at most `S + R t` in its first `W`. Whatever the changes of owner, a
 //! window then contains at most `D + R W` plus `S` for each successor. `D` plus the `S`
-//! of [`MAX_SUCCESSORS`] successors equals `A - R W` (docs/design/tenants.md).
+//! of `MAX_SUCCESSORS` successors equals `A - R W` (docs/design/tenants.md).
 
 use crate::tenants::Limit;
 use std::collections::VecDeque;
 
 /// Fraction of the limit's rate at which quota is regained, also by a successor in its first
-/// window. The rate is 1.6 times what tenants send in the deployments so far, so this fraction is
+/// window. The rate is 1.6 times what tenants send in the measured deployments, so this fraction is
 /// enough for them.
 const RATE_FRACTION: f64 = 0.75;
 /// Number of successors within one window that are provided for. Each gets
-/// [`SEED_FRACTION`] of the requests by which a window may exceed the limit. The rest of
-/// these requests is part of `D`.
+/// [`SEED_FRACTION`] of the requests by which a window may exceed the limit. The rest of these
+/// requests is part of `D`.
 const MAX_SUCCESSORS: f64 = 4.0;
 /// Fraction of the requests by which a window may exceed the limit that each successor may grant
 /// immediately.
--- a/crates/traffic/src/tenants.rs
+++ b/crates/traffic/src/tenants.rs
@@ -59,14 +59,14 @@
 
 /// Why a request cannot be assigned to a tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Denial {
+pub enum KeyDenial {
     /// The request has no key.
     NoKey,
     /// The key belongs to no tenant.
     UnknownKey,
 }
 
-impl Denial {
+impl KeyDenial {
     /// Tells the client what to do about the denial.
     pub fn remedy(self) -> &'static str {
         match self {
@@ -111,11 +111,11 @@
         &self,
         key: Option<&ApiKey>,
         is_public: bool,
-    ) -> Result<Option<Rc<Tenant>>, Denial> {
+    ) -> Result<Option<Rc<Tenant>>, KeyDenial> {
         let tenant = key.and_then(|key| self.by_key.get(key)).cloned();
         match (tenant, key) {
-            (None, None) if !is_public => Err(Denial::NoKey),
-            (None, Some(_)) if !is_public => Err(Denial::UnknownKey),
+            (None, None) if !is_public => Err(KeyDenial::NoKey),
+            (None, Some(_)) if !is_public => Err(KeyDenial::UnknownKey),
             (tenant, _) => Ok(tenant),
         }
     }
--- a/crates/traffic/tests/buffer_memory.rs
+++ b/crates/traffic/tests/buffer_memory.rs
@@ -9,12 +9,12 @@
 #[test]
 fn the_longest_stalled_client_is_dropped_first() {
     let mut memory = BufferMemory::new(LIMIT);
-    let early = memory.open(Purpose::Outgoing, 0);
-    let late = memory.open(Purpose::Outgoing, 0);
+    let early = memory.open(Purpose::Delivery, 0);
+    let late = memory.open(Purpose::Delivery, 0);
     assert_eq!(memory.grow(early, 400, 0), GrowResult::Granted);
     assert_eq!(memory.grow(late, 400, 100), GrowResult::Granted);
     memory.shrink(late, 10, 200);
-    let new = memory.open(Purpose::Outgoing, STALLED_MS);
+    let new = memory.open(Purpose::Delivery, STALLED_MS);
     let result = memory.grow(new, 500, STALLED_MS);
     assert_eq!(result, GrowResult::GrantedByDropping(vec![early]));
     assert_eq!(memory.used(), 890);
@@ -23,13 +23,13 @@
 #[test]
 fn reading_clients_and_requests_are_never_dropped() {
     let mut memory = BufferMemory::new(LIMIT);
-    let request = memory.open(Purpose::Incoming, 0);
+    let request = memory.open(Purpose::InProgress, 0);
     assert_eq!(memory.grow(request, 600, 0), GrowResult::Granted);
-    let reading = memory.open(Purpose::Outgoing, 0);
+    let reading = memory.open(Purpose::Delivery, 0);
     assert_eq!(memory.grow(reading, 400, 0), GrowResult::Granted);
     let now_ms = STALLED_MS * 4;
     memory.shrink(reading, 1, now_ms - 10);
-    let new = memory.open(Purpose::Outgoing, now_ms);
+    let new = memory.open(Purpose::Delivery, now_ms);
     assert_eq!(memory.grow(new, 2, now_ms), GrowResult::Refused);
     assert_eq!(memory.grow(new, 1, now_ms), GrowResult::Granted);
     memory.close(request);
@@ -37,17 +37,17 @@
 }
 
 #[test]
-fn an_incoming_answer_is_dropped_only_after_its_client_stalls() {
+fn an_incoming_response_is_dropped_only_after_its_client_stalls() {
     let mut memory = BufferMemory::new(LIMIT);
-    let answer = memory.open(Purpose::Incoming, 0);
-    assert_eq!(memory.grow(answer, LIMIT, 0), GrowResult::Granted);
-    let new = memory.open(Purpose::Incoming, 0);
+    let response = memory.open(Purpose::InProgress, 0);
+    assert_eq!(memory.grow(response, LIMIT, 0), GrowResult::Granted);
+    let new = memory.open(Purpose::InProgress, 0);
     let delivery_ms = STALLED_MS * 2;
     assert_eq!(memory.grow(new, 1, delivery_ms), GrowResult::Refused);
-    memory.start_delivery(answer, delivery_ms);
+    memory.start_delivery(response, delivery_ms);
     assert_eq!(memory.grow(new, 1, delivery_ms + 1), GrowResult::Refused);
     let result = memory.grow(new, 1, delivery_ms + STALLED_MS);
-    assert_eq!(result, GrowResult::GrantedByDropping(vec![answer]));
+    assert_eq!(result, GrowResult::GrantedByDropping(vec![response]));
 }
 
 #[derive(Clone, Debug)]
@@ -86,10 +86,10 @@
     steps.iter().all(|step| {
         let id = |which: &usize| ids.get(*which % ids.len().max(1)).copied();
         match step {
-            Step::Open(is_answer) => {
-                let purpose = match is_answer {
-                    true => Purpose::Outgoing,
-                    false => Purpose::Incoming,
+            Step::Open(is_delivery) => {
+                let purpose = match is_delivery {
+                    true => Purpose::Delivery,
+                    false => Purpose::InProgress,
                 };
                 let id = memory.open(purpose, now_ms);
                 ids.push(id);
@@ -121,14 +121,14 @@
                     memory.start_delivery(id, now_ms);
                     let known = oracle.get_mut(&id);
                     if let Some(known) = known {
-                        *known = (Purpose::Outgoing, known.1, now_ms);
+                        *known = (Purpose::Delivery, known.1, now_ms);
                     }
                 }
             }
             Step::Wait(time_ms) => now_ms += time_ms,
         }
-        let held: u64 = oracle.values().map(|known| known.1).sum();
-        memory.used() == held && held <= LIMIT
+        let used: u64 = oracle.values().map(|known| known.1).sum();
+        memory.used() == used && used <= LIMIT
     })
 }
 
@@ -139,18 +139,18 @@
     bytes: u64,
     now_ms: u64,
 ) -> bool {
-    let held: u64 = oracle.values().map(|known| known.1).sum();
+    let used: u64 = oracle.values().map(|known| known.1).sum();
     let stalled = |known: &(Purpose, u64, u64)| {
-        known.0 == Purpose::Outgoing && known.1 > 0 && now_ms >= known.2 + STALLED_MS
+        known.0 == Purpose::Delivery && known.1 > 0 && now_ms >= known.2 + STALLED_MS
     };
     let droppable: u64 = oracle
         .iter()
         .filter(|(other, known)| **other != id && stalled(known))
         .map(|(_, known)| known.1)
         .sum();
-    let fits = held + bytes <= LIMIT;
+    let fits = used + bytes <= LIMIT;
     match memory.grow(id, bytes, now_ms) {
-        GrowResult::Refused => !oracle.contains_key(&id) || held + bytes > LIMIT + droppable,
+        GrowResult::Refused => !oracle.contains_key(&id) || used + bytes > LIMIT + droppable,
         GrowResult::Granted => {
             oracle.entry(id).and_modify(|known| known.1 += bytes);
             fits
--- a/crates/traffic/tests/groups.rs
+++ b/crates/traffic/tests/groups.rs
@@ -72,6 +72,7 @@
     let fleet = Fleet::new(case.engines, case.zones);
     let groups = EngineGroups::divide(&fleet.engines(), case.partitions);
     let partitions = case.partitions.max(1);
+    // Six is the private `MIN_GROUP_SIZE`.
     let large_enough = groups.count() == 1 || case.engines >= 6 * groups.count() as usize;
     let zones_even = (0..case.zones).all(|zone| {
         let zone = format!("z{zone}");
--- a/crates/traffic/tests/retry_budget.rs
+++ b/crates/traffic/tests/retry_budget.rs
@@ -3,7 +3,7 @@
 use fieldhook_traffic::retry_budget::RetryBudget;
 
 #[test]
-fn without_answers_retries_fall_to_a_few_per_second() {
+fn without_completed_attempts_retries_fall_to_a_few_per_second() {
     let mut budget = RetryBudget::default();
     let retries = |budget: &mut RetryBudget, second: u64| {
         let tries = 0..1_000;
@@ -16,12 +16,12 @@
 }
 
 #[test]
-fn each_answer_allows_half_a_retry() {
+fn each_completed_attempt_allows_half_a_retry() {
     let mut budget = RetryBudget::default();
     while budget.take(0) {}
     let mut taken = 0;
     for _ in 0..100 {
-        budget.record_answer();
+        budget.record_completed();
         taken += u32::from(budget.take(0));
     }
     assert_eq!(taken, 50);
--- a/crates/traffic/tests/servers.rs
+++ b/crates/traffic/tests/servers.rs
@@ -205,13 +205,13 @@
 }
 
 #[test]
-fn backoff_grows_with_failures_and_ends_with_an_answer() {
+fn backoff_grows_with_failures_and_ends_with_a_completed_attempt() {
     let mut health = Health::default();
     health.observe(0, Observation::Failed);
     assert!(health.is_in_backoff(100) && !health.is_in_backoff(400));
     health.observe(400, Observation::Failed);
     assert!(health.is_in_backoff(900));
-    health.observe(1_500, Observation::Answered);
+    health.observe(1_500, Observation::Completed);
     assert!(!health.is_in_backoff(1_500) && !health.is_unhealthy());
 }
 
