--- a/crates/gateway/src/http/head.rs
+++ b/crates/gateway/src/http/head.rs
@@ -5,6 +5,7 @@
 use bytes::{Buf, BytesMut};
 use std::fmt;
 
+/// Maximum number of header fields in a head.
 const MAX_FIELDS: usize = 128;
 
 /// Why a message head is rejected.
--- a/crates/gateway/src/http/headers.rs
+++ b/crates/gateway/src/http/headers.rs
@@ -1,7 +1,7 @@
 //! Header fields, with order and spelling preserved.
 
 /// Hop-by-hop fields, which are never forwarded.
-const CONNECTION_FIELDS: [&str; 9] = [
+const HOP_BY_HOP_FIELDS: [&str; 9] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -77,17 +77,17 @@
     }
 
     /// Returns whether a comma-separated field contains this token.
-    pub fn contains_token(&self, name: &str, word: &str) -> bool {
+    pub fn contains_token(&self, name: &str, token: &str) -> bool {
         self.get_all(name).any(|value| {
             std::str::from_utf8(value).is_ok_and(|text| {
                 text.split(',')
-                    .any(|item| item.trim().eq_ignore_ascii_case(word))
+                    .any(|item| item.trim().eq_ignore_ascii_case(token))
             })
         })
     }
 
     /// Removes all hop-by-hop fields, including those listed in `Connection`.
-    pub fn remove_connection_fields(&mut self) {
+    pub fn remove_hop_by_hop_fields(&mut self) {
         let named: Vec<String> = self
             .get_all("connection")
             .filter_map(|value| std::str::from_utf8(value).ok())
@@ -96,7 +96,7 @@
             .collect();
         self.fields.retain(|field| {
             let name = field.name.to_ascii_lowercase();
-            !CONNECTION_FIELDS.contains(&name.as_str()) && !named.contains(&name)
+            !HOP_BY_HOP_FIELDS.contains(&name.as_str()) && !named.contains(&name)
         });
     }
 }
--- a/crates/gateway/src/ledger/assigner.rs
+++ b/crates/gateway/src/ledger/assigner.rs
@@ -81,7 +81,7 @@
             true => self.small_service_engines(&placement.service, serving, partition),
             false => self.large_service_engines(&directory, serving, open, placement, partition),
         };
-        engines.retain(|engine| !self.pools.status(engine.id, engine.zone, now_ms).avoided);
+        engines.retain(|engine| !self.pools.status(engine.id, engine.zone, now_ms).is_avoided);
         self.retain_allowed(&mut engines, placement);
         self.limit_cold_slots(&mut engines, &directory);
         let turn = Turn {
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -3,11 +3,14 @@
 //! [`listener`] accepts connections. For each one, [`connection`] reads requests one after another
 //! with [`reader`] and sends responses with [`writer`]. [`request`] decides whether a request is
 //! allowed: [`admission`] identifies its tenant, [`homes`] the regions that may process it and
-//! store its data, and [`quota`] enforces the limit of the tenant.
+//! store its data, and [`quota`] enforces the limit of the tenant. [`local_response`] contains the
+//! responses that the gateway generates itself.
 //!
 //! [`buffered`] and [`stream`] obtain the response in one or more attempts. [`dispatch`] makes an
-//! attempt: [`selection`] picks a server, `cold` limits requests to cold servers, and
-//! [`send_check`] verifies that the server may still be used. [`retry`] decides what follows a
+//! attempt: [`selection`] picks a server, `cold` limits requests to cold servers, [`send_check`]
+//! verifies that the server may still be used, and `silence` stops waiting for a server whose
+//! machine cannot be reached. [`attempt`] holds the state and the outcome of attempts. [`retry`]
+//! decides what follows a
 //! failed attempt; [`response_times`] determines the timeout of an attempt. For a turn of a
 //! program, [`turn_open`] opens it at the ledger, [`turn`] tracks it, and `turn_record` records its
 //! result.
--- a/crates/gateway/src/serve/attempt.rs
+++ b/crates/gateway/src/serve/attempt.rs
@@ -125,7 +125,7 @@
 }
 
 /// Reads the rest of a refusal in the background, so that its connection can be reused. Gives up
-/// after a short time, because a machine that is gone does not close the connection.
+/// after a short time, because an unreachable machine does not close the connection.
 fn reuse_after_refusal(
     context: &RequestContext,
     server: &ServerEntry,
--- a/crates/gateway/src/serve/buffered.rs
+++ b/crates/gateway/src/serve/buffered.rs
@@ -52,7 +52,10 @@
         Ok(Err(response)) => context.respond(response, writer).await,
         Err(_) => {
             context
-                .respond(LocalResponse::new(504, "no answer in time"), writer)
+                .respond(
+                    LocalResponse::new(504, "no response by the deadline"),
+                    writer,
+                )
                 .await
         }
     }
@@ -165,7 +168,7 @@
 fn forwarded_head(context: &RequestContext, attempt: &Attempt, body: ResponseFraming) -> Vec<u8> {
     let head = &attempt.response.head;
     let mut headers = head.headers.clone();
-    headers.remove_connection_fields();
+    headers.remove_hop_by_hop_fields();
     headers.remove("content-length");
     let close = context.daemon.closes_connections();
     response_head(head.status, &head.reason, &headers, body, close)
--- a/crates/gateway/src/serve/cold.rs
+++ b/crates/gateway/src/serve/cold.rs
@@ -10,10 +10,11 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Maximum number of cold servers asked for in one attempt; each takes an exchange between daemons.
-pub const MAX_SERVERS_ASKED: u32 = 4;
+/// Maximum number of permits requested in one attempt; each takes an exchange between daemons.
+pub const MAX_PERMIT_REQUESTS: u32 = 4;
 /// How long this daemon skips a cold server after no owner of its rate limit responded, in
-/// milliseconds. A lost owner is replaced within 300 to 700 ms.
+/// milliseconds. A lost owner is replaced within 300 to 700 ms, so a request right after the first
+/// would fail as well.
 const NO_OWNER_PAUSE_MS: u64 = 100;
 /// How long this daemon skips a cold server after a permit arrived too late, in milliseconds.
 const LATE_PERMIT_PAUSE_MS: u64 = 20;
--- a/crates/gateway/src/serve/connection.rs
+++ b/crates/gateway/src/serve/connection.rs
@@ -16,7 +16,7 @@
 /// not reset it before the client has read the response.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// How long an idle connection is kept open during a planned stop. A client that reuses it in this
-/// time is served and told to close the connection.
+/// time is served with `Connection: close`.
 const STOPPING_IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 struct ConnectionGuard(Rc<Daemon>);
@@ -89,7 +89,7 @@
 async fn wait_for_request(daemon: &Daemon, reader: &mut ClientReader) -> bool {
     let idle_timeout = Duration::from_millis(current_limits(daemon).idle_timeout_ms);
     let mut stopping = daemon.shutdown.subscribe();
-    let mut away = daemon.close_idle.subscribe();
+    let mut close_idle = daemon.close_idle.subscribe();
     tokio::select! {
         // A request that has already arrived takes precedence.
         biased;
@@ -98,7 +98,7 @@
             let _ = stopping.wait_for(|stopping| *stopping != ShutdownPhase::Running).await;
             sleep(STOPPING_IDLE_TIMEOUT).await;
         } => false,
-        _ = away.wait_for(|away| *away) => false,
+        _ = close_idle.wait_for(|close_idle| *close_idle) => false,
     }
 }
 
@@ -143,7 +143,8 @@
     failure: ReadFailure,
     writer: &mut ClientWriter,
 ) -> ConnectionAction {
-    let rejection = |status| LocalResponse::new(status, "the request cannot be taken");
+    let rejection =
+        |status| LocalResponse::new(status, "the request is invalid, too large or too slow");
     let response = match failure {
         ReadFailure::Ended => return ConnectionAction::Abort,
         ReadFailure::TooSlow => rejection(408),
--- a/crates/gateway/src/serve/dispatch.rs
+++ b/crates/gateway/src/serve/dispatch.rs
@@ -18,12 +18,13 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A reused connection that the server had already closed is reset within one round trip; a server
-/// that fails while processing takes longer.
+/// A reused connection that the server had already closed is reset within one round trip, which is
+/// shorter than this unless the server is in a distant region. A server that fails while processing
+/// takes longer.
 const STALE_RESET_WITHIN: Duration = Duration::from_millis(20);
 
-/// A server that breaks off a request within this time may have become cold: cold servers fail
-/// under load at once instead of processing requests.
+/// A server whose connection fails within this time after a request was sent may have become cold:
+/// cold servers fail under load at once instead of processing requests.
 const EARLY_FAILURE_WITHIN: Duration = Duration::from_millis(50);
 
 /// Sends the request to a server that was not tried before.
@@ -35,7 +36,7 @@
     history: &mut AttemptHistory,
     last_event: Option<u64>,
 ) -> Result<Attempt, DispatchFailure> {
-    for _ in 0..cold::MAX_SERVERS_ASKED {
+    for _ in 0..cold::MAX_PERMIT_REQUESTS {
         history.stage = Stage::Choosing;
         if !context.is_still_admitted() {
             return Err(DispatchFailure::KeyRevoked);
@@ -49,6 +50,8 @@
         history.stage = Stage::Connecting;
         let in_flight = context.daemon.pools.start_request(&server.id);
         let connection = connect(context, &server).await?;
+        // Nothing was sent yet, so a timeout while waiting for the permit is not attributed to the
+        // server.
         history.stage = Stage::Choosing;
         if let Some(limits) = context.daemon.cold.cold_limits(&server)
             && !cold::request_permit(context, &server, &limits).await
--- a/crates/gateway/src/serve/homes.rs
+++ b/crates/gateway/src/serve/homes.rs
@@ -14,7 +14,7 @@
 ///
 /// # Errors
 /// No region of the deployment is among them, so the request is refused before anything is
-/// forwarded. The client may retry once another configuration may be in force.
+/// forwarded. The client may retry once another configuration may be in use.
 pub fn resolve(
     daemon: &Daemon,
     id: &str,
@@ -37,7 +37,7 @@
         version = daemon.owner.config.version()
     );
     Err(LocalResponse::not_run(
-        "no region may serve it; allow one for its route and its tenant",
+        "no region may serve this request; allow one for both its route and its tenant",
         daemon.settings.bounds.config_ms,
     ))
 }
--- a/crates/gateway/src/serve/local_response.rs
+++ b/crates/gateway/src/serve/local_response.rs
@@ -18,10 +18,10 @@
     close: bool,
 }
 
-/// Response for a request that is refused because the memory limit for slow peers is reached; the
+/// Response for a request that is refused because the limit of buffer memory is reached; the
 /// request was not run.
 pub fn memory_full() -> LocalResponse {
-    LocalResponse::not_run("this daemon holds too much for slow peers", RETRY_LATER_MS)
+    LocalResponse::not_run("the daemon is out of buffer memory", RETRY_LATER_MS)
 }
 
 impl LocalResponse {
@@ -35,7 +35,8 @@
         }
     }
 
-    /// Creates a response for a request that was not run and never will be, with a retry delay.
+    /// Creates a response for a request that was not run and will not be. The client may retry after
+    /// the delay.
     pub fn not_run(message: &'static str, retry_after_ms: u64) -> Self {
         Self {
             retry_after_ms: Some(retry_after_ms),
@@ -43,8 +44,8 @@
         }
     }
 
-    /// Creates a response for a request that was not run and never will be because its tenant is at
-    /// its limit, with a retry delay.
+    /// Creates a response for a request that was not run and will not be, because its tenant is at
+    /// its limit. The client may retry after the delay.
     pub fn over_limit(message: &'static str, retry_after_ms: u64) -> Self {
         Self {
             status: 429,
--- a/crates/gateway/src/serve/quota.rs
+++ b/crates/gateway/src/serve/quota.rs
@@ -14,18 +14,21 @@
 /// Requests that are granted later than this after their arrival are logged, in milliseconds.
 const SLOW_GRANT_MS: u64 = 100;
 
-/// A request charged, or about to be charged, to the limit of its tenant. If it is dropped before
-/// it finishes, the client has left or received an incomplete response, and the owner of the limit
-/// is informed: an aborted program says nothing about how many requests programs of its route need,
-/// and does not need the requests that it was charged for.
+/// A request charged, or about to be charged, to the limit of its tenant. The first request of a
+/// program is charged for all requests that the program is expected to make, which is estimated
+/// from earlier programs of its route ([`fieldhook_traffic::quota`]).
+///
+/// If the charge is dropped before the request finishes, the client has disconnected or received an
+/// incomplete response, and the owner of the limit is informed: an aborted program must not change
+/// the estimate, and it no longer needs the requests that it was charged for.
 #[derive(Default)]
 pub struct QuotaCharge {
     report: Option<(Rc<Daemon>, QuotaRequest)>,
 }
 
 impl QuotaCharge {
-    /// Created before the owner is asked, because the client may leave while the grant is in
-    /// transit. Only programs have an end to report.
+    /// Created before the request to the owner is sent, because the client may disconnect while the
+    /// grant is in transit. Only programs have an end to report.
     fn new(context: &RequestContext, request: &QuotaRequest) -> Self {
         let program = request.program.as_ref();
         let report = program.map(|_| {
@@ -94,7 +97,7 @@
             retry_after_ms,
         )),
         Outcome::Unknown => Err(LocalResponse::not_run(
-            "the tenant's limit cannot be told",
+            "the usage of the tenant's limit is unknown",
             context.retry_later_ms(),
         )),
     };
@@ -102,9 +105,9 @@
     response
 }
 
-/// Asks the owner until the request is granted or the next free slot is too late. The owner is told
-/// how long the request can wait and reserves no slot later than that. If the request is abandoned
-/// while it waits, its slot expires unused.
+/// Asks the owner until the request is granted or the next free slot is too late. The request
+/// states how long it can wait, and the owner reserves no slot later than that. If the request is
+/// abandoned while it waits, its slot expires unused.
 async fn ask_until_granted(context: &RequestContext, request: &mut QuotaRequest) -> Outcome {
     let daemon = &context.daemon;
     loop {
--- a/crates/gateway/src/serve/reader.rs
+++ b/crates/gateway/src/serve/reader.rs
@@ -46,7 +46,7 @@
     BodyTooLarge,
     /// The body is not valid chunked encoding.
     BrokenBody,
-    /// The memory limit for slow peers is reached.
+    /// The limit of buffer memory is reached.
     NoRoom,
 }
 
--- a/crates/gateway/src/serve/request.rs
+++ b/crates/gateway/src/serve/request.rs
@@ -26,9 +26,9 @@
 /// Retry delay when the configuration or an owner is missing, in milliseconds.
 pub const RETRY_LATER_MS: u64 = 150;
 
-/// Retry delay when this daemon is partitioned off with a minority of the zones, in milliseconds.
-/// The platform takes up to two seconds to route clients elsewhere, and clients return after at
-/// most a third of their time limit.
+/// Retry delay when this daemon is cut off with a minority of the zones, in milliseconds. The
+/// platform takes up to two seconds to route clients elsewhere. Clients retry after at most a third
+/// of their time limit, even if the delay is longer.
 const RETRY_MINORITY_MS: u64 = 1_000;
 
 /// What to do with the client connection after a request.
@@ -239,13 +239,16 @@
 fn refusal_response(refusal: TurnRefusal, retry_later_ms: u64) -> LocalResponse {
     match refusal {
         TurnRefusal::BudgetSpent => LocalResponse::new(402, "the program's budget is spent"),
-        TurnRefusal::UnknownTurn => LocalResponse::new(404, "no such turn is kept; start anew"),
-        TurnRefusal::TooLarge => {
-            LocalResponse::new(413, "the input or its names are too large to be kept")
+        TurnRefusal::UnknownTurn => {
+            LocalResponse::new(404, "the previous turn is not stored; start a new program")
         }
-        TurnRefusal::NoOwnerInHomes => {
-            LocalResponse::not_run("no daemon of its homes keeps what it says", RETRY_LATER_MS)
+        TurnRefusal::TooLarge => {
+            LocalResponse::new(413, "the input or its names are too large to be stored")
         }
+        TurnRefusal::HomeUnavailable => LocalResponse::not_run(
+            "no daemon in the allowed regions can store the turn",
+            RETRY_LATER_MS,
+        ),
         TurnRefusal::Unavailable => {
             LocalResponse::not_run("the program's ledger cannot be reached", retry_later_ms)
         }
@@ -301,7 +304,7 @@
         .unwrap_or(entry.route.timeout_ms)
         .min(entry.route.timeout_ms);
     let mut headers = head.headers;
-    headers.remove_connection_fields();
+    headers.remove_hop_by_hop_fields();
     headers.remove("content-length");
     headers.remove("expect");
     daemon.dialect.strip(&mut headers, table.has_tenants());
--- a/crates/gateway/src/serve/response_times.rs
+++ b/crates/gateway/src/serve/response_times.rs
@@ -1,4 +1,5 @@
-//! Response times per route, from which the gateway learns when a response is overdue.
+//! Response times per route, from which the gateway estimates when a response is overdue. The same
+//! type holds the gaps between the events of streams.
 
 use fieldhook_log::round_trip::RoundTrip;
 use fieldhook_traffic::attempt_timeout;
@@ -26,7 +27,7 @@
         }
     }
 
-    /// Time after which a response is later than usual.
+    /// Time after which a response is overdue, that is, later than usual.
     pub fn overdue_after(&self, route: &str) -> Duration {
         let routes = self.routes.borrow();
         routes.get(route).map_or_else(
@@ -35,7 +36,7 @@
         )
     }
 
-    /// Timeout of an attempt, or `None` if it should not be abandoned in favor of another one.
+    /// Timeout of an attempt, or `None` if another one could not be expected to finish in time.
     pub fn attempt_timeout(&self, route: &str, remaining: Duration) -> Option<Duration> {
         attempt_timeout::attempt_timeout(self.overdue_after(route), remaining)
     }
--- a/crates/gateway/src/serve/retry.rs
+++ b/crates/gateway/src/serve/retry.rs
@@ -35,7 +35,8 @@
 }
 
 impl RetryState {
-    /// Returns the timeout of the next attempt, or `None` if no further attempt could follow it.
+    /// Returns the timeout of the next attempt, or `None` if it is the last one allowed or if another
+    /// one could not be expected to finish in time.
     pub fn attempt_timeout(&self, context: &RequestContext) -> Option<Duration> {
         let route = &context.entry.route;
         if !self.attempts.allows_another(route.kind, route.max_attempts) {
@@ -48,7 +49,7 @@
             .attempt_timeout(&route.name, remaining)
     }
 
-    /// Returns when another attempt may be made.
+    /// Waits, if necessary, until another attempt may be made.
     ///
     /// # Errors
     /// No further attempt is allowed; contains the response for the client.
@@ -70,7 +71,7 @@
             DispatchFailure::KeyRevoked => return Err(LocalResponse::new(502, OUTCOME_UNKNOWN)),
             // Only if no server has refused: such a server may have capacity again before a cold
             // one does.
-            DispatchFailure::ColdServersBusy { wait_ms } if self.nothing_ran() => {
+            DispatchFailure::ColdServersBusy { wait_ms } if self.only_unreachable_tried() => {
                 return cold::wait_or_refuse(context, wait_ms).await;
             }
             DispatchFailure::ColdServersBusy { .. } => {
@@ -105,7 +106,10 @@
                 self.wait(context, pause_ms).await;
                 Ok(())
             }
-            NextStep::Refuse => Err(LocalResponse::not_run("no server took it", RETRY_SOON_MS)),
+            NextStep::Refuse => Err(LocalResponse::not_run(
+                "no server accepted the request",
+                RETRY_SOON_MS,
+            )),
             NextStep::BadGateway => Err(LocalResponse::new(502, OUTCOME_UNKNOWN)),
         }
     }
@@ -153,8 +157,9 @@
         self.history.clear_refusals();
     }
 
-    /// Returns whether only unreachable servers were tried, so that the request cannot have run.
-    fn nothing_ran(&self) -> bool {
+    /// Returns whether no server but unreachable ones was tried. A request that was only refused was
+    /// not run either, but the server that refused it may have capacity again.
+    fn only_unreachable_tried(&self) -> bool {
         self.attempts.may_have_run == 0 && self.history.refused.is_empty()
     }
 
@@ -175,7 +180,7 @@
                 RETRY_LATER_MS,
             ),
             _ => LocalResponse::not_run(
-                "all servers for it stand in evacuated zones",
+                "all servers for this request are in evacuated zones",
                 RETRY_EVACUATED_MS,
             ),
         }
@@ -185,7 +190,7 @@
         if self.attempts.may_have_run > 0 {
             LocalResponse::new(502, OUTCOME_UNKNOWN)
         } else {
-            LocalResponse::not_run("no server takes work", RETRY_SOON_MS)
+            LocalResponse::not_run("no server accepts work", RETRY_SOON_MS)
         }
     }
 }
--- a/crates/gateway/src/serve/selection.rs
+++ b/crates/gateway/src/serve/selection.rs
@@ -24,8 +24,8 @@
     let is_stream = context.entry.route.kind.is_stream();
     let affinity = context.meta.program.as_deref().filter(|_| is_stream);
     let preferred = context.engine.as_deref();
-    // Requests of a program are sampled by its id, so that they find the same engine again; all
-    // others by the name of the daemon, so that they use servers with open connections.
+    // Servers are sampled by the id of the program, so that its requests find the same engine again,
+    // or else by the name of the daemon, so that requests use servers with open connections.
     let sampling_key = affinity.unwrap_or(&daemon.settings.name);
     let servers = CandidateQuery {
         zone,
@@ -79,8 +79,8 @@
             .map
             .distance(&daemon.settings.zone, &server.zone),
         in_flight: status.in_flight,
-        is_in_backoff: status.avoided,
-        is_unhealthy: status.unsound,
+        is_avoided: status.is_avoided,
+        is_unhealthy: status.is_unhealthy,
         is_cold,
         has_idle_connection: status.has_idle_connection,
     })
--- a/crates/gateway/src/serve/send_check.rs
+++ b/crates/gateway/src/serve/send_check.rs
@@ -10,9 +10,9 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// How long a request waits until the evacuation state is confirmed. After the process was
-/// suspended, one short read of the log confirms it; this takes a few milliseconds, plus a pause of
-/// up to 40 ms after the read that the suspension interrupted.
+/// How long a request waits until the evacuation state is confirmed. After the process was paused,
+/// one short read of the log confirms it; this takes a few milliseconds, plus a delay of up to
+/// 40 ms after the read that the pause interrupted.
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(300);
 /// Interval at which the evacuation state is polled.
 const CONFIRM_POLL_PERIOD: Duration = Duration::from_millis(10);
@@ -42,7 +42,7 @@
 
 /// Checks whether a selected server may still be used. While the connection was being established,
 /// the server may have started draining, its zone may have been evacuated, or this process may have
-/// been suspended.
+/// been paused.
 ///
 /// # Errors
 /// The server may not be used; nothing was sent.
@@ -77,6 +77,8 @@
 fn is_in_home_region(context: &RequestContext, server: &ServerEntry) -> bool {
     let zone_state = &context.daemon.zone_state;
     let homes = homes::current(context);
+    // Evacuations were checked by the caller; only the region rule is left, and `may_store` checks
+    // just that.
     zone_state.with_rule(&homes, &server.zone, |rule| rule.may_store(&server.zone))
 }
 
--- a/crates/gateway/src/serve/stream.rs
+++ b/crates/gateway/src/serve/stream.rs
@@ -51,7 +51,7 @@
     let response = match timeout_at(context.deadline, attempts).await {
         Ok(Ok(action)) => return flush_pending(action, writer).await,
         Ok(Err(response)) => response,
-        Err(_) => LocalResponse::new(504, "no whole answer in time"),
+        Err(_) => LocalResponse::new(504, "the response was not complete by the deadline"),
     };
     if let Some(turn) = turn {
         turn.abort();
@@ -78,6 +78,7 @@
     if !delivery.head_sent {
         return context.respond(response, writer).await;
     }
+    // Status 0 counts responses that were cut off after their head.
     context
         .daemon
         .metrics
@@ -120,7 +121,10 @@
                     }
                     StreamEnd::ClientGone => return Ok(ConnectionAction::Abort),
                     StreamEnd::NotDurable => {
-                        return Err(LocalResponse::new(502, "its budget could not be reserved"));
+                        return Err(LocalResponse::new(
+                            502,
+                            "the token reservation could not be recorded",
+                        ));
                     }
                     StreamEnd::Broken(error) => {
                         attempt.fail(context, error);
@@ -138,7 +142,7 @@
     (200..300).contains(&attempt.response.head.status)
 }
 
-/// Forwards a server response that is not a stream.
+/// Forwards a response with a status other than success, which is not a stream.
 async fn forward_other(
     context: &RequestContext,
     delivery: &Delivery,
@@ -146,7 +150,7 @@
     writer: &mut ClientWriter,
 ) -> Result<ConnectionAction, LocalResponse> {
     match buffered::read_complete(context, attempt).await {
-        Ok(_) if delivery.head_sent => Err(LocalResponse::new(502, "the engine refused to resume")),
+        Ok(_) if delivery.head_sent => Err(LocalResponse::new(502, "the server refused to resume")),
         Ok(response) => Ok(buffered::forward(context, response, writer).await),
         Err((attempt, error)) => {
             attempt.fail(context, error);
@@ -258,7 +262,7 @@
 fn stream_head(context: &RequestContext, attempt: &Attempt) -> Vec<u8> {
     let head = &attempt.response.head;
     let mut headers = head.headers.clone();
-    headers.remove_connection_fields();
+    headers.remove_hop_by_hop_fields();
     headers.remove("content-length");
     let close = context.daemon.closes_connections();
     response_head(
--- a/crates/gateway/src/serve/turn.rs
+++ b/crates/gateway/src/serve/turn.rs
@@ -19,6 +19,8 @@
     pub(super) metrics: Rc<Metrics>,
     pub(super) request: OpenTurn,
     pub(super) opened: OpenedTurn,
+    /// Stored as the input of this turn: the body of the request, or the complete prompt if this
+    /// turn also supplies its chain.
     pub(super) input: Bytes,
     /// Complete prompt sent to the engine.
     pub(super) prompt: Bytes,
@@ -79,7 +81,8 @@
         }
     }
 
-    /// Ends the turn by dropping it, which reports its end unless that was done before.
+    /// Ends the turn, whether it is complete or not. Dropping it reports its end unless that was
+    /// done before.
     pub fn finish(self) {}
 
     /// Reports that the turn ended with the tokens delivered so far. Called before a response that
@@ -93,8 +96,8 @@
         self.ledger.close_in_background(self.close_request(None));
     }
 
-    /// Builds the report of the end of the turn, either for the partition that stores its content
-    /// or for the one that orders it.
+    /// Builds the report of the end of the turn, for the partition that stores its content if
+    /// `content` is given, and otherwise for the program partition.
     pub(super) fn close_request(&self, content: Option<TurnContent>) -> CloseTurn {
         let has_content = content.is_some();
         let has_separate_home_partition = has_content && self.request.home_partition.is_some();
--- a/crates/gateway/src/serve/turn_open.rs
+++ b/crates/gateway/src/serve/turn_open.rs
@@ -14,8 +14,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long to ask an owner while partitioned off with a minority of the zones: several times the
-/// usual response time within a zone. Owners in other zones do not respond, and no one can replace
+/// How long to ask an owner while cut off with a minority of the zones: several times the usual
+/// response time within a zone. Owners in other zones do not respond, and no one can replace
 /// them.
 const MINORITY_TIMEOUT: Duration = Duration::from_millis(60);
 
@@ -29,15 +29,16 @@
     /// The turn is too large to be stored.
     TooLarge,
     /// No owner in the home regions responded.
-    NoOwnerInHomes,
+    HomeUnavailable,
     /// No owner responded.
     Unavailable,
 }
 
-/// A turn that is being opened. The client may leave, or the deadline may pass, while the response
+/// A turn that is being opened. The client may disconnect, or the deadline may pass, while the response
 /// of an owner that has opened the turn is in transit. In that case dropping this value reports the
-/// end of the turn. Otherwise its token reservation would stay open, and every further turn of a
-/// program whose budget does not cover two turns would be refused.
+/// end of the turn. Otherwise its token reservation would stay open, and as long as this
+/// reservation and the next turn together exceed the budget, every further turn of the program
+/// would be refused.
 struct PendingTurn {
     ledger: Rc<LedgerClient>,
     metrics: Rc<Metrics>,
@@ -47,7 +48,7 @@
     started: Instant,
 }
 
-/// Opens a turn if the route keeps context or the program has a budget.
+/// Opens a turn if the route retains context or the program has a budget.
 ///
 /// # Errors
 /// The turn may not start.
@@ -101,7 +102,7 @@
     let home_partition = home_partition.filter(|_| route.retains_context);
     if route.retains_context && home_partition.is_none() && !homes.is_all() {
         homes::report_no_owner(context, None);
-        return Err(TurnRefusal::NoOwnerInHomes);
+        return Err(TurnRefusal::HomeUnavailable);
     }
     Ok(OpenTurn {
         tenant: context.tenant_name().map(str::to_owned),
@@ -147,7 +148,7 @@
     Some(names.map(|region| region.to_string()).collect())
 }
 
-/// Deadline for asking owners.
+/// Deadline for asking owners, which depends on the [`Reach`] of this daemon.
 fn open_deadline(context: &RequestContext) -> Result<Instant, TurnRefusal> {
     let reach = context.daemon.ledger.reach.get();
     let cause = match reach {
@@ -234,7 +235,7 @@
         OpenFailure::Unavailable => TurnRefusal::Unavailable,
         OpenFailure::HomeUnavailable => {
             homes::report_no_owner(context, home_partition);
-            TurnRefusal::NoOwnerInHomes
+            TurnRefusal::HomeUnavailable
         }
     }
 }
@@ -261,7 +262,7 @@
     /// Logs why the turn may not start, together with the budget accounting. A leaked reservation
     /// shows as an open turn that is older than any turn can be.
     fn log_refusal(&self, context: &RequestContext, failure: &OpenFailure) {
-        let shortage = failure.budget_usage();
+        let usage = failure.budget_usage();
         tracing::info!(
             event = "turn_refused",
             request = self.request.turn,
@@ -271,14 +272,14 @@
             budget = self.request.budget,
             most = self.request.max_tokens,
             cause = failure.cause(),
-            settled = shortage.map(|shortage| shortage.settled_tokens),
-            open_turns = shortage.map(|shortage| shortage.open_turns),
-            open = shortage.map(|shortage| shortage.open_tokens),
-            in_doubt_turns = shortage.map(|shortage| shortage.in_doubt_turns),
-            in_doubt = shortage.map(|shortage| shortage.in_doubt_tokens),
-            oldest_open = shortage.and_then(|shortage| shortage.oldest_reservation.as_deref()),
-            oldest_open_ms = shortage.and_then(|shortage| shortage.oldest_age_ms),
-            reserved_ahead = shortage.map(|shortage| shortage.inherited_tokens),
+            settled = usage.map(|usage| usage.settled_tokens),
+            open_turns = usage.map(|usage| usage.open_turns),
+            open = usage.map(|usage| usage.open_tokens),
+            in_doubt_turns = usage.map(|usage| usage.in_doubt_turns),
+            in_doubt = usage.map(|usage| usage.in_doubt_tokens),
+            oldest_open = usage.and_then(|usage| usage.oldest_reservation.as_deref()),
+            oldest_open_ms = usage.and_then(|usage| usage.oldest_age_ms),
+            reserved_ahead = usage.map(|usage| usage.inherited_tokens),
             took_ms = self.took_ms(),
             age_ms = context.age_ms()
         );
--- a/crates/gateway/src/serve/turn_record.rs
+++ b/crates/gateway/src/serve/turn_record.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 impl Turn {
-    /// Records that the turn is complete. If the route keeps context, the response may end only
+    /// Records that the turn is complete. If the route retains context, the response may end only
     /// after this has returned true.
     pub async fn complete(&mut self, context: &RequestContext) -> bool {
         if !self.request.keeps_context {
@@ -24,11 +24,11 @@
         let recorded = tokio::select! {
             biased;
             recorded = self.record_all(context.deadline) => recorded,
-            // The client sends the turn again elsewhere while it has time.
+            // Give up early, so that the client still has time to send the turn to another daemon.
             () = self.ledger.wait_until_cut_off() => false,
         };
-        // Without a budget, the partition that orders the turn gets a separate report of its end
-        // when the turn is dropped.
+        // With a home partition and no budget, the program partition has not been informed yet;
+        // dropping the turn does that.
         self.closed =
             recorded && (!self.has_separate_home_partition() || self.request.budget.is_some());
         tracing::info!(
@@ -45,15 +45,16 @@
         recorded
     }
 
-    /// Returns whether the partition that stores the content differs from the one that orders the
-    /// turn and counts its tokens.
+    /// Returns whether the partition that stores the content differs from the program partition,
+    /// which determines the order of the turns and counts their tokens.
     fn has_separate_home_partition(&self) -> bool {
         self.request.home_partition.is_some()
     }
 
     /// Records the content and the tokens. If two partitions are involved, the response waits for
-    /// both: otherwise a new owner that reads the turn as open would count its maximum tokens for
-    /// as long as it knows the program, which would exhaust a budget that does not cover two turns.
+    /// both. Otherwise a new owner might read the turn as open. It would then count the maximum
+    /// tokens of the turn for as long as it knows the program, and refuse every further turn if the
+    /// budget does not cover two turns.
     async fn record_all(&self, deadline: Instant) -> bool {
         let (content_recorded, tokens_recorded) =
             join(self.record_content(deadline), self.record_tokens(deadline)).await;
@@ -126,8 +127,8 @@
     }
 
     /// Makes sure that the content is stored in a region that is allowed now, since the allowed
-    /// regions may have been narrowed since the turn started. The earlier turns that it continues
-    /// from move along. Returns false if no region is allowed any more.
+    /// regions may have been narrowed since the turn started. The chain that the turn continues is
+    /// stored there as well. Returns false if no region is allowed any more.
     fn move_to_allowed_partition(&mut self, homes: &RegionSet) -> bool {
         let layout = &self.ledger.owner.zone_state.layout;
         let program = &self.request.program;
--- a/crates/gateway/src/upstream/connection.rs
+++ b/crates/gateway/src/upstream/connection.rs
@@ -19,7 +19,7 @@
 /// network partition produces no error.
 const USER_TIMEOUT: Duration = Duration::from_secs(3);
 /// Number of responses to other requests that are skipped before the connection is abandoned.
-const MAX_FOREIGN_RESPONSES: u32 = 3;
+const MAX_MISMATCHED_RESPONSES: u32 = 3;
 const READ_SIZE: usize = 16 << 10;
 
 /// Why an exchange yielded no response. Once any byte was written, the request may have run.
@@ -131,14 +131,14 @@
     /// skipped.
     ///
     /// # Errors
-    /// No response arrived; the request may have run.
+    /// No response arrived. Unless no byte was written, the request may have run.
     pub async fn exchange(
         &mut self,
         outgoing: &OutgoingRequest<'_>,
         dialect: &dyn Dialect,
     ) -> Result<ServerResponse, ExchangeError> {
         let mut written = 0;
-        for _ in 0..MAX_FOREIGN_RESPONSES {
+        for _ in 0..MAX_MISMATCHED_RESPONSES {
             let head = self.next_head(outgoing, &mut written).await?;
             let meta = dialect.read_response(head.status, &head.headers);
             let body = BodyDecoder::new(head.framing);
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -27,7 +27,7 @@
     idle: Vec<ServerConnection>,
     in_flight: u32,
     health: Health,
-    rest: IdleLimit,
+    idle_limit: IdleLimit,
     /// When the machine of the server last answered a probe.
     last_probe_answer: Option<Instant>,
 }
@@ -72,10 +72,10 @@
 pub struct ServerStatus {
     /// Number of requests in flight.
     pub in_flight: u32,
-    /// The server is currently not chosen for requests.
-    pub avoided: bool,
+    /// The server is currently avoided: it is in backoff, or suspected to be unreachable.
+    pub is_avoided: bool,
     /// The last attempt at the server failed.
-    pub unsound: bool,
+    pub is_unhealthy: bool,
     /// An idle connection is available.
     pub has_idle_connection: bool,
 }
@@ -84,16 +84,16 @@
     /// Returns the current state of a server.
     pub fn status(&self, id: &str, zone: &str, now_ms: u64) -> ServerStatus {
         let servers = self.servers.borrow();
-        let in_doubt = self.silence.borrow().is_suspect(id, zone, now_ms);
+        let is_suspect = self.silence.borrow().is_suspect(id, zone, now_ms);
         let known = servers.get(id);
         let status = known.map_or_else(ServerStatus::default, |state| ServerStatus {
             in_flight: state.in_flight,
-            avoided: state.health.is_in_backoff(now_ms),
-            unsound: state.health.is_unhealthy(),
+            is_avoided: state.health.is_in_backoff(now_ms),
+            is_unhealthy: state.health.is_unhealthy(),
             has_idle_connection: !state.idle.is_empty(),
         });
         ServerStatus {
-            avoided: status.avoided || in_doubt,
+            is_avoided: status.is_avoided || is_suspect,
             ..status
         }
     }
@@ -117,7 +117,7 @@
     }
 
     /// Returns whether several servers of a zone are silent and none of them responds.
-    pub fn is_zone_in_doubt(&self, zone: &str, now_ms: u64) -> bool {
+    pub fn is_zone_suspect(&self, zone: &str, now_ms: u64) -> bool {
         self.silence.borrow().is_zone_suspect(zone, now_ms)
     }
 
@@ -170,12 +170,12 @@
         let mut servers = self.servers.borrow_mut();
         let state = servers.entry(id.to_owned()).or_default();
         state
-            .rest
+            .idle_limit
             .record_stale(now_ms, idle_time.as_millis() as u64);
     }
 
-    /// Returns a connection for the next request. If the machine of the server is in doubt, the
-    /// connection is always new, so that no request is sent to a machine that is gone.
+    /// Returns a connection for the next request. If the machine of the server is suspected to be
+    /// unreachable, the connection is always new, so that no request is sent to such a machine.
     ///
     /// # Errors
     /// No connection was established; nothing was sent.
@@ -185,11 +185,11 @@
         now_ms: u64,
         metrics: &Metrics,
     ) -> std::io::Result<ServerConnection> {
-        let in_doubt = {
+        let is_suspect = {
             let silence = self.silence.borrow();
             silence.is_suspect(&server.id, &server.zone, now_ms)
         };
-        if !in_doubt && let Some(connection) = self.acquire_idle(&server.id, now_ms) {
+        if !is_suspect && let Some(connection) = self.acquire_idle(&server.id, now_ms) {
             return Ok(connection);
         }
         metrics.connections.inc();
@@ -199,7 +199,7 @@
     fn acquire_idle(&self, id: &str, now_ms: u64) -> Option<ServerConnection> {
         let mut servers = self.servers.borrow_mut();
         let state = servers.get_mut(id)?;
-        let limit = state.rest.limit_ms(now_ms).map(Duration::from_millis);
+        let limit = state.idle_limit.limit_ms(now_ms).map(Duration::from_millis);
         while let Some(mut connection) = state.idle.pop() {
             connection.idle_before_use = connection.idle_since.elapsed();
             let is_too_old = limit.is_some_and(|limit| connection.idle_before_use > limit);
--- a/crates/gateway/src/upstream/probe.rs
+++ b/crates/gateway/src/upstream/probe.rs
@@ -12,8 +12,8 @@
 /// Timeout of a probe: eight times the round trip to the farthest region, and less than the one
 /// second after which TCP retransmits a lost packet.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
-/// If a timeout fires this much late, the process itself was not running.
-const WAKEUP_TOLERANCE: Duration = Duration::from_millis(150);
+/// A timeout that fires this much late shows that this process was paused.
+const PROCESS_PAUSE: Duration = Duration::from_millis(150);
 /// Minimum silence before a server is probed.
 const MIN_PROBE_DELAY: Duration = Duration::from_millis(150);
 /// Pause while another task probes the same server.
@@ -26,7 +26,7 @@
     Reachable,
     /// Nothing came back from the machine.
     Unreachable,
-    /// This process was not running, so the result is meaningless.
+    /// This process was paused, so the result is meaningless.
     Inconclusive,
 }
 
@@ -36,9 +36,7 @@
     daemon.metrics.connections.inc();
     let connected = ServerConnection::connect(server.address, PROBE_TIMEOUT).await;
     let outcome = match &connected {
-        Err(_) if started.elapsed() > PROBE_TIMEOUT + WAKEUP_TOLERANCE => {
-            ProbeOutcome::Inconclusive
-        }
+        Err(_) if started.elapsed() > PROBE_TIMEOUT + PROCESS_PAUSE => ProbeOutcome::Inconclusive,
         Err(error) if is_unreachable(error.kind()) => ProbeOutcome::Unreachable,
         Ok(_) | Err(_) => ProbeOutcome::Reachable,
     };
@@ -76,12 +74,12 @@
         server = server.id,
         zone = server.zone,
         silent,
-        zone_in_doubt = daemon.pools.is_zone_in_doubt(&server.zone, now_ms)
+        zone_in_doubt = daemon.pools.is_zone_suspect(&server.zone, now_ms)
     );
 }
 
 /// Waits for `response`, and returns `None` if the machine of the server becomes silent first.
-/// `expected` is the time after which responses of the server have been late so far.
+/// `expected` is the time after which a response of the server counts as overdue.
 pub async fn with_silence_detection<T>(
     daemon: &Daemon,
     server: &ServerEntry,
--- a/crates/gateway/tests/gateway/incarnations.rs
+++ b/crates/gateway/tests/gateway/incarnations.rs
@@ -357,14 +357,14 @@
         }
         let pools = &gateway.daemon.pools;
         let previous = pools.status("s1~1", "z1", gateway.daemon.now_ms());
-        assert!(previous.unsound && previous.avoided);
+        assert!(previous.is_unhealthy && previous.is_avoided);
         s1.regain_power();
         s1.set(plain_answer());
         publish_incarnation(&world, &s1, 2, "").await;
         sleep(EFFECT_BOUND).await;
         let now_ms = gateway.daemon.now_ms();
         let next = pools.status("s1~2", "z1", now_ms);
-        assert!(!next.unsound && !next.avoided && next.in_flight == 0);
+        assert!(!next.is_unhealthy && !next.is_avoided && next.in_flight == 0);
         assert!(!pools.is_silent("s1~2", now_ms));
         ask(&gateway, 4).await;
     });
--- a/crates/traffic/src/balance.rs
+++ b/crates/traffic/src/balance.rs
@@ -18,7 +18,7 @@
     /// Requests of this gateway that the server is processing.
     pub in_flight: u32,
     /// The server failed or refused a request recently.
-    pub is_in_backoff: bool,
+    pub is_avoided: bool,
     /// The last attempt at the server failed.
     pub is_unhealthy: bool,
     /// The server has started recently and can handle only a few requests.
@@ -58,16 +58,16 @@
     let is_untried = |index: &usize| !request.tried.contains(&candidates[*index].server.id);
     let healthy: Vec<usize> = (0..candidates.len())
         .filter(is_untried)
-        .filter(|index| !candidates[*index].is_in_backoff && !candidates[*index].is_unhealthy)
+        .filter(|index| !candidates[*index].is_avoided && !candidates[*index].is_unhealthy)
         .collect();
     if let Some(index) = pick_healthy(candidates, &healthy, request, random) {
         return Some(index);
     }
-    let not_in_backoff: Vec<usize> = (0..candidates.len())
+    let not_avoided: Vec<usize> = (0..candidates.len())
         .filter(is_untried)
-        .filter(|index| !candidates[*index].is_in_backoff)
+        .filter(|index| !candidates[*index].is_avoided)
         .collect();
-    if let Some(index) = pick(candidates, &not_in_backoff, request, random) {
+    if let Some(index) = pick(candidates, &not_avoided, request, random) {
         return Some(index);
     }
     let any: Vec<usize> = (0..candidates.len()).filter(is_untried).collect();
--- a/crates/traffic/tests/servers.rs
+++ b/crates/traffic/tests/servers.rs
@@ -28,7 +28,7 @@
         server,
         distance,
         in_flight: 0,
-        is_in_backoff: false,
+        is_avoided: false,
         is_unhealthy: false,
         is_cold: false,
         has_idle_connection: true,
@@ -78,7 +78,7 @@
 fn failing_and_tried_servers_are_avoided() {
     let (a, b) = (server("a", "z1"), server("b", "z1"));
     let mut candidates = vec![candidate(&a), candidate(&b)];
-    candidates[0].is_in_backoff = true;
+    candidates[0].is_avoided = true;
     assert_eq!(choose(&candidates, &request(None, &[]), 7), Some(1));
     let tried = vec!["b".to_owned()];
     assert_eq!(choose(&candidates, &request(None, &tried), 7), Some(0));
