--- a/crates/gateway/src/serve/local_response.rs
+++ b/crates/gateway/src/serve/local_response.rs
@@ -35,8 +35,8 @@
         }
     }
 
-    /// Creates a response for a request that was not run and will not be. The client may retry after
-    /// the delay.
+    /// Creates a response for a request that was not run and will not be. The client may retry
+    /// after the delay.
     pub fn not_run(message: &'static str, retry_after_ms: u64) -> Self {
         Self {
             retry_after_ms: Some(retry_after_ms),
--- a/crates/gateway/src/serve/retry.rs
+++ b/crates/gateway/src/serve/retry.rs
@@ -35,8 +35,8 @@
 }
 
 impl RetryState {
-    /// Returns the timeout of the next attempt, or `None` if it is the last one allowed or if another
-    /// one could not be expected to finish in time.
+    /// Returns the timeout of the next attempt, or `None` if it is the last one allowed or if
+    /// another one could not be expected to finish in time.
     pub fn attempt_timeout(&self, context: &RequestContext) -> Option<Duration> {
         let route = &context.entry.route;
         if !self.attempts.allows_another(route.kind, route.max_attempts) {
@@ -157,8 +157,8 @@
         self.history.clear_refusals();
     }
 
-    /// Returns whether no server but unreachable ones was tried. A request that was only refused was
-    /// not run either, but the server that refused it may have capacity again.
+    /// Returns whether no server but unreachable ones was tried. A request that was only refused
+    /// was not run either, but the server that refused it may have capacity again.
     fn only_unreachable_tried(&self) -> bool {
         self.attempts.may_have_run == 0 && self.history.refused.is_empty()
     }
--- a/crates/gateway/src/serve/selection.rs
+++ b/crates/gateway/src/serve/selection.rs
@@ -24,8 +24,8 @@
     let is_stream = context.entry.route.kind.is_stream();
     let affinity = context.meta.program.as_deref().filter(|_| is_stream);
     let preferred = context.engine.as_deref();
-    // Servers are sampled by the id of the program, so that its requests find the same engine again,
-    // or else by the name of the daemon, so that requests use servers with open connections.
+    // Servers are sampled by the id of the program, so that its requests find the same engine
+    // again, or else by the name of the daemon, so that requests use servers with open connections.
     let sampling_key = affinity.unwrap_or(&daemon.settings.name);
     let servers = CandidateQuery {
         zone,
--- a/crates/gateway/src/serve/turn_open.rs
+++ b/crates/gateway/src/serve/turn_open.rs
@@ -34,10 +34,10 @@
     Unavailable,
 }
 
-/// A turn that is being opened. The client may disconnect, or the deadline may pass, while the response
-/// of an owner that has opened the turn is in transit. In that case dropping this value reports the
-/// end of the turn. Otherwise its token reservation would stay open, and as long as this
-/// reservation and the next turn together exceed the budget, every further turn of the program
+/// A turn that is being opened. The client may disconnect, or the deadline may pass, while the
+/// response of an owner that has opened the turn is in transit. In that case dropping this value
+/// reports the end of the turn. Otherwise its token reservation would stay open, and as long as
+/// this reservation and the next turn together exceed the budget, every further turn of the program
 /// would be refused.
 struct PendingTurn {
     ledger: Rc<LedgerClient>,
--- a/crates/gateway/tests/gateway/abandoned_turns.rs
+++ b/crates/gateway/tests/gateway/abandoned_turns.rs
@@ -1,11 +1,11 @@
 //! Turns whose clients leave while the gateway asks the owner of their program.
 //!
-//! Guards against leaked token reservations: the client of a turn left in the moment in which the
-//! owner opened the turn and reserved its maximum tokens. The gateway dropped its call to the owner
-//! together with the request, so nobody received the response of the owner and nobody reported the
-//! end of the turn. Every later attempt of the program was refused because its budget was spent.
-//! This was observed after a loss of all power, and only for programs whose clients left before
-//! their gateway had logged `turn_opened`.
+//! Guards against leaked token reservations. A client may disconnect just when the owner opens its
+//! turn and reserves its maximum tokens. If the gateway then drops its call to the owner together
+//! with the request, the reply of the owner is lost and the end of the turn is never reported.
+//! Every later attempt of the program is refused because its budget is spent. This was observed
+//! after a loss of all power, and only for programs whose clients disconnected before their gateway
+//! had logged `turn_opened`.
 
 use crate::support::{Act, Gateway, Server, World, run};
 use fieldhook_ledger::message::OpenTurn;
@@ -17,9 +17,10 @@
 const BUDGET: &str = "Budget: 60\r\nMost: 40\r\n";
 /// Programs per test; with this many, each of the two gateways owns some of their partitions.
 const PROGRAMS: usize = 8;
-/// How soon after its client left a gateway starts to report the end of a turn, if it reports one.
+/// Maximum time from a client's disconnect until its gateway starts to report the end of the turn,
+/// if it reports one.
 const REPORT_STARTS_WITHIN: Duration = Duration::from_millis(5);
-/// How long it may take until the end of a turn is known.
+/// Maximum time until the owner knows the end of a turn.
 const REPORTED_WITHIN: Duration = Duration::from_secs(2);
 
 /// Starts two gateways that have both asked the owner of each partition before.
@@ -27,6 +28,7 @@
     let a = world.ready(&[server]).await;
     let b = world.gateway("g2").await;
     b.wait_ready(1).await;
+    // Wait until every partition has an owner.
     sleep(Duration::from_millis(900)).await;
     for gateway in [&a, &b] {
         for number in 0..PROGRAMS {
@@ -80,7 +82,8 @@
     });
 }
 
-/// A process that exits without reporting such an end leaks the reservation.
+/// Guards against a process that exits before it has reported the end of an abandoned turn, which
+/// leaks the reservation.
 #[test]
 fn planned_stop_waits_until_ends_of_abandoned_turns_are_reported() {
     run(async {
@@ -139,8 +142,8 @@
     request
 }
 
-/// Guards against a leaked reservation of a lost gateway: the only retry that a program made after
-/// its gateway was gone got 402.
+/// Guards against a reservation leaked by a lost gateway: the next turn of the same session must
+/// replace it instead of getting 402.
 #[test]
 fn next_turn_of_a_session_is_served_after_its_gateway_was_lost() {
     run(async {
@@ -167,6 +170,8 @@
     });
 }
 
+/// Guards against an end that arrives after the next turn has replaced the reservation, and changes
+/// what is counted so that the budget no longer covers another turn.
 #[test]
 fn late_end_of_a_turn_does_not_block_the_next_turn_of_its_session() {
     run(async {
--- a/crates/gateway/tests/gateway/budget_after_owner_loss.rs
+++ b/crates/gateway/tests/gateway/budget_after_owner_loss.rs
@@ -1,12 +1,14 @@
-//! Budget that the next owner counts for a completed turn after all daemons are lost.
+//! Checks how much budget a new owner counts for a completed turn if all daemons were lost right
+//! after it.
 //!
-//! If a program's contents are stored in a home partition, another partition orders its turns and
-//! counts its budget. That partition recorded the turn as open, with its token maximum reserved.
-//! When the turn completes, its contents become durable in the home partition before the client
-//! gets the end of the answer, while the budget partition is informed separately. If all daemons
-//! are lost right then, the next owner must not find a turn that stays open forever: the program,
-//! having used a sixth of its budget, would be refused every further turn. Without home regions one
-//! record covers both, and the end of the answer waits for it.
+//! If a program's contents are stored in a home partition, its program partition still determines
+//! the order of its turns and counts its budget. The program partition records the turn as open,
+//! with its token maximum reserved. When the turn completes, its contents become durable in the
+//! home partition before the client gets the end of the response, while the program partition is
+//! informed separately. If all daemons are lost right then, the new owner must not find a turn that
+//! stays open forever. Otherwise the program would be refused every further turn, although it used
+//! only 10 of 60 tokens. Without home regions one record covers both, and the end of the response
+//! waits for it.
 
 use crate::support::{Act, Server, World, config, run};
 use fieldhook_gateway::ledger::owner::LEDGER_TOPIC;
@@ -27,7 +29,7 @@
 const MAX_TOKENS: u64 = 40;
 /// Time until all partitions have owners.
 const OWNERS_SETTLED: Duration = Duration::from_millis(2_500);
-/// Longer than programs without a record are uncertain after an owner was lost.
+/// Longer than the time for which programs without a record are uncertain after an owner is lost.
 const UNCERTAINTY_MS: u64 = 60_000;
 
 fn now_ms() -> u64 {
@@ -35,7 +37,7 @@
     since.expect("after 1970").as_millis() as u64
 }
 
-/// Builds the state that a new owner loads from the log for the partition that orders a program.
+/// Builds the state that a new owner loads from the log for the program partition of a program.
 fn new_owner_state(world: &World, program: &str) -> Partition {
     let log_partition = LogPartition {
         topic: LEDGER_TOPIC.to_owned(),
@@ -69,7 +71,7 @@
 }
 
 /// Runs a turn of ten tokens, and opens the next turn at a new owner that knows only what the log
-/// holds when the client has the complete answer.
+/// holds when the client has the complete response.
 async fn open_next_turn_after_loss(homes: RegionSet) -> OpenOutcome {
     let world = World::new().await;
     world.partitions.set(GLOBAL_PARTITIONS);
--- a/crates/gateway/tests/gateway/cancellation.rs
+++ b/crates/gateway/tests/gateway/cancellation.rs
@@ -5,7 +5,7 @@
 use tokio::time::{Instant, sleep};
 
 /// If an attempt is abandoned while its connection is still being established, the request was not
-/// sent, and the client may be told that it was not run.
+/// sent, and the client may receive a response saying that it was not run.
 #[test]
 fn attempt_abandoned_while_connecting_has_not_run() {
     run(async {
@@ -54,8 +54,8 @@
     });
 }
 
-/// A planned stop waits until no request is in flight, so a task that panics must still be counted
-/// out.
+/// A planned stop waits until no request is in flight, so the request of a task that panics must
+/// still be removed from the count.
 #[test]
 fn panicking_request_is_not_counted_as_in_flight() {
     run(async {
--- a/crates/gateway/tests/gateway/evacuation.rs
+++ b/crates/gateway/tests/gateway/evacuation.rs
@@ -113,7 +113,7 @@
     }
 }
 
-/// Sends a request to each route: a repeatable and a non-repeatable call, a turn and a
+/// Sends a request to each route: a retryable and a non-retryable call, a turn and a
 /// resumable stream.
 async fn request_all(gateway: &Gateway, name: &str) -> Vec<Reply> {
     let kinds = [
@@ -499,8 +499,8 @@
     });
 }
 
-/// Simulates a freeze of the process by blocking the thread on which everything runs.
-fn freeze(duration: Duration) {
+/// Simulates a pause of the process by blocking the thread on which everything runs.
+fn pause_process(duration: Duration) {
     std::thread::sleep(duration);
 }
 
@@ -514,17 +514,17 @@
 }
 
 #[test]
-fn after_a_freeze_a_gateway_confirms_evacuations_before_it_serves() {
+fn after_a_pause_a_gateway_confirms_evacuations_before_it_serves() {
     run(async {
         let zones = zones_with_limit(2_500).await;
         let gateway = zones.gateway("g1", "z1").await;
-        // Without a freeze, the gateway relies on what it knows while an outage lasts.
+        // Without a pause, the gateway relies on what it knows while an outage lasts.
         gateway.store.set_fault(LogFault::Down);
         sleep(Duration::from_millis(2_700)).await;
         let reply = gateway.ask("GET", "/safe/1", "Request: a\r\n", "").await;
         assert_eq!(reply.text(), "ok");
         zones.evacuate("z1").await;
-        freeze(Duration::from_millis(2_600));
+        pause_process(Duration::from_millis(2_600));
         for id in ["b", "c"] {
             let fields = format!("Request: {id}\r\n");
             let reply = gateway.ask("POST", "/unsafe/1", &fields, "").await;
@@ -547,21 +547,21 @@
     });
 }
 
-/// The process freezes after the server was selected and before the connection is
+/// The process is paused after the server was selected and before the connection is
 /// established; the zone is evacuated meanwhile.
 #[test]
-fn an_attempt_interrupted_by_a_freeze_is_withdrawn() {
+fn an_attempt_interrupted_by_a_pause_is_withdrawn() {
     run(async {
         let zones = zones_with_limit(1_000).await;
         let gateway = zones.gateway("g1", "z1").await;
         gateway.store.set_fault(LogFault::Down);
         let request = gateway.ask("POST", "/unsafe/1", "Request: a\r\n", "");
-        let frozen = async {
+        let paused = async {
             wait_for_attempt(&gateway, "s1").await;
             zones.evacuate("z1").await;
-            freeze(Duration::from_millis(1_100));
+            pause_process(Duration::from_millis(1_100));
         };
-        let (reply, ()) = join(request, frozen).await;
+        let (reply, ()) = join(request, paused).await;
         assert_eq!(reply.head.status, 503);
         assert_eq!(zones.counts(), [0, 0, 0]);
     });
--- a/crates/gateway/tests/gateway/forwarding.rs
+++ b/crates/gateway/tests/gateway/forwarding.rs
@@ -9,6 +9,8 @@
     Act::Answer(200, text.to_owned())
 }
 
+/// Guards against changes to the target, the body or the fields of a forwarded request, against
+/// forwarded hop-by-hop fields, and against a deadline that grows on the way.
 #[test]
 fn request_and_response_are_forwarded() {
     run(async {
@@ -51,6 +53,7 @@
     });
 }
 
+/// Guards against a second attempt of a non-retryable request that may have run.
 #[test]
 fn non_retryable_request_runs_at_most_once() {
     run(async {
@@ -68,6 +71,8 @@
     });
 }
 
+/// Guards against more attempts than the route allows, and against servers that stay unused after a
+/// failure although no other is left.
 #[test]
 fn retryable_request_is_retried_up_to_the_attempt_limit() {
     run(async {
@@ -90,6 +95,7 @@
     });
 }
 
+/// Guards against a request that uses up its time at a server whose response was lost.
 #[test]
 fn overdue_retryable_request_is_retried_before_its_deadline() {
     run(async {
@@ -118,6 +124,7 @@
     });
 }
 
+/// Guards against a non-retryable request that is abandoned while its response may still arrive.
 #[test]
 fn overdue_non_retryable_request_waits_until_its_deadline() {
     run(async {
@@ -139,6 +146,8 @@
     });
 }
 
+/// Guards against a refusal that is passed on although another server has capacity, and against one
+/// that reaches the client late.
 #[test]
 fn refused_request_goes_to_another_server_or_gets_503() {
     run(async {
@@ -168,6 +177,7 @@
     });
 }
 
+/// Guards against a 503 while a server is full only for a moment.
 #[test]
 fn request_waits_for_a_full_server_to_regain_capacity() {
     run(async {
@@ -186,6 +196,8 @@
     });
 }
 
+/// Guards against a client that gets the response to another request, because a server sent it late
+/// on a reused connection.
 #[test]
 fn responses_to_other_requests_are_skipped() {
     run(async {
@@ -204,6 +216,7 @@
     });
 }
 
+/// Guards against a truncated response without a length that reaches the client as complete.
 #[test]
 fn response_without_length_is_complete_on_close_but_not_on_reset() {
     run(async {
@@ -225,6 +238,7 @@
     });
 }
 
+/// Guards against a server that continues to work for a client which has disconnected.
 #[test]
 fn client_disconnect_cancels_its_request() {
     run(async {
@@ -245,6 +259,7 @@
     });
 }
 
+/// Guards against a client that waits past its deadline for a server which never responds.
 #[test]
 fn unanswered_request_ends_at_its_deadline() {
     run(async {
@@ -262,6 +277,7 @@
     });
 }
 
+/// Guards against a draining server that is still selected, also if no other server is left.
 #[test]
 fn draining_server_gets_no_new_requests() {
     run(async {
@@ -287,6 +303,8 @@
     });
 }
 
+/// Guards against a planned stop that fails requests, either those in progress or those that arrive
+/// on connections which are still open.
 #[test]
 fn planned_stop_finishes_requests_and_closes_connections() {
     run(async {
@@ -318,6 +336,8 @@
     });
 }
 
+/// Guards against a request that is accepted so late in a planned stop that the process is killed
+/// while it runs.
 #[test]
 fn planned_stop_refuses_requests_that_it_could_not_finish() {
     run(async {
@@ -332,7 +352,8 @@
             .await;
         sleep(Duration::from_millis(100)).await;
         ntex::rt::spawn(fieldhook_gateway::drain::run(gateway.daemon.clone()));
-        // Three eighths of the grace period are over.
+        // Requests are refused after 0.375 (`drain::REFUSE_AFTER`) of the grace period of 4,000 ms,
+        // that is, after 1,500 ms.
         sleep(Duration::from_millis(1_600)).await;
         idle.send("POST", "/unsafe/2", "Request: r2\r\n", "x").await;
         let reply = idle.reply().await;
@@ -348,6 +369,7 @@
     });
 }
 
+/// Guards against retries that multiply the load on servers which are already full.
 #[test]
 fn retry_budget_bounds_attempts_when_all_servers_refuse() {
     run(async {
@@ -368,7 +390,8 @@
             assert!(reply.head.headers.has("come-back-ms"));
         }
         let attempts = servers[0].count() + servers[1].count();
-        // One attempt per request, plus the saved retry budget, plus the retries added each second.
+        // One attempt per request, plus the saved retry budget (`MAX_SAVED`), plus the retries
+        // added each second (`PER_SECOND`).
         let max_attempts = 100 + 200 + 20 * (started.elapsed().as_secs() as usize + 1);
         assert!(
             attempts <= max_attempts,
--- a/crates/gateway/tests/gateway/incarnations.rs
+++ b/crates/gateway/tests/gateway/incarnations.rs
@@ -38,6 +38,8 @@
     Act::Answer(200, "ok".to_owned())
 }
 
+/// Guards against one unreadable entry that stops the directory from being updated, and against a
+/// server that is used by its previous entry.
 #[test]
 fn unreadable_entry_removes_its_server_and_leaves_the_others() {
     run(async {
@@ -64,6 +66,7 @@
     });
 }
 
+/// Guards against a server that counts as draining for good because it restarted under its name.
 #[test]
 fn restarted_draining_server_gets_requests_again() {
     run(async {
@@ -84,7 +87,7 @@
     });
 }
 
-/// State of the previous process, here its connections, must not be used for the next one.
+/// State of the previous incarnation, here its connections, must not be used for the next one.
 #[test]
 fn restarted_server_gets_new_connections() {
     run(async {
@@ -150,9 +153,9 @@
     }
 }
 
-/// Returns how long after `since` a server got requests over connections that were opened before
-/// it, and thus for the previous incarnation. The test server leaves its connections open, so their
-/// use ends only when the gateway learns of the new incarnation.
+/// Returns how long after `since` a server got requests over connections opened before `since`,
+/// that is, over connections to the previous incarnation. The test server leaves its connections
+/// open, so their use ends only when the gateway learns of the new incarnation.
 fn stale_use_after(server: &Server, since: Instant) -> Duration {
     let seen = server.seen.borrow();
     let late = seen
@@ -185,6 +188,7 @@
     )
 }
 
+/// Guards against turns that stay on connections to the previous incarnation while they continue.
 #[test]
 fn restart_during_turns_takes_effect_within_the_bound() {
     run(async {
@@ -206,7 +210,7 @@
 }
 
 /// A restart during a log outage is missed until the next read succeeds, and a hanging read first
-/// has to end with its time-out. Both have to happen within `contact_ms` after the outage.
+/// has to end with its timeout. Both have to happen within `contact_ms` after the outage.
 #[test]
 fn restart_during_a_log_outage_takes_effect_soon_after_it() {
     const CONTACT: Duration = Duration::from_millis(2_000);
@@ -220,7 +224,8 @@
         let gateway = gateway_with_incarnation(&world, &s1, 1).await;
         gateway.store.set_fault(LogFault::Silent);
         let since = publish_incarnation(&world, &s1, 2, "").await;
-        // The gateway cannot know of the restart: it reaches the next process at the old address.
+        // The gateway cannot know of the restart: it reaches the next incarnation at the old
+        // address.
         ask_continuously(&gateway, "outage", CONTINUE_FOR).await;
         assert!(stale_use_after(&s1, since) > Duration::ZERO);
         gateway.store.set_fault(LogFault::None);
@@ -230,6 +235,7 @@
     });
 }
 
+/// Guards against a new owner that assigns programs to the previous incarnation.
 #[test]
 fn restart_during_a_loss_of_owners_takes_effect_within_the_bound() {
     run(async {
@@ -240,6 +246,7 @@
         let b = world.gateway("g2").await;
         a.wait_ready(1).await;
         b.wait_ready(1).await;
+        // Wait until every partition has an owner.
         sleep(Duration::from_millis(900)).await;
         join(
             run_turns(&a, "p", Duration::from_millis(150)),
@@ -263,6 +270,7 @@
     });
 }
 
+/// Guards against a directory that keeps an intermediate incarnation, or several of one server.
 #[test]
 fn restarts_in_quick_succession_take_effect_in_order() {
     run(async {
@@ -302,6 +310,8 @@
     });
 }
 
+/// Guards against a new entry that closes the connections on which the previous incarnation still
+/// finishes its streams.
 #[test]
 fn restart_during_drain_interrupts_no_stream_and_takes_effect_within_the_bound() {
     run(async {
@@ -336,10 +346,10 @@
     });
 }
 
-/// A pause after failures and the state of an unresponsive machine must not carry over to the next
-/// process of the server.
+/// The backoff after failures and the suspicion of a silent machine must not carry over to the next
+/// incarnation of the server.
 #[test]
-fn failures_of_the_previous_process_do_not_affect_the_next() {
+fn failures_of_the_previous_incarnation_do_not_affect_the_next() {
     run(async {
         let mut s1 = Server::start_with_power_switch("s1", Act::Reset).await;
         let world = World::new().await;
@@ -371,9 +381,9 @@
 }
 
 /// A restarted server is cold from the moment the restart is known, even if its entry does not say
-/// so and the previous process was warm.
+/// so and the previous incarnation was warm.
 #[test]
-fn restarted_server_is_cold_although_the_previous_process_was_warm() {
+fn restarted_server_is_cold_although_the_previous_incarnation_was_warm() {
     run(async {
         let s1 = Server::start("s1", plain_answer()).await;
         let world = World::new().await;
@@ -426,6 +436,7 @@
     sleep(EFFECT_BOUND).await;
 }
 
+/// Guards against log output and counts that grow whenever a topic is listed again.
 #[test]
 fn unreadable_record_is_logged_and_counted_once_however_often_it_is_delivered() {
     run(async {
@@ -460,6 +471,7 @@
     });
 }
 
+/// Guards against a log that is flooded by records of other writers.
 #[test]
 fn many_unreadable_records_produce_bounded_log_output() {
     run(async {
--- a/crates/gateway/tests/gateway/input.rs
+++ b/crates/gateway/tests/gateway/input.rs
@@ -1,5 +1,5 @@
 //! Invalid requests and configurations: they are refused without reaching a server, and the
-//! configuration in force stays.
+//! configuration in use stays.
 
 use crate::support::{Act, Server, World, config, run};
 use std::time::Duration;
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn unreadable_and_older_configurations_leave_the_current_one_in_force() {
+fn unreadable_and_older_configurations_leave_the_current_one_in_use() {
     run(async {
         let server = Server::start("s1", answer_ok()).await;
         let world = World::new().await;
--- a/crates/gateway/tests/gateway/keep_alive.rs
+++ b/crates/gateway/tests/gateway/keep_alive.rs
@@ -56,6 +56,7 @@
     assert!(reply.is_ok(), "no response in time");
 }
 
+/// The parse error concerns only the next request and must not close the connection too early.
 #[test]
 fn answered_despite_a_malformed_next_request() {
     run(async {
@@ -67,6 +68,7 @@
     });
 }
 
+/// The limit of bytes read ahead must not be taken for a closed connection.
 #[test]
 fn answered_despite_more_pipelined_requests_than_are_read_ahead() {
     run(async {
@@ -82,6 +84,7 @@
     });
 }
 
+/// The idle timeout must not apply while a request is being served.
 #[test]
 fn answered_after_the_idle_timeout() {
     run(async {
@@ -95,6 +98,7 @@
     });
 }
 
+/// A planned stop must close only connections without a request.
 #[test]
 fn answered_during_a_planned_stop() {
     run(async {
@@ -110,6 +114,7 @@
     });
 }
 
+/// A lack of buffer memory must not end a request that was already accepted.
 #[test]
 fn answered_while_others_use_all_memory() {
     run(async {
--- a/crates/gateway/tests/gateway/limits.rs
+++ b/crates/gateway/tests/gateway/limits.rs
@@ -1,4 +1,5 @@
-//! Request limits of tenants, which are shared by all gateways, also when their owner changes.
+//! Request limits of tenants: all gateways together stay within them, also when the owner of a
+//! tenant's partition changes.
 
 use crate::support::{Act, Gateway, Reply, Server, World, config_with_tenants, run, tenant};
 use fieldhook_traffic::tenants::{Limit, Tenant};
@@ -51,6 +52,8 @@
     statuses.iter().filter(|found| **found == status).count()
 }
 
+/// Guards against gateways that each grant the whole limit, and against a refusal without the time
+/// of the next free slot.
 #[test]
 fn limit_is_shared_by_all_gateways() {
     run(async {
@@ -86,6 +89,7 @@
     });
 }
 
+/// Guards against a new owner that starts to count at zero, which would grant the burst again.
 #[test]
 fn new_owner_grants_no_second_burst() {
     run(async {
@@ -105,6 +109,7 @@
     });
 }
 
+/// Guards against an owner that continues to grant by the limit of an older configuration.
 #[test]
 fn lowered_limit_applies_from_the_next_request() {
     run(async {
@@ -128,6 +133,7 @@
     });
 }
 
+/// Guards against a tenant limit that stops programs halfway, which wastes what they already used.
 #[test]
 fn program_is_refused_at_its_first_turn_or_not_at_all() {
     run(async {
@@ -163,7 +169,10 @@
     });
 }
 
-/// A tenant with three slots at once, then one every 700 ms; a call has 2,000 ms.
+/// A tenant with three slots at once, then one every 700 ms; a request has 2,000 ms. The owner
+/// grants 0.75 of the rate evenly, so a slot takes 525 ms / 0.75 = 700 ms. The remaining quarter of
+/// the window of 5 s, 1.25 s of the rate, is granted at once together with the burst, which makes
+/// three slots ([`fieldhook_traffic::sliding_window`]).
 fn tenant_with_slow_refill() -> Tenant {
     let rate_per_s = 1.0 / 0.525;
     Tenant {
@@ -175,10 +184,10 @@
     }
 }
 
-/// A call of a running program waits for a slot that becomes free before its deadline, because a
+/// A request of a running program waits for a slot that becomes free before its deadline, because a
 /// refusal would end the program.
 #[test]
-fn call_waits_for_a_slot_before_its_deadline() {
+fn request_waits_for_a_slot_before_its_deadline() {
     run(async {
         let server = Server::start("s1", Act::Answer(200, "yes".to_owned())).await;
         let world = world_of(vec![tenant_with_slow_refill()]).await;
@@ -197,10 +206,10 @@
     });
 }
 
-/// No slot is reserved for calls whose deadline passes before it is free; the next call that can
-/// wait gets it.
+/// No slot is reserved for requests whose deadline passes before it is free; the next request that
+/// can wait gets it.
 #[test]
-fn calls_that_cannot_wait_reserve_no_slot() {
+fn requests_that_cannot_wait_reserve_no_slot() {
     run(async {
         let server = Server::start("s1", Act::Answer(200, "yes".to_owned())).await;
         let world = world_of(vec![tenant_with_slow_refill()]).await;
@@ -217,9 +226,10 @@
     });
 }
 
-/// Clients that leave during the first turns of their programs must not lower the estimate of what
-/// programs of the route need, which would admit more programs than before, and their programs must
-/// not stay charged.
+/// Clients that disconnect during the first turns of their programs must not lower the estimate of
+/// what programs of the route need, which would admit more programs than before. Their programs
+/// must not stay charged either; a program is charged for all its expected requests when it starts
+/// ([`fieldhook_traffic::quota`]).
 #[test]
 fn abandoned_programs_are_neither_charged_nor_counted_as_short() {
     run(async {
@@ -239,7 +249,8 @@
             sleep(Duration::from_millis(100)).await;
         }
         assert_eq!(server.count(), 3);
-        // Wait until they count as finished.
+        // Wait until the owner counts the programs as ended, which it does when they have sent
+        // nothing for 4,000 ms (`PROGRAM_TIMEOUT_MS`).
         sleep(Duration::from_millis(4_600)).await;
         let left = |gateway: &Gateway| {
             let metrics = &gateway.daemon.metrics;
--- a/crates/gateway/tests/gateway/outage.rs
+++ b/crates/gateway/tests/gateway/outage.rs
@@ -6,9 +6,10 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Shortest `contact_ms` of the deployments: the time after an outage until all time bounds apply
-/// again.
+/// The default of the setting `contact_ms`, which is the shortest of all deployments so far: the
+/// time after an outage until all time bounds apply again.
 const CONTACT: Duration = Duration::from_millis(3_000);
+/// Duration of the outage, longer than [`CONTACT`].
 const OUTAGE: Duration = Duration::from_millis(3_500);
 
 fn limited(key: &str, burst: f64) -> Tenant {
@@ -45,6 +46,7 @@
         let a = world.ready(&[&draining, &remaining]).await;
         let b = world.gateway("g2").await;
         b.wait_ready(2).await;
+        // Wait until every partition has an owner.
         sleep(Duration::from_millis(900)).await;
         assert_eq!(ask(&a, "before", "k1").await, 200);
 
--- a/crates/gateway/tests/gateway/ownership.rs
+++ b/crates/gateway/tests/gateway/ownership.rs
@@ -38,11 +38,14 @@
     let a = world.ready(&[server]).await;
     let b = world.gateway("g2").await;
     b.wait_ready(1).await;
+    // Wait until every partition has an owner.
     sleep(Duration::from_millis(900)).await;
     assert_eq!(turn(&a, "t1", None).await, (200, true));
     owner_first(a, b)
 }
 
+/// Guards against a chain that only the gateway which served it can continue, and against a gateway
+/// that accepts a previous turn which was never stored.
 #[test]
 fn turns_continue_at_any_gateway() {
     run(async {
@@ -57,6 +60,8 @@
     });
 }
 
+/// Guards against an owner that blocks its programs while it cannot reach the log, and that
+/// continues to act as the owner after it was replaced.
 #[test]
 fn owner_without_the_log_is_replaced_and_then_fenced() {
     run(async {
@@ -75,6 +80,7 @@
     });
 }
 
+/// Guards against a planned stop after which clients wait until the owner counts as lost.
 #[test]
 fn owner_hands_over_on_a_planned_stop() {
     run(async {
@@ -88,8 +94,10 @@
     });
 }
 
+/// Guards against a replaced owner that refuses turns because it does not know the newest records:
+/// a 404 or 402 would end a program that the new owner can continue.
 #[test]
-fn former_owner_refuses_no_turn_from_outdated_state() {
+fn previous_owner_refuses_no_turn_from_outdated_state() {
     run(async {
         let server = Server::start("s1", single_event()).await;
         let world = World::new().await;
@@ -99,7 +107,7 @@
         assert_eq!(turn(&other, "t2", Some("t1")).await, (200, true));
         // Only the new owner knows this turn.
         assert_eq!(turn(&other, "t3", Some("t2")).await, (200, true));
-        // The former owner still holds the partition, but must not answer 404 from its outdated
+        // The previous owner still holds the partition, but must not respond 404 from its outdated
         // state.
         let fields = "Request: t4\r\nProgram: p\r\nPrevious: t3\r\nDeadline: 600\r\n";
         let reply = owner.ask("POST", "/chat/1", fields, "x").await;
@@ -108,6 +116,8 @@
     });
 }
 
+/// Guards against a gateway that keeps asking a stopped owner, because it learns of claims only
+/// from the log and cannot reach it.
 #[test]
 fn gateway_without_the_log_learns_new_owners_from_peers() {
     run(async {
@@ -144,7 +154,8 @@
     }
 }
 
-/// Cuts a gateway off from the log and lets it notice.
+/// Cuts a gateway off from the log and lets it notice: the log counts as lost when a call fails
+/// more than 800 ms after the first failed one (`LOST_AFTER`).
 async fn cut_off_from_log(gateway: &Gateway) {
     gateway.store.set_fault(LogFault::Silent);
     gateway.daemon.log_health.record_failure();
@@ -152,13 +163,14 @@
     gateway.daemon.log_health.record_failure();
 }
 
+/// Guards against programs that wait for an owner without the log although a peer could take over.
 #[test]
 fn cut_off_owner_has_its_partition_claimed_by_a_peer() {
     run(async {
         let server = Server::start("s1", single_event()).await;
         let world = World::new().await;
         let (owner, other) = two_gateways(&world, &server).await;
-        // The in-memory log does not update a gateway's record of contact with the log.
+        // The in-memory log does not update `log_health`.
         let log_health = other.daemon.log_health.clone();
         ntex::rt::spawn(async move {
             loop {
@@ -198,8 +210,8 @@
 
 /// Guards against a tenant exceeding its limit while a third of the machines are cut off from the
 /// log. If the owner of the limit is among them, another gateway claims the partition without the
-/// owner's knowledge. Gateways that still send requests to the former owner must get no grants from
-/// it in addition to those of the new owner.
+/// owner's knowledge. Gateways that still send requests to the previous owner must get no grants
+/// from it in addition to those of the new owner.
 #[test]
 fn cut_off_owner_grants_no_tenant_requests() {
     run(async {
@@ -207,6 +219,7 @@
         let world = World::new().await;
         let (owner, other) = two_gateways(&world, &server).await;
         assert!(matches!(quota_reply(&owner).await, LedgerReply::Quota(_)));
+        // The in-memory log does not update `log_health`.
         let log_health = other.daemon.log_health.clone();
         ntex::rt::spawn(async move {
             loop {
@@ -220,6 +233,8 @@
     });
 }
 
+/// Guards against clients that wait until their deadline at a gateway that can reach neither the
+/// log nor a peer, instead of trying another gateway.
 #[test]
 fn isolated_gateway_refuses_turns_at_once() {
     run(async {
@@ -231,7 +246,7 @@
         assert!(claim.is_some_and(|claim| owner.daemon.owner.claims.is_mine(&claim)));
         cut_off_from_log(&other).await;
         wait_for_reach(&other, Reach::Outage).await;
-        // The peers in this test do answer, so the state is set directly.
+        // The peers in this test do reply, so the state is set directly.
         other.daemon.ledger.reach.set(Reach::Isolated);
         let started = Instant::now();
         let fields = "Request: t2\r\nProgram: p\r\n";
@@ -271,7 +286,7 @@
 }
 
 /// A partition of the log may be down for all gateways. Another owner could not append either, and
-/// what the present owner has not appended yet would be lost.
+/// what the current owner has not appended yet would be lost.
 #[test]
 fn owner_keeps_a_partition_that_is_down_for_all_gateways() {
     run(async {
@@ -330,8 +345,8 @@
         .expect("one of many names")
 }
 
-/// A new owner does not know which programs its lost predecessor started, but what those may have
-/// used is bounded. New programs therefore need not wait for the log.
+/// A new owner does not know which programs the lost previous owner started, but what those may
+/// have used is bounded. New programs therefore need not wait for the log.
 #[test]
 fn programs_start_during_a_log_outage_soon_after_owner_loss() {
     run(async {
@@ -354,7 +369,8 @@
     });
 }
 
-/// The budget reserved ahead covers a part of the turn's token maximum. Output within that part is
+/// The budget that was reserved ahead, in an earlier record, covers a part of the turn's token
+/// maximum. Output within that part is
 /// sent while the log is down; only the rest would wait for it.
 #[test]
 fn turn_sends_output_within_its_reserved_budget_during_a_log_outage() {
--- a/crates/gateway/tests/gateway/relay.rs
+++ b/crates/gateway/tests/gateway/relay.rs
@@ -25,8 +25,8 @@
     (world, server)
 }
 
-/// Starts gateways in one zone and waits until both reader slots are taken and all gateways know all
-/// servers.
+/// Starts gateways in one zone and waits until both reader slots are taken and all gateways know
+/// all servers.
 async fn start_with_readers(world: &World, count: usize) -> Vec<Gateway> {
     let mut gateways = Vec::new();
     for number in 0..count {
@@ -156,7 +156,8 @@
     });
 }
 
-/// Applies a fault to the readers and checks that the other daemons learn of changes within `limit`.
+/// Applies a fault to the readers and checks that the other daemons learn of changes within
+/// `limit`.
 async fn assert_learns_despite(fault: impl Fn(&[Gateway]), limit: Duration) {
     let (world, server) = large_world().await;
     let (readers, others) = split(start_with_readers(&world, 4).await);
@@ -220,8 +221,8 @@
     ));
 }
 
-/// Guards against a busy loop: the reader asked the other reader, got no new records, and called the
-/// log again at once.
+/// Guards against a busy loop: the reader asked the other reader, got no new records, and called
+/// the log again at once.
 #[test]
 fn refused_reader_pauses_between_its_reads() {
     run(async {
--- a/crates/gateway/tests/gateway/slow_peers.rs
+++ b/crates/gateway/tests/gateway/slow_peers.rs
@@ -48,7 +48,8 @@
     }
 }
 
-/// Guards against buffering complete responses: one such client used 16 MB twice.
+/// Guards against buffering complete responses: a slow client kept its 16 MB response in memory
+/// twice.
 #[test]
 fn large_response_to_a_slow_client_uses_little_memory() {
     run(async {
@@ -68,6 +69,7 @@
     });
 }
 
+/// Guards against a client that keeps memory and a server connection in use without reading.
 #[test]
 fn client_that_reads_nothing_is_disconnected() {
     run(async {
@@ -90,6 +92,7 @@
     });
 }
 
+/// Guards against memory that is used up by stalled clients, so that all others are refused.
 #[test]
 fn hundred_stalled_clients_do_not_block_others() {
     run(async {
@@ -126,6 +129,7 @@
     });
 }
 
+/// Guards against a server that stays occupied for as long as its client takes to read.
 #[test]
 fn server_is_read_at_full_speed_while_its_client_is_slow() {
     run(async {
@@ -161,6 +165,7 @@
     (listener, address)
 }
 
+/// Guards against a request that waits without a limit for a server which accepts no more data.
 #[test]
 fn server_that_stops_reading_times_out_at_the_deadline() {
     run(async {
@@ -178,6 +183,7 @@
     });
 }
 
+/// Guards against a request that may have run although its client got a retry response.
 #[test]
 fn body_over_the_memory_limit_is_refused_before_sending() {
     run(async {
--- a/crates/gateway/tests/gateway/tenants.rs
+++ b/crates/gateway/tests/gateway/tenants.rs
@@ -14,13 +14,13 @@
     world
 }
 
-/// Waits until a gateway has a version of the configuration in force.
+/// Waits until a gateway uses a version of the configuration.
 async fn wait_version(gateway: &Gateway, version: u64) {
-    let is_in_force = || {
+    let is_in_use = || {
         let routes = gateway.daemon.routes.borrow();
         routes.as_ref().map(|table| table.config.version) == Some(version)
     };
-    while !is_in_force() {
+    while !is_in_use() {
         sleep(Duration::from_millis(5)).await;
     }
 }
--- a/crates/gateway/tests/gateway/turns.rs
+++ b/crates/gateway/tests/gateway/turns.rs
@@ -9,6 +9,7 @@
     Act::Events(texts.iter().map(|text| (*text).to_owned()).collect(), None)
 }
 
+/// Guards against a chain that lacks a turn, or contains one of another branch.
 #[test]
 fn turn_gets_the_complete_chain_of_previous_turns() {
     run(async {
@@ -50,6 +51,8 @@
     });
 }
 
+/// Guards against an incomplete turn that is stored as if it were complete: a later turn would then
+/// continue from output that the client never received in full.
 #[test]
 fn interrupted_turn_cannot_be_continued() {
     run(async {
@@ -69,6 +72,7 @@
     });
 }
 
+/// Guards against missing or repeated events where a stream moves to another server.
 #[test]
 fn resumable_stream_continues_at_another_server_without_gaps() {
     run(async {
@@ -97,6 +101,7 @@
     });
 }
 
+/// Guards against a program that exceeds its budget, or is refused before it reaches it.
 #[test]
 fn turn_over_budget_is_refused_and_not_run() {
     run(async {
@@ -123,6 +128,8 @@
     });
 }
 
+/// Guards against a client that gets a complete stream although its turn is not stored, so that the
+/// next turn could not continue from it.
 #[test]
 fn stream_ends_only_after_the_turn_is_recorded() {
     run(async {
@@ -153,13 +160,15 @@
             started.elapsed() > Duration::from_millis(450),
             "the stream ended before the turn was recorded"
         );
-        // The log stays down past the turn's deadline: the stream must not end regularly.
+        // The log stays down past the turn's deadline: the stream must not end as if
+        // it were complete.
         gateway.store.set_fault(LogFault::Down);
         let fields = "Request: t2\r\nProgram: p\r\nDeadline: 400\r\n";
         assert!(!gateway.ask("POST", "/chat/1", fields, "C;").await.whole);
     });
 }
 
+/// Guards against a stream that is cut off by its server and reaches the client as complete.
 #[test]
 fn stream_truncated_within_an_event_is_incomplete() {
     run(async {
@@ -175,6 +184,7 @@
     });
 }
 
+/// Guards against a gap in the events that is passed on to the client unnoticed.
 #[test]
 fn stream_with_a_missing_event_is_incomplete() {
     run(async {
@@ -190,6 +200,8 @@
     });
 }
 
+/// Guards against gateways that assign different engines to one program, where its prompt would not
+/// be cached.
 #[test]
 fn turns_of_a_program_run_on_one_engine_through_any_gateway() {
     run(async {
@@ -228,6 +240,7 @@
     });
 }
 
+/// Guards against programs that wait for the log although their owner is running.
 #[test]
 fn programs_continue_and_start_during_a_log_outage() {
     run(async {
--- a/crates/gateway/tests/gateway/unreadable_partitions.rs
+++ b/crates/gateway/tests/gateway/unreadable_partitions.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// How long a program may be told to retry while some owner could serve it.
+/// Longest time for which a program may get retry responses although some owner could serve it.
 const SERVED_WITHIN: Duration = Duration::from_secs(12);
 
 fn events() -> Act {
@@ -79,9 +79,9 @@
 }
 
 /// Guards against waiting forever for an owner that cannot load its partition. A daemon claims a
-/// partition and loses the log before it has read it. Callers waited without a limit for an owner
-/// that was loading, and replaced only one that was serving, so programs of the partition were told
-/// to retry for as long as the daemon was without the log.
+/// partition and loses the log before it has read it. Gateways waited for a loading owner without a
+/// limit and replaced only serving owners, so programs of the partition got 503 for as long as the
+/// daemon was without the log.
 #[test]
 fn owner_that_loses_the_log_while_loading_is_replaced() {
     run(async {
@@ -89,19 +89,19 @@
         let world = World::new().await;
         world.partitions.set(1);
         world.list(&server).await;
-        let isolated = world.gateway("g1").await;
-        isolated
+        let cut_off = world.gateway("g1").await;
+        cut_off
             .store
             .set_partition_fault(ledger_partition(0), LogFault::Silent);
-        isolated.wait_ready(1).await;
+        cut_off.wait_ready(1).await;
         let deadline = Instant::now() + Duration::from_secs(4);
-        while !isolated.daemon.owner.is_loading(0) {
+        while !cut_off.daemon.owner.is_loading(0) {
             assert!(Instant::now() < deadline, "the partition was not claimed");
             sleep(Duration::from_millis(10)).await;
         }
         let other = world.gateway("g2").await;
         other.wait_ready(1).await;
-        // The in-memory log does not update the contact state of a gateway.
+        // The in-memory log does not update `log_health`.
         let log_health = other.daemon.log_health.clone();
         ntex::rt::spawn(async move {
             loop {
@@ -109,10 +109,10 @@
                 sleep(Duration::from_millis(100)).await;
             }
         });
-        isolated.store.set_fault(LogFault::Silent);
-        isolated.daemon.log_health.record_failure();
+        cut_off.store.set_fault(LogFault::Silent);
+        cut_off.daemon.log_health.record_failure();
         sleep(Duration::from_millis(850)).await;
-        isolated.daemon.log_health.record_failure();
+        cut_off.daemon.log_health.record_failure();
         let outcome = ask_until_served(&other, "p").await;
         assert!(outcome.is_ok(), "{outcome:?}");
     });
--- a/crates/gateway/tests/gateway/zones.rs
+++ b/crates/gateway/tests/gateway/zones.rs
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_call_that_may_not_be_repeated_is_awaited_until_its_timeout() {
+fn a_non_retryable_call_is_awaited_until_its_timeout() {
     run(async {
         let mut server = Server::start_with_power_switch("s1", Act::Silent).await;
         let world = World::new().await;
