--- a/crates/gateway/src/follow/config.rs
+++ b/crates/gateway/src/follow/config.rs
@@ -15,7 +15,7 @@
 use tokio::time::sleep;
 
 /// Pause between requests to other daemons. It is well below the time within which a new
-/// configuration has to be in effect (2 s in the smallest deployment).
+/// configuration has to be in use (2 s in the smallest deployment).
 const PEER_POLL_PERIOD: Duration = Duration::from_millis(400);
 
 /// Number of problems of one configuration that are logged individually, one line each, so that
@@ -95,7 +95,9 @@
     evacuated
 }
 
-/// Polls other daemons for the configuration while the log may answer them but not this one.
+/// Polls other daemons for the configuration while the log may answer them but not this one: its
+/// calls fail, and it is not known to be down for all daemons ([`Reach::Outage`]). Also polls while
+/// the known evacuations are too old to be used.
 pub async fn poll_peers(daemon: Rc<Daemon>) {
     loop {
         sleep(PEER_POLL_PERIOD).await;
--- a/crates/gateway/src/ledger/closing.rs
+++ b/crates/gateway/src/ledger/closing.rs
@@ -42,7 +42,7 @@
                     request = close.turn,
                     program = close.program,
                     reservation = close.reservation_id(),
-                    "the token maximum of the turn stays reserved unless an owner noted its end"
+                    "the token maximum of the turn stays reserved unless an owner accepted its end"
                 );
             }
         });
--- a/crates/gateway/src/ledger/peer.rs
+++ b/crates/gateway/src/ledger/peer.rs
@@ -20,7 +20,9 @@
 
 /// Largest accepted message, in bytes.
 const MAX_MESSAGE_BYTES: usize = 16 << 20;
+/// Size of the length that precedes each message.
 const LENGTH_BYTES: usize = 4;
+/// Smallest free space in the buffer before each read, in bytes.
 const READ_SIZE: usize = 16 << 10;
 /// A daemon that does not accept a connection in this time counts as lost.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
