--- a/crates/gateway/src/ledger/assigner.rs
+++ b/crates/gateway/src/ledger/assigner.rs
@@ -3,7 +3,7 @@
 use crate::cold::ColdServers;
 use crate::upstream::pool::Pools;
 use crate::zone_state::ZoneState;
-use fieldhook_ledger::message::{CloseTurn, OpenTurn, PlacementRequest};
+use fieldhook_ledger::message::{AssignmentInput, CloseTurn, OpenTurn};
 use fieldhook_ledger::partition_of;
 use fieldhook_topology::region::RegionSet;
 use fieldhook_topology::zone::Distance;
@@ -72,22 +72,22 @@
 
     /// Returns the engine that a turn should run on, if it needs one and one is available.
     pub fn assign(&self, open: &OpenTurn) -> Option<String> {
-        let placement = open.placement.as_ref()?;
+        let input = open.assignment.as_ref()?;
         let now_ms = self.started.elapsed().as_millis() as u64;
         let directory = self.directory.borrow();
-        let serving = directory.active_servers(&placement.service)?;
+        let serving = directory.active_servers(&input.service)?;
         let partition = partition_of(&open.program, self.partitions);
         let (mut engines, share) = match serving.all.len() <= FULL_SCAN_MAX {
-            true => self.small_service_engines(&placement.service, serving, partition),
-            false => self.large_service_engines(&directory, serving, open, placement, partition),
+            true => self.small_service_engines(&input.service, serving, partition),
+            false => self.large_service_engines(&directory, serving, open, input, partition),
         };
         engines.retain(|engine| !self.pools.status(engine.id, engine.zone, now_ms).avoided);
-        self.retain_allowed(&mut engines, placement);
+        self.retain_allowed(&mut engines, input);
         self.limit_cold_slots(&mut engines, &directory);
         let turn = Turn {
             id: &open.turn,
             program: &open.program,
-            prefix: placement.prefix_hash,
+            prefix: input.prefix_hash,
         };
         let engine = self
             .table
@@ -123,28 +123,26 @@
         directory: &'a Directory,
         serving: &'a ActiveServers,
         open: &OpenTurn,
-        placement: &PlacementRequest,
+        input: &AssignmentInput,
         partition: u32,
     ) -> (Vec<Engine<'a>>, f64) {
         let count = group_count(serving.all.len(), self.partitions);
         let home = partition % count;
         let arc = HashRange::nth_of(home, count);
-        let regions = allowed_regions(placement);
-        let servers = self
-            .zone_state
-            .with_rule(&regions, &placement.zone, |rule| {
-                let is_usable = |server: &ServerEntry| rule.serving_distance(&server.zone).is_ok();
-                let from = |arc| CandidateQuery {
-                    zone: &placement.zone,
-                    range: arc,
-                    start: placement.prefix_hash,
-                };
-                let drawn = select_candidates(serving, &from(arc), &is_usable).servers;
-                match drawn.len() >= MIN_DRAWN {
-                    true => drawn,
-                    false => select_candidates(serving, &from(HashRange::FULL), &is_usable).servers,
-                }
-            });
+        let regions = allowed_regions(input);
+        let servers = self.zone_state.with_rule(&regions, &input.zone, |rule| {
+            let is_usable = |server: &ServerEntry| rule.serving_distance(&server.zone).is_ok();
+            let from = |arc| CandidateQuery {
+                zone: &input.zone,
+                range: arc,
+                start: input.prefix_hash,
+            };
+            let drawn = select_candidates(serving, &from(arc), &is_usable).servers;
+            match drawn.len() >= MIN_DRAWN {
+                true => drawn,
+                false => select_candidates(serving, &from(HashRange::FULL), &is_usable).servers,
+            }
+        });
         let mut servers: Vec<&ServerEntry> = servers.into_iter().map(|server| &**server).collect();
         let table = self.table.borrow();
         let previous = table.assigned_engine(&open.program);
@@ -152,7 +150,7 @@
             .and_then(|id| directory.entry(id))
             .filter(|server| {
                 let is_drawn = servers.iter().any(|drawn| drawn.id == server.id);
-                !is_drawn && !server.draining && server.service == placement.service
+                !is_drawn && !server.draining && server.service == input.service
             });
         servers.extend(previous);
         let engines = servers.into_iter().map(|server| Engine {
@@ -163,18 +161,17 @@
     }
 
     /// Removes engines whose zones may not serve the turn, and sets the distance of the others.
-    fn retain_allowed(&self, engines: &mut Vec<Engine<'_>>, placement: &PlacementRequest) {
-        let regions = allowed_regions(placement);
-        self.zone_state
-            .with_rule(&regions, &placement.zone, |rule| {
-                engines.retain_mut(|engine| match rule.serving_distance(engine.zone) {
-                    Ok(distance) => {
-                        engine.distance = distance;
-                        true
-                    }
-                    Err(_) => false,
-                });
+    fn retain_allowed(&self, engines: &mut Vec<Engine<'_>>, input: &AssignmentInput) {
+        let regions = allowed_regions(input);
+        self.zone_state.with_rule(&regions, &input.zone, |rule| {
+            engines.retain_mut(|engine| match rule.serving_distance(engine.zone) {
+                Ok(distance) => {
+                    engine.distance = distance;
+                    true
+                }
+                Err(_) => false,
             });
+        });
     }
 
     /// Limits the slots of cold engines to what their permitted request rate can fill.
@@ -232,8 +229,8 @@
 }
 
 /// Returns the regions that may serve a turn.
-fn allowed_regions(placement: &PlacementRequest) -> RegionSet {
-    match &placement.regions {
+fn allowed_regions(input: &AssignmentInput) -> RegionSet {
+    match &input.regions {
         Some(regions) => {
             RegionSet::Only(regions.iter().map(|region| Rc::from(&**region)).collect())
         }
--- a/crates/gateway/src/ledger/held.rs
+++ b/crates/gateway/src/ledger/held.rs
@@ -119,7 +119,7 @@
         appender: appender.clone(),
         assigner: owner.assigner.clone(),
     };
-    served.claim_unrecorded_share();
+    served.append_unrecorded_share();
     owner
         .held
         .borrow_mut()
--- a/crates/gateway/src/ledger/limits.rs
+++ b/crates/gateway/src/ledger/limits.rs
@@ -121,7 +121,7 @@
         &request.server,
         request.rate_per_s,
         request.version,
-        request.rank,
+        request.priority,
     )
 }
 
--- a/crates/gateway/src/ledger/served.rs
+++ b/crates/gateway/src/ledger/served.rs
@@ -104,7 +104,7 @@
         let records = self.state.borrow_mut().close(close, unix_ms());
         let _ = sender.send(LedgerReply::Accepted);
         let reply = LedgerReply::Closed;
-        let urgency = match close.awaited {
+        let urgency = match close.delays_response {
             true => Urgency::Now,
             false => Urgency::Soon,
         };
@@ -128,8 +128,8 @@
 
     /// Appends the record that lets programs start while the log is down, as long as programs
     /// without a record are uncertain.
-    pub(super) fn claim_unrecorded_share(&self) {
-        let records = self.state.borrow().claim_unrecorded_share(unix_ms());
+    pub(super) fn append_unrecorded_share(&self) {
+        let records = self.state.borrow().unrecorded_share_records(unix_ms());
         if !records.is_empty() {
             self.push(records, None, Urgency::Now);
         }
--- a/crates/gateway/src/serve/cold.rs
+++ b/crates/gateway/src/serve/cold.rs
@@ -33,7 +33,7 @@
         server: server.id.clone(),
         rate_per_s: cold.rate_per_s,
         version: daemon.cold.version(),
-        rank: context.priority(),
+        priority: context.priority(),
     };
     let asked = Instant::now();
     let response = daemon.ledger.request_cold_permit(&request).await;
@@ -53,7 +53,7 @@
         server = server.id,
         outcome,
         wait_ms,
-        rank = request.rank,
+        rank = request.priority,
         rate_per_s = request.rate_per_s,
         partition = daemon.ledger.partition_of(&server.id),
         took_ms = asked.elapsed().as_millis() as u64,
--- a/crates/gateway/src/serve/turn.rs
+++ b/crates/gateway/src/serve/turn.rs
@@ -73,7 +73,7 @@
             return;
         };
         self.tokens += self.tokens_per_event;
-        if self.request.keeps_context {
+        if self.request.retains_context {
             self.output.extend_from_slice(data);
             self.output.extend_from_slice(b"\n");
         }
@@ -109,7 +109,7 @@
             content,
             engine: self.last_server.borrow().clone(),
             home_partition: self.request.home_partition.filter(|_| has_content),
-            awaited: has_content,
+            delays_response: has_content,
         }
     }
 }
--- a/crates/gateway/src/serve/turn_open.rs
+++ b/crates/gateway/src/serve/turn_open.rs
@@ -6,7 +6,7 @@
 use crate::ledger::client::{LedgerClient, OpenFailure, OpenedTurn};
 use crate::metrics::Metrics;
 use bytes::BytesMut;
-use fieldhook_ledger::message::{OpenTurn, PlacementRequest};
+use fieldhook_ledger::message::{AssignmentInput, OpenTurn};
 use fieldhook_log::reach::Reach;
 use fieldhook_topology::region::RegionSet;
 use std::cell::Cell;
@@ -111,11 +111,11 @@
         session: meta.session.clone(),
         previous: meta.previous.clone(),
         wants_chain: route.retains_context,
-        keeps_context: route.retains_context,
+        retains_context: route.retains_context,
         supplies_chain: false,
         budget: meta.budget,
         max_tokens: meta.max_tokens,
-        placement: placement(context, homes),
+        assignment: assignment_input(context, homes),
         home_partition,
     })
 }
@@ -130,10 +130,10 @@
 }
 
 /// Returns what the owner needs in order to assign an engine.
-fn placement(context: &RequestContext, homes: &RegionSet) -> Option<PlacementRequest> {
+fn assignment_input(context: &RequestContext, homes: &RegionSet) -> Option<AssignmentInput> {
     let meta = &context.meta;
     let prefix = meta.prefix.as_ref().or(meta.program.as_ref())?;
-    Some(PlacementRequest {
+    Some(AssignmentInput {
         service: context.service()?.to_owned(),
         prefix_hash: fieldhook_traffic::assignment::prefix_hash(prefix),
         zone: context.daemon.settings.zone.clone(),
--- a/crates/gateway/src/serve/turn_record.rs
+++ b/crates/gateway/src/serve/turn_record.rs
@@ -12,7 +12,7 @@
     /// Records that the turn is complete. If the route keeps context, the response may end only
     /// after this has returned true.
     pub async fn complete(&mut self, context: &RequestContext) -> bool {
-        if !self.request.keeps_context {
+        if !self.request.retains_context {
             return true;
         }
         let homes = homes::current(context);
@@ -66,7 +66,7 @@
             return true;
         }
         let close = CloseTurn {
-            awaited: true,
+            delays_response: true,
             ..self.close_request(None)
         };
         self.ledger.close(&close, deadline).await
--- a/crates/gateway/tests/gateway/abandoned_turns.rs
+++ b/crates/gateway/tests/gateway/abandoned_turns.rs
@@ -125,11 +125,11 @@
         session: Some("a".to_owned()),
         previous: None,
         wants_chain: true,
-        keeps_context: true,
+        retains_context: true,
         supplies_chain: false,
         budget: Some(60),
         max_tokens: 40,
-        placement: None,
+        assignment: None,
         home_partition: None,
     };
     let ledger = &gateway.daemon.ledger;
--- a/crates/gateway/tests/gateway/budget_after_owner_loss.rs
+++ b/crates/gateway/tests/gateway/budget_after_owner_loss.rs
@@ -59,11 +59,11 @@
         session: None,
         previous: Some("t1".to_owned()),
         wants_chain: false,
-        keeps_context: false,
+        retains_context: false,
         supplies_chain: false,
         budget: Some(BUDGET),
         max_tokens: MAX_TOKENS,
-        placement: None,
+        assignment: None,
         home_partition: None,
     }
 }
--- a/crates/gateway/tests/gateway/support/world.rs
+++ b/crates/gateway/tests/gateway/support/world.rs
@@ -77,7 +77,7 @@
     pub address: SocketAddr,
 }
 
-fn route(name: &str, prefix: &str, kind: RouteKind, keeps_context: bool) -> Route {
+fn route(name: &str, prefix: &str, kind: RouteKind, retains_context: bool) -> Route {
     Route {
         name: name.to_owned(),
         host: "test.example".to_owned(),
@@ -91,7 +91,7 @@
             weight: 1,
         }],
         max_attempts: 2,
-        retains_context: keeps_context,
+        retains_context,
         retention_ms: 60_000,
         is_public: false,
         allowed_regions: region::RegionSet::All,
--- a/crates/ledger/src/budget.rs
+++ b/crates/ledger/src/budget.rs
@@ -1,10 +1,11 @@
 //! Token budget of one program.
 //!
 //! Every token delivered to a client must still be counted after any crash. Therefore the maximum
-//! of a turn is reserved before its first token, and an owner delivers no more than a successor
-//! would count without hearing from it. This limit is called the durable limit. It consists of what
-//! the newest durable record contains, plus a part of the remaining budget that the record reserves
-//! ahead. A program without a record has a durable limit as well, which is a share of its whole
+//! of a turn is reserved before its first token, and an owner lets turns deliver only as many
+//! tokens as its successor would count if the owner were lost. This limit is called the durable
+//! limit. It consists of what the newest durable record contains, plus a part of the remaining
+//! budget that the record reserves ahead, that is, for turns that were not requested yet. A program
+//! without a record has a durable limit as well, which is a share of its whole
 //! budget ([`crate::uncertainty`]). So programs can start and continue while the log is
 //! unavailable, and the next record after an outage raises the limit again. Most turns use much
 //! less than their maximum, so a turn whose maximum exceeds the durable limit starts with the
@@ -15,13 +16,12 @@
 //! stored ends only with its record, so without the log a program of such turns cannot start a
 //! second one.
 //!
-//! A budget may be exceeded by at most the maximum of one turn. This compensates for tokens that
-//! are counted but were never used: a turn is granted if the budget has room for it beside the
-//! tokens of ended turns and the maxima of awaited turns, and if all committed tokens are within
-//! the budget. So turns in doubt ([`crate::open_turns`]) cause refusals only once the tokens that
-//! they may have used exhaust the budget. Delivered tokens never exceed the committed ones, and the
-//! last granted turn adds at most its maximum to these (docs/PROOF.md, BUDGET;
-//! docs/design/losses.md).
+//! A turn is granted if the budget has room for it in addition to the tokens of ended turns and the
+//! maxima of awaited turns, and if all committed tokens are within the budget. So turns in doubt
+//! ([`crate::open_turns`]), whose tokens are counted but may never have been used, cause refusals
+//! only once these tokens exhaust the budget. In return, a budget may be exceeded by at most the
+//! maximum of one turn: delivered tokens never exceed the committed ones, and the last granted turn
+//! adds at most its maximum to these (docs/PROOF.md; docs/design/losses.md).
 
 use crate::ended_turns::EndedTurns;
 use crate::message::BudgetUsage;
@@ -47,7 +47,7 @@
     },
     /// The budget has no room for the turn.
     Exhausted,
-    /// The turn has already ended, so nobody waits for the reservation.
+    /// The turn has already ended, so no gateway waits for the reservation.
     AlreadyEnded,
 }
 
@@ -74,7 +74,8 @@
     Share,
 }
 
-/// State that a successor recovers from one record, or without any record.
+/// Tokens that a successor counts as reserved ahead if it recovers from one record, or without any
+/// record.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct RecoveryPoint {
     /// Number of the record; 0 for the state that this owner itself started from.
@@ -92,8 +93,8 @@
     open_turns: OpenTurns,
     /// Turns whose end was reported, including turns that were never opened here. The request to
     /// open a turn may still be in flight, delayed by a network partition, while its sender has
-    /// given up. If it were granted, nobody would release the reservation. A planned handover may
-    /// even direct the request to a later owner, so records contain these ends as well.
+    /// given up. If it were granted, the reservation would never be released. A planned handover
+    /// may even direct the request to a later owner, so records contain these ends as well.
     ended_turns: EndedTurns,
     /// The newest durable record, followed by the records whose append is pending.
     recovery_points: VecDeque<RecoveryPoint>,
@@ -163,9 +164,9 @@
     }
 
     /// Additional tokens that open turns may deliver. For each record that a successor may recover
-    /// from, the turns missing from it may together deliver no more than it reserves ahead. The
-    /// unused part of the maximum of a recorded turn cannot be granted to others, because the
-    /// successor releases it when that turn ends.
+    /// from, the turns that the record does not contain may together deliver at most the tokens
+    /// that the record reserves ahead. The unused part of the maximum of a recorded turn cannot be
+    /// granted to others, because the successor releases it when that turn ends.
     fn grantable_tokens(&self) -> u64 {
         let grantable = self
             .recovery_points
@@ -174,7 +175,7 @@
         grantable.min().unwrap_or(0)
     }
 
-    /// The same for one record.
+    /// Additional tokens that open turns may deliver if a successor recovers from this record.
     fn grantable_beyond(&self, point: &RecoveryPoint) -> u64 {
         let unrecorded = self
             .open_turns
@@ -292,16 +293,15 @@
     }
 
     /// First record of a program, if none was made yet.
-    pub fn first_record(&mut self) -> Option<ProgramRecord> {
+    pub fn initial_record(&mut self) -> Option<ProgramRecord> {
         let budget = self.unrecorded_budget?;
         Some(self.next_record(budget))
     }
 
-    /// Record to append before a planned handover; `None` if the newest record is sufficient. It is
-    /// not if it reserves tokens ahead, if its in-doubt flags are out of date, or if there is none.
-    /// Otherwise the successor would count the unused reserve, and more of it with each handover:
-    /// without this record, one handover left 725 tokens counted where 145 were used
-    /// (`handovers_cost_no_budget`).
+    /// Record to append before a planned handover; `None` if the newest record reserves no tokens
+    /// ahead and its in-doubt flags are current. Without this record the successor would count the
+    /// unused reserve, and more of it with each handover: one handover left 725 tokens counted
+    /// where 145 were used (`handovers_cost_no_budget`).
     pub fn handover_record(&mut self) -> Option<ProgramRecord> {
         let has_reserve = self
             .recovery_points
@@ -322,8 +322,8 @@
         self.record_with_reserve(ahead)
     }
 
-    /// Next record to append if no counter changed. It reserves no more ahead than a successor
-    /// would count without it, so a loss after it costs no more.
+    /// Next record to append if no counter changed. The record reserves only what a successor would
+    /// count anyway, so it does not raise the cost of a loss.
     pub fn next_record_without_new_reserve(&mut self) -> ProgramRecord {
         let newest = self.recovery_points.back();
         let ahead = newest.map_or(0, |point| self.grantable_beyond(point));
--- a/crates/ledger/src/ended_turns.rs
+++ b/crates/ledger/src/ended_turns.rs
@@ -3,10 +3,10 @@
 //! Gateways report the end of a turn repeatedly until a record of it is durable, and the request to
 //! open a turn may arrive after its end, delayed by a network partition. If an end were forgotten
 //! by then, each repetition would be counted again, and a late request would reserve tokens that
-//! nobody releases. An end is therefore remembered until a durable record contains it, up to
-//! `MAX_REMEMBERED`. With a limit of 24 alone, eight rounds of 25 ends counted 11,250 tokens
-//! where 1,250 were used (`tests/repeated_ends.rs`). The newest `MIN_REMEMBERED` ends are
-//! remembered even longer, because messages about them may still be in flight.
+//! are never released. An end is therefore remembered until a durable record contains it, up to
+//! `MAX_REMEMBERED`. When only 24 ends were remembered, a test that reports 25 ends eight times
+//! counted 11,250 tokens instead of 1,250 (`tests/repeated_ends.rs`). The newest `MIN_REMEMBERED`
+//! ends are remembered even longer, because messages about them may still be in flight.
 
 use std::collections::VecDeque;
 
--- a/crates/ledger/src/layout.rs
+++ b/crates/ledger/src/layout.rs
@@ -81,17 +81,17 @@
         self.regions.get(region as usize)
     }
 
-    /// Whether a partition may store the contents of a program with these homes.
-    pub fn may_store(&self, partition: u32, homes: &RegionSet) -> bool {
+    /// Whether a partition may store the contents of a program with these allowed regions.
+    pub fn may_store(&self, partition: u32, allowed_regions: &RegionSet) -> bool {
         match self.region(partition) {
-            Some(region) => homes.contains(Some(region)),
-            None => homes.is_all(),
+            Some(region) => allowed_regions.contains(Some(region)),
+            None => allowed_regions.is_all(),
         }
     }
 
     /// Whether at least one region of the deployment is allowed.
-    pub fn has_allowed_region(&self, homes: &RegionSet) -> bool {
-        homes.is_all() || self.allowed_regions(homes).next().is_some()
+    pub fn has_allowed_region(&self, allowed_regions: &RegionSet) -> bool {
+        allowed_regions.is_all() || self.allowed_regions(allowed_regions).next().is_some()
     }
 
     /// Global partition of a program. It orders the turns, counts the budget, assigns the engine,
@@ -106,8 +106,8 @@
     /// Regions are chosen by rendezvous hashing: each allowed region gets a weight that depends
     /// only on the program and the region, and the highest weight wins. If a region is removed from
     /// the set, only its own programs move; if one is added, only the programs that it wins move.
-    pub fn home_partition(&self, program: &str, homes: &RegionSet) -> Option<u32> {
-        if homes.is_all() {
+    pub fn home_partition(&self, program: &str, allowed_regions: &RegionSet) -> Option<u32> {
+        if allowed_regions.is_all() {
             return None;
         }
         let weight = |name: &Rc<str>| {
@@ -115,7 +115,7 @@
             xxh3_64_with_seed(program.as_bytes(), seed)
         };
         let (index, _) = self
-            .allowed_regions(homes)
+            .allowed_regions(allowed_regions)
             .max_by_key(|(_, name)| (weight(name), *name))?;
         let first = self.global_count + index as u32 * self.homes_per_region;
         Some(first + partition_of(program, self.homes_per_region))
@@ -123,9 +123,9 @@
 
     fn allowed_regions<'a>(
         &'a self,
-        homes: &'a RegionSet,
+        allowed_regions: &'a RegionSet,
     ) -> impl Iterator<Item = (usize, &'a Rc<str>)> {
         let regions = self.regions.iter().enumerate();
-        regions.filter(|(_, name)| homes.contains(Some(name)))
+        regions.filter(|(_, name)| allowed_regions.contains(Some(name)))
     }
 }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -4,6 +4,24 @@
 //! which holds its state in memory and appends records to the topic. A new owner recovers the state
 //! from the newest record of each key.
 //!
+//! Terms:
+//!
+//! - A turn is one request of a client to a model and the response to it.
+//! - A program is a group of turns under one name, which share a token budget and an engine.
+//! - The chain of a turn is that turn and the turns that it continues, back to the first one. It
+//!   may contain turns of other programs.
+//! - A session is a group of turns of a program that the client runs one after another. A program
+//!   may run several sessions in parallel.
+//! - The gateway of a turn is the daemon that received it from the client.
+//! - The owner of a partition is the daemon whose claim on it is the newest. Its successor is the
+//!   next owner, and the previous owner the one before it.
+//! - A home partition is bound to one region and stores contents only. All other partitions are
+//!   global: see [`layout`].
+//! - A program without a record is uncertain for some time after a takeover, the uncertainty
+//!   window, because an earlier owner may have started it: see [`uncertainty`].
+//!
+//! Modules:
+//!
 //! - [`name`]: names of programs and turns, qualified by tenant.
 //! - [`layout`]: which partition stores what, and which region may own it.
 //! - [`message`]: messages between daemons, mainly requests to the owner of a partition and its
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -5,9 +5,9 @@
 use crate::partition_of;
 use nanoserde::{DeBin, SerBin};
 
-/// Input for the choice of an engine for a turn.
+/// Input for the assignment of an engine to the program of a turn.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
-pub struct PlacementRequest {
+pub struct AssignmentInput {
     /// Service whose engines may run the turn.
     pub service: String,
     /// Hash of the prompt prefix that the program shares with others.
@@ -31,14 +31,14 @@
     /// Program of the turn.
     pub program: String,
     /// Session of the turn within its program. A client runs the turns of a session one after
-    /// another, so a new turn shows that the client no longer waits for earlier ones.
+    /// another, so a new turn shows that the client no longer waits for previous ones.
     pub session: Option<String>,
     /// Turn that this one continues.
     pub previous: Option<String>,
     /// Whether the gateway needs the contents of the chain.
     pub wants_chain: bool,
     /// Whether the turn may start only if its chain is known.
-    pub keeps_context: bool,
+    pub retains_context: bool,
     /// Whether the gateway supplies the chain itself, because it belongs to another program.
     pub supplies_chain: bool,
     /// Total budget of the program in tokens, if it has one.
@@ -46,7 +46,7 @@
     /// Maximum number of tokens that this turn may generate.
     pub max_tokens: u64,
     /// Input for the assignment of an engine, if the turn needs one.
-    pub placement: Option<PlacementRequest>,
+    pub assignment: Option<AssignmentInput>,
     /// Home partition that stores the chain, if it is not the program's own partition.
     pub home_partition: Option<u32>,
 }
@@ -57,7 +57,7 @@
     pub fn home_partition_request(&self) -> Self {
         Self {
             budget: None,
-            placement: None,
+            assignment: None,
             ..self.clone()
         }
     }
@@ -68,7 +68,7 @@
     pub fn program_partition_request(&self) -> Self {
         Self {
             wants_chain: self.wants_chain && self.home_partition.is_none(),
-            keeps_context: self.keeps_context && self.home_partition.is_none(),
+            retains_context: self.retains_context && self.home_partition.is_none(),
             home_partition: None,
             ..self.clone()
         }
@@ -91,7 +91,7 @@
             reservation_id: reservation,
             max_tokens: self.max_tokens,
             session: self.session.as_deref(),
-            ends_with_record: self.keeps_context,
+            ends_with_record: self.retains_context,
         }
     }
 
@@ -108,7 +108,7 @@
             content: None,
             engine: None,
             home_partition: None,
-            awaited: false,
+            delays_response: false,
         }
     }
 }
@@ -172,7 +172,7 @@
     /// Home partition that stores the content, if it is not the program's own partition.
     pub home_partition: Option<u32>,
     /// Whether the response to the client waits until this is durable.
-    pub awaited: bool,
+    pub delays_response: bool,
 }
 
 impl CloseTurn {
@@ -230,8 +230,8 @@
     pub route: String,
     /// Whether this is the first request of its program.
     pub starts_program: bool,
-    /// How long the request can wait to be admitted, in milliseconds. A slot later than that is not
-    /// reserved for it.
+    /// How long the request can wait to be admitted, in milliseconds. Quota that becomes available
+    /// later is not reserved for it.
     pub max_wait_ms: u64,
 }
 
@@ -245,7 +245,7 @@
     /// Version of that configuration.
     pub version: u64,
     /// Priority of the request; 0 is the most urgent.
-    pub rank: u8,
+    pub priority: u8,
 }
 
 /// Reply to a [`QuotaRequest`] or [`ColdServerRequest`].
@@ -275,10 +275,10 @@
 
 impl ClaimPartition {
     /// Claim of a partition whose newest known claim has this epoch.
-    pub fn replacing(partition: u32, former_epoch: Option<u64>) -> Self {
+    pub fn replacing(partition: u32, replaced_epoch: Option<u64>) -> Self {
         Self {
             partition,
-            replaced_epoch: former_epoch.unwrap_or(0),
+            replaced_epoch: replaced_epoch.unwrap_or(0),
         }
     }
 
@@ -338,10 +338,12 @@
     Cold(ColdServerRequest),
     /// Asks for the owner of a partition, as far as known.
     FindOwner(u32),
-    /// Asks whether the receiver has had contact with the log just now, without failures.
+    /// Asks whether the log has answered the receiver within the last 800 ms, and no call of the
+    /// receiver has failed since.
     HasRecentLogContact,
-    /// Asks whether the receiver still has contact with the log, also if the log has been silent
-    /// for a moment: an owner with nothing to append may not have heard from it recently.
+    /// Asks whether the receiver still has contact with the log, that is, does not consider the log
+    /// lost. This needs no recent answer, because an owner with nothing to append may not have
+    /// received one.
     HasLogContact,
     /// Asks for the newest configuration, if it is newer than this version.
     Config(u64),
@@ -366,8 +368,8 @@
                 .unwrap_or_else(|| partition_of(&close.program, partitions)),
             Self::Find(find) => find.partition,
             // The limit of a tenant is kept in the partition of a program with the same name.
-            Self::Quota(question) => partition_of(&question.tenant, partitions),
-            Self::Cold(question) => partition_of(&question.server, partitions),
+            Self::Quota(request) => partition_of(&request.tenant, partitions),
+            Self::Cold(request) => partition_of(&request.server, partitions),
             Self::FindOwner(partition) => *partition,
             Self::Claim(claim) => claim.partition,
             Self::HasRecentLogContact
--- a/crates/ledger/src/open_turns.rs
+++ b/crates/ledger/src/open_turns.rs
@@ -16,14 +16,14 @@
     pub reservation_id: &'a str,
     /// Maximum number of tokens that the turn may generate.
     pub max_tokens: u64,
-    /// Session of the turn. The client of a session runs its turns one after another.
+    /// Session of the turn, whose turns the client runs one after another.
     pub session: Option<&'a str>,
     /// Whether the client gets the end of its response only once the owner knows the end of the
     /// turn.
     pub ends_with_record: bool,
 }
 
-/// Whether somebody waits for a turn, as far as its owner knows.
+/// Whether a client still waits for a turn, as far as the owner knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WaitState {
     /// The gateway of the turn requested it from this owner, or an earlier owner handed it over as
@@ -44,7 +44,7 @@
     pub reservation_id: String,
     /// Maximum number of tokens that the turn may deliver.
     pub max_tokens: u64,
-    /// Tokens that the turn may deliver now, because any successor will count them.
+    /// Tokens that the turn may deliver now: as many as any successor will count.
     pub allowed: u64,
     /// Unix time of the start, or of the record that the turn was restored from, in milliseconds.
     pub since_ms: u64,
@@ -113,9 +113,9 @@
         }
     }
 
-    /// Whether a request shows that the client gave up this turn. A client also sends the next turn
-    /// of a session after it got the whole response. Only if the owner knows the end of the turn
-    /// before the client does can it tell the two cases apart.
+    /// Whether a request shows that the client gave up this turn. The next turn of a session may
+    /// also mean that the client got the whole response. The owner can distinguish the two cases
+    /// only if it learns of the end of the turn before the client does.
     fn is_superseded_by(&self, further: &TurnRequest<'_>) -> bool {
         let is_same_session = self.session.is_some() && self.session.as_deref() == further.session;
         is_same_session && self.ends_with_record && self.reservation_id != further.reservation_id
@@ -173,7 +173,7 @@
         self.iter().map(|turn| turn.max_tokens).sum()
     }
 
-    /// The same without the turns in doubt.
+    /// Maximum number of tokens that the turns that are not in doubt may deliver together.
     pub fn awaited_max_tokens(&self) -> u64 {
         let awaited = self.iter().filter(|turn| !turn.is_in_doubt());
         awaited.map(|turn| turn.max_tokens).sum()
--- a/crates/ledger/src/partition.rs
+++ b/crates/ledger/src/partition.rs
@@ -14,9 +14,10 @@
 /// How long the budget of a program is stored after its last change, in milliseconds.
 const PROGRAM_RETENTION_MS: u64 = 180_000;
 
-/// Turns whose content is stored end only with their record, so at most one is reserved ahead.
+/// Turns whose content is stored cannot end without the log, so tokens for at most one further turn
+/// are reserved ahead.
 fn reserve_policy(request: &OpenTurn) -> ReservePolicy {
-    match request.keeps_context {
+    match request.retains_context {
         true => ReservePolicy::OneTurn,
         false => ReservePolicy::Share,
     }
@@ -46,12 +47,12 @@
     AlreadyEnded,
 }
 
-struct Turn {
+struct StoredTurn {
     record: TurnRecord,
     keep_until_ms: u64,
 }
 
-impl Turn {
+impl StoredTurn {
     /// Name of the turn that this one continues; `name` is the name of this turn.
     fn previous_name(&self, name: &QualifiedName) -> Option<QualifiedName> {
         let previous = self.record.previous.as_deref()?;
@@ -63,7 +64,7 @@
 #[derive(Default)]
 pub struct Partition {
     programs: HashMap<QualifiedName, Budget>,
-    turns: HashMap<QualifiedName, Turn>,
+    turns: HashMap<QualifiedName, StoredTurn>,
     /// Number of pending deletions of each expired program. Until they are durable, a successor may
     /// still read the old record and count only that.
     pending_deletions: HashMap<QualifiedName, u32>,
@@ -85,7 +86,7 @@
     }
 
     /// A partition whose previous owner recorded all its grants before it released the partition.
-    /// Its uncertainty window continues here for the next `uncertainty_ms`.
+    /// The uncertainty window of that owner continues here for the next `uncertainty_ms`.
     pub fn after_handover(now_ms: u64, uncertainty_ms: u64) -> Self {
         Self {
             uncertainty: Uncertainty::until(now_ms + uncertainty_ms),
@@ -98,11 +99,15 @@
         self.uncertainty.remaining_ms(now_ms)
     }
 
-    /// Records to append once the partition is loaded, so that programs can start without the log
-    /// during the uncertainty window.
-    pub fn claim_unrecorded_share(&self, now_ms: u64) -> Vec<Record> {
-        let claimed = self.uncertainty.claim_share(now_ms);
-        claimed.map(Record::UnrecordedShares).into_iter().collect()
+    /// Records to append once the partition is loaded. After that this owner may grant its own
+    /// share to programs without a record during the uncertainty window, even if the log becomes
+    /// unavailable.
+    pub fn unrecorded_share_records(&self, now_ms: u64) -> Vec<Record> {
+        let successors = self.uncertainty.share_record(now_ms);
+        successors
+            .map(Record::UnrecordedShares)
+            .into_iter()
+            .collect()
     }
 
     /// Records to append before the partition is released. After them no tokens are reserved ahead,
@@ -140,7 +145,7 @@
                 let keep_until_ms = record.ended_ms + record.retention_ms;
                 self.turns.insert(
                     name,
-                    Turn {
+                    StoredTurn {
                         record,
                         keep_until_ms,
                     },
@@ -174,7 +179,7 @@
         }
     }
 
-    /// Opens a turn. A repeated request for the same turn is allowed.
+    /// Opens a turn. A repeated request for an open turn does not reserve its tokens again.
     pub fn open(&mut self, request: &OpenTurn, now_ms: u64) -> OpenOutcome {
         let Some(chain) = self.chain_for(request) else {
             return OpenOutcome::UnknownTurn;
@@ -214,8 +219,8 @@
         }
     }
 
-    /// Ends a turn. A repeated end appends nothing, because what it says was already appended or is
-    /// queued.
+    /// Ends a turn: settles its tokens and stores its content. A repeated end appends nothing,
+    /// because its records were already appended or are queued.
     pub fn close(&mut self, request: &CloseTurn, now_ms: u64) -> Vec<Record> {
         let mut records = Vec::new();
         if let Some(budget) = request.budget {
@@ -296,12 +301,12 @@
     }
 
     /// Records that end the uncertainty window, once it is over: a first record for each program
-    /// without one, followed by the end marker.
+    /// without one, followed by the closing record.
     fn end_uncertainty(&mut self, now_ms: u64) -> Vec<Record> {
         if !self.uncertainty.needs_closing_record(now_ms) {
             return Vec::new();
         }
-        let mut records = self.program_records(Budget::first_record);
+        let mut records = self.program_records(Budget::initial_record);
         records.push(Record::UnrecordedShares(0));
         records
     }
@@ -327,7 +332,7 @@
         let Some(previous) = &request.previous else {
             return Some(Vec::new());
         };
-        if !request.keeps_context || request.supplies_chain {
+        if !request.retains_context || request.supplies_chain {
             return Some(Vec::new());
         }
         self.chain_contents(&request.qualified_name(previous))
@@ -352,7 +357,7 @@
     }
 
     /// The turns of a chain, from this one back to the first.
-    fn chain_turns(&self, last: &QualifiedName) -> Option<Vec<&Turn>> {
+    fn chain_turns(&self, last: &QualifiedName) -> Option<Vec<&StoredTurn>> {
         let mut chain = Vec::new();
         let mut next = Some(last.clone());
         while let Some(name) = next {
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -18,8 +18,9 @@
     pub id: String,
     /// Reserved tokens.
     pub tokens: u64,
-    /// Whether the turn is in doubt: possibly nobody waits for it any more, see
-    /// [`crate::open_turns`]. The flag is handed over when an owner stops as planned.
+    /// Whether the turn is in doubt: its client may no longer wait for it, see
+    /// [`crate::open_turns`]. Only used after a planned handover; after a loss of the owner all
+    /// open turns are in doubt.
     pub in_doubt: bool,
 }
 
@@ -105,7 +106,8 @@
 
     /// Decodes a record.
     ///
-    /// # Errors The key or the value was not written by this module.
+    /// # Errors
+    /// The key or the value was not written by this module.
     pub fn decode(key: &[u8], value: &[u8]) -> Result<Self, UnreadableRecord> {
         let (kind, name) = key.split_first().ok_or(UnreadableRecord)?;
         if *kind == UNRECORDED_SHARES_KEY && name.is_empty() {
--- a/crates/ledger/src/uncertainty.rs
+++ b/crates/ledger/src/uncertainty.rs
@@ -3,23 +3,23 @@
 //! An owner grants the first tokens of a program without waiting for a record. If it is lost, its
 //! successor cannot know these programs. For some time after the takeover, the uncertainty window,
 //! the successor treats each unknown program as one that an earlier owner may have started, and
-//! counts what that owner may have granted as spent. The first successor has a share of its own
-//! that it may grant without a record of the program, since the log may fail soon after the owners.
-//! Before it grants that share it appends a record for the partition, so that the next owner counts
-//! it as well (docs/design/losses.md).
+//! counts what that owner may have granted as spent. The first successor may grant a share of its
+//! own without a record of the program as well, so that programs can start if the log fails soon
+//! after an owner. Before it grants that share it appends a record for the partition, so that the
+//! next owner counts the share as well (docs/design/losses.md).
 
 /// Number of turn durations for which a program without a record may send nothing after its owner
-/// was lost. A client sends a turn up to three times, and then runs tools for less than one turn
+/// was lost: a client sends a turn up to three times, and then runs tools for less than one turn
 /// duration before the next turn.
 const UNSEEN_TURNS: u64 = 4;
-/// How long a replaced owner may continue to grant turns while it is partitioned or frozen, in
+/// How long a replaced owner may continue to grant turns while it is partitioned or paused, in
 /// milliseconds: twice the time that it takes to notice that the log answers others but not itself.
 const STALE_OWNER_MS: u64 = 4_000;
 /// Maximum uncertainty window, in milliseconds; also used while turn durations are unknown.
 const MAX_UNCERTAINTY_MS: u64 = 60_000;
 
 /// Share of a budget that each owner may grant without a record, as a divisor: one third for an
-/// owner without predecessor, one quarter for its first successor during the uncertainty window.
+/// owner without a previous one, one quarter for its first successor during the uncertainty window.
 /// Programs use a quarter to a third of their budget, so either share lets most of them run through
 /// an outage. What remains after both is still enough for such a program under later owners.
 const SHARE_DIVISORS: [u64; 2] = [3, 4];
@@ -92,12 +92,12 @@
 
     /// Record to append before this owner grants its share to programs without a record. `None` if
     /// it needs no such record or has no share.
-    pub fn claim_share(&self, now_ms: u64) -> Option<u32> {
+    pub fn share_record(&self, now_ms: u64) -> Option<u32> {
         let earlier = self.recorded_successors as usize + 1;
-        let may_claim = self.remaining_ms(now_ms) > 0
+        let has_share = self.remaining_ms(now_ms) > 0
             && !self.is_own_share_recorded
             && earlier < SHARE_DIVISORS.len();
-        may_claim.then_some(self.recorded_successors + 1)
+        has_share.then_some(self.recorded_successors + 1)
     }
 
     /// The record with this number of successors is durable.
--- a/crates/ledger/tests/budget_fuzz/main.rs
+++ b/crates/ledger/tests/budget_fuzz/main.rs
@@ -9,7 +9,7 @@
 use scenario::{RequestScenario, Scenario};
 use simulation::{BUDGET, MAX_TOKENS, Simulation, Step};
 
-fn setting(name: &str, default: u64) -> u64 {
+fn env_number(name: &str, default: u64) -> u64 {
     std::env::var(name)
         .ok()
         .and_then(|text| text.parse().ok())
@@ -18,8 +18,8 @@
 
 /// Runs random scenarios. The environment may override seed and number of cases for longer runs.
 fn scenarios(seed: u64, cases: u64) -> QuickCheck {
-    let seed = setting("FIELDHOOK_FUZZ_SEED", seed);
-    let cases = setting("FIELDHOOK_FUZZ_CASES", cases);
+    let seed = env_number("FIELDHOOK_FUZZ_SEED", seed);
+    let cases = env_number("FIELDHOOK_FUZZ_CASES", cases);
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(160, seed))
         .tests(cases)
@@ -47,7 +47,8 @@
     scenarios(21, 8_000).quickcheck(delivery_stays_within_budget as fn(Scenario) -> TestResult);
 }
 
-/// The same, and an owner that knows the program counts all delivered tokens, whoever granted them.
+/// Delivered tokens never exceed the budget and the maximum of one turn, and an owner that knows
+/// the program counts all delivered tokens, including those granted by other owners.
 fn owners_count_all_tokens(RequestScenario(scenario): RequestScenario) -> TestResult {
     let mut simulation = Simulation::default();
     for step in scenario.0 {
@@ -68,7 +69,7 @@
 }
 
 #[test]
-fn fuzz_tokens_stay_within_the_budget_whatever_becomes_of_questions() {
+fn fuzz_tokens_stay_within_the_budget_with_delayed_requests() {
     scenarios(23, 8_000).quickcheck(owners_count_all_tokens as fn(RequestScenario) -> TestResult);
 }
 
@@ -79,7 +80,7 @@
     let mut simulation = Simulation::with_separate_sessions();
     let lossless = scenario.0.into_iter().filter(|step| {
         let loses = matches!(step, Step::LoseOwner | Step::LoseGateway(_));
-        !loses && !matches!(step, Step::OpenAtFormer(_))
+        !loses && !matches!(step, Step::OpenAtReplaced(_))
     });
     for step in lossless {
         let before = simulation.next_turn;
--- a/crates/ledger/tests/budget_fuzz/scenario.rs
+++ b/crates/ledger/tests/budget_fuzz/scenario.rs
@@ -44,7 +44,7 @@
     fn steps(&self, which: u8, tokens: u8) -> [(u8, Step); 16] {
         [
             (64, Step::Open),
-            (16, Step::OpenAtFormer(which)),
+            (16, Step::OpenAtReplaced(which)),
             (64, Step::Deliver(which, tokens)),
             (48, Step::Close(which)),
             (self.repeat_end, Step::RepeatEnd(which)),
@@ -57,12 +57,12 @@
             (self.request, Step::Request(requests::Step::Arrive(which))),
             (
                 self.request,
-                Step::Request(requests::Step::ArriveAtFormer(which, tokens)),
+                Step::Request(requests::Step::ArriveAtReplaced(which, tokens)),
             ),
             (self.request, Step::Request(requests::Step::Cancel(which))),
             (
                 self.request,
-                Step::Request(requests::Step::CancelAtFormer(which, tokens)),
+                Step::Request(requests::Step::CancelAtReplaced(which, tokens)),
             ),
             (self.request, Step::Request(requests::Step::Expire)),
         ]
--- a/crates/ledger/tests/budget_fuzz/simulation.rs
+++ b/crates/ledger/tests/budget_fuzz/simulation.rs
@@ -17,8 +17,8 @@
 /// Unix time of every scenario, in milliseconds. Far enough from 0 that a program last changed at 0
 /// has expired.
 const NOW_MS: u64 = 1_700_000_000_000;
-/// Sessions of successive turns, with clients that give up turns and send the next one; and whether
-/// the content of the turn is stored, so that it ends with its record.
+/// Session of each turn, and whether its content is stored, so that it ends with its record.
+/// Clients of a session may give up a turn and send the next one.
 const SESSIONS: [(Option<&str>, bool); 6] = [
     (None, true),
     (Some("a"), true),
@@ -27,15 +27,15 @@
     (Some("a"), true),
     (Some("b"), true),
 ];
-/// Number of ended turns that an owner always remembers.
+/// Only the newest ends are repeated, as many as an owner always remembers.
 const REPEATED_ENDS: usize = 24;
 
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
     /// Requests a turn.
     Open,
-    /// Requests a turn from a former owner that does not know that it was replaced.
-    OpenAtFormer(u8),
+    /// Requests a turn from a replaced owner that does not know this yet.
+    OpenAtReplaced(u8),
     /// A running turn delivers tokens.
     Deliver(u8, u8),
     /// A running turn ends, and its end is reported.
@@ -48,7 +48,7 @@
     HandOver,
     /// The owner is lost with its pending appends; gateways survive.
     LoseOwner,
-    /// The gateway of a running turn is lost, so nobody reports its end.
+    /// The gateway of a running turn is lost, so its end is never reported.
     LoseGateway(u8),
     /// A step of a delayed request.
     Request(requests::Step),
@@ -65,7 +65,7 @@
 #[derive(Default)]
 pub struct Simulation {
     owner: Partition,
-    former_owners: Vec<Partition>,
+    replaced_owners: Vec<Partition>,
     log: BTreeMap<Vec<u8>, Vec<u8>>,
     queue: VecDeque<Record>,
     waiting: Vec<(usize, u64)>,
@@ -114,7 +114,7 @@
 
     fn next_request(&mut self) -> OpenTurn {
         let turn = format!("t{}", self.next_turn);
-        let (session, keeps_context) = self.session(self.next_turn);
+        let (session, retains_context) = self.session(self.next_turn);
         self.next_turn += 1;
         OpenTurn {
             tenant: None,
@@ -124,22 +124,22 @@
             session,
             previous: None,
             wants_chain: false,
-            keeps_context,
+            retains_context,
             supplies_chain: false,
             budget: Some(BUDGET),
             max_tokens: MAX_TOKENS,
-            placement: None,
+            assignment: None,
             home_partition: None,
         }
     }
 
-    /// A former owner cannot append, so its grants start at once or never.
-    fn open_at_former(&mut self, which: u8) {
+    /// A replaced owner cannot append, so its grants start at once or never.
+    fn open_at_replaced(&mut self, which: u8) {
         let request = self.next_request();
-        let Some(index) = usize::from(which).checked_rem(self.former_owners.len()) else {
+        let Some(index) = usize::from(which).checked_rem(self.replaced_owners.len()) else {
             return;
         };
-        let outcome = self.former_owners[index].open(&request, NOW_MS);
+        let outcome = self.replaced_owners[index].open(&request, NOW_MS);
         if let OpenOutcome::Opened { durable: true, .. } = outcome {
             self.start_turn(&request, true);
         }
@@ -194,7 +194,7 @@
             content: None,
             engine: None,
             home_partition: None,
-            awaited: false,
+            delays_response: false,
         };
         let records = self.owner.close(&request, NOW_MS);
         self.push(records);
@@ -243,11 +243,11 @@
     /// A new owner loads the log. Turns whose reservation was not durable have delivered nothing,
     /// and their gateways request them again.
     fn lose_owner(&mut self) {
-        let former = std::mem::replace(
+        let replaced = std::mem::replace(
             &mut self.owner,
             Partition::after_loss(NOW_MS, UNCERTAINTY_MS),
         );
-        self.former_owners.push(former);
+        self.replaced_owners.push(replaced);
         self.queue.clear();
         self.queued = self.appended;
         self.waiting.clear();
@@ -278,7 +278,7 @@
     pub fn step(&mut self, step: Step) {
         match step {
             Step::Open => self.open(),
-            Step::OpenAtFormer(which) => self.open_at_former(which),
+            Step::OpenAtReplaced(which) => self.open_at_replaced(which),
             Step::Deliver(which, tokens) => self.deliver(which, tokens),
             Step::Close(which) => self.close(which),
             Step::RepeatEnd(which) => {
--- a/crates/ledger/tests/budget_fuzz/simulation/requests.rs
+++ b/crates/ledger/tests/budget_fuzz/simulation/requests.rs
@@ -14,12 +14,12 @@
     Retry(u8),
     /// A request reaches the current owner, possibly again.
     Arrive(u8),
-    /// A request reaches a former owner that is still running.
-    ArriveAtFormer(u8, u8),
+    /// A request reaches a replaced owner that is still running.
+    ArriveAtReplaced(u8, u8),
     /// The sender gives up, and the end of the turn is reported, possibly again.
     Cancel(u8),
-    /// The same, but the end reaches a former owner that is still running.
-    CancelAtFormer(u8, u8),
+    /// The sender gives up, and the end reaches a replaced owner that is still running.
+    CancelAtReplaced(u8, u8),
     /// The owner deletes expired state.
     Expire,
 }
@@ -47,9 +47,9 @@
             }
             Step::Retry(which) => self.retry(which),
             Step::Arrive(which) => self.arrive(which),
-            Step::ArriveAtFormer(which, former) => self.arrive_at_former(which, former),
+            Step::ArriveAtReplaced(which, replaced) => self.arrive_at_replaced(which, replaced),
             Step::Cancel(which) => self.cancel(which),
-            Step::CancelAtFormer(which, former) => self.cancel_at_former(which, former),
+            Step::CancelAtReplaced(which, replaced) => self.cancel_at_replaced(which, replaced),
             Step::Expire => {
                 let records = self.owner.expire(NOW_MS);
                 self.push(records);
@@ -100,16 +100,16 @@
         }
     }
 
-    /// A former owner cannot append, so its grants start at once or never.
-    fn arrive_at_former(&mut self, which: u8, former: u8) {
+    /// A replaced owner cannot append, so its grants start at once or never.
+    fn arrive_at_replaced(&mut self, which: u8, replaced: u8) {
         let Some(index) = self.request_index(which) else {
             return;
         };
-        let Some(former) = usize::from(former).checked_rem(self.former_owners.len()) else {
+        let Some(replaced) = usize::from(replaced).checked_rem(self.replaced_owners.len()) else {
             return;
         };
         let DelayedRequest { request, requester } = self.requests[index].clone();
-        let outcome = self.former_owners[former].open(&request, NOW_MS);
+        let outcome = self.replaced_owners[replaced].open(&request, NOW_MS);
         if let OpenOutcome::Opened { durable: true, .. } = outcome
             && requester == Requester::Waiting
         {
@@ -135,11 +135,11 @@
         }
     }
 
-    fn cancel_at_former(&mut self, which: u8, former: u8) {
+    fn cancel_at_replaced(&mut self, which: u8, replaced: u8) {
         let request = self.give_up(which);
-        let former = usize::from(former).checked_rem(self.former_owners.len());
-        if let (Some(request), Some(former)) = (request, former) {
-            self.former_owners[former].close(&request.cancellation(), NOW_MS);
+        let replaced = usize::from(replaced).checked_rem(self.replaced_owners.len());
+        if let (Some(request), Some(replaced)) = (request, replaced) {
+            self.replaced_owners[replaced].close(&request.cancellation(), NOW_MS);
         }
     }
 
--- a/crates/ledger/tests/budget_room/main.rs
+++ b/crates/ledger/tests/budget_room/main.rs
@@ -1,11 +1,11 @@
 //! Checks how much of a program's budget is lost with its owners. A turn may be refused only if the
-//! budget has no room for it beside the tokens of ended turns and the maxima of awaited ones, or if
-//! the tokens that the program may have used exceed a stated bound. A turn may be granted only if
-//! there is that room.
+//! budget has no room for it in addition to the tokens of ended turns and the maxima of awaited
+//! ones, or if the tokens that the program may have used exceed a stated bound. A turn may be
+//! granted only if there is room.
 //!
 //! The oracle counts a turn whose end was recorded by its tokens, and any other turn that may have
 //! delivered tokens by its maximum. Each loss of an owner may hide at most what was reserved ahead.
-//! Of that, the maximum of one turn costs nothing, because a budget may be exceeded by as much.
+//! The maximum of one turn is free, because a budget may be exceeded by that much.
 //!
 //! As in `budget_fuzz/`, the tests also check the upper bound: delivered tokens never exceed the
 //! budget and the maximum of one turn, even though turns deliver tokens before their record and
@@ -101,7 +101,7 @@
     refusals_are_justified(Simulation::with_budget(true, SMALL_BUDGET), &scenario.0)
 }
 
-fn setting(name: &str, default: u64) -> u64 {
+fn env_number(name: &str, default: u64) -> u64 {
     std::env::var(name)
         .ok()
         .and_then(|text| text.parse().ok())
@@ -110,8 +110,8 @@
 
 /// Runs random scenarios. The environment may override seed and number of cases for longer runs.
 fn scenarios(seed: u64) -> QuickCheck {
-    let seed = setting("FIELDHOOK_FUZZ_SEED", seed);
-    let cases = setting("FIELDHOOK_FUZZ_CASES", 20_000);
+    let seed = env_number("FIELDHOOK_FUZZ_SEED", seed);
+    let cases = env_number("FIELDHOOK_FUZZ_CASES", 20_000);
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(60, seed))
         .tests(cases)
@@ -120,17 +120,17 @@
 }
 
 #[test]
-fn fuzz_questions_under_way_of_a_program_whose_turns_are_kept() {
+fn fuzz_delayed_requests_of_stored_turns() {
     scenarios(33).quickcheck(requests_of_stored_turns as fn(Scenario) -> TestResult);
 }
 
 #[test]
-fn fuzz_questions_under_way_of_a_program_whose_turns_are_not_kept() {
+fn fuzz_delayed_requests_of_unstored_turns() {
     scenarios(34).quickcheck(requests_of_unstored_turns as fn(Scenario) -> TestResult);
 }
 
 #[test]
-fn fuzz_questions_under_way_of_a_program_that_holds_one_turn() {
+fn fuzz_delayed_requests_with_room_for_one_turn() {
     scenarios(35).quickcheck(requests_with_room_for_one_turn as fn(Scenario) -> TestResult);
 }
 
--- a/crates/ledger/tests/budget_room/simulation.rs
+++ b/crates/ledger/tests/budget_room/simulation.rs
@@ -28,8 +28,8 @@
 pub enum Step {
     /// Requests a turn. Its gateway waits for the append if it has to.
     Open,
-    /// Requests a turn from a former owner that does not know that it was replaced.
-    OpenAtFormer(u8),
+    /// Requests a turn from a replaced owner that does not know this yet.
+    OpenAtReplaced(u8),
     /// A running turn delivers a fraction (in 255ths) of the tokens that it may deliver now.
     Deliver(u8, u8),
     /// A running turn delivers a fraction (in 255ths) of what it may deliver now and completes.
@@ -42,7 +42,7 @@
     HandOver,
     /// The owner is lost; open turns continue at their gateways.
     LoseOwner,
-    /// All daemons are lost, so nobody reports the end of any turn.
+    /// All daemons are lost, so the end of no turn is reported.
     LoseAll,
     /// The gateway of a running turn is lost; the owner survives.
     LoseGateway(u8),
@@ -56,7 +56,7 @@
         let part = u8::arbitrary(g);
         match u8::arbitrary(g) % 17 {
             0..3 => Self::Open,
-            3 if part < 64 => Self::OpenAtFormer(which),
+            3 if part < 64 => Self::OpenAtReplaced(which),
             3..5 => Self::Deliver(which, part),
             5..9 => Self::Close(which, part),
             9..11 => Self::Append,
@@ -93,8 +93,8 @@
     pub budget: u64,
     now_ms: u64,
     owner: Partition,
-    former_owners: Vec<Partition>,
-    keeps_context: bool,
+    replaced_owners: Vec<Partition>,
+    retains_context: bool,
     log: BTreeMap<Vec<u8>, Vec<u8>>,
     queue: VecDeque<Record>,
     turns: Vec<Turn>,
@@ -108,17 +108,17 @@
 }
 
 impl Simulation {
-    pub fn new(keeps_context: bool) -> Self {
-        Self::with_budget(keeps_context, BUDGET)
+    pub fn new(retains_context: bool) -> Self {
+        Self::with_budget(retains_context, BUDGET)
     }
 
-    pub fn with_budget(keeps_context: bool, budget: u64) -> Self {
+    pub fn with_budget(retains_context: bool, budget: u64) -> Self {
         Self {
             budget,
             now_ms: NOW_MS,
             owner: Partition::default(),
-            former_owners: Vec::new(),
-            keeps_context,
+            replaced_owners: Vec::new(),
+            retains_context,
             log: BTreeMap::new(),
             queue: VecDeque::new(),
             turns: Vec::new(),
@@ -150,13 +150,13 @@
         self.turns.iter().map(|turn| turn.tokens).sum()
     }
 
-    /// A refusal is justified if the budget has no room for the turn beside the awaited ones, or if
-    /// the losses may have hidden as much.
+    /// A refusal is justified if the budget has no room for the turn in addition to the awaited
+    /// ones, or if the losses may have hidden as much.
     fn may_refuse(&self) -> bool {
         !self.may_grant() || self.max_used_tokens() > self.guaranteed_budget
     }
 
-    /// A turn may be granted only if the budget has room for it beside the awaited ones.
+    /// A turn may be granted only if the budget has room for it in addition to the awaited ones.
     fn may_grant(&self) -> bool {
         self.awaited_tokens() + MAX_TOKENS <= self.budget
     }
@@ -166,7 +166,8 @@
             .committed_tokens(&QualifiedName::new(None, PROGRAM))
     }
 
-    /// An owner that knows the program counts all its delivered tokens, whoever granted them.
+    /// An owner that knows the program counts all its delivered tokens, including those granted by
+    /// other owners.
     pub fn counts_all_delivered(&self) -> bool {
         self.owner.program_count() == 0 || self.counted() >= self.delivered_tokens()
     }
@@ -187,12 +188,12 @@
             program: PROGRAM.to_owned(),
             session: session.map(str::to_owned),
             previous: None,
-            wants_chain: self.keeps_context,
-            keeps_context: self.keeps_context,
+            wants_chain: self.retains_context,
+            retains_context: self.retains_context,
             supplies_chain: false,
             budget: Some(self.budget),
             max_tokens: MAX_TOKENS,
-            placement: None,
+            assignment: None,
             home_partition: None,
         }
     }
@@ -218,13 +219,13 @@
         true
     }
 
-    /// A former owner cannot append, so its grants start at once or never.
-    fn open_at_former(&mut self, which: u8) {
+    /// A replaced owner cannot append, so its grants start at once or never.
+    fn open_at_replaced(&mut self, which: u8) {
         let request = self.next_request();
-        let Some(index) = usize::from(which).checked_rem(self.former_owners.len()) else {
+        let Some(index) = usize::from(which).checked_rem(self.replaced_owners.len()) else {
             return;
         };
-        let outcome = self.former_owners[index].open(&request, self.now_ms);
+        let outcome = self.replaced_owners[index].open(&request, self.now_ms);
         if let OpenOutcome::Opened { allowed, .. } = outcome
             && allowed > 0
         {
@@ -294,7 +295,7 @@
             budget: Some(self.budget),
             max_tokens: MAX_TOKENS,
             tokens,
-            content: self.keeps_context.then(|| TurnContent {
+            content: self.retains_context.then(|| TurnContent {
                 previous: None,
                 input: Vec::new(),
                 output: Vec::new(),
@@ -302,7 +303,7 @@
             }),
             engine: None,
             home_partition: None,
-            awaited: false,
+            delays_response: false,
         };
         let records = self.owner.close(&request, self.now_ms);
         self.push(records);
@@ -339,14 +340,14 @@
             self.owner.load(record);
         }
         self.owner.finish_loading();
-        let records = self.owner.claim_unrecorded_share(self.now_ms);
+        let records = self.owner.unrecorded_share_records(self.now_ms);
         self.push(records);
     }
 
     /// Accounts for what one more owner may have reserved ahead.
     fn count_loss(&mut self) {
         self.losses += 1;
-        let hidden = match (self.losses, self.keeps_context) {
+        let hidden = match (self.losses, self.retains_context) {
             // Half of the budget if the program had no record.
             (1, _) | (_, false) => MAX_TOKENS.max(self.guaranteed_budget / 2),
             (_, true) => MAX_TOKENS,
@@ -379,12 +380,12 @@
     }
 
     fn lose_owner(&mut self, gateways_live: bool) {
-        let former = std::mem::replace(
+        let replaced = std::mem::replace(
             &mut self.owner,
             Partition::after_loss(self.now_ms, UNCERTAINTY_MS),
         );
         if gateways_live {
-            self.former_owners.push(former);
+            self.replaced_owners.push(replaced);
         }
         self.queue.clear();
         self.queued = self.appended;
@@ -424,7 +425,7 @@
                 let may_refuse = self.may_refuse();
                 return self.open() || may_refuse;
             }
-            Step::OpenAtFormer(which) => self.open_at_former(which),
+            Step::OpenAtReplaced(which) => self.open_at_replaced(which),
             Step::Deliver(which, part) => self.deliver(which, part),
             Step::Close(which, part) => self.close(which, part),
             Step::Append => self.append(),
--- a/crates/ledger/tests/budget_room/simulation/requests.rs
+++ b/crates/ledger/tests/budget_room/simulation/requests.rs
@@ -13,7 +13,8 @@
 const RECENT_REQUESTS: usize = 4;
 /// Maximum number of losses in a row.
 const MAX_CONSECUTIVE_LOSSES: u8 = 12;
-/// Number of uncertainty windows that may end in a scenario: fewer than the retention of a program.
+/// Number of uncertainty windows that may end in a scenario. Two windows of 60 s are shorter than
+/// the retention of a program, 180 s.
 const MAX_WINDOWS: u64 = 2;
 
 #[derive(Clone, Copy, Debug)]
@@ -24,36 +25,37 @@
     Retry(u8),
     /// A request reaches the current owner, possibly again.
     Arrive(u8),
-    /// A request reaches a former owner that is still running.
-    ArriveAtFormer(u8, u8),
+    /// A request reaches a replaced owner that is still running.
+    ArriveAtReplaced(u8, u8),
     /// The sender of a request gives up.
     GiveUp(u8),
     /// The end of a turn whose sender gave up is reported, possibly again.
     ReportEnd(u8),
-    /// The same, but the end reaches a former owner that is still running, which has no effect.
-    ReportEndAtFormer(u8, u8),
+    /// The end of a turn whose sender gave up reaches a replaced owner that is still running, which
+    /// has no effect.
+    ReportEndAtReplaced(u8, u8),
     /// All daemons are lost, several times in a row.
     LoseAllRepeatedly(u8),
     /// The owner deletes expired state.
     Expire,
     /// The uncertainty window of the owner ends. By then the owner knows every program that was
-    /// started, and former owners know that they were replaced.
+    /// started, and replaced owners know that they were replaced.
     EndUncertainty,
 }
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Self {
         let which = u8::arbitrary(g);
-        let former = u8::arbitrary(g);
+        let replaced = u8::arbitrary(g);
         match u8::arbitrary(g) % 32 {
             0..6 => Self::Send,
             6..8 => Self::Retry(which),
             8..16 => Self::Arrive(which),
-            16..18 => Self::ArriveAtFormer(which, former),
+            16..18 => Self::ArriveAtReplaced(which, replaced),
             18..23 => Self::GiveUp(which),
             23..28 => Self::ReportEnd(which),
-            28 => Self::ReportEndAtFormer(which, former),
-            29 if former < 64 => Self::LoseAllRepeatedly(1 + which % MAX_CONSECUTIVE_LOSSES),
+            28 => Self::ReportEndAtReplaced(which, replaced),
+            29 if replaced < 64 => Self::LoseAllRepeatedly(1 + which % MAX_CONSECUTIVE_LOSSES),
             30 => Self::EndUncertainty,
             _ => Self::Expire,
         }
@@ -73,7 +75,7 @@
     pub(super) request: OpenTurn,
     requester: Requester,
     gateway_lives: bool,
-    /// Whether an owner may hold a reservation for the turn although nobody waits for it.
+    /// Whether an owner may hold a reservation for the turn although the client gave up.
     reserved: bool,
     pub(super) wait_state: WaitState,
     /// Number of appends after which the end of the turn is recorded.
@@ -100,11 +102,11 @@
             Step::Send => self.send(),
             Step::Retry(which) => self.retry(which),
             Step::Arrive(which) => return self.arrive(which),
-            Step::ArriveAtFormer(which, former) => self.arrive_at_former(which, former),
+            Step::ArriveAtReplaced(which, replaced) => self.arrive_at_replaced(which, replaced),
             Step::GiveUp(which) => self.give_up(which),
             Step::ReportEnd(which) => self.report_cancellation(which),
-            Step::ReportEndAtFormer(which, former) => {
-                self.report_cancellation_at_former(which, former)
+            Step::ReportEndAtReplaced(which, replaced) => {
+                self.report_cancellation_at_replaced(which, replaced)
             }
             Step::LoseAllRepeatedly(times) => (0..times).for_each(|_| self.lose_owner(false)),
             Step::Expire => self.expire(),
@@ -122,7 +124,7 @@
         let is_known = self.owner.program_count() > 0 || self.turns.is_empty();
         if is_known && self.now_ms < NOW_MS + MAX_WINDOWS * UNCERTAINTY_MS {
             self.now_ms += UNCERTAINTY_MS;
-            self.former_owners.clear();
+            self.replaced_owners.clear();
             self.expire();
         }
     }
@@ -225,17 +227,17 @@
         turns.find(|turn| turn.attempt == attempt && !turn.ended && turn.gateway_lives)
     }
 
-    /// A former owner cannot append, so its grants start at once or never.
-    fn arrive_at_former(&mut self, which: u8, former: u8) {
+    /// A replaced owner cannot append, so its grants start at once or never.
+    fn arrive_at_replaced(&mut self, which: u8, replaced: u8) {
         let Some(index) = self.request_index(which) else {
             return;
         };
-        let Some(former) = usize::from(former).checked_rem(self.former_owners.len()) else {
+        let Some(replaced) = usize::from(replaced).checked_rem(self.replaced_owners.len()) else {
             return;
         };
         let delayed = &mut self.requests[index];
         let request = delayed.request.clone();
-        let outcome = self.former_owners[former].open(&request, self.now_ms);
+        let outcome = self.replaced_owners[replaced].open(&request, self.now_ms);
         if let OpenOutcome::Opened { allowed, .. } = outcome
             && allowed > 0
             && delayed.is_waiting()
@@ -271,13 +273,13 @@
             .get_or_insert(self.queued);
     }
 
-    fn report_cancellation_at_former(&mut self, which: u8, former: u8) {
+    fn report_cancellation_at_replaced(&mut self, which: u8, replaced: u8) {
         let Some(index) = self.abandoned_index(which) else {
             return;
         };
         let end = self.requests[index].request.cancellation();
-        if let Some(former) = usize::from(former).checked_rem(self.former_owners.len()) {
-            self.former_owners[former].close(&end, self.now_ms);
+        if let Some(replaced) = usize::from(replaced).checked_rem(self.replaced_owners.len()) {
+            self.replaced_owners[replaced].close(&end, self.now_ms);
         }
     }
 
--- a/crates/ledger/tests/budget_room/simulation/wait_state.rs
+++ b/crates/ledger/tests/budget_room/simulation/wait_state.rs
@@ -1,10 +1,10 @@
-//! Which turns an owner must hold a place for: those that somebody waits for, as far as the owner
-//! knows.
+//! Turns whose maximum an owner must keep reserved: those that a client waits for, as far as the
+//! owner knows.
 
 use super::{MAX_TOKENS, Simulation};
 use fieldhook_ledger::message::OpenTurn;
 
-/// Whether the current owner knows that somebody waits for a turn.
+/// Whether the current owner knows that a client waits for a turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WaitState {
     /// The turn was requested from this owner.
@@ -12,7 +12,7 @@
     /// The turn was requested from the previous owner, which handed the partition over. Its record
     /// does not contain the session.
     HandedOver,
-    /// The turn was requested only from an owner that was lost, or from a former owner.
+    /// The turn was requested only from an owner that was lost, or from a replaced owner.
     Unconfirmed,
     /// Another turn of the session was requested.
     Superseded,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The owner hands the partition over; `is_recorded` tells whether a record contains the turn.
+    /// The owner hands the partition over; `is_recorded` is true if a record contains the turn.
     fn handed_over(self, is_recorded: bool) -> Self {
         match is_recorded && self.is_awaited() {
             true => Self::HandedOver,
@@ -67,7 +67,7 @@
     /// A turn is requested, so the client no longer waits for others of the session. This is
     /// certain only if the response to a turn ends with its record.
     pub(super) fn supersede(&mut self, further: &OpenTurn) {
-        if !self.keeps_context || further.session.is_none() {
+        if !self.retains_context || further.session.is_none() {
             return;
         }
         for turn in &mut self.turns {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// An owner was lost, and its successor learns everything anew.
+    /// An owner was lost, and its successor knows only the recorded turns.
     pub(super) fn mark_all_unconfirmed(&mut self) {
         self.turns
             .iter_mut()
--- a/crates/ledger/tests/cancelled_turns.rs
+++ b/crates/ledger/tests/cancelled_turns.rs
@@ -22,11 +22,11 @@
         session: None,
         previous: None,
         wants_chain: true,
-        keeps_context: true,
+        retains_context: true,
         supplies_chain: false,
         budget: Some(BUDGET),
         max_tokens: MAX_TOKENS,
-        placement: None,
+        assignment: None,
         home_partition: None,
     }
 }
--- a/crates/ledger/tests/chain_fuzz.rs
+++ b/crates/ledger/tests/chain_fuzz.rs
@@ -85,11 +85,11 @@
             session: None,
             previous,
             wants_chain: true,
-            keeps_context: true,
+            retains_context: true,
             supplies_chain: false,
             budget: None,
             max_tokens: 10,
-            placement: None,
+            assignment: None,
             home_partition: None,
         };
         self.owner.open(&request, self.now_ms)
@@ -145,7 +145,7 @@
             }),
             engine: None,
             home_partition: None,
-            awaited: true,
+            delays_response: true,
         };
         let records = self.owner.close(&close, self.now_ms);
         if !acknowledged {
--- a/crates/ledger/tests/expiry.rs
+++ b/crates/ledger/tests/expiry.rs
@@ -1,5 +1,5 @@
-//! Expired programs whose deletion is not durable yet. If such a program returns, whatever it is
-//! granted must be counted by the next owner, which may still read the old record.
+//! Expired programs whose deletion is not durable yet. If such a program sends another turn, the
+//! next owner must count the tokens granted to it, although it may still read the old record.
 
 use fieldhook_ledger::message::OpenTurn;
 use fieldhook_ledger::partition::{OpenOutcome, Partition};
@@ -20,11 +20,11 @@
         session: None,
         previous: None,
         wants_chain: false,
-        keeps_context: false,
+        retains_context: false,
         supplies_chain: false,
         budget: Some(BUDGET),
         max_tokens: MAX_TOKENS,
-        placement: None,
+        assignment: None,
         home_partition: None,
     }
 }
--- a/crates/ledger/tests/in_doubt.rs
+++ b/crates/ledger/tests/in_doubt.rs
@@ -1,6 +1,6 @@
-//! Turns in doubt: possibly nobody waits for them any more, and their ends may never be reported.
-//! They are counted in full, because their tokens may have been used, but must not block a turn
-//! that fits into the budget beside the awaited turns.
+//! Turns in doubt: their clients may no longer wait, and their ends may never be reported. They are
+//! counted in full, because their tokens may have been used, but must not block a turn that fits
+//! into the budget in addition to the awaited turns.
 
 use fieldhook_ledger::message::{BudgetUsage, OpenTurn};
 use fieldhook_ledger::name::QualifiedName;
@@ -25,11 +25,11 @@
         session: session.map(str::to_owned),
         previous: None,
         wants_chain: true,
-        keeps_context: true,
+        retains_context: true,
         supplies_chain: false,
         budget: Some(BUDGET),
         max_tokens: MAX_TOKENS,
-        placement: None,
+        assignment: None,
         home_partition: None,
     }
 }
@@ -101,7 +101,7 @@
     assert!(open(&mut successor, &first).is_some());
     let usage = refused_usage(&mut successor, &turn(2, Some("b")));
     assert_eq!(usage.in_doubt_turns, 0);
-    // Its client gives up after all.
+    // The client of the first turn gives up and sends turn 3.
     assert!(open(&mut successor, &turn(3, Some("a"))).is_some());
 }
 
@@ -137,7 +137,7 @@
 fn turn_without_stored_content_is_awaited_until_its_end() {
     let mut partition = Partition::default();
     let [first, next] = [1, 2].map(|attempt| OpenTurn {
-        keeps_context: false,
+        retains_context: false,
         ..turn(attempt, Some("a"))
     });
     assert!(open(&mut partition, &first).is_some());
@@ -192,7 +192,7 @@
 
 /// Guards against losing the in-doubt flag in a handover. All daemons are lost with an open turn,
 /// and the next owner has that turn in doubt. When its record did not contain the flag, the owner
-/// after a planned handover took the turn for awaited and refused others.
+/// after a planned handover treated the turn as awaited and refused others.
 #[test]
 fn in_doubt_flag_survives_a_handover() {
     let mut first = Partition::after_loss(NOW_MS, UNCERTAINTY_MS);
@@ -207,7 +207,8 @@
     assert!(matches!(outcome, OpenOutcome::Opened { .. }), "{outcome:?}");
 }
 
-/// The same, but the program sends its next request only after the handover.
+/// Guards against losing the in-doubt flag in a handover, if the program sends its next request
+/// only after the handover.
 #[test]
 fn turn_of_a_lost_gateway_does_not_block_after_a_handover() {
     let mut first = Partition::after_loss(NOW_MS, UNCERTAINTY_MS);
--- a/crates/ledger/tests/layout.rs
+++ b/crates/ledger/tests/layout.rs
@@ -24,7 +24,7 @@
 }
 
 /// A subset of the names, chosen by the bits of a number. Some may not be regions of the map.
-fn homes(bits: u8) -> RegionSet {
+fn allowed_regions(bits: u8) -> RegionSet {
     let chosen = NAMES
         .iter()
         .enumerate()
@@ -48,20 +48,22 @@
     fn property(regions: u8, partitions: u8, bits: u8) -> bool {
         let map = map(usize::from(regions % 7));
         let layout = Layout::new(u32::from(partitions % 12), &map);
-        let homes = homes(bits);
+        let allowed_regions = allowed_regions(bits);
         let known: Vec<_> = map.regions();
-        let allowed = known.iter().any(|region| homes.contains(Some(region)));
+        let allowed = known
+            .iter()
+            .any(|region| allowed_regions.contains(Some(region)));
         (0..PROGRAMS).all(|number| {
             let program = format!("p{number}");
-            match layout.home_partition(&program, &homes) {
-                None => !allowed && !layout.has_allowed_region(&homes),
+            match layout.home_partition(&program, &allowed_regions) {
+                None => !allowed && !layout.has_allowed_region(&allowed_regions),
                 Some(partition) => {
                     let region = layout.region(partition).expect("a region");
                     allowed
                         && layout.home_partitions().contains(&partition)
-                        && homes.contains(Some(region))
-                        && layout.may_store(partition, &homes)
-                        && layout.home_partition(&program, &homes) == Some(partition)
+                        && allowed_regions.contains(Some(region))
+                        && layout.may_store(partition, &allowed_regions)
+                        && layout.home_partition(&program, &allowed_regions) == Some(partition)
                 }
             }
         })
@@ -70,11 +72,11 @@
 }
 
 #[test]
-fn narrowing_homes_moves_only_affected_programs() {
+fn narrowing_allowed_regions_moves_only_affected_programs() {
     fn property(regions: u8, bits: u8, changed: u8) -> bool {
         let map = map(usize::from(regions % 7));
         let layout = Layout::new(8, &map);
-        let (wide, narrow) = (homes(bits | changed), homes(bits));
+        let (wide, narrow) = (allowed_regions(bits | changed), allowed_regions(bits));
         (0..PROGRAMS).all(|number| {
             let program = format!("p{number}");
             let before = layout.home_partition(&program, &wide);
@@ -97,7 +99,7 @@
             partition_of(&program, 8)
         );
         assert!(layout.may_store(layout.program_partition(&program), &RegionSet::All));
-        assert!(!layout.may_store(layout.program_partition(&program), &homes(1)));
+        assert!(!layout.may_store(layout.program_partition(&program), &allowed_regions(1)));
     }
     assert_eq!(Layout::new(8, &ZoneMap::default()).count(), 8);
 }
@@ -124,10 +126,10 @@
 #[test]
 fn programs_spread_over_all_allowed_regions() {
     let layout = Layout::new(8, &map(4));
-    let homes = RegionSet::from_names(["ash", "elm"]);
+    let allowed_regions = RegionSet::from_names(["ash", "elm"]);
     for region in ["ash", "elm"] {
         let stored = (0..PROGRAMS).filter(|number| {
-            let partition = layout.home_partition(&format!("p{number}"), &homes);
+            let partition = layout.home_partition(&format!("p{number}"), &allowed_regions);
             let home_region = partition.and_then(|partition| layout.region(partition));
             home_region.is_some_and(|name| &**name == region)
         });
--- a/crates/ledger/tests/repeated_ends.rs
+++ b/crates/ledger/tests/repeated_ends.rs
@@ -29,11 +29,11 @@
         session: None,
         previous: None,
         wants_chain: false,
-        keeps_context: false,
+        retains_context: false,
         supplies_chain: false,
         budget: Some(BUDGET),
         max_tokens: MAX_TOKENS,
-        placement: None,
+        assignment: None,
         home_partition: None,
     }
 }
--- a/crates/ledger/tests/uncertainty.rs
+++ b/crates/ledger/tests/uncertainty.rs
@@ -17,11 +17,11 @@
         session: None,
         previous: None,
         wants_chain: false,
-        keeps_context: false,
+        retains_context: false,
         supplies_chain: false,
         budget: Some(BUDGET),
         max_tokens: MAX_TOKENS,
-        placement: None,
+        assignment: None,
         home_partition: None,
     }
 }
@@ -49,7 +49,11 @@
     );
     let granted = (1..)
         .take_while(|number| is_durable(&mut partition, &turn("new", *number), after).is_some());
-    assert_eq!(granted.count(), 2, "900 tokens hold three turns of 273");
+    assert_eq!(
+        granted.count(),
+        2,
+        "900 tokens are enough for three turns of 273, and one is open already"
+    );
 }
 
 #[test]
