--- a/crates/membership/src/detector.rs
+++ b/crates/membership/src/detector.rs
@@ -25,8 +25,9 @@
     indirect_sent: bool,
 }
 
+/// A probe that this daemon runs on request of another one (ping-req in SWIM).
 #[derive(Clone, Copy, Debug)]
-struct IndirectPing {
+struct IndirectProbe {
     requester: Address,
     requester_sequence: u64,
 }
@@ -45,9 +46,13 @@
     next_sync_ms: u64,
     sequence: u64,
     probe: Option<Probe>,
+    /// Members still to be probed in this round, last one first.
     probe_order: Vec<Address>,
-    indirect_pings: BTreeMap<u64, IndirectPing>,
+    /// Indirect probes that await an answer, by the sequence number of their ping.
+    indirect_probes: BTreeMap<u64, IndirectProbe>,
+    /// Suspected processes, and since when in milliseconds.
     suspected_ms: BTreeMap<Address, (ProcessId, u64)>,
+    /// Processes that are dead or have left, and since when in milliseconds.
     dead_ms: BTreeMap<Address, (ProcessId, u64)>,
     packets_out: Vec<Outgoing>,
 }
@@ -80,7 +85,7 @@
             sequence: 0,
             probe: None,
             probe_order: Vec::new(),
-            indirect_pings: BTreeMap::new(),
+            indirect_probes: BTreeMap::new(),
             suspected_ms: BTreeMap::new(),
             dead_ms: BTreeMap::new(),
             packets_out: Vec::new(),
@@ -99,13 +104,16 @@
         self.own.id
     }
 
-    /// How long a process has been considered dead or gone, in milliseconds; `None` if it is not.
+    /// How long a process has been considered dead or known to have left, in milliseconds; `None`
+    /// if it is neither.
     pub fn dead_for_ms(&self, id: ProcessId) -> Option<u64> {
         let (dead, since_ms) = self.dead_ms.get(&id.address)?;
         (*dead == id).then(|| self.now_ms.saturating_sub(*since_ms))
     }
 
-    /// Applies a fact and spreads it if it is newer than the known one. Returns whether it is.
+    /// Applies a fact and spreads it if it is newer than the known one. Returns true if it is
+    /// newer. A statement about this process is refuted instead if it is wrong, and false is
+    /// returned.
     pub fn learn(&mut self, fact: Fact) -> bool {
         if let Fact::Member(member) = &fact
             && member.id.address == self.own.id.address
@@ -147,12 +155,12 @@
         self.learn(Fact::Member(self.own.clone()));
     }
 
-    fn refute(&mut self, claim: &Member) -> bool {
-        if claim.id != self.own.id || self.own.state == MemberState::Left {
+    fn refute(&mut self, statement: &Member) -> bool {
+        if statement.id != self.own.id || self.own.state == MemberState::Left {
             return false;
         }
-        if claim.state > MemberState::Alive && claim.refutation >= self.own.refutation {
-            self.own.refutation = claim.refutation + 1;
+        if statement.state > MemberState::Alive && statement.refutation >= self.own.refutation {
+            self.own.refutation = statement.refutation + 1;
             self.learn(Fact::Member(self.own.clone()));
         }
         false
@@ -174,8 +182,8 @@
 
     /// Advances the time and returns the packets to send.
     pub fn tick(&mut self, now_ms: u64) -> Vec<Outgoing> {
-        // After a pause of this process, answers may have been missed, for which no member must be
-        // suspected.
+        // After a pause of this process, answers may have been missed, so no member is suspected
+        // because of them.
         if now_ms > self.now_ms + self.settings.suspicion_ms {
             self.reset_timers(now_ms);
         }
--- a/crates/membership/src/detector/packet.rs
+++ b/crates/membership/src/detector/packet.rs
@@ -1,6 +1,6 @@
 //! Handling of received packets.
 
-use super::{Detector, IndirectPing, Outgoing, Probe};
+use super::{Detector, IndirectProbe, Outgoing, Probe};
 use crate::fact::{Fact, MemberState};
 use crate::gossip::{Message, Packet};
 use fieldhook_model::address::{Address, ProcessId};
@@ -30,9 +30,9 @@
             Message::Ack { sequence } => self.handle_ack(sequence),
             Message::PingRequest { sequence, target } => {
                 self.sequence += 1;
-                self.indirect_pings.insert(
+                self.indirect_probes.insert(
                     self.sequence,
-                    IndirectPing {
+                    IndirectProbe {
                         requester: from,
                         requester_sequence: sequence,
                     },
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Queues the state of a sender that is suspected or considered dead here, so that it can
-    /// refute it.
+    /// Queues the state of a sender that is suspected or considered dead here, so that the sender
+    /// can refute that.
     fn queue_if_not_alive(&mut self, from: ProcessId) {
         let Some(member) = self.table.member(from.address) else {
             return;
@@ -78,11 +78,11 @@
     }
 
     fn handle_ack(&mut self, sequence: u64) {
-        if let Some(ping) = self.indirect_pings.remove(&sequence) {
+        if let Some(probe) = self.indirect_probes.remove(&sequence) {
             self.send(
-                ping.requester,
+                probe.requester,
                 Message::Ack {
-                    sequence: ping.requester_sequence,
+                    sequence: probe.requester_sequence,
                 },
             );
             return;
--- a/crates/membership/src/detector/probe.rs
+++ b/crates/membership/src/detector/probe.rs
@@ -7,7 +7,8 @@
 
 impl Detector {
     pub(super) fn start_probe(&mut self) {
-        self.indirect_pings
+        // Indirect probes are forgotten after 64 further sequence numbers.
+        self.indirect_probes
             .retain(|sequence, _| *sequence + 64 > self.sequence);
         if let Some(probe) = self.probe.take() {
             self.suspect(probe.target);
--- a/crates/membership/src/fact.rs
+++ b/crates/membership/src/fact.rs
@@ -34,11 +34,11 @@
     }
 }
 
-/// An engine or server that is leaving. The mark holds for one incarnation.
+/// An engine or server that is leaving. The mark holds for this incarnation and earlier ones.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, SerBin, DeBin)]
 pub struct LeavingMachine {
     pub address: String,
-    /// Its incarnation, or 0 if it has none.
+    /// Its incarnation, or 0 if it has none; 0 matches every incarnation.
     pub incarnation: u64,
 }
 
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! A SWIM failure detector (Das, Gupta and Motivala, 2002) with incarnations and suspicion, and
 //! without I/O: the caller passes in received packets and the time, and sends the packets that are
-//! returned. The detector's packets also carry facts: members, the version of the configuration and
-//! leaving machines.
+//! returned. The detector's packets also carry facts: members, the offset up to which a daemon has
+//! applied the configuration, and engines and servers that are leaving.
 
 mod detector;
 mod fact;
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,3 +1,5 @@
+//! Timing and sizes of the failure detector.
+
 use std::fmt;
 
 /// Timing and sizes of the failure detector.
@@ -11,7 +13,7 @@
     pub indirect_probes: usize,
     /// Time that a suspected member has to refute the suspicion, in milliseconds.
     pub suspicion_ms: u64,
-    /// Number of times a fact is sent, as a factor on the logarithm of the group size.
+    /// A fact is sent this many times the base-2 logarithm of the group size.
     pub retransmit_factor: u32,
     /// Time between exchanges of digests with a random member, which repair what gossip missed, in
     /// milliseconds.
@@ -38,7 +40,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SettingsError {
     /// A probe must end before the next one begins.
-    AnswerTooSlow,
+    AnswerTimeTooLong,
     /// A suspected member must have time to refute the suspicion.
     SuspicionTooShort,
 }
@@ -46,7 +48,9 @@
 impl fmt::Display for SettingsError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            Self::AnswerTooSlow => "answer_ms must be above 0 and under half of probe_ms; lower it",
+            Self::AnswerTimeTooLong => {
+                "answer_ms must be above 0 and under half of probe_ms; lower it"
+            }
             Self::SuspicionTooShort => "suspicion_ms must be at least twice probe_ms; raise it",
         })
     }
@@ -59,7 +63,7 @@
     /// The first relation that does not hold.
     pub fn validate(&self) -> Result<(), SettingsError> {
         if self.answer_ms == 0 || self.answer_ms * 2 >= self.probe_ms {
-            return Err(SettingsError::AnswerTooSlow);
+            return Err(SettingsError::AnswerTimeTooLong);
         }
         if self.suspicion_ms < self.probe_ms * 2 {
             return Err(SettingsError::SuspicionTooShort);
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -5,6 +5,7 @@
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
+/// Number of buckets into which subjects are hashed for the comparison of two tables.
 const BUCKETS: usize = 64;
 
 fn hash<T: Hash>(value: &T) -> u64 {
@@ -61,7 +62,7 @@
     /// Returns the facts in buckets whose digests differ from another table's.
     pub fn differing(&self, other: &[u64]) -> Vec<Fact> {
         let own = self.digests();
-        let differs = |place: usize| other.get(place) != Some(&own[place]);
+        let differs = |bucket: usize| other.get(bucket) != Some(&own[bucket]);
         let facts = self
             .facts
             .iter()
@@ -85,8 +86,8 @@
         }
     }
 
-    /// Whether a process is known to have ended: another process runs at its address, or it
-    /// announced its leaving. Missing answers are no proof.
+    /// Whether a process is known to have ended: it announced that it leaves, or a later process
+    /// runs at its address. Missing answers are no proof.
     pub fn is_confirmed_gone(&self, id: ProcessId) -> bool {
         self.member(id.address).is_some_and(|member| {
             member.id.incarnation > id.incarnation
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Whether the machine at an address is leaving, in the given incarnation.
+    /// Whether the engine or server at an address is leaving, in the given incarnation.
     pub fn is_leaving(&self, address: &str, incarnation: u64) -> bool {
         match self.facts.get(&Subject::Leaving(address.to_owned())) {
             Some(Fact::Leaving(machine)) => {
--- a/crates/membership/tests/detector_fuzz.rs
+++ b/crates/membership/tests/detector_fuzz.rs
@@ -1,5 +1,5 @@
 //! Runs detectors under virtual time with faults. After the faults end, each must consider exactly
-//! the running processes alive, and know no configuration offset that nobody announced.
+//! the running processes alive, and know no configuration offset that was never announced.
 
 use fieldhook_membership::{Detector, Fact, MemberState, Outgoing, Settings};
 use fieldhook_model::address::{Address, ProcessId};
@@ -12,14 +12,22 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Operation {
+    /// Advances the time, in milliseconds.
     Run(u16),
+    /// Sets the percentage of packets that are lost.
     Loss(u8),
-    Cut(u8),
+    /// Cuts a node off from the network.
+    CutOff(u8),
+    /// Ends the packet loss and connects all nodes again.
     Heal,
-    Freeze(u8, u16),
+    /// Pauses a node, for a time in milliseconds.
+    Pause(u8, u16),
+    /// Restarts a node with a higher incarnation.
     Restart(u8),
+    /// A node announces that it leaves, and stops.
     Leave(u8),
-    Offset(u8),
+    /// A node announces a new configuration offset.
+    AnnounceOffset(u8),
 }
 
 impl Arbitrary for Operation {
@@ -28,12 +36,12 @@
         match u8::arbitrary(generator) % 12 {
             0..=4 => Self::Run(u16::arbitrary(generator) % 4_000),
             5 => Self::Loss(u8::arbitrary(generator) % 50),
-            6 => Self::Cut(node),
+            6 => Self::CutOff(node),
             7 => Self::Heal,
-            8 => Self::Freeze(node, u16::arbitrary(generator) % 8_000),
+            8 => Self::Pause(node, u16::arbitrary(generator) % 8_000),
             9 => Self::Restart(node),
             10 => Self::Leave(node),
-            _ => Self::Offset(node),
+            _ => Self::AnnounceOffset(node),
         }
     }
 }
@@ -41,8 +49,8 @@
 struct Node {
     detector: Option<Detector>,
     incarnation: u64,
-    frozen_until_ms: u64,
-    cut: bool,
+    paused_until_ms: u64,
+    is_cut_off: bool,
 }
 
 struct Simulation {
@@ -63,7 +71,7 @@
         address: address(node),
         incarnation,
     };
-    // Only the first two nodes are seeds, as in a large installation.
+    // Only the first two nodes are seeds, as in a large deployment.
     let seeds = vec![address(0), address(1)];
     let zone = format!("zone-{}", node % 3);
     Detector::new(
@@ -81,8 +89,8 @@
             .map(|node| Node {
                 detector: Some(new_detector(node, 1)),
                 incarnation: 1,
-                frozen_until_ms: 0,
-                cut: false,
+                paused_until_ms: 0,
+                is_cut_off: false,
             })
             .collect();
         Self {
@@ -99,21 +107,21 @@
         match operation {
             Operation::Run(span_ms) => self.run(u64::from(span_ms)),
             Operation::Loss(percent) => self.loss_percent = percent,
-            Operation::Cut(node) => self.nodes[usize::from(node)].cut = true,
+            Operation::CutOff(node) => self.nodes[usize::from(node)].is_cut_off = true,
             Operation::Heal => self.heal(),
-            Operation::Freeze(node, span_ms) => {
-                self.nodes[usize::from(node)].frozen_until_ms = self.now_ms + u64::from(span_ms);
+            Operation::Pause(node, span_ms) => {
+                self.nodes[usize::from(node)].paused_until_ms = self.now_ms + u64::from(span_ms);
             }
             Operation::Restart(node) => self.restart(usize::from(node)),
             Operation::Leave(node) => self.leave(usize::from(node)),
-            Operation::Offset(node) => self.announce_offset(usize::from(node)),
+            Operation::AnnounceOffset(node) => self.announce_offset(usize::from(node)),
         }
     }
 
     fn heal(&mut self) {
         self.loss_percent = 0;
         for node in &mut self.nodes {
-            node.cut = false;
+            node.is_cut_off = false;
         }
     }
 
@@ -122,8 +130,8 @@
         self.nodes[node] = Node {
             detector: Some(new_detector(node, incarnation)),
             incarnation,
-            frozen_until_ms: 0,
-            cut: false,
+            paused_until_ms: 0,
+            is_cut_off: false,
         };
     }
 
@@ -165,7 +173,7 @@
     fn tick_all(&mut self) {
         for node in 0..NODES {
             let now_ms = self.now_ms;
-            if self.nodes[node].frozen_until_ms > now_ms {
+            if self.nodes[node].paused_until_ms > now_ms {
                 continue;
             }
             if let Some(detector) = &mut self.nodes[node].detector {
@@ -178,7 +186,7 @@
     fn send(&mut self, from: usize, outgoing: Vec<Outgoing>) {
         for packet in outgoing {
             let lost = self.random.u8(0..100) < self.loss_percent;
-            if !lost && !self.nodes[from].cut {
+            if !lost && !self.nodes[from].is_cut_off {
                 let delay_ms = self.random.u64(1..40);
                 self.network.push((self.now_ms + delay_ms, packet));
             }
@@ -196,12 +204,12 @@
                 continue;
             };
             let target = &mut self.nodes[node];
-            if target.cut {
+            if target.is_cut_off {
                 continue;
             }
-            if target.frozen_until_ms > now_ms {
+            if target.paused_until_ms > now_ms {
                 self.network
-                    .push((target.frozen_until_ms + 1, Outgoing { to, packet }));
+                    .push((target.paused_until_ms + 1, Outgoing { to, packet }));
                 continue;
             }
             if let Some(detector) = &mut target.detector {
