--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -212,7 +212,7 @@
 
     /// Returns whether new clients should connect to this daemon.
     pub fn is_ready(&self) -> bool {
-        let better_elsewhere = self.ledger.reach.get().others_are_better_off();
+        let better_elsewhere = self.ledger.reach.get().should_redirect_clients();
         let knows_all = self.routes.borrow().is_some() && self.servers_listed.get();
         knows_all && !self.is_stopping() && !better_elsewhere
     }
--- a/crates/gateway/src/ledger/cold.rs
+++ b/crates/gateway/src/ledger/cold.rs
@@ -73,7 +73,7 @@
         failed_ms.is_some_and(|failed_ms| self.now_ms() < failed_ms + CONFIRM_RETRY_MS)
     }
 
-    fn confirm(&self, partition: u32, claim: &Claim, asked_ms: u64) {
+    fn confirm(&self, partition: u32, claim: &Claim, sent_ms: u64) {
         let mut leases = self.leases.borrow_mut();
         self.failed_ms.borrow_mut().remove(&partition);
         let is_known = leases
@@ -84,7 +84,7 @@
             leases.insert(partition, lease);
         }
         if let Some(lease) = leases.get_mut(&partition) {
-            lease.confirm(asked_ms, self.now_ms());
+            lease.confirm(sent_ms, self.now_ms());
         }
     }
 }
@@ -138,7 +138,7 @@
     if !counters.confirming.borrow_mut().insert(partition) {
         return;
     }
-    let asked_ms = counters.now_ms();
+    let sent_ms = counters.now_ms();
     let limit = Duration::from_millis(TERM_MS);
     let fenced = fence(
         owner.store.as_ref(),
@@ -151,7 +151,7 @@
     match fenced {
         // The log reports a sequence error if this owner has appended records before, which also
         // shows that its epoch is current.
-        Ok(()) | Err(StoreError::Sequence(_)) => counters.confirm(partition, &claim, asked_ms),
+        Ok(()) | Err(StoreError::Sequence(_)) => counters.confirm(partition, &claim, sent_ms),
         Err(error) => {
             let now_ms = counters.now_ms();
             let previous = counters.failed_ms.borrow_mut().insert(partition, now_ms);
--- a/crates/gateway/src/relay/reader.rs
+++ b/crates/gateway/src/relay/reader.rs
@@ -114,7 +114,7 @@
         let mut pages = self.pages.borrow_mut();
         if let Some(page) = pages.get(&after)
             && mirror.is_complete()
-            && page.end >= mirror.first_offset()
+            && page.end >= mirror.first_recent()
         {
             return Some(page.clone());
         }
@@ -181,7 +181,7 @@
             match read {
                 ReadResult::Records(records) => return topic.reply(&records, request.from_offset),
                 ReadResult::Truncated => {
-                    return LedgerReply::TopicGone(topic.mirror.borrow().first_offset());
+                    return LedgerReply::TopicGone(topic.mirror.borrow().first_recent());
                 }
                 ReadResult::Empty if is_over || topic.age_ms() > max_age_ms => {
                     return topic.reply(&[], request.from_offset);
--- a/crates/gateway/src/relay/reader_slots.rs
+++ b/crates/gateway/src/relay/reader_slots.rs
@@ -22,7 +22,7 @@
         let Some(slot) = relay.vacant_slot() else {
             continue;
         };
-        sleep(delay + random_delay::draw(fastrand::u64(..))).await;
+        sleep(delay + random_delay::random_delay(fastrand::u64(..))).await;
         let is_vacant = || relay.vacant_slot().as_ref() == Some(&slot);
         if !is_vacant() || daemon.is_stopping() {
             continue;
--- a/crates/log/src/api.rs
+++ b/crates/log/src/api.rs
@@ -97,7 +97,7 @@
     Full,
     /// No answer was received. The call may have taken effect or may still do so.
     Unknown,
-    /// A higher epoch is in force.
+    /// The partition has a higher epoch, set by a later owner.
     Fenced,
     /// The sequence number does not follow the previous one; the value is the expected number.
     Sequence(u64),
@@ -121,7 +121,7 @@
             Self::Full => write!(formatter, "no space left; retry after records were deleted"),
             Self::Unknown => write!(formatter, "no answer; retry with the same sequence number"),
             Self::Fenced => write!(formatter, "fenced by a higher epoch; give up the partition"),
-            Self::Sequence(wanted) => write!(formatter, "sequence number {wanted} expected"),
+            Self::Sequence(expected) => write!(formatter, "sequence number {expected} expected"),
             Self::Moved(end) => {
                 write!(formatter, "partition ends at {end}; read up to there first")
             }
@@ -157,7 +157,7 @@
         timeout: Duration,
     ) -> LocalBoxFuture<'_, Result<ReadBatch, StoreError>>;
 
-    /// Returns one page of the newest record of each key.
+    /// Returns one page of a listing, which contains the newest record of each key.
     fn newest(
         &self,
         partition: Partition,
--- a/crates/log/src/appender.rs
+++ b/crates/log/src/appender.rs
@@ -30,9 +30,9 @@
 /// Outcome of queued records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The records are durable, and the epoch was still in force when they became durable.
+    /// The records are durable, and no later owner had fenced this one when they became durable.
     Durable,
-    /// A later owner is in force. The records may or may not be on the log.
+    /// Fenced by a later owner. The records may or may not be on the log.
     Lost,
 }
 
@@ -62,7 +62,7 @@
 /// Why [`Appender::run`] returned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AppendEnd {
-    /// A later owner is in force.
+    /// Fenced by a later owner.
     Fenced,
     /// [`Appender::stop`] was called.
     Stopped,
@@ -71,7 +71,7 @@
 /// Sets the epoch of a partition. Appends of earlier epochs are rejected from then on.
 ///
 /// # Errors
-/// A later owner is in force, or the call to the log service failed.
+/// Fenced by a later owner, or the call to the log service failed.
 pub async fn fence(
     store: &dyn LogStore,
     partition: Partition,
--- a/crates/log/src/claim_delay.rs
+++ b/crates/log/src/claim_delay.rs
@@ -30,12 +30,12 @@
 const NARROW_LINK_MBPS: f64 = 100.0;
 /// Unit of the delay: long enough to learn of another daemon's claim.
 const STEP: Duration = Duration::from_millis(100);
-/// Upper bound in steps, because a partition without an owner serves nobody.
+/// Upper bound in steps, because requests to a partition without an owner fail.
 const MAX_STEPS: u32 = 5;
 
 /// Delay before a claim while this daemon is already reading `reading` other partitions. Partitions
-/// are read one after another, and a small machine takes 4 s for each where a minute of turns is
-/// kept: one that claimed three at once had read the last of them only after 12 s.
+/// are read one after another. A small machine takes 4 s per partition if the ledger stores turns
+/// for a minute, so one that claimed three at once needed 12 s.
 pub fn claim_delay(capacity: Capacity, reading: u32) -> Duration {
     let small = capacity.cores < SMALL_CORES || capacity.link_mbps < NARROW_LINK_MBPS;
     let reading = reading.min(MAX_STEPS);
--- a/crates/log/src/claims.rs
+++ b/crates/log/src/claims.rs
@@ -12,7 +12,9 @@
 use tokio::sync::Notify;
 use tokio::time::sleep;
 
+/// Timeout of a conditional append.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(300);
+/// Timeout of a read of newer claims.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(300);
 /// Attempts of a conditional append. Claims of other partitions move the end of the topic, after
 /// which the append is repeated.
@@ -22,14 +24,15 @@
 const FOLLOW_WAIT: Duration = Duration::from_millis(6_000);
 /// Delay before an unowned partition is claimed, for each partition already owned.
 const DELAY_PER_PARTITION: Duration = Duration::from_millis(250);
+/// Upper bound of the random part of that delay, in milliseconds.
 const DELAY_JITTER_MS: u64 = 250;
 
 /// Why a partition was not claimed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimError {
-    /// Another daemon claimed it first.
+    /// The claim has changed, this daemon already holds it, or the record is no longer wanted.
     Overtaken,
-    /// The daemon is shutting down, or has not read the claims yet.
+    /// The daemon no longer claims partitions because it stops, or has not read the claims yet.
     NotNow,
     /// This daemon may not own the partition.
     NotEligible,
@@ -93,7 +96,7 @@
         self.partitions
     }
 
-    /// Returns the claim in force.
+    /// Returns the newest known claim of a partition.
     pub fn claim(&self, partition: u32) -> Option<Claim> {
         self.ownership.borrow().claim(partition)
     }
@@ -130,7 +133,7 @@
         self.ownership.borrow().is_loaded()
     }
 
-    /// Stops claiming partitions, because the daemon is shutting down.
+    /// Stops claiming partitions, because the daemon is about to stop.
     pub fn stop_claiming(&self) {
         self.stopped.set(true);
     }
@@ -174,14 +177,14 @@
     }
 
     /// Claims a partition for this daemon, unless the epoch of its claim is no longer
-    /// `suspected_epoch`.
+    /// `replaced_epoch`.
     ///
     /// # Errors
-    /// Another daemon was first, this daemon is not eligible, or the append failed.
+    /// The claim has changed, this daemon holds it or is not eligible, or the append failed.
     pub async fn take_over(
         &self,
         partition: u32,
-        suspected_epoch: Option<u64>,
+        replaced_epoch: Option<u64>,
     ) -> Result<(), ClaimError> {
         for _ in 0..MAX_ATTEMPTS {
             if self.stopped.get() || !self.is_loaded() {
@@ -191,16 +194,17 @@
                 return Err(ClaimError::NotEligible);
             }
             let current = self.claim(partition);
-            let former_epoch = current.map(|claim| claim.epoch);
+            let current_epoch = current.map(|claim| claim.epoch);
             let mine = current.is_some_and(|claim| self.is_mine(&claim));
-            if mine || former_epoch != suspected_epoch {
+            if mine || current_epoch != replaced_epoch {
                 return Err(ClaimError::Overtaken);
             }
             let record = Ownership::claim_record(partition, self.address, self.incarnation);
             match self.append(record).await {
                 Ok(()) => {
                     tracing::info!(event = "partition_claimed", topic = self.topic, partition,
-                        former = ?current.and_then(|claim| claim.address), former_epoch);
+                        former = ?current.and_then(|claim| claim.address),
+                        former_epoch = current_epoch);
                     return Ok(());
                 }
                 Err(StoreError::Moved(end)) => self.catch_up(end).await?,
@@ -337,7 +341,8 @@
     }
 
     /// Claims unowned partitions until [`Self::stop_claiming`]. Daemons that own fewer partitions
-    /// claim earlier, and each waits four times `extra_delay` on top.
+    /// claim earlier. `extra_delay` is the delay of this machine ([`crate::claim_delay`]) and is
+    /// added four times.
     pub async fn run_claim_unowned(self: Rc<Self>, extra_delay: Duration) {
         loop {
             let owned = self.ownership.borrow().count(|claim| self.is_mine(claim)) as u32;
@@ -374,6 +379,7 @@
                 Some(address) => address == self.address && claim.incarnation != self.incarnation,
             },
         };
+        // Daemons of different incarnations start at different partitions.
         let first = self.incarnation as u32;
         (0..self.partitions)
             .filter(is_unowned)
--- a/crates/log/src/eligibility.rs
+++ b/crates/log/src/eligibility.rs
@@ -4,7 +4,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Decides for a partition and its claim in force whether this daemon may claim it.
+/// Decides for a partition and its current claim whether this daemon may claim it.
 pub type Predicate = Rc<dyn Fn(u32, Option<&Claim>) -> bool>;
 
 /// Optional restriction of the partitions that this daemon may own; without one, all are allowed.
@@ -19,7 +19,7 @@
         *self.predicate.borrow_mut() = Some(predicate);
     }
 
-    /// Whether this daemon may claim a partition whose claim in force is `claim`.
+    /// Whether this daemon may claim a partition whose current claim is `claim`.
     pub fn allows(&self, partition: u32, claim: Option<&Claim>) -> bool {
         let predicate = self.predicate.borrow().clone();
         predicate.is_none_or(|predicate| predicate(partition, claim))
--- a/crates/log/src/follow.rs
+++ b/crates/log/src/follow.rs
@@ -15,11 +15,13 @@
 const MAX_PAGE_TIMEOUT: Duration = Duration::from_millis(4_800);
 /// Time that a read may take beyond the wait it asked for.
 pub const READ_MARGIN: Duration = Duration::from_millis(700);
+/// Pause after the first failed call; doubled by each further failure.
 const INITIAL_PAUSE: Duration = Duration::from_millis(30);
-/// Longest time from a read that is given up until the next one reports what was missed, with a
-/// healthy log: the first pause with its longest jitter, a new connection of at most 300 ms, and
-/// an answer.
+/// Maximum time between a read that timed out and the answer to the next one, while the log is
+/// healthy: the first pause with its longest jitter, a new connection of at most 300 ms, and an
+/// answer.
 pub const RESUME_DELAY: Duration = Duration::from_millis(400);
+/// Longest pause between failed calls, before jitter.
 const MAX_PAUSE: Duration = Duration::from_millis(400);
 
 /// Result of [`Follower::next_update`].
@@ -85,7 +87,8 @@
 }
 
 impl Follower {
-    /// Creates a follower whose reads wait up to `wait` for new records.
+    /// Creates a follower whose reads wait up to `wait` for new records. With a zero wait, empty
+    /// updates are returned as well.
     pub fn new(
         store: Rc<dyn LogStore>,
         health: Rc<LogHealth>,
@@ -130,8 +133,8 @@
     /// Waits for the next update, repeating calls during outages.
     pub async fn next_update(&mut self) -> Update {
         loop {
-            // A read that hangs since an outage is abandoned once the service is known to answer
-            // again.
+            // A read that has been pending since an outage is abandoned once the service is known
+            // to answer again.
             let health = self.health.clone();
             let result = tokio::select! {
                 result = self.attempt() => result,
--- a/crates/log/src/hedge.rs
+++ b/crates/log/src/hedge.rs
@@ -4,7 +4,7 @@
 //!
 //! Abandoning an attempt before the next one would lose its answer where the service is only slow.
 //! Waiting for it would lose time where the answer is lost or the connection is silent. So an
-//! overdue attempt stays pending beside the next one.
+//! overdue attempt stays pending during the next one.
 
 use crate::api::{Append, Appended, LogStore, StoreError};
 use crate::log_health::LogHealth;
@@ -62,7 +62,7 @@
 /// offset is then unknown.
 ///
 /// # Errors
-/// Only [`StoreError::Fenced`]: a later owner is in force.
+/// Only [`StoreError::Fenced`]: a later owner has fenced this one.
 pub async fn append(
     store: &dyn LogStore,
     health: &LogHealth,
@@ -91,7 +91,7 @@
                 }
                 Err(StoreError::Fenced) => return Err(StoreError::Fenced),
                 // An earlier attempt succeeded.
-                Err(StoreError::Sequence(wanted)) if wanted == sequence + 1 => return Ok(None),
+                Err(StoreError::Sequence(expected)) if expected == sequence + 1 => return Ok(None),
                 Err(error) => {
                     if rejections == 0 {
                         log_repeat(&append, error);
--- a/crates/log/src/lib.rs
+++ b/crates/log/src/lib.rs
@@ -14,7 +14,7 @@
 //! - [`mirror`]: copy of a followed topic that a reader serves.
 //! - [`ownership`]: table of partition owners.
 //! - [`random_delay`]: delay before competing appends.
-//! - [`reach`]: tells an outage of the log from being cut off.
+//! - [`reach`]: distinguishes an outage of the log from a lost connection of this daemon.
 //! - [`reader_selector`]: selects the readers that a daemon asks.
 //! - [`readers`]: daemons that read followed topics for others.
 //! - [`round_trip`]: estimate of the answer time.
--- a/crates/log/src/log_health.rs
+++ b/crates/log/src/log_health.rs
@@ -59,7 +59,7 @@
         self.first_failure.get().is_some()
     }
 
-    /// Whether no call failed for this long.
+    /// Whether the last failure, if any, is at least this long ago.
     pub fn no_failure_for(&self, time: Duration) -> bool {
         self.last_failure
             .get()
--- a/crates/log/src/mirror.rs
+++ b/crates/log/src/mirror.rs
@@ -20,7 +20,7 @@
     Empty,
     /// The records are no longer kept. The topic has to be listed again.
     Truncated,
-    /// The offset is beyond the end of this mirror: the caller has read more.
+    /// The offset is beyond the end of this mirror, or the topic was not listed completely yet.
     Ahead,
 }
 
@@ -56,7 +56,7 @@
     }
 
     /// First offset from which records are kept in order.
-    pub fn first_offset(&self) -> u64 {
+    pub fn first_recent(&self) -> u64 {
         self.first_recent
     }
 
--- a/crates/log/src/ownership.rs
+++ b/crates/log/src/ownership.rs
@@ -1,5 +1,8 @@
 //! Table of partition owners.
 //!
+//! A grant is a promise of an owner to a client, such as tokens that a turn may deliver (see the
+//! ledger crate). The next owner needs to know all grants, so they are recorded in the log.
+//!
 //! A compacted topic holds the newest claim of each partition. A claim is appended on the condition
 //! that the topic ends where its writer has read to, so two concurrent claims can't both succeed.
 //! The offset of a claim gives the epoch that fences every earlier owner.
@@ -14,7 +17,7 @@
 struct ClaimRecord {
     address: String,
     incarnation: u64,
-    /// Set in a handover, a release that leaves no grant unrecorded: see
+    /// Set in a handover, that is, a release after all grants of the owner were recorded: see
     /// [`PreviousOwner::HandedOver`].
     handover_uncertainty_ms: Option<u64>,
 }
@@ -26,15 +29,15 @@
     None,
     /// It released the partition after everything that it had granted was durable.
     HandedOver {
-        /// For this many milliseconds after the release, grants of still earlier owners that were
-        /// never recorded may come up.
+        /// For this many milliseconds after the release, there may be unrecorded grants of owners
+        /// before it.
         uncertainty_ms: u64,
     },
     /// It was replaced, or released the partition while some of its grants were not yet recorded.
     Lost,
 }
 
-/// A claim in force.
+/// The newest claim of a partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Claim {
     /// Address at which the owner listens for other daemons; `None` after a release.
@@ -103,19 +106,19 @@
         let key: [u8; 4] = record.key.as_slice().try_into().ok()?;
         let partition = u32::from_be_bytes(key);
         let decoded = ClaimRecord::deserialize_bin(&record.value).ok()?;
-        let former = self.claims.get(&partition).copied();
+        let previous = self.claims.get(&partition).copied();
         let claim = Claim {
             address: decoded.address.parse().ok(),
             incarnation: decoded.incarnation,
             epoch: offset + 1,
-            previous_owner: match former.map(|former| former.handover_uncertainty_ms) {
+            previous_owner: match previous.map(|previous| previous.handover_uncertainty_ms) {
                 None => PreviousOwner::None,
                 Some(Some(uncertainty_ms)) => PreviousOwner::HandedOver { uncertainty_ms },
                 Some(None) => PreviousOwner::Lost,
             },
             handover_uncertainty_ms: decoded.handover_uncertainty_ms,
         };
-        if Some(claim.epoch) <= former.map(|former| former.epoch) {
+        if Some(claim.epoch) <= previous.map(|previous| previous.epoch) {
             return None;
         }
         self.claims.insert(partition, claim);
@@ -125,8 +128,8 @@
     /// Applies a claim that another daemon reported. Returns whether it is newer than the known
     /// one.
     pub fn learn(&mut self, partition: u32, claim: Claim) -> bool {
-        let former = self.claims.get(&partition).map_or(0, |claim| claim.epoch);
-        let is_new = claim.epoch > former;
+        let previous = self.claims.get(&partition).map_or(0, |claim| claim.epoch);
+        let is_new = claim.epoch > previous;
         if is_new {
             self.claims.insert(partition, claim);
         }
@@ -161,7 +164,7 @@
         self.end
     }
 
-    /// Returns the claim in force.
+    /// Returns the newest claim of a partition.
     pub fn claim(&self, partition: u32) -> Option<Claim> {
         self.claims.get(&partition).copied()
     }
--- a/crates/log/src/reach.rs
+++ b/crates/log/src/reach.rs
@@ -4,7 +4,7 @@
 //! A daemon whose calls to the log fail can't tell by itself whether the log is down for all
 //! daemons or only this one is cut off. In the first case its clients are served here as well as
 //! anywhere. In the second they should be sent to other daemons, and its partitions should go to an
-//! owner that can append. See docs/PLATFORM.md, "What happens".
+//! owner that can append.
 
 use std::cmp::Ordering;
 
@@ -27,7 +27,7 @@
 
 impl Reach {
     /// Whether other daemons can serve clients that this one can't.
-    pub fn others_are_better_off(self) -> bool {
+    pub fn should_redirect_clients(self) -> bool {
         matches!(self, Self::CutOff | Self::Isolated | Self::Minority)
     }
 }
@@ -48,8 +48,8 @@
     },
 }
 
-/// Result of one check of the zones and owners. It is made while an owner is silent, as either that
-/// owner may be gone, or this daemon may be cut off together with a few others.
+/// Result of one check of the zones and owners. It is made while an owner does not answer: either
+/// that owner is lost, or a network partition separates this daemon and a few others from it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Look {
     /// Zones with servers, including this daemon's own.
@@ -85,8 +85,8 @@
     }
 
     /// Whether this side has the smaller part of the zones. Of two equal halves, the one with the
-    /// first zone continues: if both stopped, nobody would serve, and if neither did, they would
-    /// take each other's partitions in turn.
+    /// first zone continues: if both stopped, no partition would have an owner, and if neither did,
+    /// they would take each other's partitions in turn.
     fn has_minority_of_zones(&self) -> bool {
         match (self.zones_reached * 2).cmp(&self.zones) {
             Ordering::Less => true,
@@ -95,15 +95,16 @@
         }
     }
 
-    /// Whether this daemon is cut off from most of the owners, in whatever zone. A daemon that has
-    /// the log can replace owners that it does not reach.
+    /// Whether this daemon does not reach most of the owners, regardless of their zones. Always
+    /// false if the log answers, because then this daemon can replace owners that it does not
+    /// reach.
     fn has_minority_of_owners(&self) -> bool {
         !self.log && self.asked >= MIN_OWNER_SAMPLE && self.answered * 2 < self.asked
     }
 }
 
 /// Consecutive rounds without any answer before [`Reach::Isolated`]: the daemons asked may be
-/// frozen or gone themselves.
+/// paused or lost themselves.
 const ISOLATED_AFTER: u32 = 2;
 
 /// Derives [`Reach`] from successive rounds.
--- a/crates/log/src/reader_selector.rs
+++ b/crates/log/src/reader_selector.rs
@@ -1,5 +1,5 @@
-//! Selects whom a daemon asks for the topics it follows: the readers of its zone first, then those
-//! of other zones, and the log itself if no reader answers.
+//! Selects the reader that a daemon requests a followed topic from: the readers of its zone first,
+//! then those of other zones, and the log itself if no reader answers.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,9 +14,9 @@
 /// Number of readers in other zones that are tried before the log. It is small because their
 /// traffic crosses zones.
 const MAX_REMOTE_READERS: usize = 2;
-/// The time within which changes have to be known is divided by this. Only readers are asked for
-/// one to two such parts, which leaves the rest for a reader that stops answering and for the
-/// answer of the log.
+/// For one to two of this many parts of the time within which changes have to be known, only
+/// readers are asked. The rest is left for a reader that stops answering and for the answer of the
+/// log.
 const READERS_ONLY_DIVISOR: u64 = 10;
 /// Factor on the wait before the log is asked, while no reader has answered yet: the first readers
 /// claim their slots while the log still serves what all daemons requested before.
@@ -50,8 +50,8 @@
     unanswered: HashMap<String, Unanswered>,
     /// Whether any reader has ever answered. Before that, possibly no slot is claimed yet.
     has_answer: bool,
-    /// Time for which only readers are asked at first, in milliseconds: the log can't send to all
-    /// daemons at once what the readers send them.
+    /// Time for which only readers are asked at first, in milliseconds: the log cannot serve all
+    /// daemons at once.
     readers_only_ms: u64,
 }
 
@@ -124,8 +124,8 @@
     }
 
     /// Records that the log is asked about a topic instead. Until a reader answers, the next such
-    /// query comes after twice the time: where no daemon has a reader, their load on the log
-    /// decreases until it can serve the future readers.
+    /// query comes after twice the time. If there are no readers yet, this reduces the load on the
+    /// log until it can serve those that claim a slot.
     pub fn record_log_fallback(&mut self, topic: &str, now_ms: u64) {
         if let Some(unanswered) = self.unanswered.get_mut(topic) {
             unanswered.since_ms = now_ms;
--- a/crates/log/src/readers.rs
+++ b/crates/log/src/readers.rs
@@ -1,8 +1,8 @@
 //! Readers: daemons that read the followed topics from the log for the other daemons of their zone.
 //!
-//! If every daemon read for itself, the load would grow with daemons times records, and the
-//! bandwidth of the log is shared by all. So a few daemons of each zone read from the log, and the
-//! others ask these (docs/design/fleet.md). Each zone has a fixed number of reader slots. A slot is
+//! If every daemon read for itself, the load on the log would grow with the number of daemons times
+//! the number of records. So a few daemons of each zone read from the log, and the others ask these
+//! (docs/design/fleet.md). Each zone has a fixed number of reader slots. A slot is
 //! a record in the topic of claims, which is appended conditionally like a claim, and holds the
 //! address of a daemon. It is not a lease: a daemon that is asked but does not hold the slot
 //! rejects the request, and a daemon that gets no answer from the holder claims the slot.
@@ -71,8 +71,8 @@
         if known.is_some_and(|(known, _)| offset <= *known) {
             return false;
         }
-        let former = self.slots.insert(slot, (offset, address));
-        former.map(|(_, former)| former) != Some(address)
+        let previous = self.slots.insert(slot, (offset, address));
+        previous.map(|(_, holder)| holder) != Some(address)
     }
 
     /// Whether no slot is held. Daemons ask readers only if some slot is held.
--- a/crates/log/src/round_trip.rs
+++ b/crates/log/src/round_trip.rs
@@ -1,6 +1,6 @@
 //! Estimate of the time that the log service takes to answer, adapted to the answers themselves.
 //!
-//! A fixed time-out does not work: it is far too long where an answer was lost, and far too short
+//! A fixed timeout does not work: it is far too long where an answer was lost, and far too short
 //! where the service is sixty times slower than usual. The estimate jumps up with the first slow
 //! answer and decays slowly, so that a slow service is not sent repeats of calls that it is about
 //! to answer.
--- a/crates/log/src/trimmer.rs
+++ b/crates/log/src/trimmer.rs
@@ -1,7 +1,7 @@
-//! Deletes the history of a compacted partition.
+//! Deletes the history of a compacted partition, that is, its superseded records.
 //!
 //! The storage limit of the service counts every appended record and, separately, the newest record
-//! of each key. Owners only read the latter, so the owner in force deletes the history as it grows.
+//! of each key. Owners only read the latter, so the current owner deletes the history as it grows.
 //! Late or repeated calls do no harm, because the newest record of each key is always kept
 //! (docs/design/room-on-the-log.md).
 
--- a/crates/log/src/wire.rs
+++ b/crates/log/src/wire.rs
@@ -193,7 +193,7 @@
     fn from(error: StoreError) -> Self {
         match error {
             StoreError::Fenced => Self::Fenced,
-            StoreError::Sequence(wanted) => Self::Sequence(wanted),
+            StoreError::Sequence(expected) => Self::Sequence(expected),
             StoreError::Moved(end) => Self::Moved(end),
             StoreError::Gone(first) => Self::Gone(first),
             _ => Self::NotDone,
@@ -223,7 +223,7 @@
     fn into_error(self) -> StoreError {
         match self {
             Self::Fenced => StoreError::Fenced,
-            Self::Sequence(wanted) => StoreError::Sequence(wanted),
+            Self::Sequence(expected) => StoreError::Sequence(expected),
             Self::Moved(end) => StoreError::Moved(end),
             Self::Gone(first) => StoreError::Gone(first),
             Self::NotDone => StoreError::NotDone,
--- a/crates/log/tests/follow.rs
+++ b/crates/log/tests/follow.rs
@@ -91,7 +91,7 @@
         assert_eq!(
             confirmed[..3],
             [0, 1, 3],
-            "the late answer does not confirm"
+            "confirmed after the listing and after reads 1 and 3, but not by the late answer to 2"
         );
         let waits = store.waits.borrow();
         assert_eq!(waits[..4], [WAIT, WAIT, Duration::ZERO, WAIT]);
--- a/crates/log/tests/mirror.rs
+++ b/crates/log/tests/mirror.rs
@@ -104,7 +104,9 @@
     expected: Newest,
     written: u64,
     mirror: Mirror,
-    page: Option<Option<Vec<u8>>>,
+    /// Key after which the next page is requested; `None` for the first page. The inner option is
+    /// never `None`.
+    next_page_after: Option<Option<Vec<u8>>>,
     client: Client,
 }
 
@@ -159,10 +161,10 @@
     }
 
     fn read_page(&mut self) {
-        let after = self.page.take().flatten();
+        let after = self.next_page_after.take().flatten();
         let page = self.log.newest(&topic(), after.as_deref());
         self.mirror.apply_page(after.as_deref(), &page);
-        self.page = page.more_after.map(Some);
+        self.next_page_after = page.more_after.map(Some);
     }
 
     /// Whether the client knows the content of the topic after the last write.
--- a/crates/log/tests/owners.rs
+++ b/crates/log/tests/owners.rs
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn outdated_suspicion_does_not_take_over() {
+fn take_over_with_an_outdated_epoch_fails() {
     run(async {
         let log = Rc::new(SharedLog::default());
         let (a, b, c) = (daemon(&log, 1), daemon(&log, 2), daemon(&log, 3));
@@ -164,7 +164,7 @@
         for partition in 0..PARTITIONS {
             assert!(
                 daemons[0].claims.claim(partition).is_some(),
-                "nobody owns {partition}"
+                "partition {partition} has no owner"
             );
         }
     });
@@ -268,7 +268,7 @@
     begun.elapsed()
 }
 
-/// A lost answer costs a few usual round trips, not a fixed time-out.
+/// A lost answer costs a few usual round trips, not a fixed timeout.
 #[test]
 fn lost_answer_is_repeated_after_a_few_round_trips() {
     run(async {
@@ -344,9 +344,13 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
+    /// The owner queues a record.
     Push,
+    /// Sets the fault of the log: see [`fault`].
     Fault(u8),
+    /// Waits for 3 ms.
     Wait,
+    /// A new owner fences the current one.
     NewOwner,
 }
 
@@ -361,6 +365,7 @@
     }
 }
 
+/// Fault for a random number. `None` is twice as likely as each of the others.
 fn fault(number: u8) -> LogFault {
     match number % 7 {
         0 => LogFault::Down,
--- a/crates/log/tests/reach.rs
+++ b/crates/log/tests/reach.rs
@@ -1,4 +1,4 @@
-//! How a daemon without the log tells an outage from being cut off.
+//! How a daemon that the log does not answer distinguishes an outage from a lost connection.
 
 use fieldhook_log::reach::{Look, Reach, ReachTracker, Round};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -32,13 +32,13 @@
 #[test]
 fn daemon_without_peers_is_not_isolated() {
     let mut tracker = ReachTracker::default();
-    let nobody = Round::Asked {
+    let no_peers = Round::Asked {
         asked: 0,
         answered: 0,
         reach_log: 0,
     };
-    assert_eq!(tracker.update(nobody), Some(Reach::Outage));
-    assert_eq!(tracker.update(nobody), None);
+    assert_eq!(tracker.update(no_peers), Some(Reach::Outage));
+    assert_eq!(tracker.update(no_peers), None);
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -96,7 +96,7 @@
             tracker.update_with(Round::Heard, Some(cut)),
             Some(Reach::Minority)
         );
-        assert!(tracker.reach().others_are_better_off());
+        assert!(tracker.reach().should_redirect_clients());
         assert_eq!(tracker.update_with(Round::Heard, Some(cut)), None);
         let healed = look(3, 8, true);
         assert_eq!(
@@ -143,8 +143,8 @@
     assert_eq!(round, Some(Reach::Outage));
 }
 
-/// However the zones are split in two, exactly one side continues, because both or none of them
-/// would do harm. The log answers on both sides.
+/// However the zones are split in two, exactly one side continues. It would do harm if both or
+/// neither continued. The log answers on both sides.
 #[test]
 fn exactly_one_of_two_sides_continues() {
     for zones in 2..9_u32 {
--- a/crates/log/tests/asker.rs
+++ b/crates/log/tests/reader_selector.rs
@@ -1,7 +1,7 @@
 //! Reader slots, the selection of readers and the random delay before a slot is claimed.
 
 use fieldhook_log::ownership::Ownership;
-use fieldhook_log::random_delay::{draw, max};
+use fieldhook_log::random_delay::{max, random_delay};
 use fieldhook_log::reader_selector::ReaderSelector;
 use fieldhook_log::readers::{ReaderSlot, Readers, SLOTS_PER_ZONE};
 use std::net::SocketAddr;
@@ -41,7 +41,7 @@
     assert_eq!(readers.vacant_slot("z1", &is_lost), Some(slot("z1", 1)));
 }
 
-/// Slots and claims share a topic, and daemons of an older version know nothing of slots.
+/// Slots and claims share a topic, and daemons of an older version ignore slot records.
 #[test]
 fn slots_and_claims_share_a_topic() {
     let mut readers = Readers::default();
@@ -120,13 +120,13 @@
     );
 }
 
-/// Without the delay, 1,000 daemons claimed a slot at once: four times what the log takes in a
-/// second.
+/// Without the delay, 1,000 daemons claimed a slot at once: four times the number of appends that
+/// the log handles per second.
 #[test]
 fn random_delay_limits_concurrent_claims() {
     let mut random = fastrand::Rng::with_seed(9);
     for count in [1, 2, 30, 1_000, 2_000] {
-        let mut delays: Vec<_> = (0..count).map(|_| draw(random.u64(..))).collect();
+        let mut delays: Vec<_> = (0..count).map(|_| random_delay(random.u64(..))).collect();
         delays.sort();
         assert!(delays[0] <= max());
         // Time that a claim and its propagation take.
--- a/crates/log/tests/trimmer.rs
+++ b/crates/log/tests/trimmer.rs
@@ -1,5 +1,5 @@
-//! A log whose storage limit counts every appended record beside the newest record of each key.
-//! Owners delete the history that they and earlier owners left.
+//! Owners delete the history that they and earlier owners left, so that the log never fills up. Its
+//! storage limit counts every appended record in addition to the newest record of each key.
 
 use fieldhook_emulator::log::memory::{LogFault, MemoryLog, SharedLog};
 use fieldhook_log::api::{Append, KeyedRecord, LogStore, Partition, StoreError, Trim};
@@ -59,7 +59,7 @@
         .collect()
 }
 
-/// Starts an owner that is in force.
+/// Starts an owner and fences earlier ones.
 async fn start_owner(store: &Rc<MemoryLog>, epoch: u64) -> Rc<Appender> {
     fence(store.as_ref(), partition(), epoch, TIMEOUT)
         .await
@@ -78,12 +78,12 @@
 
 /// Appends one record. Returns whether it became durable in time.
 async fn append(appender: &Appender, number: usize) -> bool {
-    let (sender, done) = oneshot::channel();
-    let tell = Box::new(move |outcome| {
+    let (sender, receiver) = oneshot::channel();
+    let done = Box::new(move |outcome| {
         let _ = sender.send(outcome);
     });
-    appender.push(vec![record(number)], Urgency::Now, tell);
-    timeout(TIMEOUT, done)
+    appender.push(vec![record(number)], Urgency::Now, done);
+    timeout(TIMEOUT, receiver)
         .await
         .is_ok_and(|outcome| outcome == Ok(Outcome::Durable))
 }
@@ -164,25 +164,25 @@
 }
 
 #[test]
-fn late_trim_of_a_former_owner_is_harmless() {
+fn late_trim_of_a_previous_owner_is_harmless() {
     run(async {
         let log = log_with_storage_limit();
         let store = Rc::new(MemoryLog::new(log));
-        let former = fill(&store).await;
+        let previous = fill(&store).await;
         let appender = start_owner(&store, 2).await;
         spawn_trimmer(&appender);
-        appender.trimmer.inherit_history(former as u64);
-        for number in former..former + KEYS {
+        appender.trimmer.inherit_history(previous as u64);
+        for number in previous..previous + KEYS {
             assert!(append(&appender, number).await);
         }
         let kept = newest(&store).await;
         let late = Trim {
             partition: partition(),
-            before: former as u64 / 2,
+            before: previous as u64 / 2,
             timeout: TIMEOUT,
         };
         store.trim(late).await.expect("trims");
-        assert!(append(&appender, former + KEYS - 1).await);
+        assert!(append(&appender, previous + KEYS - 1).await);
         assert_eq!(newest(&store).await, kept);
     });
 }
