--- a/crates/gateway/src/ledger/limits.rs
+++ b/crates/gateway/src/ledger/limits.rs
@@ -121,7 +121,7 @@
         &request.server,
         request.rate_per_s,
         request.version,
-        request.rank,
+        request.priority,
     )
 }
 
--- a/crates/gateway/src/ledger/served.rs
+++ b/crates/gateway/src/ledger/served.rs
@@ -105,7 +105,7 @@
         let records = self.state.borrow_mut().close(close, unix_ms());
         let _ = sender.send(LedgerReply::Accepted);
         let reply = LedgerReply::Closed;
-        let urgency = match close.awaited {
+        let urgency = match close.delays_response {
             true => Urgency::Now,
             false => Urgency::Soon,
         };
@@ -132,8 +132,8 @@
 
     /// While programs without a record are uncertain (see [`Self::append_handover`]), appends the
     /// record that lets new programs start during an outage of the log.
-    pub(super) fn claim_unrecorded_share(&self) {
-        let records = self.state.borrow().claim_unrecorded_share(unix_ms());
+    pub(super) fn append_unrecorded_share(&self) {
+        let records = self.state.borrow().unrecorded_share_records(unix_ms());
         if !records.is_empty() {
             self.push(records, None, Urgency::Now);
         }
