--- a/crates/bench/src/cluster/ask.rs
+++ b/crates/bench/src/cluster/query.rs
@@ -1,6 +1,6 @@
-//! What a running cluster answers: who is ready, who owns what, where things listen.
+//! Queries to a running cluster: readiness, shard ownership, addresses, process ids.
 
-use super::running::{Cluster, READY_LIMIT, READY_STEP, REQUEST_TIMEOUT};
+use super::running::{Cluster, READY_POLL_INTERVAL, READY_TIMEOUT, REQUEST_TIMEOUT};
 use crate::cluster::process::{Process, ProcessError};
 use fieldhook_http::TextResponse;
 use fieldhook_model::operator::OwnedShardStatus;
@@ -9,10 +9,10 @@
 use std::time::Instant;
 
 impl Cluster {
-    /// Waits until every started daemon serves.
+    /// Waits until every running daemon is ready.
     ///
     /// # Errors
-    /// One does not in time.
+    /// A daemon is not ready in time.
     pub async fn wait_ready(&self) -> Result<(), ProcessError> {
         for daemon in self
             .daemons
@@ -24,26 +24,26 @@
         Ok(())
     }
 
-    /// Waits until one daemon serves.
+    /// Waits until the daemon at `address` is ready.
     ///
     /// # Errors
-    /// It does not in time.
+    /// The daemon is not ready in time.
     pub async fn wait_daemon_ready(&self, address: &str) -> Result<(), ProcessError> {
-        let begun = Instant::now();
-        while begun.elapsed() < READY_LIMIT {
+        let started = Instant::now();
+        while started.elapsed() < READY_TIMEOUT {
             if self
                 .get(address, "/readyz")
                 .await
-                .is_some_and(|reply| reply.status == 200)
+                .is_some_and(|response| response.status == 200)
             {
                 return Ok(());
             }
-            ntex::time::sleep(READY_STEP).await;
+            ntex::time::sleep(READY_POLL_INTERVAL).await;
         }
         Err(ProcessError::NotReady(format!("daemon {address}")))
     }
 
-    /// Reads a path of any process of the cluster.
+    /// Sends a GET request to a process of the cluster; returns `None` if it fails.
     pub async fn get(&self, address: &str, path: &str) -> Option<TextResponse> {
         let url = format!("http://{address}{path}");
         self.client
@@ -52,17 +52,18 @@
             .ok()
     }
 
-    /// Index of the daemon that leads a shard, as daemons say.
-    pub async fn owner_of(&self, shard: u16) -> Option<usize> {
+    /// Returns the index of the daemon that owns a shard, according to the first daemon that
+    /// reports its status.
+    pub async fn owner_index(&self, shard: u16) -> Option<usize> {
         for daemon in self
             .daemons
             .iter()
             .filter(|daemon| daemon.process.is_some())
         {
-            let Some(reply) = self.get(&daemon.address, "/v1/status").await else {
+            let Some(response) = self.get(&daemon.address, "/v1/status").await else {
                 continue;
             };
-            let status: serde_json::Value = serde_json::from_str(&reply.body).ok()?;
+            let status: serde_json::Value = serde_json::from_str(&response.body).ok()?;
             let shards = status["shards"].as_array()?;
             let route = shards.iter().find(|route| route["shard"] == shard)?;
             let owner = route["owner"].as_str()?;
@@ -74,43 +75,45 @@
         None
     }
 
-    /// Waits until every shard is served by a process that runs now.
+    /// Waits until every shard is owned by a running daemon.
     ///
     /// # Errors
-    /// Some shard has no owner in time.
-    pub async fn wait_whole(&self) -> Result<(), ProcessError> {
+    /// A daemon is not ready, or a shard has no owner, in time.
+    pub async fn wait_shards_owned(&self) -> Result<(), ProcessError> {
         self.wait_ready().await?;
-        let begun = Instant::now();
-        while begun.elapsed() < READY_LIMIT {
-            if self.is_whole().await.unwrap_or(false) {
+        let started = Instant::now();
+        while started.elapsed() < READY_TIMEOUT {
+            if self.all_shards_owned().await.unwrap_or(false) {
                 return Ok(());
             }
-            ntex::time::sleep(READY_STEP).await;
+            ntex::time::sleep(READY_POLL_INTERVAL).await;
         }
-        Err(ProcessError::NotReady("an owner of every shard".to_owned()))
+        Err(ProcessError::NotReady(
+            "an owner for every shard".to_owned(),
+        ))
     }
 
-    async fn is_whole(&self) -> Option<bool> {
+    async fn all_shards_owned(&self) -> Option<bool> {
         let mut owned: Vec<OwnedShardStatus> = Vec::new();
         for daemon in self
             .daemons
             .iter()
             .filter(|daemon| daemon.process.is_some())
         {
-            let held = self.get(&daemon.address, "/v1/operator/shards").await?;
-            owned.extend(serde_json::from_str::<Vec<OwnedShardStatus>>(&held.body).ok()?);
+            let response = self.get(&daemon.address, "/v1/operator/shards").await?;
+            owned.extend(serde_json::from_str::<Vec<OwnedShardStatus>>(&response.body).ok()?);
         }
-        Some(owned.len() == usize::from(self.shape.shards))
+        Some(owned.len() == usize::from(self.config.shards))
     }
 
-    /// Addresses of the engines.
+    /// Returns the addresses of the engines.
     pub fn engines(&self) -> Vec<String> {
         self.addresses(MachineKind::Engine)
     }
 
-    /// Addresses of the servers of a service.
+    /// Returns the addresses of the servers of a service.
     pub fn servers(&self, service: &str) -> Vec<String> {
-        let offers = |machine: &&Machine| {
+        let serves = |machine: &&Machine| {
             machine
                 .labels
                 .get("service")
@@ -118,7 +121,7 @@
         };
         self.listed
             .iter()
-            .filter(offers)
+            .filter(serves)
             .map(|machine| machine.address.clone())
             .collect()
     }
@@ -128,14 +131,14 @@
         machines.map(|machine| machine.address.clone()).collect()
     }
 
-    /// Process ids of everything that runs.
+    /// Returns the process ids of all running daemons and emulators.
     pub fn process_ids(&self) -> Vec<u32> {
         let daemons = self
             .daemons
             .iter()
             .filter_map(|daemon| daemon.process.as_ref());
         daemons
-            .chain(self.stand_ins.values())
+            .chain(self.emulators.values())
             .map(Process::id)
             .collect()
     }
--- a/crates/bench/src/cluster/running.rs
+++ b/crates/bench/src/cluster/running.rs
@@ -1,6 +1,6 @@
-//! A cluster that runs: starting it, ending parts of it, causing faults.
+//! Starting and stopping the processes of a cluster, and injecting faults into them.
 
-use super::shape::{DaemonHandle, EngineShape, Shape};
+use super::config::{ClusterConfig, DaemonHandle, EngineConfig};
 use crate::cluster::process::{Process, ProcessError, Signal, free_port};
 use fieldhook_emulator::faults::FaultPlan;
 use fieldhook_http::HttpClient;
@@ -12,27 +12,27 @@
 use std::time::{Duration, Instant};
 
 pub(super) const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-pub(super) const READY_LIMIT: Duration = Duration::from_secs(30);
-pub(super) const READY_STEP: ntex::time::Millis = ntex::time::Millis(25);
+pub(super) const READY_TIMEOUT: Duration = Duration::from_secs(30);
+pub(super) const READY_POLL_INTERVAL: ntex::time::Millis = ntex::time::Millis(25);
 const SETTINGS_FILE: &str = "fieldhookd.toml";
 
-/// A running cluster; everything ends when it is dropped.
+/// A running cluster; dropping it kills all of its processes.
 pub struct Cluster {
-    /// The folder with settings and logs.
+    /// Folder with the settings file and the logs.
     pub folder: PathBuf,
-    /// What it consists of.
-    pub shape: Shape,
-    /// Daemons.
+    /// Configuration from which the cluster was started.
+    pub config: ClusterConfig,
+    /// The daemons, in order of their index.
     pub daemons: Vec<DaemonHandle>,
-    /// Stand-ins by address.
-    pub stand_ins: BTreeMap<String, Process>,
-    /// Address of the log.
+    /// Emulator processes by address.
+    pub emulators: BTreeMap<String, Process>,
+    /// Address of the log service.
     pub log: String,
-    /// Address of the machine list.
+    /// Address of the machine list service.
     pub machines: String,
-    /// What the machine list was last told.
+    /// Machines that [`Cluster::publish_list`] sends to the machine list.
     pub listed: Vec<Machine>,
-    /// A client.
+    /// HTTP client for requests to the cluster's processes.
     pub client: HttpClient,
 }
 
@@ -41,67 +41,68 @@
 }
 
 impl Cluster {
-    /// Starts everything and waits until all daemons serve.
+    /// Starts all processes and waits until all daemons are ready.
     ///
     /// # Errors
-    /// Something cannot be started or is not ready in time.
-    pub async fn start(shape: Shape, folder: &Path) -> Result<Self, ProcessError> {
+    /// A process cannot be started, exits, or is not ready in time.
+    pub async fn start(config: ClusterConfig, folder: &Path) -> Result<Self, ProcessError> {
         std::fs::create_dir_all(folder)?;
         let mut cluster = Self {
             folder: folder.to_owned(),
             daemons: Vec::new(),
-            stand_ins: BTreeMap::new(),
+            emulators: BTreeMap::new(),
             log: new_address()?,
             machines: new_address()?,
             listed: Vec::new(),
             client: HttpClient::new().await,
-            shape,
+            config,
         };
-        cluster.start_stand_ins().await?;
-        cluster.place_daemons()?;
+        cluster.start_emulators().await?;
+        cluster.assign_daemons()?;
         for index in 0..cluster.daemons.len() {
             cluster.start_daemon(index)?;
         }
         cluster.wait_ready().await?;
-        cluster.check_stand_ins()?;
+        cluster.check_emulators()?;
         Ok(cluster)
     }
 
-    /// Daemons may be ready without a stand-in that could not be started.
-    fn check_stand_ins(&mut self) -> Result<(), ProcessError> {
-        for process in self.stand_ins.values_mut() {
+    /// Checks that all emulators are running: daemons can become ready although an emulator
+    /// failed to start.
+    fn check_emulators(&mut self) -> Result<(), ProcessError> {
+        for process in self.emulators.values_mut() {
             if !process.is_running() {
-                return Err(ProcessError::Ended(process.log().to_owned()));
+                return Err(ProcessError::Exited(process.log().to_owned()));
             }
         }
         Ok(())
     }
 
-    fn start_stand_in(
+    fn start_emulator(
         &mut self,
         kind: &str,
         address: &str,
-        more: &[String],
+        extra_arguments: &[String],
     ) -> Result<(), ProcessError> {
         let mut arguments = vec![kind.to_owned(), "--listen".to_owned(), address.to_owned()];
-        arguments.extend(more.iter().cloned());
+        arguments.extend(extra_arguments.iter().cloned());
         let log = self
             .folder
             .join(format!("{kind}-{}.log", address.replace(':', "-")));
         let process = Process::start("fieldhook-emulator", &arguments, &log)?;
-        self.stand_ins.insert(address.to_owned(), process);
+        self.emulators.insert(address.to_owned(), process);
         Ok(())
     }
 
-    async fn start_stand_ins(&mut self) -> Result<(), ProcessError> {
-        let lag = vec!["--lag-ms".to_owned(), self.shape.list_lag_ms.to_string()];
-        self.start_stand_in("log", &self.log.clone(), &[])?;
-        self.start_stand_in("machines", &self.machines.clone(), &lag)?;
-        for (index, engine) in self.shape.engines.clone().into_iter().enumerate() {
+    async fn start_emulators(&mut self) -> Result<(), ProcessError> {
+        let lag = vec!["--lag-ms".to_owned(), self.config.list_lag_ms.to_string()];
+        self.start_emulator("log", &self.log.clone(), &[])?;
+        self.start_emulator("machines", &self.machines.clone(), &lag)?;
+        for (index, engine) in self.config.engines.clone().into_iter().enumerate() {
             let address = new_address()?;
             self.start_engine(&address, &engine)?;
             let labels = Labels::from([("model".to_owned(), engine.model)]);
-            self.list(
+            self.add_machine(
                 format!("engine-{index}"),
                 address,
                 MachineKind::Engine,
@@ -109,17 +110,17 @@
                 labels,
             );
         }
-        for (index, (service, lookup)) in self.shape.services.clone().into_iter().enumerate() {
+        for (index, (service, lookup)) in self.config.services.clone().into_iter().enumerate() {
             let address = new_address()?;
             let flags = if lookup {
                 Vec::new()
             } else {
                 vec!["--no-lookup".to_owned()]
             };
-            self.start_stand_in("server", &address, &flags)?;
+            self.start_emulator("server", &address, &flags)?;
             let labels = Labels::from([("service".to_owned(), service)]);
-            let zone = self.shape.zones[index % self.shape.zones.len()].clone();
-            self.list(
+            let zone = self.config.zones[index % self.config.zones.len()].clone();
+            self.add_machine(
                 format!("server-{index}"),
                 address,
                 MachineKind::Server,
@@ -130,21 +131,21 @@
         self.publish_list().await
     }
 
-    /// Starts an engine at an address, also anew after it was ended.
+    /// Starts an engine emulator at an address; also restarts one that was killed.
     ///
     /// # Errors
-    /// The stand-in cannot be started.
+    /// The emulator cannot be started.
     pub fn start_engine(
         &mut self,
         address: &str,
-        engine: &EngineShape,
+        engine: &EngineConfig,
     ) -> Result<(), ProcessError> {
         let mut flags = vec!["--model".to_owned(), engine.model.clone()];
         flags.extend(engine.flags.clone());
-        self.start_stand_in("engine", address, &flags)
+        self.start_emulator("engine", address, &flags)
     }
 
-    fn list(
+    fn add_machine(
         &mut self,
         name: String,
         address: String,
@@ -162,32 +163,32 @@
         });
     }
 
-    /// Tells the machine list what there is; readers see it after its lag.
+    /// Sends the machines to the machine list, which shows them to readers after its lag.
     ///
     /// # Errors
-    /// The list is not reachable.
+    /// The machine list does not accept them in time.
     pub async fn publish_list(&self) -> Result<(), ProcessError> {
         let url = format!("http://{}/control/machines", self.machines);
         let body = serde_json::to_vec(&self.listed).unwrap_or_default();
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
             let sent = self
                 .client
                 .fetch(Method::POST, &url, &[], body.clone(), REQUEST_TIMEOUT)
                 .await;
-            if sent.is_ok_and(|reply| reply.status == 200) {
+            if sent.is_ok_and(|response| response.status == 200) {
                 return Ok(());
             }
-            if begun.elapsed() > READY_LIMIT {
+            if started.elapsed() > READY_TIMEOUT {
                 return Err(ProcessError::NotReady("machine list".to_owned()));
             }
-            ntex::time::sleep(READY_STEP).await;
+            ntex::time::sleep(READY_POLL_INTERVAL).await;
         }
     }
 
-    fn place_daemons(&mut self) -> Result<(), ProcessError> {
-        for index in 0..self.shape.daemons {
-            let zone = self.shape.zones[index % self.shape.zones.len()].clone();
+    fn assign_daemons(&mut self) -> Result<(), ProcessError> {
+        for index in 0..self.config.daemons {
+            let zone = self.config.zones[index % self.config.zones.len()].clone();
             self.daemons.push(DaemonHandle {
                 address: new_address()?,
                 zone,
@@ -198,10 +199,10 @@
         Ok(())
     }
 
-    /// Starts a daemon, also anew after it was ended.
+    /// Starts a daemon; also restarts one that was stopped or killed.
     ///
     /// # Errors
-    /// The program cannot be started.
+    /// The daemon cannot be started.
     pub fn start_daemon(&mut self, index: usize) -> Result<(), ProcessError> {
         let settings = self.folder.join(SETTINGS_FILE);
         let daemon = &self.daemons[index];
@@ -229,14 +230,14 @@
         format!(
             "seeds = [{}]\nshards = {}\n{}\n[platform]\nlog = {:?}\nmachines = {:?}\n",
             seeds.join(", "),
-            self.shape.shards,
-            self.shape.settings,
+            self.config.shards,
+            self.config.settings,
             self.log,
             self.machines,
         )
     }
 
-    /// Addresses of all daemons, any of which takes requests.
+    /// Returns the addresses of all daemons; each of them accepts requests.
     pub fn gateways(&self) -> Vec<String> {
         self.daemons
             .iter()
@@ -244,7 +245,7 @@
             .collect()
     }
 
-    /// Sets the faults of a stand-in.
+    /// Sets the fault plan of an emulator.
     pub async fn set_faults(&self, address: &str, plan: &FaultPlan) {
         let url = format!("http://{address}/control/faults");
         let body = serde_json::to_vec(plan).unwrap_or_default();
@@ -254,28 +255,28 @@
             .await;
     }
 
-    /// Sends a signal to a daemon.
+    /// Sends a signal to a daemon if it is running.
     pub fn signal_daemon(&self, index: usize, signal: Signal) {
         if let Some(process) = &self.daemons[index].process {
             process.signal(signal);
         }
     }
 
-    /// Ends a daemon at once.
+    /// Kills a daemon if it is running.
     pub fn kill_daemon(&mut self, index: usize) {
         if let Some(mut process) = self.daemons[index].process.take() {
             process.kill();
         }
     }
 
-    /// Leaves everything running.
+    /// Consumes the handle and leaves all processes running.
     pub fn detach(mut self) {
         for daemon in &mut self.daemons {
             if let Some(process) = daemon.process.take() {
                 process.detach();
             }
         }
-        for process in std::mem::take(&mut self.stand_ins).into_values() {
+        for process in std::mem::take(&mut self.emulators).into_values() {
             process.detach();
         }
     }
--- a/crates/gateway/src/follow/config.rs
+++ b/crates/gateway/src/follow/config.rs
@@ -15,7 +15,7 @@
 use tokio::time::sleep;
 
 /// Pause between requests to other daemons. It is well below the time within which a new
-/// configuration has to be in effect (2 s in the smallest deployment).
+/// configuration has to be in use (2 s in the smallest deployment).
 const PEER_POLL_PERIOD: Duration = Duration::from_millis(400);
 
 /// Number of problems of one configuration that are logged individually, one line each, so that
@@ -63,7 +63,7 @@
     }
 }
 
-/// Applies records of the operator's topic; returns the zones that they evacuate.
+/// Applies records of the configuration topic; returns the zones that they evacuate.
 fn apply_all<'a>(daemon: &Daemon, records: &'a [(u64, KeyedRecord)]) -> Vec<&'a str> {
     let mut evacuated = Vec::new();
     let mut unreadable = UnreadableReport::new(UNREADABLE_EVACUATION, &daemon.metrics);
@@ -95,7 +95,9 @@
     evacuated
 }
 
-/// Polls other daemons for the configuration while the log may answer them but not this one.
+/// Polls other daemons for the configuration while the log may answer them but not this one: its
+/// calls fail, and it is not known to be down for all daemons ([`Reach::Outage`]). Also polls while
+/// the known evacuations are too old to be used.
 pub async fn poll_peers(daemon: Rc<Daemon>) {
     loop {
         sleep(PEER_POLL_PERIOD).await;
@@ -107,17 +109,19 @@
         }
         let version = daemon.owner.config.version();
         let replies = daemon.ledger.query_peer_configs(version).await;
+        // During an outage the log cannot confirm the known evacuations; answers of other daemons
+        // do.
         if is_outage && !replies.is_empty() {
             daemon.zone_state.confirm();
         }
-        for news in replies {
-            if let Some(document) = news.document {
+        for update in replies {
+            if let Some(document) = update.document {
                 apply(&daemon, None, &document);
             }
-            for evacuation in &news.evacuations {
+            for evacuation in &update.evacuations {
                 daemon.zone_state.apply_peer_status(evacuation);
             }
-            if let Some(age_ms) = news.age_ms {
+            if let Some(age_ms) = update.age_ms {
                 daemon.owner.config.confirm(age_ms);
             }
         }
@@ -181,8 +185,8 @@
         daemon.owner.set_longest_turn(longest_ms);
     }
     daemon.cold.set_config(&config);
-    let former = daemon.routes.borrow().clone();
-    let table = RouteTable::new(config, former.as_deref(), fastrand::u64(..));
+    let previous = daemon.routes.borrow().clone();
+    let table = RouteTable::new(config, previous.as_deref(), fastrand::u64(..));
     daemon.routes.replace(Some(Rc::new(table)));
     daemon.routes_changed.notify_waiters();
 }
--- a/crates/gateway/src/ledger/assigner.rs
+++ b/crates/gateway/src/ledger/assigner.rs
@@ -1,9 +1,10 @@
-//! Assigns engines to the turns of programs whose partitions this daemon owns.
+//! Assigns engines to the turns of programs whose partitions this daemon owns. An engine is a
+//! server that runs turns; the server directory lists it as a [`ServerEntry`].
 
 use crate::cold::ColdServers;
 use crate::upstream::pool::Pools;
 use crate::zone_state::ZoneState;
-use fieldhook_ledger::message::{CloseTurn, OpenTurn, PlacementRequest};
+use fieldhook_ledger::message::{AssignmentInput, CloseTurn, OpenTurn};
 use fieldhook_ledger::partition_of;
 use fieldhook_topology::region::RegionSet;
 use fieldhook_topology::zone::Distance;
@@ -18,9 +19,9 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// Smallest number of engines drawn from a group to choose from. If evacuated zones or disallowed
-/// regions leave fewer, the engines are drawn from all groups.
-const MIN_DRAWN: usize = 8;
+/// Smallest number of candidates that are drawn from a group. If evacuated zones or disallowed
+/// regions leave fewer, the candidates are drawn from all groups.
+const MIN_CANDIDATES: usize = 8;
 
 /// The engine groups of a service, computed for a version of its engine list.
 struct CachedGroups {
@@ -72,32 +73,32 @@
 
     /// Returns the engine that a turn should run on, if it needs one and one is available.
     pub fn assign(&self, open: &OpenTurn) -> Option<String> {
-        let placement = open.placement.as_ref()?;
+        let input = open.assignment.as_ref()?;
         let now_ms = self.started.elapsed().as_millis() as u64;
         let directory = self.directory.borrow();
-        let serving = directory.active_servers(&placement.service)?;
+        let serving = directory.active_servers(&input.service)?;
         let partition = partition_of(&open.program, self.partitions);
-        let (mut engines, share) = match serving.all.len() <= FULL_SCAN_MAX {
-            true => self.small_service_engines(&placement.service, serving, partition),
-            false => self.large_service_engines(&directory, serving, open, placement, partition),
+        let (mut engines, owned_fraction) = match serving.all.len() <= FULL_SCAN_MAX {
+            true => self.small_service_engines(&input.service, serving, partition),
+            false => self.large_service_engines(&directory, serving, open, input, partition),
         };
-        engines.retain(|engine| !self.pools.status(engine.id, engine.zone, now_ms).avoided);
-        self.retain_allowed(&mut engines, placement);
+        engines.retain(|engine| !self.pools.status(engine.id, engine.zone, now_ms).is_avoided);
+        self.retain_allowed(&mut engines, input);
         self.limit_cold_slots(&mut engines, &directory);
         let turn = Turn {
             id: &open.turn,
             program: &open.program,
-            prefix: placement.prefix_hash,
+            prefix: input.prefix_hash,
         };
         let engine = self
             .table
             .borrow_mut()
-            .assign(&turn, &engines, share, now_ms)?;
+            .assign(&turn, &engines, owned_fraction, now_ms)?;
         Some(engine.to_string())
     }
 
-    /// Returns all engines of a small service, and the fraction of the home group's programs that
-    /// this daemon sees.
+    /// Returns all engines of a small service, and the fraction of the programs of the partition's
+    /// engine group that this daemon owns.
     fn small_service_engines<'a>(
         &self,
         service: &str,
@@ -105,76 +106,74 @@
         partition: u32,
     ) -> (Vec<Engine<'a>>, f64) {
         let groups = self.groups(service, serving);
-        let home = groups.partition_group(partition);
+        let own_group = groups.partition_group(partition);
         let mut engines = sorted_engines(serving);
         for engine in &mut engines {
-            engine.is_in_group = groups.engine_group(engine.id) == Some(home);
+            engine.is_in_group = groups.engine_group(engine.id) == Some(own_group);
         }
-        (engines, self.share(groups.count(), home))
+        (engines, self.owned_fraction(groups.count(), own_group))
     }
 
-    /// Returns the engines of a large service to choose from for a turn, and the fraction of the
-    /// home group's programs that this daemon sees. The engines are a sample of the group and the
-    /// engine that the program last ran on. The sample is selected by the prompt prefix, so that
-    /// turns that share a prefix get the same sample. A group is an arc of the hash ring of
-    /// engines, so it need not be recomputed when an engine is added or removed.
+    /// Returns the candidates for a turn from the engines of a large service, and the fraction of
+    /// the programs of the partition's engine group that this daemon owns. The candidates are a
+    /// sample of the group and the engine that the program last ran on. The sample is selected by
+    /// the prompt prefix, so that turns that share a prefix get the same sample. A group is an arc
+    /// of the hash ring of engines, so it need not be recomputed when an engine is added or
+    /// removed.
     fn large_service_engines<'a>(
         &self,
         directory: &'a Directory,
         serving: &'a ActiveServers,
         open: &OpenTurn,
-        placement: &PlacementRequest,
+        input: &AssignmentInput,
         partition: u32,
     ) -> (Vec<Engine<'a>>, f64) {
         let count = group_count(serving.all.len(), self.partitions);
-        let home = partition % count;
-        let arc = HashRange::nth_of(home, count);
-        let regions = allowed_regions(placement);
-        let servers = self
-            .zone_state
-            .with_rule(&regions, &placement.zone, |rule| {
-                let is_usable = |server: &ServerEntry| rule.serving_distance(&server.zone).is_ok();
-                let from = |arc| CandidateQuery {
-                    zone: &placement.zone,
-                    range: arc,
-                    start: placement.prefix_hash,
-                };
-                let drawn = select_candidates(serving, &from(arc), &is_usable).servers;
-                match drawn.len() >= MIN_DRAWN {
-                    true => drawn,
-                    false => select_candidates(serving, &from(HashRange::FULL), &is_usable).servers,
-                }
-            });
+        let own_group = partition % count;
+        let arc = HashRange::nth_of(own_group, count);
+        let regions = allowed_regions(input);
+        let servers = self.zone_state.with_rule(&regions, &input.zone, |rule| {
+            let is_usable = |server: &ServerEntry| rule.serving_distance(&server.zone).is_ok();
+            let from = |arc| CandidateQuery {
+                zone: &input.zone,
+                range: arc,
+                start: input.prefix_hash,
+            };
+            let candidates = select_candidates(serving, &from(arc), &is_usable).servers;
+            match candidates.len() >= MIN_CANDIDATES {
+                true => candidates,
+                false => select_candidates(serving, &from(HashRange::FULL), &is_usable).servers,
+            }
+        });
         let mut servers: Vec<&ServerEntry> = servers.into_iter().map(|server| &**server).collect();
         let table = self.table.borrow();
         let previous = table.assigned_engine(&open.program);
         let previous = previous
             .and_then(|id| directory.entry(id))
             .filter(|server| {
-                let is_drawn = servers.iter().any(|drawn| drawn.id == server.id);
-                !is_drawn && !server.draining && server.service == placement.service
+                let is_candidate = servers.iter().any(|candidate| candidate.id == server.id);
+                !is_candidate && !server.draining && server.service == input.service
             });
         servers.extend(previous);
         let engines = servers.into_iter().map(|server| Engine {
             is_in_group: arc.contains(ring_position(&server.id)),
             ..engine(server)
         });
-        (engines.collect(), self.share(count, home))
+        (engines.collect(), self.owned_fraction(count, own_group))
     }
 
     /// Removes engines whose zones may not serve the turn, and sets the distance of the others.
-    fn retain_allowed(&self, engines: &mut Vec<Engine<'_>>, placement: &PlacementRequest) {
-        let regions = allowed_regions(placement);
-        self.zone_state
-            .with_rule(&regions, &placement.zone, |rule| {
-                engines.retain_mut(|engine| match rule.serving_distance(engine.zone) {
-                    Ok(distance) => {
-                        engine.distance = distance;
-                        true
-                    }
-                    Err(_) => false,
-                });
+    fn retain_allowed(&self, engines: &mut Vec<Engine<'_>>, input: &AssignmentInput) {
+        let regions = allowed_regions(input);
+        self.zone_state.with_rule(&regions, &input.zone, |rule| {
+            engines.retain_mut(|engine| match rule.serving_distance(engine.zone) {
+                Ok(distance) => {
+                    engine.distance = distance;
+                    true
+                }
+                Err(_) => false,
             });
+        });
     }
 
     /// Limits the slots of cold engines to what their permitted request rate can fill.
@@ -219,9 +218,9 @@
         groups
     }
 
-    /// Returns the fraction of a group's programs that this daemon sees as an owner; `groups` is
+    /// Returns the fraction of a group's programs whose partitions this daemon owns; `groups` is
     /// the number of groups.
-    fn share(&self, groups: u32, group: u32) -> f64 {
+    fn owned_fraction(&self, groups: u32, group: u32) -> f64 {
         let owned = self.owned.borrow();
         let of_group = owned
             .iter()
@@ -232,8 +231,8 @@
 }
 
 /// Returns the regions that may serve a turn.
-fn allowed_regions(placement: &PlacementRequest) -> RegionSet {
-    match &placement.regions {
+fn allowed_regions(input: &AssignmentInput) -> RegionSet {
+    match &input.regions {
         Some(regions) => {
             RegionSet::Only(regions.iter().map(|region| Rc::from(&**region)).collect())
         }
--- a/crates/gateway/src/memory.rs
+++ b/crates/gateway/src/memory.rs
@@ -1,5 +1,6 @@
 //! Limits the memory for data buffered for peers that read slowly.
-//! [`fieldhook_traffic::buffer_memory`] decides which buffers are evicted when the limit is reached.
+//! [`fieldhook_traffic::buffer_memory`] decides which buffers are evicted when the limit is
+//! reached.
 
 use crate::metrics::Metrics;
 use crate::settings::SlowPeers;
@@ -47,7 +48,7 @@
 
     /// Returns the number of buffered bytes.
     pub fn held(&self) -> u64 {
-        self.buffers.borrow().held()
+        self.buffers.borrow().used()
     }
 
     /// Opens an empty account.
--- a/crates/gateway/src/relay/reader.rs
+++ b/crates/gateway/src/relay/reader.rs
@@ -107,14 +107,14 @@
         Some(self.confirmed.get()? + Duration::from_millis(max_age_ms))
     }
 
-    /// Returns a packed page of a listing. A page is packed again once the mirror no longer holds the
-    /// records that were added since.
+    /// Returns a packed page of a listing. A page is packed again once the mirror no longer holds
+    /// the records that were added since.
     fn page(&self, after: Option<Vec<u8>>) -> Option<Rc<Page>> {
         let mirror = self.mirror.borrow();
         let mut pages = self.pages.borrow_mut();
         if let Some(page) = pages.get(&after)
             && mirror.is_complete()
-            && page.end >= mirror.first_offset()
+            && page.end >= mirror.first_recent()
         {
             return Some(page.clone());
         }
@@ -181,7 +181,7 @@
             match read {
                 ReadResult::Records(records) => return topic.reply(&records, request.from_offset),
                 ReadResult::Truncated => {
-                    return LedgerReply::TopicGone(topic.mirror.borrow().first_offset());
+                    return LedgerReply::TopicGone(topic.mirror.borrow().first_recent());
                 }
                 ReadResult::Empty if is_over || topic.age_ms() > max_age_ms => {
                     return topic.reply(&[], request.from_offset);
--- a/crates/gateway/src/serve/cold.rs
+++ b/crates/gateway/src/serve/cold.rs
@@ -10,10 +10,11 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Maximum number of cold servers asked for in one attempt; each takes an exchange between daemons.
-pub const MAX_SERVERS_ASKED: u32 = 4;
+/// Maximum number of permits requested in one attempt; each takes an exchange between daemons.
+pub const MAX_PERMIT_REQUESTS: u32 = 4;
 /// How long this daemon skips a cold server after no owner of its rate limit responded, in
-/// milliseconds. A lost owner is replaced within 300 to 700 ms.
+/// milliseconds. A lost owner is replaced within 300 to 700 ms, so a request right after the first
+/// would fail as well.
 const NO_OWNER_PAUSE_MS: u64 = 100;
 /// How long this daemon skips a cold server after a permit arrived too late, in milliseconds.
 const LATE_PERMIT_PAUSE_MS: u64 = 20;
@@ -33,7 +34,7 @@
         server: server.id.clone(),
         rate_per_s: cold.rate_per_s,
         version: daemon.cold.version(),
-        rank: context.priority(),
+        priority: context.priority(),
     };
     let asked = Instant::now();
     let response = daemon.ledger.request_cold_permit(&request).await;
@@ -53,7 +54,7 @@
         server = server.id,
         outcome,
         wait_ms,
-        rank = request.rank,
+        rank = request.priority,
         rate_per_s = request.rate_per_s,
         partition = daemon.ledger.partition_of(&server.id),
         took_ms = asked.elapsed().as_millis() as u64,
--- a/crates/gateway/src/serve/send_check.rs
+++ b/crates/gateway/src/serve/send_check.rs
@@ -4,15 +4,15 @@
 use super::attempt::DispatchFailure;
 use super::homes;
 use super::request::RequestContext;
-use fieldhook_topology::zone_rule::Denial;
+use fieldhook_topology::zone_rule::ZoneDenial;
 use fieldhook_traffic::attempt::AttemptFailure;
 use fieldhook_traffic::directory::ServerEntry;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// How long a request waits until the evacuation state is confirmed. After the process was
-/// suspended, one short read of the log confirms it; this takes a few milliseconds, plus a pause of
-/// up to 40 ms after the read that the suspension interrupted.
+/// How long a request waits until the evacuation state is confirmed. After the process was paused,
+/// one short read of the log confirms it; this takes a few milliseconds, plus a delay of up to
+/// 40 ms after the read that the pause interrupted.
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(300);
 /// Interval at which the evacuation state is polled.
 const CONFIRM_POLL_PERIOD: Duration = Duration::from_millis(10);
@@ -42,7 +42,7 @@
 
 /// Checks whether a selected server may still be used. While the connection was being established,
 /// the server may have started draining, its zone may have been evacuated, or this process may have
-/// been suspended.
+/// been paused.
 ///
 /// # Errors
 /// The server may not be used; nothing was sent.
@@ -77,6 +77,8 @@
 fn is_in_home_region(context: &RequestContext, server: &ServerEntry) -> bool {
     let zone_state = &context.daemon.zone_state;
     let homes = homes::current(context);
+    // Evacuations were checked by the caller; only the region rule is left, and `may_store` checks
+    // just that.
     zone_state.with_rule(&homes, &server.zone, |rule| rule.may_store(&server.zone))
 }
 
@@ -90,14 +92,14 @@
     let directory = daemon.directory.borrow();
     let zone = &daemon.settings.zone;
     let homes = homes::current(context);
-    let denials: Result<Vec<Denial>, ()> = daemon.zone_state.with_rule(&homes, zone, |rule| {
+    let denials: Result<Vec<ZoneDenial>, ()> = daemon.zone_state.with_rule(&homes, zone, |rule| {
         let zones = directory.zones_of(service);
         zones
             .map(|zone| rule.serving_distance(zone).err().ok_or(()))
             .collect()
     });
     match denials {
-        Ok(denials) if denials.contains(&Denial::Evacuated) => DispatchFailure::Evacuated,
+        Ok(denials) if denials.contains(&ZoneDenial::Evacuated) => DispatchFailure::Evacuated,
         _ => DispatchFailure::NoServer,
     }
 }
--- a/crates/traffic/src/tenants.rs
+++ b/crates/traffic/src/tenants.rs
@@ -57,16 +57,16 @@
     pub allowed_regions: region::RegionSet,
 }
 
-/// Why a request is not admitted.
+/// Why a request cannot be assigned to a tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Denial {
+pub enum KeyDenial {
     /// The request has no key.
     NoKey,
     /// The key belongs to no tenant.
     UnknownKey,
 }
 
-impl Denial {
+impl KeyDenial {
     /// Tells the client what to do about the denial.
     pub fn remedy(self) -> &'static str {
         match self {
@@ -107,15 +107,15 @@
     ///
     /// # Errors
     /// The route requires a key, and the request has no key or an unknown one.
-    pub fn admit(
+    pub fn authenticate(
         &self,
         key: Option<&ApiKey>,
         is_public: bool,
-    ) -> Result<Option<Rc<Tenant>>, Denial> {
+    ) -> Result<Option<Rc<Tenant>>, KeyDenial> {
         let tenant = key.and_then(|key| self.by_key.get(key)).cloned();
         match (tenant, key) {
-            (None, None) if !is_public => Err(Denial::NoKey),
-            (None, Some(_)) if !is_public => Err(Denial::UnknownKey),
+            (None, None) if !is_public => Err(KeyDenial::NoKey),
+            (None, Some(_)) if !is_public => Err(KeyDenial::UnknownKey),
             (tenant, _) => Ok(tenant),
         }
     }
--- a/crates/traffic/tests/servers.rs
+++ b/crates/traffic/tests/servers.rs
@@ -28,7 +28,7 @@
         server,
         distance,
         in_flight: 0,
-        is_in_backoff: false,
+        is_avoided: false,
         is_unhealthy: false,
         is_cold: false,
         has_idle_connection: true,
@@ -78,7 +78,7 @@
 fn failing_and_tried_servers_are_avoided() {
     let (a, b) = (server("a", "z1"), server("b", "z1"));
     let mut candidates = vec![candidate(&a), candidate(&b)];
-    candidates[0].is_in_backoff = true;
+    candidates[0].is_avoided = true;
     assert_eq!(choose(&candidates, &request(None, &[]), 7), Some(1));
     let tried = vec!["b".to_owned()];
     assert_eq!(choose(&candidates, &request(None, &tried), 7), Some(0));
@@ -205,13 +205,13 @@
 }
 
 #[test]
-fn backoff_grows_with_failures_and_ends_with_an_answer() {
+fn backoff_grows_with_failures_and_ends_with_a_completed_attempt() {
     let mut health = Health::default();
     health.observe(0, Observation::Failed);
     assert!(health.is_in_backoff(100) && !health.is_in_backoff(400));
     health.observe(400, Observation::Failed);
     assert!(health.is_in_backoff(900));
-    health.observe(1_500, Observation::Answered);
+    health.observe(1_500, Observation::Completed);
     assert!(!health.is_in_backoff(1_500) && !health.is_unhealthy());
 }
 
