--- a/crates/traffic/src/assignment.rs
+++ b/crates/traffic/src/assignment.rs
@@ -117,7 +117,7 @@
     /// Mean number of open turns of the engines in the turn's group, including this turn.
     mean: f64,
     /// Fraction of the group's programs that the owner sees.
-    program_fraction: f64,
+    owned_fraction: f64,
 }
 
 impl AssignmentTable {
@@ -129,13 +129,13 @@
         }
     }
 
-    /// Assigns an engine to a turn and counts the turn as open there. `program_fraction` is
+    /// Assigns an engine to a turn and counts the turn as open there. `owned_fraction` is
     /// the fraction of the programs of the turn's group that this owner sees.
     pub fn assign(
         &mut self,
         turn: &Turn<'_>,
         engines: &[Engine<'_>],
-        program_fraction: f64,
+        owned_fraction: f64,
         now_ms: u64,
     ) -> Option<Rc<str>> {
         self.remove_expired(now_ms);
@@ -146,7 +146,7 @@
         let choice = Choice {
             engines,
             mean: f64::from(open_turns + 1) / group_engines(engines).count().max(1) as f64,
-            program_fraction,
+            owned_fraction,
         };
         let engine = match self.keep_engine(turn.program, &choice) {
             Some(engine) => engine,
@@ -206,18 +206,18 @@
         let engines = &mut choice.engines.iter();
         let engine = engines.find(|engine| *engine.id == *program.engine)?;
         let max_load = self.max_load(engine, choice, self.settings.max_load_kept);
-        let is_available = !engine.is_cold || !self.is_cold_full(engine, choice.program_fraction);
+        let is_available = !engine.is_cold || !self.is_cold_full(engine, choice.owned_fraction);
         (is_available && f64::from(self.open_turns(engine.id)) < max_load)
             .then(|| program.engine.clone())
     }
 
     fn choose_engine<'a>(&self, turn: &Turn<'_>, choice: &Choice<'a, '_>) -> Option<&'a str> {
-        let (engines, program_fraction) = (choice.engines, choice.program_fraction);
+        let (engines, owned_fraction) = (choice.engines, choice.owned_fraction);
         let rank = |engine: &&Engine<'_>| xxh3_64_with_seed(engine.id.as_bytes(), turn.prefix);
         let is_available = |engine: &&Engine<'_>| {
             let max_load = self.max_load(engine, choice, self.settings.max_load_new);
             f64::from(self.open_turns(engine.id)) < max_load
-                && !self.is_full(engine, program_fraction)
+                && !self.is_full(engine, owned_fraction)
         };
         let available = || group_engines(engines).filter(is_available);
         let preferred = available().max_by_key(|engine| (Reverse(engine.distance), rank(engine)));
@@ -226,10 +226,10 @@
         }
         let load = |engine: &&Engine<'_>| (self.open_turns(engine.id), rank(engine));
         let least_loaded = group_engines(engines).min_by_key(load);
-        match least_loaded.filter(|engine| !self.is_full(engine, program_fraction)) {
+        match least_loaded.filter(|engine| !self.is_full(engine, owned_fraction)) {
             Some(engine) => Some(engine.id),
             None => self
-                .all_groups(engines, program_fraction)
+                .all_groups(engines, owned_fraction)
                 .min_by_key(load)
                 .map(|engine| engine.id),
         }
@@ -240,10 +240,10 @@
     fn all_groups<'a, 'b>(
         &'b self,
         engines: &'b [Engine<'a>],
-        program_fraction: f64,
+        owned_fraction: f64,
     ) -> impl Iterator<Item = &'b Engine<'a>> {
         let is_available = move |engine: &&Engine<'_>| {
-            !engine.is_cold || !self.is_cold_full(engine, program_fraction)
+            !engine.is_cold || !self.is_cold_full(engine, owned_fraction)
         };
         let all_full = !engines.iter().any(|engine| is_available(&engine));
         engines
@@ -252,22 +252,21 @@
     }
 
     /// Whether a cold engine has as many open turns as it can handle.
-    fn is_cold_full(&self, engine: &Engine<'_>, program_fraction: f64) -> bool {
-        f64::from(self.open_turns(engine.id)) >= f64::from(engine.slots) * program_fraction
+    fn is_cold_full(&self, engine: &Engine<'_>, owned_fraction: f64) -> bool {
+        f64::from(self.open_turns(engine.id)) >= f64::from(engine.slots) * owned_fraction
     }
 
     /// Whether an engine of the group gets no more programs.
-    fn is_full(&self, engine: &Engine<'_>, program_fraction: f64) -> bool {
+    fn is_full(&self, engine: &Engine<'_>, owned_fraction: f64) -> bool {
         if engine.is_cold {
-            return self.is_cold_full(engine, program_fraction);
+            return self.is_cold_full(engine, owned_fraction);
         }
         f64::from(self.open_turns(engine.id))
-            >= f64::from(engine.slots) * program_fraction * FULL_ENGINE_LOAD
+            >= f64::from(engine.slots) * owned_fraction * FULL_ENGINE_LOAD
     }
 
     fn max_load(&self, engine: &Engine<'_>, choice: &Choice<'_, '_>, factor: f64) -> f64 {
-        let light_load =
-            f64::from(engine.slots) * choice.program_fraction * self.settings.light_load;
+        let light_load = f64::from(engine.slots) * choice.owned_fraction * self.settings.light_load;
         factor * light_load.max(choice.mean)
     }
 
