--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -175,22 +175,22 @@
         .map(|message| message.content.len())
         .sum();
     let explain_engine = |engine: EngineView| {
-        let verdict = evaluate_rules(&config.document, &labels, &engine.labels);
-        let holds = program.held_by.contains(&engine.address);
-        let held = if holds { bytes as u64 / 4 } else { 0 };
-        let need = CallDemand {
-            uncached_tokens: bytes as u64 / 4 - held,
+        let evaluation = evaluate_rules(&config.document, &labels, &engine.labels);
+        let is_cached = program.held_by.contains(&engine.address);
+        let cached_tokens = if is_cached { bytes as u64 / 4 } else { 0 };
+        let demand = CallDemand {
+            uncached_tokens: bytes as u64 / 4 - cached_tokens,
             new_tokens: ASSUMED_OUTPUT_TOKENS,
-            migrates: !holds && !program.held_by.is_empty(),
+            migrates: !is_cached && !program.held_by.is_empty(),
         };
-        let expected = estimate(&engine.load, engine.assigned, need);
+        let expected = estimate(&engine.load, engine.assigned, demand);
         PlacementExplanation {
-            allowed: verdict.allowed,
-            rules: verdict.matched,
-            priority: verdict.priority,
+            allowed: evaluation.allowed,
+            rules: evaluation.matched,
+            priority: evaluation.priority,
             available: engine.reachable && !engine.leaving && !engine.load.leaving,
             expected_ms: expected.total_us() / 1_000,
-            held_tokens: held,
+            held_tokens: cached_tokens,
             machine: engine.address,
             labels: engine.labels,
         }
--- a/crates/daemon/src/platform/config_sync.rs
+++ b/crates/daemon/src/platform/config_sync.rs
@@ -21,11 +21,11 @@
         match log_client::read(&node, CONFIG_STREAM, from, LONG_POLL_MS).await {
             Ok(page) => {
                 for record in &page.records {
-                    let verdict = node
+                    let outcome = node
                         .config
                         .borrow_mut()
                         .apply_record(record.offset, &record.data);
-                    log_verdict(verdict);
+                    log_outcome(outcome);
                 }
                 announce_offset(&node);
                 node.config_known
@@ -36,9 +36,9 @@
     }
 }
 
-fn log_verdict(verdict: Option<ChangeOutcome>) {
-    match verdict {
-        Some(ChangeOutcome::Accepted(version)) => tracing::info!(version, "configuration in force"),
+fn log_outcome(outcome: Option<ChangeOutcome>) {
+    match outcome {
+        Some(ChangeOutcome::Accepted(version)) => tracing::info!(version, "configuration in use"),
         Some(refused) => tracing::info!(?refused, "configuration change rejected"),
         None => {}
     }
@@ -70,6 +70,7 @@
     fastrand::shuffle(&mut peers);
     for peer in peers.into_iter().filter(|peer| *peer != node.id) {
         let url = node.url(peer.address, "/internal/config");
+        // The peer ignores the body.
         let response = node
             .client
             .post_binary::<u64, PeerConfig>(&url, &newest_offset, PEER_TIMEOUT)
--- a/crates/daemon/src/sequencer/maintenance.rs
+++ b/crates/daemon/src/sequencer/maintenance.rs
@@ -26,7 +26,7 @@
     loop {
         for host in node.hosts() {
             if host.is_owned() {
-                end_expired_programs(&host).await;
+                end_overdue_programs(&host).await;
                 release_ended_programs(&node, &host);
                 drop_old_records(&host).await;
             }
@@ -39,7 +39,7 @@
     }
 }
 
-async fn end_expired_programs(host: &Rc<ShardHost>) {
+async fn end_overdue_programs(host: &Rc<ShardHost>) {
     let now_ms = host.shard_now_ms();
     let expired: Vec<ProgramId> = {
         let state = host.state.borrow();
--- a/crates/daemon/src/sequencer/placement.rs
+++ b/crates/daemon/src/sequencer/placement.rs
@@ -41,11 +41,11 @@
     host: &ShardHost,
     program: ProgramId,
     spec: &CallSpec,
-    avoid: &[String],
+    excluded: &[String],
 ) -> Result<Target, CallError> {
     match spec {
-        CallSpec::Model(model) => choose_engine(node, host, program, model, avoid),
-        CallSpec::Server(server) => choose_server(node, host, program, server, avoid),
+        CallSpec::Model(model) => choose_engine(node, host, program, model, excluded),
+        CallSpec::Server(server) => choose_server(node, host, program, server, excluded),
     }
 }
 
@@ -54,13 +54,13 @@
     host: &ShardHost,
     program: ProgramId,
     model: &ModelCall,
-    avoid: &[String],
+    excluded: &[String],
 ) -> Result<Target, CallError> {
-    let work = {
+    let request = {
         let labels = program_labels(host, program);
         let state = host.state.borrow();
         let record = state.programs.get(&program);
-        let known = record.and_then(|record| record.counted_prompt.as_ref());
+        let counted = record.and_then(|record| record.counted_prompt.as_ref());
         let new_bytes: usize = model
             .messages
             .iter()
@@ -69,20 +69,20 @@
         PlacementRequest {
             labels,
             model: model.model.clone(),
-            prompt_tokens: known.map_or(0, |known| known.tokens) + new_bytes as u64 / 4,
+            prompt_tokens: counted.map_or(0, |counted| counted.tokens) + new_bytes as u64 / 4,
             new_tokens: u64::from(model.max_tokens),
             cached_tokens: record
                 .map(|record| record.held_by.clone())
                 .unwrap_or_default(),
-            excluded: avoid.to_vec(),
+            excluded: excluded.to_vec(),
         }
     };
     let config = node.config.borrow();
-    let choice = select_engine(&config.document, &engine_views(node), &work);
-    match choice {
-        Ok(choice) => Ok(Target {
-            address: choice.address,
-            priority: choice.priority,
+    let selection = select_engine(&config.document, &engine_views(node), &request);
+    match selection {
+        Ok(selection) => Ok(Target {
+            address: selection.address,
+            priority: selection.priority,
         }),
         Err(PlacementError::NoEngine) => Err(CallError::not_run(
             ErrorKind::NoTarget,
@@ -94,7 +94,7 @@
         .retry_after(NO_TARGET_RETRY_MS)),
         Err(PlacementError::Overloaded(wait_ms)) => Err(CallError::not_run(
             ErrorKind::Overloaded,
-            "come back after retry_after_ms; all allowed engines have long queues",
+            "retry after retry_after_ms; all allowed engines have long queues",
         )
         .retry_after(wait_ms)),
     }
@@ -105,7 +105,7 @@
     host: &ShardHost,
     program: ProgramId,
     server: &ServerCall,
-    avoid: &[String],
+    excluded: &[String],
 ) -> Result<Target, CallError> {
     let labels = program_labels(host, program);
     let config = node.config.borrow();
@@ -114,11 +114,11 @@
             config
                 .document
                 .machine_labels(&machine.name, &machine.zone, &machine.labels);
-        let verdict = evaluate_rules(&config.document, &labels, &machine_labels);
-        if verdict.allowed && !avoid.contains(&machine.address) {
+        let evaluation = evaluate_rules(&config.document, &labels, &machine_labels);
+        if evaluation.allowed && !excluded.contains(&machine.address) {
             return Ok(Target {
                 address: machine.address,
-                priority: verdict.priority,
+                priority: evaluation.priority,
             });
         }
     }
--- a/crates/program/src/history.rs
+++ b/crates/program/src/history.rs
@@ -40,14 +40,14 @@
         Some(messages)
     }
 
-    /// Appends the inherited history and the turns of the first `until_call` calls.
-    fn collect_history(&self, program: &Program, until_call: u64, messages: &mut Vec<Message>) {
+    /// Appends the inherited history and the turns of the first `call_count` calls.
+    fn collect_history(&self, program: &Program, call_count: u64, messages: &mut Vec<Message>) {
         if let Some(fork) = program.fork
             && let Some(parent) = self.programs.get(&fork.parent)
         {
             self.collect_history(parent, fork.after_call, messages);
         }
-        for call in program.calls.iter().take(until_call as usize) {
+        for call in program.calls.iter().take(call_count as usize) {
             append_turn(call, messages);
         }
     }
