--- a/crates/daemon/src/drain.rs
+++ b/crates/daemon/src/drain.rs
@@ -1,5 +1,5 @@
-//! Planned shutdown: refuse new requests, hand the shards over, complete the requests in flight,
-//! and only then leave the group.
+//! Planned stop: refuse new requests, hand the shards over, complete the requests in flight, and
+//! only then leave the membership.
 
 use crate::node::{Node, Phase};
 use crate::shard::ShardHost;
@@ -9,17 +9,18 @@
 use std::time::{Duration, Instant};
 
 const POLL_INTERVAL: Millis = Millis(20);
-/// Limit for handing over a shard. Until the shard is handed over, new calls are held back and
-/// non-repeatable requests to servers are waited for.
+/// Limit for handing over a shard. Until the shard is handed over, new calls are answered with
+/// `NotOwner`, so that gateways retry them, and requests to servers that are not retryable are
+/// waited for.
 const MAX_HANDOVER_TIME: Duration = Duration::from_secs(12);
 /// Time for the other daemons to learn that this daemon leaves.
 const LEAVE_NOTICE_TIME: Millis = Millis(700);
 /// Limit for completing requests in flight. Streams of engines end well within it.
 const MAX_DRAIN_TIME: Duration = Duration::from_secs(120);
 
-/// Performs a planned shutdown. The caller then stops the process.
+/// Performs a planned stop. The caller then stops the process.
 pub async fn drain(node: Rc<Node>) {
-    tracing::info!("planned shutdown started");
+    tracing::info!("planned stop started");
     node.set_phase(Phase::Draining);
     let started = Instant::now();
     node.claims.stop_claiming();
@@ -35,13 +36,13 @@
     sleep(LEAVE_NOTICE_TIME).await;
     tracing::info!(
         seconds = started.elapsed().as_secs_f64(),
-        "planned shutdown completed"
+        "planned stop completed"
     );
 }
 
-/// Hands a shard over. The next owner continues streams of engines. Non-repeatable requests to
-/// servers must complete first, because only the owner that sent such a request can record its
-/// response.
+/// Hands a shard over. The next owner continues streams of engines. Requests to servers that are
+/// not retryable must complete first, because only the owner that sent such a request can record
+/// its response.
 async fn hand_over(node: Rc<Node>, host: Rc<ShardHost>) {
     let started = Instant::now();
     host.handing_over.set(true);
--- a/crates/daemon/src/gateway/commands.rs
+++ b/crates/daemon/src/gateway/commands.rs
@@ -57,7 +57,7 @@
     };
     Err(CallError::not_run(
         ErrorKind::Unavailable,
-        "ask again; the program's shard has no owner now",
+        "retry; no owner of the program's shard responded in time",
     )
     .executed(executed)
     .retry_after(RETRY_AFTER_MS))
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -1,5 +1,5 @@
 //! The caller's side of a call: validates the request, finds the owner of the shard, and relays the
-//! response, also when the owner changes.
+//! response, even if the owner changes.
 
 mod calls;
 mod commands;
--- a/crates/daemon/src/gateway/relay.rs
+++ b/crates/daemon/src/gateway/relay.rs
@@ -1,4 +1,4 @@
-//! Relays the events of a call from its owner to the reader, also when the owner changes.
+//! Relays the events of a call from its owner to the reader, even if the owner changes.
 //!
 //! Invariants:
 //!
@@ -147,7 +147,7 @@
     fn no_owner_error(&self) -> CallError {
         let error = CallError::not_run(
             ErrorKind::Unavailable,
-            "ask again under the same request key; the program's shard has no owner now",
+            "retry with the same request key; no owner of the program's shard responded in time",
         );
         let executed = if self.may_have_arrived {
             Executed::Unknown
--- a/crates/daemon/src/gateway/source.rs
+++ b/crates/daemon/src/gateway/source.rs
@@ -75,7 +75,8 @@
         })))
     }
 
-    /// Returns the next event, or `None` if the owner is lost or silent.
+    /// Returns the next event, or `None` if the connection ended or no event arrived within
+    /// [`OWNER_TIMEOUT`].
     pub async fn next(&mut self) -> Option<StreamEvent> {
         let next = async {
             match self {
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -46,7 +46,7 @@
     pub detector: RefCell<Detector>,
     /// Shards that this daemon owns.
     pub shards: RefCell<BTreeMap<ShardId, Rc<ShardHost>>>,
-    /// Configuration in force.
+    /// Configuration in use.
     pub config: RefCell<ConfigState>,
     /// Whether `config` was read to the end of the log or taken from a peer. Until then it may be
     /// empty, and the daemon must not serve with it.
--- a/crates/daemon/src/platform/fleet.rs
+++ b/crates/daemon/src/platform/fleet.rs
@@ -17,7 +17,7 @@
 /// With a round every `LOAD_INTERVAL`, up to 12 times as many engines have a report that is not
 /// older than `MAX_REPORT_AGE`.
 const SAMPLE_SIZE: usize = 16;
-/// Age of the last report from which on an engine is considered unreachable.
+/// An engine whose last report is older than this is considered unreachable.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(3);
 /// How long a machine gets less work after a failed attempt: an engine is considered unreachable,
 /// and a server is tried last.
--- a/crates/daemon/src/platform/log_client.rs
+++ b/crates/daemon/src/platform/log_client.rs
@@ -19,8 +19,8 @@
 /// Appends a record and returns its offset.
 ///
 /// # Errors
-/// The append was not acknowledged. Unless the request was not sent, the record may have been
-/// appended.
+/// The append was not acknowledged. The record may still have been appended, unless the error is
+/// [`SendError::NotSent`].
 pub async fn append(node: &Node, stream: &str, data: String) -> Result<u64, SendError> {
     let url = format!("http://{}/v1/streams/{stream}", node.settings.platform.log);
     let response = node
--- a/crates/daemon/src/platform/log_store.rs
+++ b/crates/daemon/src/platform/log_store.rs
@@ -1,4 +1,5 @@
-//! Client for the log service in the protocol of the emulator: binary messages over HTTP.
+//! Client for the log service in the protocol of the project's emulator: the binary messages of
+//! [`fieldhook_log::wire`] over HTTP.
 
 use fieldhook_http::{HttpClient, SendError};
 use fieldhook_log::api::{
--- a/crates/daemon/src/sequencer/admission.rs
+++ b/crates/daemon/src/sequencer/admission.rs
@@ -47,7 +47,8 @@
         Ok(()) => return follow(&host, &call, &out).await,
         Err(AdmitError::NotOwner) => StreamEvent::NotOwner,
         Err(AdmitError::OwnerLost) => StreamEvent::OwnerLost,
-        // The state of a previous owner may be outdated and must not lead to a refusal.
+        // This daemon may have lost the shard without knowing it yet; its state may then be
+        // outdated and must not lead to a refusal.
         Err(AdmitError::Refused(_)) if !host.confirm_ownership().await => StreamEvent::NotOwner,
         Err(AdmitError::Refused(error)) => match record_refusal(&host, &call, error).await {
             Ok(event) => event,
--- a/crates/daemon/src/sequencer/attempt.rs
+++ b/crates/daemon/src/sequencer/attempt.rs
@@ -35,7 +35,7 @@
     NotRun,
     /// It may have run, and the call may be repeated.
     MayHaveRun,
-    /// A non-repeatable request may have run, and this cannot be determined.
+    /// A request that is not retryable may have run, and this cannot be determined.
     OutcomeUnknown,
     /// This daemon no longer owns the shard. The next owner continues the call.
     OwnershipLost,
@@ -102,6 +102,7 @@
         .collect()
     };
     for (program, number, attempt) in running {
+        // The priority that the rules gave the call is not recorded.
         if let Some(call) = prepare_call(node, host, program, number, DEFAULT_PRIORITY) {
             ntex::rt::spawn(run(call, attempt, AttemptStart::TakenOver));
         }
--- a/crates/daemon/src/sequencer/server_attempt.rs
+++ b/crates/daemon/src/sequencer/server_attempt.rs
@@ -1,8 +1,8 @@
 //! A single attempt of a request to a tool or application server.
 //!
-//! A non-repeatable request is recorded first and then sent at most once. If its response is lost,
-//! the server is asked for the result by request key, if it supports that. Otherwise the outcome is
-//! unknown.
+//! A request that is not retryable is recorded first and then sent at most once. If its response is
+//! lost, the result is looked up at the server by request key, if the server supports that.
+//! Otherwise the outcome is unknown.
 
 use crate::sequencer::attempt::{AttemptEnd, RunningCall};
 use crate::sequencer::model_attempt::AttemptStart;
@@ -71,7 +71,8 @@
     }
 }
 
-/// Determines how an attempt ended whose response was lost or whose previous owner is gone.
+/// Determines how an attempt ended if its response was lost or a previous owner of the shard sent
+/// it.
 async fn resolve_lost_response(call: &RunningCall, attempt: &Attempt) -> AttemptEnd {
     if call.repeatable {
         return if call.confirm_running().await {
@@ -97,7 +98,7 @@
                     return complete(call, 200, execution.answer);
                 }
             }
-            // The server does not support the look-up.
+            // The server does not support the lookup.
             Ok(response) if response.status != 404 => return AttemptEnd::OutcomeUnknown,
             // Not known to the server, which may not have received it or may still be executing it.
             _ => {}
--- a/crates/daemon/src/server.rs
+++ b/crates/daemon/src/server.rs
@@ -14,9 +14,11 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// Maximum size of a request body, in bytes. Large enough for snapshots, the largest messages
-/// between daemons; bodies from callers have the lower limit `limits.body_bytes`.
+/// Maximum size of a request body, in bytes. It also applies to messages between daemons, which can
+/// be larger than the request of a caller because they repeat delivered text; bodies from callers
+/// have the lower limit `limits.body_bytes`.
 const MAX_BODY_BYTES: usize = 512 << 20;
+/// Maximum number of events of a call that are buffered for another daemon.
 const EVENT_BACKLOG: usize = 64;
 
 /// Registers all routes.
--- a/crates/daemon/src/shard/host.rs
+++ b/crates/daemon/src/shard/host.rs
@@ -37,7 +37,7 @@
     pub live_calls: RefCell<BTreeMap<(ProgramId, u64), Rc<LiveCall>>>,
     /// Notified when a call ends, or when the shard is lost.
     pub call_ended: Notify,
-    /// Whether the shard is being handed over. New calls are then held back.
+    /// Whether the shard is being handed over. New calls are then answered with `NotOwner`.
     pub handing_over: Cell<bool>,
     /// Releases of engine memory in progress, by program and engine.
     pub releasing: RefCell<BTreeSet<(ProgramId, String)>>,
--- a/crates/daemon/src/shard/live_call.rs
+++ b/crates/daemon/src/shard/live_call.rs
@@ -22,8 +22,8 @@
         self.text.borrow()
     }
 
-    /// Returns the lineage of the text, which identifies the attempt that it goes back to. 0 before
-    /// the first attempt.
+    /// Returns the lineage of the text: the number of the attempt that began it, or 0 before the
+    /// first attempt.
     pub fn lineage(&self) -> u32 {
         self.lineage.get()
     }
--- a/crates/daemon/src/shard/ownership.rs
+++ b/crates/daemon/src/shard/ownership.rs
@@ -153,8 +153,9 @@
     }
 }
 
-/// Whether the owner that holds a claim is considered dead or is confirmed gone. A false positive
-/// only costs a move of the shard, because the log fences the previous owner.
+/// Whether the owner that holds a claim is considered dead by the failure detector, or is known to
+/// have ended. A false positive only costs a move of the shard, because the log fences the previous
+/// owner.
 fn is_owner_gone(node: &Node, claim: &Claim) -> bool {
     let Some(owner) = owner_of(claim) else {
         return false;
--- a/crates/daemon/tests/log_faults.rs
+++ b/crates/daemon/tests/log_faults.rs
@@ -86,6 +86,8 @@
     ntex::rt::System::new("log-faults", ntex::rt::DefaultRuntime).block_on(test);
 }
 
+/// `NotDone` must mean that the append had no effect, and `Unknown` that it may have had one: only
+/// after the latter must a retry guard against appending twice.
 #[test]
 fn faults_are_reported_and_append_nothing() {
     run(async {
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,4 +1,4 @@
-//! HTTP client whose errors tell whether the request may have been executed.
+//! HTTP client whose errors tell whether the request may have run.
 
 use ntex::SharedCfg;
 use ntex::client::error::{ClientError, ConnectError};
@@ -10,6 +10,7 @@
 use std::fmt;
 use std::time::Duration;
 
+/// Maximum size of a response body that is read completely, in bytes.
 const MAX_RESPONSE_BYTES: usize = 256 << 20;
 const KEEP_ALIVE_SECONDS: u16 = 10;
 /// More connections than a process can open, so in effect no limit. The library's own value for "no
@@ -23,7 +24,7 @@
 pub enum SendError {
     /// No connection was established, so the request was not sent.
     NotSent(String),
-    /// The request may have been executed, but no valid response was received.
+    /// The request may have run, but no valid response was received.
     Unknown(String),
     /// The server responded with an error status.
     Status {
@@ -46,7 +47,7 @@
             Self::Unknown(cause) => {
                 write!(
                     formatter,
-                    "no response ({cause}); the request may have been executed, try again"
+                    "no valid response ({cause}); the request may have run"
                 )
             }
             Self::Status { status, body } => write!(formatter, "status {status}: {body}"),
@@ -72,7 +73,8 @@
 }
 
 impl HttpClient {
-    /// Creates a client without a limit on the number of connections.
+    /// Creates a client without a limit on the number of connections. If it cannot be built, the
+    /// library's default client is used, which has other limits and timeouts.
     pub async fn new() -> Self {
         let connector = Connector::new()
             .limit(MAX_CONNECTIONS)
@@ -230,11 +232,11 @@
 
 fn classify_error(error: &ClientError) -> SendError {
     match error {
-        // `Disconnected` also covers connections that were lost after they were established, so
-        // it counts as not sent only if the connection was refused.
         ClientError::Connect(ConnectError::Resolver(_) | ConnectError::Timeout) => {
             SendError::NotSent(error.to_string())
         }
+        // `Disconnected` also covers connections that were lost after they were established, so
+        // it counts as not sent only if the connection was refused.
         ClientError::Connect(ConnectError::Disconnected(Some(cause)))
             if cause.kind() == std::io::ErrorKind::ConnectionRefused =>
         {
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,5 +1,5 @@
 //! HTTP helpers on top of `ntex`, shared by all processes of the project: a client whose errors
-//! tell whether a failed request may have been executed, server-sent events, and responses.
+//! tell whether a failed request may have run, server-sent events, and responses.
 
 mod client;
 mod response;
--- a/crates/model/src/api.rs
+++ b/crates/model/src/api.rs
@@ -156,10 +156,11 @@
     KeepAlive,
     /// The complete answer. Ends the stream.
     Done(Answer),
-    /// The sender does not own the shard and dropped the call. Ends the stream.
+    /// The sender does not own the shard and dropped the call. Ends the stream. Not
+    /// passed on to the caller.
     NotOwner,
-    /// The connection to the owner was lost; the call may have been recorded. Ends
-    /// the stream.
+    /// The sender lost the shard; the call may have been recorded. Ends the stream.
+    /// Not passed on to the caller.
     OwnerLost,
     /// The call failed or was refused. Ends the stream.
     Failed(CallError),
--- a/crates/model/src/config.rs
+++ b/crates/model/src/config.rs
@@ -5,7 +5,8 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Highest priority that a rule may set; 0 is the lowest.
+/// Highest priority that a rule may set; 0 is the lowest. In the platform's
+/// headers the order is the opposite: there, 0 is the most urgent.
 pub const MAX_PRIORITY: u8 = 100;
 /// Priority of calls for which no rule sets one.
 pub const DEFAULT_PRIORITY: u8 = 50;
--- a/crates/model/src/config_log.rs
+++ b/crates/model/src/config_log.rs
@@ -16,7 +16,7 @@
 #[serde(deny_unknown_fields)]
 pub struct ConfigChange {
     /// Version that the operator edited. The change is accepted only if this is
-    /// still the version in force.
+    /// still the version in use.
     pub based_on: u64,
     /// Unique key of the change, by which its publisher finds the outcome if the
     /// answer to the append was lost.
@@ -32,7 +32,7 @@
 pub enum ChangeOutcome {
     /// The change was accepted as this version.
     Accepted(u64),
-    /// The change is based on another version than the one in force, which is
+    /// The change is based on another version than the one in use, which is
     /// given here.
     OutOfDate(u64),
     /// The record or its document is not valid, for the given reason.
@@ -46,11 +46,11 @@
     pub version: u64,
     /// Offset of the next record to apply.
     pub next_offset: u64,
-    /// Key of the change that made the version in force.
+    /// Key of the change that made the version in use.
     pub change_key: String,
-    /// Text of the document in force, as published.
+    /// Text of the document in use, as published.
     pub text: String,
-    /// The document in force, parsed.
+    /// The document in use, parsed.
     pub document: ConfigDocument,
 }
 
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Replaces this state by a peer's if that covers a longer prefix of the log.
-    /// Prefixes of one log cannot disagree, so the longer one is newer. Returns
+    /// Replaces this state by a peer's if the peer's covers a longer prefix of the
+    /// log. Prefixes of one log cannot disagree, so the longer one is newer. Returns
     /// whether the state was replaced.
     pub fn adopt_if_newer(&mut self, other: ConfigState) -> bool {
         let is_newer = other.next_offset > self.next_offset;
--- a/crates/model/src/error.rs
+++ b/crates/model/src/error.rs
@@ -50,9 +50,9 @@
     NotReady,
     /// The owner of the program's shard could not be reached in time.
     Unavailable,
-    /// A request that is not repeatable may or may not have run.
+    /// A request that is not retryable may or may not have run.
     OutcomeUnknown,
-    /// The engine or server answered with an error, or all attempts failed.
+    /// All attempts failed.
     TargetFailed,
     /// The program ended while the call was running.
     Cancelled,
--- a/crates/model/src/labels.rs
+++ b/crates/model/src/labels.rs
@@ -69,7 +69,7 @@
     }
 }
 
-/// A list of requirements that labels have to meet all. An empty selector matches
+/// Requirements, all of which the labels have to meet. An empty selector matches
 /// everything.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, SerBin, DeBin)]
 #[serde(transparent)]
--- a/crates/model/src/operator.rs
+++ b/crates/model/src/operator.rs
@@ -51,7 +51,7 @@
     pub address: String,
     /// Process of the answering daemon: address and incarnation.
     pub process: String,
-    /// Version of the configuration in force on this daemon.
+    /// Version of the configuration in use on this daemon.
     pub config_version: u64,
     /// Commands of the daemon's own shards that are not in the platform's log yet.
     pub commands_waiting: i64,
@@ -66,7 +66,7 @@
 /// Response to `GET /v1/config`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigStatus {
-    /// Version in force.
+    /// Version in use.
     pub version: u64,
     /// Key of the change that made this version.
     pub change_key: String,
--- a/crates/model/tests/config_fuzz.rs
+++ b/crates/model/tests/config_fuzz.rs
@@ -119,7 +119,7 @@
     }
 
     /// Reference model: returns the version and change key after a prefix of the log.
-    /// A change is accepted if it is valid and based on the version in force.
+    /// A change is accepted if it is valid and based on the version in use.
     fn expected(&self, prefix: u64) -> (u64, String) {
         let mut version = 0;
         let mut key = String::new();
--- a/crates/placement/src/cost.rs
+++ b/crates/placement/src/cost.rs
@@ -11,19 +11,19 @@
 //! ```
 //!
 //! The last factor of `decode` spreads calls before batches are full, because each
-//! further sequence lengthens the steps of all. Recomputing what another engine has
-//! cached is waste that users account for separately; its weight keeps a program on
-//! its engine unless the queue there costs clearly more.
+//! further sequence lengthens the steps of all sequences. Users account for
+//! recomputed prompt tokens separately, as waste. `RECOMPUTE_WEIGHT` therefore adds
+//! to the cost of prefill, which keeps a program on its engine unless the queue there
+//! costs clearly more.
 
 use fieldhook_model::platform::EngineLoad;
 
 /// Step time assumed for an engine that has not reported one, in microseconds.
 const DEFAULT_STEP_US: u64 = 5_000;
-/// Weight of recomputed prefill as waste, relative to its own time.
+/// Extra cost of prefill, as a multiple of its time.
 const RECOMPUTE_WEIGHT: u64 = 1;
-/// Steps by which another engine has to be better than one that has some of the
-/// program in its cache, so that small differences don't move programs back and
-/// forth.
+/// Penalty, in steps, for moving a program to an engine that has none of it in its
+/// cache, so that small differences don't move programs back and forth.
 const MIGRATION_PENALTY_STEPS: u64 = 6;
 /// Tokens that a running sequence is assumed to have left to generate.
 const TYPICAL_REMAINING_TOKENS: u64 = 32;
--- a/crates/placement/src/rotation.rs
+++ b/crates/placement/src/rotation.rs
@@ -1,10 +1,11 @@
 //! Random round-robin over a large fleet, a few machines at a time.
 //!
 //! If every daemon read the load of every engine, a round would take (daemons x
-//! engines) requests: 350 x 740 at the planned size. Reading a few engines at a
-//! time in random order keeps the cost per daemon constant, and selecting the best
-//! of a random sample is nearly as good as selecting the best of all
-//! (Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", 2001).
+//! engines) requests: 350 x 740 at the planned size of 350 daemons and 740 engines.
+//! Reading a few engines at a time in random order keeps the cost per daemon
+//! constant, and selecting the best of a random sample is nearly as good as
+//! selecting the best of all (Mitzenmacher, "The Power of Two Choices in Randomized
+//! Load Balancing", 2001).
 
 /// Iterates over a changing set of addresses in batches, returning each address
 /// once per round.
--- a/crates/program/src/lib.rs
+++ b/crates/program/src/lib.rs
@@ -1,5 +1,6 @@
 //! The replicated state machine of a shard: its programs with their calls,
-//! history, budget and answers.
+//! history, budget and answers. A program is a conversation of an agent; a call is
+//! one request that the agent makes in it.
 //!
 //! It is deterministic and does no I/O: owners that apply the same commands in
 //! the same order hold the same state.
--- a/crates/program/src/lifecycle.rs
+++ b/crates/program/src/lifecycle.rs
@@ -58,7 +58,7 @@
 
     /// Refuses a request key permanently. The reason for the refusal may pass,
     /// but without this record a delayed duplicate of the request could then run
-    /// after the caller was told that it did not.
+    /// after the caller got an error saying that it was not run.
     pub(crate) fn refuse_key(&mut self, id: ProgramId, number: u64, key: String) -> Reply {
         let Some(program) = self.programs.get_mut(&id) else {
             return Reply::Stale;
--- a/crates/program/src/program.rs
+++ b/crates/program/src/program.rs
@@ -13,7 +13,7 @@
 pub struct ForkPoint {
     /// The program that spawned the sub-agent.
     pub parent: ProgramId,
-    /// Number of the parent's calls whose history the sub-agent inherits.
+    /// How many of the parent's calls the sub-agent inherits, counted from the first.
     pub after_call: u64,
 }
 
@@ -64,8 +64,8 @@
     pub refused_keys: BTreeSet<String>,
     /// Lifecycle phase.
     pub phase: Phase,
-    /// Engines that may hold cache for the program, with the tokens of the last
-    /// turn that each of them answered; 0 until it has answered one.
+    /// Engines that may hold cache for the program, each with the number of tokens
+    /// of the last turn that it answered, or 0 before its first answer.
     pub held_by: BTreeMap<String, u64>,
     /// Size of the conversation so far; `None` until an engine has counted it.
     pub counted_prompt: Option<CountedPrompt>,
--- a/crates/program/src/shard_state.rs
+++ b/crates/program/src/shard_state.rs
@@ -5,7 +5,7 @@
 //! - Calls of a program are numbered without gaps, and only the newest may be
 //!   running.
 //! - Spent plus reserved cost never exceeds the budget's limit.
-//! - A call that is not repeatable gets another attempt only if the previous one
+//! - A call that is not retryable gets another attempt only if the previous one
 //!   certainly did not run.
 
 use crate::admission::Admission;
@@ -61,7 +61,7 @@
             Ok(Admission::PreviousRunning) => {
                 let error = CallError::not_run(
                     ErrorKind::CallNumberTooEarly,
-                    "wait for the answer to the call before",
+                    "wait for the answer to the previous call",
                 );
                 return Reply::Refused(error.retry_after(RUNNING_RETRY_MS));
             }
--- a/crates/program/tests/machine_fuzz.rs
+++ b/crates/program/tests/machine_fuzz.rs
@@ -1,7 +1,7 @@
 //! Runs random operations on the shard's state machine and compares it with a
 //! reference model: the requests and answers of every program, the cost of what
-//! actually ran, and the keys of requests whose callers were told that they did
-//! not run.
+//! actually ran, and the keys of requests whose callers got an error saying that
+//! they were not run.
 
 #[path = "support/operations.rs"]
 mod operations;
--- a/crates/program/tests/support/operations.rs
+++ b/crates/program/tests/support/operations.rs
@@ -21,12 +21,14 @@
     },
     Finish {
         program: u8,
+        /// Whether the command names an attempt that does not exist yet.
         stale: bool,
         tokens: u8,
         failed: bool,
     },
     NextAttempt {
         program: u8,
+        /// Whether the previous attempt ran.
         ran: bool,
         prefix: u8,
     },
