--- a/crates/bench/src/audit.rs
+++ b/crates/bench/src/audit.rs
@@ -1,84 +1,87 @@
-//! Checking from outside what must always hold, after a run.
+//! Checks of the guarantees after a run, from the outside.
 
 use crate::cluster::Cluster;
-use crate::load::{ServerOutcome, Tally};
+use crate::load::{LoadStats, ServerOutcome};
 use fieldhook_model::platform::Execution;
 use ntex::time::{Millis, sleep};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-const PAUSE: Millis = Millis(50);
-/// A server whose record cannot be read in so many tries makes the audit fail.
-const READ_TRIES: usize = 20;
+const POLL_INTERVAL: Millis = Millis(50);
+/// Attempts to read the executions of a server; if all fail, the audit reports a violation.
+const MAX_READ_ATTEMPTS: usize = 20;
 
-/// Everything that did not hold, in words; empty if all held.
-pub async fn audit(cluster: &Cluster, tally: &Tally, service: &str) -> Vec<String> {
-    let mut broken = audit_answers(tally);
+/// Returns a description of each violated guarantee; empty if there are none.
+pub async fn audit(cluster: &Cluster, stats: &LoadStats, service: &str) -> Vec<String> {
+    let mut violations = check_callers(stats);
     match executions(cluster, service).await {
-        Ok(executions) => broken.extend(audit_executions(tally, &executions)),
-        Err(unread) => broken.push(format!("what ran at {unread} could not be read")),
+        Ok(executions) => violations.extend(check_executions(stats, &executions)),
+        Err(server) => violations.push(format!("cannot read the executions of server {server}")),
     }
-    broken
+    violations
 }
 
-/// What the callers themselves noticed.
-pub fn audit_answers(tally: &Tally) -> Vec<String> {
-    let mut broken: Vec<String> = tally
+/// Returns the violations that the callers detected.
+pub fn check_callers(stats: &LoadStats) -> Vec<String> {
+    let mut violations: Vec<String> = stats
         .violations
         .iter()
-        .map(|violation| format!("whole answer: {violation}"))
+        .map(|violation| format!("incorrect answer: {violation}"))
         .collect();
-    broken.extend(
-        tally
-            .wrong_histories
+    violations.extend(
+        stats
+            .history_mismatches
             .iter()
-            .map(|id| format!("history of {id} differs")),
+            .map(|id| format!("history of {id} differs from the caller's copy")),
     );
-    broken.extend(
-        tally
-            .overspent
+    violations.extend(
+        stats
+            .over_budget
             .iter()
-            .map(|id| format!("{id} spent beyond its budget")),
+            .map(|id| format!("{id} exceeded its budget")),
     );
-    broken.extend(
-        tally
-            .no_answer
+    violations.extend(
+        stats
+            .unanswered
             .iter()
-            .map(|cause| format!("no final answer: {cause}")),
+            .map(|cause| format!("no final response: {cause}")),
     );
-    broken
+    violations
 }
 
-/// What ran at the servers against what callers were told.
-pub fn audit_executions(tally: &Tally, executions: &BTreeMap<String, u32>) -> Vec<String> {
-    let mut broken = Vec::new();
+/// Compares the executions at the servers with the outcomes reported to the callers.
+pub fn check_executions(stats: &LoadStats, executions: &BTreeMap<String, u32>) -> Vec<String> {
+    let mut violations = Vec::new();
     for (key, count) in executions {
         if *count > 1 {
-            broken.push(format!("{key} is not repeatable and ran {count} times"));
+            violations.push(format!("{key} is not repeatable and ran {count} times"));
         }
     }
-    for (key, outcome) in &tally.server_outcomes {
+    for (key, outcome) in &stats.server_outcomes {
         let ran = executions.get(key).copied().unwrap_or(0) > 0;
         match outcome {
-            ServerOutcome::Answered if !ran => broken.push(format!("{key} answered but not run")),
+            ServerOutcome::Answered if !ran => {
+                violations.push(format!("{key} was answered but did not run"))
+            }
             ServerOutcome::NotRun if ran => {
-                broken.push(format!("{key} refused as not run, but ran"))
+                violations.push(format!("{key} was refused as not run, but ran"))
             }
             _ => {}
         }
     }
-    broken
+    violations
 }
 
-/// How often each key ran at the servers of a service.
+/// Returns how often each request key was executed by the servers of a service.
 ///
 /// # Errors
-/// A server whose record could not be read: without it nothing can be said of what ran.
+/// The address of a server whose executions cannot be read; without them the counts would be
+/// incomplete.
 pub async fn executions(cluster: &Cluster, service: &str) -> Result<BTreeMap<String, u32>, String> {
     let mut counts = BTreeMap::new();
     for server in cluster.servers(service) {
-        let seen = executions_of(cluster, &server).await.ok_or(server)?;
-        for (key, execution) in seen {
+        let executions = executions_of(cluster, &server).await.ok_or(server)?;
+        for (key, execution) in executions {
             *counts.entry(key).or_insert(0) += execution.count;
         }
     }
@@ -86,44 +89,45 @@
 }
 
 async fn executions_of(cluster: &Cluster, server: &str) -> Option<BTreeMap<String, Execution>> {
-    for _ in 0..READ_TRIES {
-        if let Some(reply) = cluster.get(server, "/v1/executions").await
-            && let Ok(seen) = serde_json::from_str(&reply.body)
+    for _ in 0..MAX_READ_ATTEMPTS {
+        if let Some(response) = cluster.get(server, "/v1/executions").await
+            && let Ok(executions) = serde_json::from_str(&response.body)
         {
-            return Some(seen);
+            return Some(executions);
         }
-        sleep(PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
     None
 }
 
-/// Time until engines hold nothing for the ended programs; nothing if they
-/// still do after the limit.
+/// Waits until no engine has tokens cached for the given programs and returns the time this
+/// took; `None` if it exceeds the limit.
 pub async fn time_to_release(
     cluster: &Cluster,
     programs: &[String],
     limit: Duration,
 ) -> Option<Duration> {
-    let begun = Instant::now();
+    let started = Instant::now();
     let ended: BTreeSet<&String> = programs.iter().collect();
-    while begun.elapsed() < limit {
-        let held = programs_held(cluster).await;
-        if !held.iter().any(|program| ended.contains(program)) {
-            return Some(begun.elapsed());
+    while started.elapsed() < limit {
+        let cached = programs_with_cache(cluster).await;
+        if !cached.iter().any(|program| ended.contains(program)) {
+            return Some(started.elapsed());
         }
-        sleep(PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
     None
 }
 
-async fn programs_held(cluster: &Cluster) -> BTreeSet<String> {
-    let mut held = BTreeSet::new();
+async fn programs_with_cache(cluster: &Cluster) -> BTreeSet<String> {
+    let mut cached = BTreeSet::new();
     for engine in cluster.engines() {
-        let Some(reply) = cluster.get(&engine, "/v1/programs").await else {
+        let Some(response) = cluster.get(&engine, "/v1/programs").await else {
             continue;
         };
-        let programs: BTreeMap<String, u64> = serde_json::from_str(&reply.body).unwrap_or_default();
-        held.extend(programs.into_keys());
+        let programs: BTreeMap<String, u64> =
+            serde_json::from_str(&response.body).unwrap_or_default();
+        cached.extend(programs.into_keys());
     }
-    held
+    cached
 }
--- a/crates/gateway/src/ledger/client.rs
+++ b/crates/gateway/src/ledger/client.rs
@@ -3,7 +3,7 @@
 use super::exchange::{Exchange, Suspicion};
 use super::owner::Owner;
 use super::peer::Peers;
-use super::region::{RegionActivity, SILENCE_LIMIT};
+use super::region::{RegionActivity, SILENCE_TIMEOUT};
 use fieldhook_ledger::message::{
     BudgetUsage, CloseTurn, FindChain, LedgerReply, LedgerRequest, OpenTurn,
 };
@@ -21,13 +21,12 @@
 
 /// An owner that does not answer a request in this time is suspected.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(250);
-/// Time that an owner has to append the end of a turn after it has noted it. After that the request
-/// is repeated, because the owner may be paused or cut off.
+/// Time that an owner has to append the end of a turn after accepting it. After that the request is
+/// sent again, because the owner may be paused or cut off.
 const APPEND_TIMEOUT: Duration = Duration::from_millis(900);
-/// Pause before a turn's end is sent again while this daemon is cut off with a minority of the
-/// zones.
+/// Pause before a turn's end is sent again while this daemon is in [`Reach::Minority`].
 const MINORITY_RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// How often [`LedgerClient::wait_until_cut_off`] checks the condition.
+/// How often [`LedgerClient::wait_until_in_minority`] checks whether this daemon is in a minority.
 const MINORITY_CHECK_PERIOD: Duration = Duration::from_millis(50);
 /// Longest wait for an ownership change before a request is retried.
 pub(super) const OWNER_CHANGE_WAIT: Duration = Duration::from_millis(40);
@@ -142,9 +141,10 @@
     }
 
     /// Opens a turn. If the program's own partition does not know the previous turn, the other
-    /// partitions are queried, since the turn may belong to another program; `request` then states
-    /// that the chain is supplied. `in_doubt` tells whether an owner may have opened the turn
-    /// without having replied, even if this future is dropped.
+    /// partitions are queried, since the turn may belong to another program;
+    /// `request.supplies_chain` is then set, because the owner does not have the chain. `in_doubt`
+    /// tells whether an owner may have opened the turn without having replied, even if this future
+    /// is dropped.
     ///
     /// # Errors
     /// The turn may not be opened, or no owner replied by the deadline.
@@ -221,12 +221,12 @@
                 })
             })
             .collect();
-        let until = deadline.min(Instant::now() + SILENCE_LIMIT);
-        let asked = requests.iter().map(|request| {
+        let until = deadline.min(Instant::now() + SILENCE_TIMEOUT);
+        let queries = requests.iter().map(|request| {
             let is_home = request.partition(layout.global_count()) >= layout.global_count();
-            self.ask(request, if is_home { until } else { deadline })
+            self.request_until_answered(request, if is_home { until } else { deadline })
         });
-        let mut answers: FuturesUnordered<_> = asked.collect();
+        let mut answers: FuturesUnordered<_> = queries.collect();
         let mut failure = OpenFailure::UnknownTurn;
         while let Some(answer) = answers.next().await {
             match answer {
@@ -250,7 +250,7 @@
         let partition = request.partition(self.owner.zone_state.layout.global_count());
         let answer = tokio::select! {
             biased;
-            answer = self.ask_tracked(&request, in_doubt, deadline) => answer,
+            answer = self.request_until_answered_tracked(&request, in_doubt, deadline) => answer,
             () = self.wait_for_region_silence(partition) => None,
         };
         match answer {
@@ -291,7 +291,8 @@
                 Err(_) => return false,
                 Ok(Some(LedgerReply::Durable)) => opened.durable = true,
                 Ok(_) => {
-                    // The turn is closed in any case, so doubt need not be tracked.
+                    // The turn will be closed in any case, so it does not matter whether an owner
+                    // acted on this request.
                     let in_doubt = Cell::default();
                     let program_request = request.program_partition_request();
                     match self
@@ -307,9 +308,10 @@
         true
     }
 
-    /// Returns the partition that orders the turns of a program.
-    pub fn partition_of(&self, program: &str) -> u32 {
-        self.owner.zone_state.layout.program_partition(program)
+    /// Returns the global partition that the name of a program or tenant hashes to. Its owner
+    /// orders the turns of the program, or counts the requests of the tenant.
+    pub fn partition_of(&self, name: &str) -> u32 {
+        self.owner.zone_state.layout.program_partition(name)
     }
 
     /// Returns the home partition that stores the contents of a program, if the program is
@@ -318,9 +320,9 @@
         self.owner.zone_state.layout.home_partition(program, homes)
     }
 
-    /// Completes once this daemon is cut off from the log together with a minority of the zones,
-    /// so that it cannot have anything recorded.
-    pub async fn wait_until_cut_off(&self) {
+    /// Completes once this daemon is in [`Reach::Minority`] and its log calls fail, so that it
+    /// cannot have anything recorded.
+    pub async fn wait_until_in_minority(&self) {
         while self.reach.get() != Reach::Minority || !self.log_health.is_failing() {
             sleep(MINORITY_CHECK_PERIOD).await;
         }
@@ -331,7 +333,7 @@
         let request = LedgerRequest::Close(request.clone());
         let partition = request.partition(self.owner.zone_state.layout.global_count());
         while Instant::now() < deadline {
-            let answer = self.ask(&request, deadline).await;
+            let answer = self.request_until_answered(&request, deadline).await;
             let Some((LedgerReply::Accepted, mut replies)) = answer else {
                 if self.reach.get() != Reach::Minority {
                     return false;
@@ -349,18 +351,20 @@
         false
     }
 
-    /// Sends a request to the owner of its partition until an owner answers.
-    pub(super) async fn ask(
+    /// Sends a request to the owner of its partition until an owner answers; replaces owners that
+    /// do not. [`Self::exchange`] sends a request only once.
+    pub(super) async fn request_until_answered(
         &self,
         request: &LedgerRequest,
         deadline: Instant,
     ) -> Option<(LedgerReply, mpsc::UnboundedReceiver<LedgerReply>)> {
-        self.ask_tracked(request, &Cell::default(), deadline).await
+        self.request_until_answered_tracked(request, &Cell::default(), deadline)
+            .await
     }
 
-    /// Like [`Self::ask`]; `in_doubt` tells whether an owner may have acted on the request without
-    /// having replied, even if this future is dropped.
-    async fn ask_tracked(
+    /// Like [`Self::request_until_answered`]; `in_doubt` tells whether an owner may have acted on
+    /// the request without having replied, even if this future is dropped.
+    async fn request_until_answered_tracked(
         &self,
         request: &LedgerRequest,
         in_doubt: &Cell<bool>,
@@ -374,8 +378,8 @@
             match exchange {
                 Err(_) => return None,
                 Ok(Exchange::Answered(reply, replies)) => return Some((reply, replies)),
-                // A daemon in the minority replaces no owners, and the request has better chances
-                // at another daemon in the time that is left.
+                // A daemon in a minority replaces no owners, and another daemon is more likely to
+                // serve the request in the time that is left.
                 Ok(Exchange::OwnerGone(_) | Exchange::OwnerSilent(_))
                     if self.reach.get() == Reach::Minority =>
                 {
--- a/crates/gateway/src/ledger/cold.rs
+++ b/crates/gateway/src/ledger/cold.rs
@@ -1,4 +1,5 @@
-//! Admission of requests to cold servers. The owner of the partition that a server's identity
+//! Admission of requests to cold servers, which started recently and can handle only few requests
+//! per second. The owner of the partition that a server's identity
 //! hashes to counts them, while a lease confirmed by the log guarantees that it is the only owner.
 
 use super::client::LedgerClient;
@@ -20,13 +21,13 @@
 
 /// A permit that arrives later than this is not used.
 const PERMIT_TIMEOUT: Duration = Duration::from_millis(PERMIT_VALIDITY_MS);
-/// Pause before the request is sent to an owner that this daemon just learned of.
+/// Pause before a request is sent again after the owner or the connection to it has changed.
 const RETRY_PAUSE: Duration = Duration::from_millis(1);
 /// Pause after the log did not confirm an owner, in milliseconds.
 const CONFIRM_RETRY_MS: u64 = 100;
-/// Time limit of the background search for an owner after one did not answer: an owner is
+/// Timeout of the background search for an owner after one did not answer: an owner is
 /// suspected after 250 ms, and a claim takes two log calls.
-const OWNER_SEARCH_LIMIT: Duration = Duration::from_millis(700);
+const OWNER_SEARCH_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Counters of requests to cold servers, by partition, and the leases under which they may be
 /// used.
@@ -106,10 +107,11 @@
                 if needs_renewal {
                     ntex::rt::spawn(confirm(owner.clone(), partition, claim));
                 }
-                let question = limits::cold_question(&request);
+                let admission_request = limits::cold_admission_request(&request);
                 let limits = &owner.cold_counters.limits;
-                break LedgerReply::Quota(limits.admit(partition, &claim, &question));
+                break LedgerReply::Quota(limits.admit(partition, &claim, &admission_request));
             }
+            // The lease of the previous owner may still be valid.
             State::Waiting(retry_after_ms) => {
                 break LedgerReply::Quota(QuotaReply::Refused { retry_after_ms });
             }
@@ -139,12 +141,12 @@
         return;
     }
     let sent_ms = counters.now_ms();
-    let limit = Duration::from_millis(TERM_MS);
+    let append_timeout = Duration::from_millis(TERM_MS);
     let fenced = fence(
         owner.store.as_ref(),
         owner.log_partition(partition),
         claim.epoch,
-        limit,
+        append_timeout,
     )
     .await;
     counters.confirming.borrow_mut().remove(&partition);
@@ -185,7 +187,7 @@
             let ledger = self.clone();
             ntex::rt::spawn(async move {
                 let answer = ledger
-                    .ask(&request, Instant::now() + OWNER_SEARCH_LIMIT)
+                    .request_until_answered(&request, Instant::now() + OWNER_SEARCH_TIMEOUT)
                     .await;
                 if answer.is_none() {
                     // The owner may answer but not be confirmed by the log.
--- a/crates/gateway/src/ledger/limits.rs
+++ b/crates/gateway/src/ledger/limits.rs
@@ -4,7 +4,7 @@
 use fieldhook_ledger::message::{ColdServerRequest, QuotaReply, QuotaRequest};
 use fieldhook_log::ownership::{self, Claim};
 use fieldhook_traffic::cold;
-use fieldhook_traffic::quota::{AdmissionRequest, PreviousOwner, QuotaDecision, QuotaTracker};
+use fieldhook_traffic::quota::{AdmissionRequest, PreviousGrants, QuotaDecision, QuotaTracker};
 use fieldhook_traffic::sliding_window::Bounds;
 use fieldhook_traffic::tenants::Limit;
 use std::cell::RefCell;
@@ -55,15 +55,15 @@
         &self,
         partition: u32,
         claim: &Claim,
-        question: &AdmissionRequest<'_>,
+        request: &AdmissionRequest<'_>,
     ) -> QuotaReply {
         self.with_counters(partition, claim, |counters, now_ms| {
-            quota_answer(counters.decide(question, now_ms))
+            quota_reply(counters.decide(request, now_ms))
         })
     }
 
     /// Records that the client of a program's last request disconnected.
-    pub(super) fn client_left(
+    pub(super) fn record_disconnect(
         &self,
         partition: u32,
         claim: &Claim,
@@ -78,7 +78,7 @@
         })
     }
 
-    /// Calls `act` with the counters of a claim, which start anew with each claim.
+    /// Calls `act` with the counters of a claim, which start empty with each claim.
     fn with_counters(
         &self,
         partition: u32,
@@ -106,17 +106,17 @@
 
 /// Grants of the previous owner are not known, whether or not it released the partition in a
 /// planned stop.
-fn previous_owner(claim: &Claim) -> PreviousOwner {
+fn previous_owner(claim: &Claim) -> PreviousGrants {
     match claim.previous_owner {
-        ownership::PreviousOwner::None => PreviousOwner::None,
+        ownership::PreviousOwner::None => PreviousGrants::None,
         ownership::PreviousOwner::HandedOver { .. } | ownership::PreviousOwner::Lost => {
-            PreviousOwner::Lost
+            PreviousGrants::Lost
         }
     }
 }
 
 /// Converts a request about a cold server.
-pub(super) fn cold_question(request: &ColdServerRequest) -> AdmissionRequest<'_> {
+pub(super) fn cold_admission_request(request: &ColdServerRequest) -> AdmissionRequest<'_> {
     cold::permit_request(
         &request.server,
         request.rate_per_s,
@@ -126,7 +126,7 @@
 }
 
 /// Converts a request about a tenant.
-pub(super) fn tenant_question(request: &QuotaRequest) -> AdmissionRequest<'_> {
+pub(super) fn tenant_admission_request(request: &QuotaRequest) -> AdmissionRequest<'_> {
     AdmissionRequest {
         tenant: &request.tenant,
         limit: Limit {
@@ -142,8 +142,8 @@
     }
 }
 
-fn quota_answer(answer: QuotaDecision) -> QuotaReply {
-    match answer {
+fn quota_reply(decision: QuotaDecision) -> QuotaReply {
+    match decision {
         QuotaDecision::Granted { used } => QuotaReply::Granted { used },
         QuotaDecision::Refused { retry_after_ms } => QuotaReply::Refused { retry_after_ms },
     }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -35,8 +35,9 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Number of servers from which daemons read through readers. It nearly fills one page of a listing,
-/// so below it readers save nothing; a fleet with this many servers has hundreds of daemons.
+/// Number of servers from which daemons read through readers. It nearly fills one page of a
+/// listing, so below it readers save nothing; a fleet with this many servers has hundreds of
+/// daemons.
 const RELAY_MIN_SERVERS: usize = 400;
 /// End offset of the servers topic that indicates [`RELAY_MIN_SERVERS`] to a daemon that has not
 /// listed the servers yet: each server is written a few times in its life.
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Sets the number of known servers. From [`RELAY_MIN_SERVERS`] on, readers are used for good.
+    /// Sets the number of known servers. From `RELAY_MIN_SERVERS` on, readers are used for good.
     pub fn set_server_count(&self, count: usize) {
         if count >= RELAY_MIN_SERVERS && !self.has_many_servers.get() {
             tracing::info!(event = "servers_are_many", count);
--- a/crates/gateway/src/serve/reader.rs
+++ b/crates/gateway/src/serve/reader.rs
@@ -46,7 +46,7 @@
     BodyTooLarge,
     /// The body is not valid chunked encoding.
     BrokenBody,
-    /// The memory limit for slow peers is reached.
+    /// The limit of buffer memory is reached.
     NoRoom,
 }
 
@@ -130,7 +130,7 @@
         writer: &mut ClientWriter,
         started: Instant,
     ) -> Result<ClientRequest, ReadFailure> {
-        let held = self.memory.open(Purpose::Incoming);
+        let held = self.memory.open(Purpose::InProgress);
         let head = loop {
             match decode_request_head(&mut self.buffer, limits.header_bytes) {
                 Ok(Some(head)) => break head,
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,7 +1,7 @@
 //! Startup settings of a daemon.
 
 use fieldhook_log::claim_delay::Capacity;
-use fieldhook_topology::zone::ZoneMap;
+use fieldhook_topology::zone::Map;
 use std::net::SocketAddr;
 
 /// How strictly tenants' limits are enforced, from the operator's sheet.
@@ -113,7 +113,7 @@
     /// Zone of the machine.
     pub zone: String,
     /// Zones of the deployment with their regions.
-    pub zones: ZoneMap,
+    pub zones: Map,
     /// Bounds from the operator's sheet.
     pub bounds: Bounds,
     /// Listening address for clients.
@@ -134,8 +134,8 @@
     pub slow_peers: SlowPeers,
     /// How strictly tenants' limits are enforced.
     pub quota: Quota,
-    /// Maximum time for which a revoked key may still be accepted, in milliseconds, if there is one.
-    /// A daemon that could not confirm its configuration for this time accepts no keys at all.
+    /// Maximum time for which a revoked key may still be accepted, in milliseconds, if there is
+    /// one. A daemon that could not confirm its configuration for this time accepts no keys at all.
     pub revocation_ms: Option<u64>,
     /// Time between SIGTERM and SIGKILL, in milliseconds.
     pub grace_ms: u64,
--- a/crates/gateway/tests/gateway/evacuation.rs
+++ b/crates/gateway/tests/gateway/evacuation.rs
@@ -7,7 +7,7 @@
 use fieldhook_log::api::Partition;
 use fieldhook_log::reach::Reach;
 use fieldhook_topology::evacuation::State;
-use fieldhook_topology::zone::ZoneMap;
+use fieldhook_topology::zone::Map;
 use futures_util::future::join;
 use std::io::Write;
 use std::sync::{Arc, Mutex};
@@ -38,7 +38,7 @@
     async fn new(act: Act) -> Self {
         let world = World::new().await;
         let zones = [("z1", "r"), ("z2", "r"), ("z3", "far")];
-        world.zones.replace(ZoneMap::new(zones));
+        world.zones.replace(Map::new(zones));
         let servers = [
             Server::start("s1", act.clone()).await,
             Server::start("s2", act.clone()).await,
@@ -113,7 +113,7 @@
     }
 }
 
-/// Sends a request to each route: a repeatable and a non-repeatable call, a turn and a
+/// Sends a request to each route: a retryable and a non-retryable call, a turn and a
 /// resumable stream.
 async fn request_all(gateway: &Gateway, name: &str) -> Vec<Reply> {
     let kinds = [
@@ -146,7 +146,7 @@
         wait_evacuated(&gateway, "z1", true).await;
         for number in 0..10 {
             for reply in request_all(&gateway, &format!("evacuated-{number}")).await {
-                assert!(reply.whole && reply.head.status == 200);
+                assert!(reply.complete && reply.head.status == 200);
             }
         }
         assert_eq!(zones.servers[0].count(), before);
@@ -231,7 +231,7 @@
         sleep(Duration::from_millis(900)).await;
         let gateway = zones.gateway("g2", "z1").await;
         let fields = "Request: t1\r\nProgram: p\r\n";
-        assert!(gateway.ask("POST", "/chat/1", fields, "A;").await.whole);
+        assert!(gateway.ask("POST", "/chat/1", fields, "A;").await.complete);
         assert_eq!(zones.counts(), [1, 0, 0]);
         let partition = config_partition();
         owner.store.set_partition_fault(partition, LogFault::Silent);
@@ -240,7 +240,7 @@
         let fields = "Request: t2\r\nProgram: p\r\nPrevious: t1\r\n";
         let reply = gateway.ask("POST", "/chat/1", fields, "B;").await;
         assert!(!owner.daemon.zone_state.is_evacuated("z1"));
-        assert!(reply.whole && reply.head.status == 200);
+        assert!(reply.complete && reply.head.status == 200);
         let [evacuated, second, third] = zones.counts();
         assert_eq!((evacuated, second + third), (1, 1));
     });
@@ -268,7 +268,7 @@
             wait_evacuated(&gateway, "z1", true).await;
         };
         let (stream, (call, ())) = join(stream, join(call, evacuation)).await;
-        assert!(stream.whole);
+        assert!(stream.complete);
         for text in texts {
             assert!(stream.text().contains(&text));
         }
@@ -499,8 +499,8 @@
     });
 }
 
-/// Simulates a freeze of the process by blocking the thread on which everything runs.
-fn freeze(duration: Duration) {
+/// Simulates a pause of the process by blocking the thread on which everything runs.
+fn pause_process(duration: Duration) {
     std::thread::sleep(duration);
 }
 
@@ -514,17 +514,17 @@
 }
 
 #[test]
-fn after_a_freeze_a_gateway_confirms_evacuations_before_it_serves() {
+fn after_a_pause_a_gateway_confirms_evacuations_before_it_serves() {
     run(async {
         let zones = zones_with_limit(2_500).await;
         let gateway = zones.gateway("g1", "z1").await;
-        // Without a freeze, the gateway relies on what it knows while an outage lasts.
+        // Without a pause, the gateway relies on what it knows while an outage lasts.
         gateway.store.set_fault(LogFault::Down);
         sleep(Duration::from_millis(2_700)).await;
         let reply = gateway.ask("GET", "/safe/1", "Request: a\r\n", "").await;
         assert_eq!(reply.text(), "ok");
         zones.evacuate("z1").await;
-        freeze(Duration::from_millis(2_600));
+        pause_process(Duration::from_millis(2_600));
         for id in ["b", "c"] {
             let fields = format!("Request: {id}\r\n");
             let reply = gateway.ask("POST", "/unsafe/1", &fields, "").await;
@@ -547,21 +547,21 @@
     });
 }
 
-/// The process freezes after the server was selected and before the connection is
+/// The process is paused after the server was selected and before the connection is
 /// established; the zone is evacuated meanwhile.
 #[test]
-fn an_attempt_interrupted_by_a_freeze_is_withdrawn() {
+fn an_attempt_interrupted_by_a_pause_is_withdrawn() {
     run(async {
         let zones = zones_with_limit(1_000).await;
         let gateway = zones.gateway("g1", "z1").await;
         gateway.store.set_fault(LogFault::Down);
         let request = gateway.ask("POST", "/unsafe/1", "Request: a\r\n", "");
-        let frozen = async {
+        let paused = async {
             wait_for_attempt(&gateway, "s1").await;
             zones.evacuate("z1").await;
-            freeze(Duration::from_millis(1_100));
+            pause_process(Duration::from_millis(1_100));
         };
-        let (reply, ()) = join(request, frozen).await;
+        let (reply, ()) = join(request, paused).await;
         assert_eq!(reply.head.status, 503);
         assert_eq!(zones.counts(), [0, 0, 0]);
     });
