--- a/crates/ledger/src/budget.rs
+++ b/crates/ledger/src/budget.rs
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Restores the budget from the record of an earlier owner.
+    /// Restores the budget from the record of a previous owner.
     pub fn from_record(record: &ProgramRecord) -> Self {
         Self {
             settled_tokens: record.settled_tokens,
@@ -283,7 +283,7 @@
         } else if tokens == 0 {
             return Settlement::NotOpened;
         } else {
-            // An earlier owner granted this turn from its reserve. It may also have reserved the
+            // A previous owner granted this turn from its reserve. It may also have reserved the
             // unused part of the turn's maximum again, for turns whose end is never reported. Only
             // the delivered tokens are known to belong to this turn.
             self.inherited_tokens = self.inherited_tokens.saturating_sub(tokens);
--- a/crates/ledger/src/ended_turns.rs
+++ b/crates/ledger/src/ended_turns.rs
@@ -34,7 +34,7 @@
 }
 
 impl EndedTurns {
-    /// Restores the ends from the record of an earlier owner.
+    /// Restores the ends from the record of a previous owner.
     pub fn from_record(reservation_ids: &[String]) -> Self {
         let ended = |id: &String| EndedTurn {
             reservation_id: id.clone(),
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -18,7 +18,7 @@
 //! - A home partition is bound to one region and stores contents only. All other partitions are
 //!   global: see [`layout`].
 //! - A program without a record is uncertain for some time after a takeover, the uncertainty
-//!   window, because an earlier owner may have started it: see [`uncertainty`].
+//!   window, because a previous owner may have started it: see [`uncertainty`].
 //!
 //! Modules:
 //!
--- a/crates/ledger/src/open_turns.rs
+++ b/crates/ledger/src/open_turns.rs
@@ -26,7 +26,7 @@
 /// Whether a client still waits for a turn, as far as the owner knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WaitState {
-    /// The gateway of the turn requested it from this owner, or an earlier owner handed it over as
+    /// The gateway of the turn requested it from this owner, or a previous owner handed it over as
     /// awaited.
     Awaited,
     /// The turn is known from a record of an owner that was lost, and was not requested again
--- a/crates/ledger/src/partition.rs
+++ b/crates/ledger/src/partition.rs
@@ -68,7 +68,7 @@
     /// Number of pending deletions of each expired program. Until they are durable, a successor may
     /// still read the old record and count only that.
     pending_deletions: HashMap<QualifiedName, u32>,
-    /// Whether a program without a record may have been started by an earlier owner.
+    /// Whether a program without a record may have been started by a previous owner.
     uncertainty: Uncertainty,
     /// The previous owner was lost, and possibly the gateways of its recorded turns as well.
     previous_owner_lost: bool,
--- a/crates/ledger/src/uncertainty.rs
+++ b/crates/ledger/src/uncertainty.rs
@@ -2,7 +2,7 @@
 //!
 //! An owner grants the first tokens of a program without waiting for a record. If it is lost, its
 //! successor cannot know these programs. For some time after the takeover, the uncertainty window,
-//! the successor treats each unknown program as one that an earlier owner may have started, and
+//! the successor treats each unknown program as one that a previous owner may have started, and
 //! counts what that owner may have granted as spent. The first successor may grant a share of its
 //! own without a record of the program as well, so that programs can start if the log fails soon
 //! after an owner. Before it grants that share it appends a record for the partition, so that the
@@ -85,7 +85,7 @@
         self.until_ms.saturating_sub(now_ms)
     }
 
-    /// Applies the record of an earlier owner.
+    /// Applies the record of a previous owner.
     pub fn load(&mut self, successors: u32) {
         self.recorded_successors = successors;
     }
--- a/crates/log/src/wire.rs
+++ b/crates/log/src/wire.rs
@@ -1,4 +1,5 @@
-//! Binary form of the calls to the log service, as used between daemons and the emulator.
+//! Binary form of the calls to the log service, as used between daemons and the emulator of the log
+//! service.
 
 use crate::api::{
     Append, Appended, KeyedRecord, NewestPage, Partition, Producer, ReadBatch, StoreError, Trim,
