--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -129,8 +129,8 @@
     pub config: String,
     /// Key of the configuration in that topic.
     pub config_key: Vec<u8>,
-    /// Key prefix of evacuation records in that topic; the name of the zone follows. A record
-    /// exists as long as its zone is evacuated.
+    /// Key prefix of evacuation records in that topic; the name of the zone follows. A record exists
+    /// as long as its zone is evacuated.
     pub evacuation_prefix: Vec<u8>,
     /// Compacted topic of the servers.
     pub servers: String,
--- a/crates/gateway/src/memory.rs
+++ b/crates/gateway/src/memory.rs
@@ -1,6 +1,5 @@
 //! Limits the memory for data buffered for peers that read slowly.
-//! [`fieldhook_traffic::buffer_memory`] decides which buffers are evicted when the limit is
-//! reached.
+//! [`fieldhook_traffic::buffer_memory`] decides which buffers are evicted when the limit is reached.
 
 use crate::metrics::Metrics;
 use crate::settings::SlowPeers;
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -6,8 +6,7 @@
 };
 use std::rc::Rc;
 
-/// Number of tenants exported by name. Each is a time series of its own, and there may be
-/// thousands.
+/// Number of tenants exported by name. Each is a time series of its own, and there may be thousands.
 const MAX_TENANTS_SHOWN: usize = 8;
 const LATENCY_BUCKETS: [f64; 14] = [
     0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.35, 0.5, 1.0, 2.0, 4.0, 8.0,
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -35,9 +35,8 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Number of servers from which daemons read through readers. It nearly fills one page of a
-/// listing, so below it readers save nothing; a fleet with this many servers has hundreds of
-/// daemons.
+/// Number of servers from which daemons read through readers. It nearly fills one page of a listing,
+/// so below it readers save nothing; a fleet with this many servers has hundreds of daemons.
 const RELAY_MIN_SERVERS: usize = 400;
 /// End offset of the servers topic that indicates [`RELAY_MIN_SERVERS`] to a daemon that has not
 /// listed the servers yet: each server is written a few times in its life.
--- a/crates/gateway/src/relay/reader.rs
+++ b/crates/gateway/src/relay/reader.rs
@@ -107,8 +107,8 @@
         Some(self.confirmed.get()? + Duration::from_millis(max_age_ms))
     }
 
-    /// Returns a packed page of a listing. A page is packed again once the mirror no longer holds
-    /// the records that were added since.
+    /// Returns a packed page of a listing. A page is packed again once the mirror no longer holds the
+    /// records that were added since.
     fn page(&self, after: Option<Vec<u8>>) -> Option<Rc<Page>> {
         let mirror = self.mirror.borrow();
         let mut pages = self.pages.borrow_mut();
--- a/crates/gateway/src/relay/reader_slots.rs
+++ b/crates/gateway/src/relay/reader_slots.rs
@@ -1,5 +1,5 @@
-//! Becoming a reader: a daemon claims a reader slot of its zone that is free or whose holder does
-//! not reply.
+//! Becoming a reader: a daemon claims a reader slot of its zone that is free or whose holder does not
+//! reply.
 
 use super::Relay;
 use crate::daemon::Daemon;
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -134,8 +134,8 @@
     pub slow_peers: SlowPeers,
     /// How strictly tenants' limits are enforced.
     pub quota: Quota,
-    /// Maximum time for which a revoked key may still be accepted, in milliseconds, if there is
-    /// one. A daemon that could not confirm its configuration for this time accepts no keys at all.
+    /// Maximum time for which a revoked key may still be accepted, in milliseconds, if there is one.
+    /// A daemon that could not confirm its configuration for this time accepts no keys at all.
     pub revocation_ms: Option<u64>,
     /// Time between SIGTERM and SIGKILL, in milliseconds.
     pub grace_ms: u64,
