--- a/crates/daemon/src/gateway/commands.rs
+++ b/crates/daemon/src/gateway/commands.rs
@@ -10,8 +10,11 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
+/// Timeout of one request to the owner.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Pause between two attempts to reach the owner.
 const RETRY_INTERVAL: Millis = Millis(25);
+/// Retry delay suggested to the caller if no owner responded in time.
 const RETRY_AFTER_MS: u64 = 1_000;
 
 /// Sends a command to the owner of the program, and repeats it when the owner changes. All commands
--- a/crates/daemon/src/gateway/relay.rs
+++ b/crates/daemon/src/gateway/relay.rs
@@ -18,7 +18,9 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 
+/// Pause between two attempts to reach the owner.
 const RETRY_INTERVAL: Millis = Millis(25);
+/// Retry delay suggested to the caller if no owner responded in time.
 const RETRY_AFTER_MS: u64 = 1_000;
 
 /// How following the events of an owner ended.
--- a/crates/daemon/src/sequencer/attempt.rs
+++ b/crates/daemon/src/sequencer/attempt.rs
@@ -17,6 +17,7 @@
 
 const PLACEMENT_RETRY_DELAY: Millis = Millis(100);
 const MAX_PLACEMENT_TRIES: u32 = 20;
+/// Retry delay suggested to the caller after all attempts failed.
 const RETRY_AFTER_FAILURE_MS: u64 = 1_000;
 
 /// How an attempt ended.
--- a/crates/daemon/src/sequencer/maintenance.rs
+++ b/crates/daemon/src/sequencer/maintenance.rs
@@ -1,5 +1,5 @@
-//! Periodic maintenance of owned shards: ends programs at their deadline, releases engine memory of
-//! ended programs, drops old records, and sweeps engines for orphaned memory.
+//! Periodic maintenance of owned shards: ends programs at their deadline, releases the engines'
+//! caches of ended programs, purges expired records, and sweeps engines for orphaned caches.
 
 use crate::node::Node;
 use crate::shard::ShardHost;
@@ -28,12 +28,12 @@
             if host.is_owned() {
                 end_overdue_programs(&host).await;
                 release_ended_programs(&node, &host);
-                drop_old_records(&host).await;
+                purge_expired_programs(&host).await;
             }
         }
         round += 1;
         if round.is_multiple_of(ROUNDS_PER_SWEEP) {
-            sweep_orphaned_memory(&node, &mut rotation).await;
+            sweep_orphaned_caches(&node, &mut rotation).await;
         }
         sleep(INTERVAL).await;
     }
@@ -58,7 +58,7 @@
     }
 }
 
-/// Requests the release of the memory that engines hold for ended programs. Repeated in each round
+/// Requests the release of the cache that engines hold for ended programs. Repeated in each round
 /// until the release is recorded.
 fn release_ended_programs(node: &Rc<Node>, host: &Rc<ShardHost>) {
     let held: Vec<(ProgramId, String)> = {
@@ -102,7 +102,7 @@
     response.is_ok_and(|response| response.status == 200)
 }
 
-/// Whether the platform no longer lists an engine. Its memory then counts as released.
+/// Whether the platform no longer lists an engine. Its cache then counts as released.
 fn is_unlisted(node: &Node, engine: &str) -> bool {
     let fleet = node.fleet.borrow();
     !fleet.machines().is_empty()
@@ -112,7 +112,7 @@
             .any(|machine| machine.address == engine)
 }
 
-async fn drop_old_records(host: &Rc<ShardHost>) {
+async fn purge_expired_programs(host: &Rc<ShardHost>) {
     let due = host
         .state
         .borrow()
@@ -122,10 +122,10 @@
     }
 }
 
-/// Releases memory that engines hold for programs that have ended. Covers memory that no record
+/// Releases cache that engines hold for programs that have ended. Covers cache that no record
 /// mentions, such as that of a stream started by an owner that had already lost the shard. Each
 /// owner checks the programs of its own shards.
-async fn sweep_orphaned_memory(node: &Rc<Node>, rotation: &mut Rotation) {
+async fn sweep_orphaned_caches(node: &Rc<Node>, rotation: &mut Rotation) {
     let all = node.fleet.borrow().engines();
     let engines = rotation.next_batch(&all, ENGINES_PER_SWEEP, |limit| fastrand::usize(..limit));
     for engine in engines {
@@ -140,7 +140,7 @@
             .filter_map(|text| text.parse::<ProgramId>().ok())
         {
             if is_orphaned(node, program) {
-                tracing::info!(%program, engine, "releasing orphaned memory of an ended program");
+                tracing::info!(%program, engine, "releasing orphaned cache of an ended program");
                 request_release(node, program, &engine).await;
             }
         }
--- a/crates/daemon/src/shard/host.rs
+++ b/crates/daemon/src/shard/host.rs
@@ -39,7 +39,7 @@
     pub call_ended: Notify,
     /// Whether the shard is being handed over. New calls are then answered with `NotOwner`.
     pub handing_over: Cell<bool>,
-    /// Releases of engine memory in progress, by program and engine.
+    /// Releases of engine cache in progress, by program and engine.
     pub releasing: RefCell<BTreeSet<(ProgramId, String)>>,
     /// Appends records to the log under this epoch.
     pub appender: Rc<Appender>,
--- a/crates/model/src/platform.rs
+++ b/crates/model/src/platform.rs
@@ -88,8 +88,8 @@
 /// Body of a request to generate text on an engine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct GenerateRequest {
-    /// Name of the stream, by which it is resumed and cancelled. A second request
-    /// with the same name joins the first.
+    /// Name of the stream of generated text, by which it is resumed and cancelled.
+    /// A second request with the same name joins the first.
     pub stream: String,
     /// Program to which the cached prompt belongs.
     pub program: String,
