--- a/crates/emulator/src/engine/core.rs
+++ b/crates/emulator/src/engine/core.rs
@@ -43,7 +43,7 @@
     block_hashes: Vec<u64>,
     usage: Usage,
     /// Prompt tokens that are not yet prefilled.
-    to_prefill: u64,
+    remaining_prefill: u64,
     /// Index of the next word of the answer.
     next_word: u64,
     /// Position in the order of arrival.
@@ -95,7 +95,7 @@
                 prompt_tokens: request.messages.iter().map(count_tokens).sum(),
                 ..Usage::default()
             },
-            to_prefill: 0,
+            remaining_prefill: 0,
             next_word: words_so_far,
             arrival: self.arrivals,
             request,
@@ -166,7 +166,8 @@
             let mut sequence = self.waiting.swap_remove(index);
             let cached = self.cache.cached_prefix(&sequence.block_hashes);
             sequence.usage.cached_tokens = cached.min(sequence.usage.prompt_tokens);
-            sequence.to_prefill = sequence.usage.prompt_tokens - sequence.usage.cached_tokens;
+            sequence.remaining_prefill =
+                sequence.usage.prompt_tokens - sequence.usage.cached_tokens;
             self.cache
                 .insert(&sequence.request.program, &sequence.block_hashes);
             self.running.push(sequence);
@@ -177,8 +178,8 @@
     fn prefill(&mut self) -> u64 {
         let mut remaining = self.settings.prefill_tokens_per_step;
         for sequence in &mut self.running {
-            let tokens = sequence.to_prefill.min(remaining);
-            sequence.to_prefill -= tokens;
+            let tokens = sequence.remaining_prefill.min(remaining);
+            sequence.remaining_prefill -= tokens;
             remaining -= tokens;
         }
         self.settings.prefill_tokens_per_step - remaining
@@ -190,7 +191,7 @@
         for sequence in self
             .running
             .iter_mut()
-            .filter(|sequence| sequence.to_prefill == 0)
+            .filter(|sequence| sequence.remaining_prefill == 0)
         {
             let text = answer_word(sequence.prompt_digest, sequence.next_word);
             sequence.next_word += 1;
--- a/crates/emulator/src/engine/mod.rs
+++ b/crates/emulator/src/engine/mod.rs
@@ -10,6 +10,6 @@
 
 pub use cache::PrefixCache;
 pub use core::{EngineCore, EngineSettings, StepReport};
-pub use service::{CacheExport, Options, Order, run};
+pub use service::{CacheExport, Command, Options, run};
 pub use state::CacheEvent;
 pub use text::{BLOCK_TOKENS, answer_word, count_tokens, expected_answer, prompt_digest};
--- a/crates/emulator/src/engine/service.rs
+++ b/crates/emulator/src/engine/service.rs
@@ -1,4 +1,4 @@
-//! HTTP interface of the engine: streams, cache, load and orders.
+//! HTTP interface of the engine: streams, cache, load and commands.
 
 use crate::engine::core::EngineSettings;
 use crate::engine::state::{Engine, StreamState};
@@ -16,14 +16,14 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Interval at which an idle engine and the readers of a stream check for work.
+/// Interval at which an idle engine checks for requests, and a stream's response for new text.
 const POLL_INTERVAL: Millis = Millis(1);
 
-/// Changes what the engine serves. Orders with a lower fencing number than an
-/// earlier order are rejected.
+/// Command that changes what the engine serves. Commands with a lower epoch than a
+/// previous command are rejected.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Order {
-    /// Fencing number of the sender's term.
+pub struct Command {
+    /// Epoch of the sender.
     pub fence: u64,
     /// `load_model`, `load_adapter`, `load_version` or `set_role`.
     pub kind: String,
@@ -87,7 +87,7 @@
         .route("/v1/cache/events", web::get().to(list_cache_events))
         .route("/v1/kv/{program}", web::get().to(export_cache))
         .route("/v1/kv/{program}", web::post().to(import_cache))
-        .route("/v1/orders", web::post().to(execute_order))
+        .route("/v1/orders", web::post().to(execute_command))
         .route("/control/leave", web::post().to(announce_leave))
         .route("/control/generated", web::get().to(show_generate_count));
 }
@@ -294,7 +294,7 @@
     }
 }
 
-async fn execute_order(
+async fn execute_command(
     shared: types::State<Shared>,
     faults: types::State<Faults>,
     body: Bytes,
@@ -302,24 +302,24 @@
     if let Err(response) = faults.before_request().await {
         return response;
     }
-    let order: Order = match serde_json::from_slice(&body) {
-        Ok(order) => order,
+    let command: Command = match serde_json::from_slice(&body) {
+        Ok(command) => command,
         Err(error) => return text(400, error.to_string()),
     };
     let fence = shared.engine.borrow().fence;
-    if order.fence < fence {
-        return text(409, format!("fence {} is below {fence}", order.fence));
+    if command.fence < fence {
+        return text(409, format!("fence {} is below {fence}", command.fence));
     }
-    shared.engine.borrow_mut().fence = order.fence;
-    match order.kind.as_str() {
-        "set_role" => shared.engine.borrow_mut().role = order.name,
+    shared.engine.borrow_mut().fence = command.fence;
+    match command.kind.as_str() {
+        "set_role" => shared.engine.borrow_mut().role = command.name,
         "load_model" | "load_adapter" | "load_version" => {
             if let Some(address) = &shared.weights
-                && let Err(cause) = download_weights(address, &order.name).await
+                && let Err(cause) = download_weights(address, &command.name).await
             {
                 return text(502, cause);
             }
-            shared.engine.borrow_mut().models.push(order.name);
+            shared.engine.borrow_mut().models.push(command.name);
         }
         _ => {
             return text(
--- a/crates/emulator/src/engine/state.rs
+++ b/crates/emulator/src/engine/state.rs
@@ -22,7 +22,7 @@
     pub sequence: u64,
     /// Identifier of the program.
     pub program: String,
-    /// Number of tokens that the program now holds; 0 after a release.
+    /// Number of tokens now cached for the program; 0 after a release.
     pub tokens: u64,
 }
 
@@ -43,7 +43,7 @@
     pub(super) incarnation: u64,
     pub(super) models: Vec<String>,
     pub(super) role: String,
-    /// Highest fencing number of an accepted order.
+    /// Highest epoch of an accepted command.
     pub(super) fence: u64,
     pub(super) leaving: bool,
     pub(super) streams: BTreeMap<String, Rc<RefCell<StreamState>>>,
--- a/crates/emulator/src/faults.rs
+++ b/crates/emulator/src/faults.rs
@@ -21,8 +21,8 @@
     pub reset: bool,
     /// Every request gets no response and has no effect.
     pub silent: bool,
-    /// Partitions of the log's topics that the fields above and `slow_ms` apply to;
-    /// all if empty.
+    /// Partitions of the log's topics that `down`, `busy`, `reset`, `silent` and `slow_ms` apply
+    /// to; all if empty.
     pub partitions: Vec<u32>,
     /// Appends take effect after this delay, in milliseconds, and get no response.
     pub late_ms: u64,
@@ -45,11 +45,11 @@
 enum ResponseAction {
     Send,
     Abort,
-    Hang,
+    Withhold,
 }
 
-/// How long a response is withheld, in place of never sending it.
-const HANG_TIME: Millis = Millis(600_000);
+/// Delay of a response that is to be withheld; it stands for no response at all.
+const WITHHOLD_TIME: Millis = Millis(600_000);
 /// Time to send the response of the control request before the process blocks.
 const FREEZE_DELAY: Millis = Millis(5);
 
@@ -87,19 +87,19 @@
         (late_ms > 0).then(|| Duration::from_millis(late_ms))
     }
 
-    /// Returns whether the log must drop its history, and resets the request to do so.
+    /// Returns whether the log must drop its history, and clears that fault.
     pub fn take_history_drop(&self) -> bool {
         std::mem::take(&mut self.plan.borrow_mut().forget)
     }
 
-    /// Withholds a response.
-    pub async fn hang() {
-        sleep(HANG_TIME).await;
+    /// Waits so long that the response counts as withheld.
+    pub async fn withhold() {
+        sleep(WITHHOLD_TIME).await;
     }
 
     async fn apply(plan: FaultPlan) -> Result<(), HttpResponse> {
         if plan.silent {
-            Self::hang().await;
+            Self::withhold().await;
         }
         if plan.reset {
             return Err(aborted());
@@ -121,8 +121,8 @@
         match self.next_action() {
             ResponseAction::Send => response,
             ResponseAction::Abort => aborted(),
-            ResponseAction::Hang => {
-                Self::hang().await;
+            ResponseAction::Withhold => {
+                Self::withhold().await;
                 response
             }
         }
@@ -144,7 +144,7 @@
         }
         if plan.hang > 0 {
             plan.hang -= 1;
-            return ResponseAction::Hang;
+            return ResponseAction::Withhold;
         }
         ResponseAction::Send
     }
--- a/crates/emulator/src/log/memory.rs
+++ b/crates/emulator/src/log/memory.rs
@@ -18,12 +18,13 @@
     /// Calls succeed.
     #[default]
     None,
-    /// Calls fail immediately and have no effect.
+    /// Calls fail immediately and have no effect; reads that are already waiting fail when the log
+    /// next changes.
     Down,
-    /// Calls are rejected immediately and have no effect, as by an overloaded service.
+    /// Calls are rejected immediately and have no effect, as by an overloaded service;
+    /// reads that are already waiting continue.
     Busy,
-    /// The connection is reset before the call takes effect. The caller cannot tell whether it
-    /// did.
+    /// The connection is reset and the call has no effect, but the caller cannot know that.
     Reset,
     /// Calls get no response and have no effect.
     Silent,
@@ -52,7 +53,7 @@
     faulty_partition: RefCell<Option<Partition>>,
     /// Increases when connections are stalled. Reads that began with a lower value get no
     /// response.
-    connection_epoch: Cell<u64>,
+    stall_count: Cell<u64>,
     /// Number of calls made so far.
     pub calls: Cell<u64>,
 }
@@ -64,7 +65,7 @@
             log,
             fault: Cell::default(),
             faulty_partition: RefCell::default(),
-            connection_epoch: Cell::new(0),
+            stall_count: Cell::new(0),
             calls: Cell::new(0),
         }
     }
@@ -84,7 +85,7 @@
     /// Stalls all open connections: waiting reads get no response, later calls are not
     /// affected.
     pub fn stall_connections(&self) {
-        self.connection_epoch.set(self.connection_epoch.get() + 1);
+        self.stall_count.set(self.stall_count.get() + 1);
         self.log.changed.notify_waiters();
     }
 
@@ -163,12 +164,12 @@
         wait: Duration,
         limit: Duration,
     ) -> Result<ReadBatch, StoreError> {
-        let connection_epoch = self.connection_epoch.get();
+        let stall_count = self.stall_count.get();
         self.begin_call(&partition, limit).await?;
         let wait_deadline = Instant::now() + wait;
         let call_deadline = Instant::now() + limit;
         loop {
-            if self.connection_epoch.get() != connection_epoch {
+            if self.stall_count.get() != stall_count {
                 sleep_until(call_deadline).await;
                 return Err(StoreError::Unknown);
             }
--- a/crates/emulator/src/log/service.rs
+++ b/crates/emulator/src/log/service.rs
@@ -28,5 +28,5 @@
     .await
 }
 
-/// Maximum size of a request body, in bytes.
+/// Maximum size of a request body for the log, in bytes; replaces the limit of [`serve`].
 const BODY_LIMIT: usize = 64 << 20;
--- a/crates/emulator/src/log/topics.rs
+++ b/crates/emulator/src/log/topics.rs
@@ -41,7 +41,7 @@
             let append = Append::from(call);
             if let Some(delay) = faults.append_delay() {
                 ntex::rt::spawn(append_after(topics.core.clone(), append, delay));
-                Faults::hang().await;
+                Faults::withhold().await;
                 return HttpResponse::ServiceUnavailable().finish();
             }
             let appended = topics.core.borrow_mut().append(&append);
--- a/crates/emulator/src/machines.rs
+++ b/crates/emulator/src/machines.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 /// A version of the list and when it was set.
-struct Change {
+struct ListVersion {
     set_at: Instant,
     machines: Vec<Machine>,
 }
@@ -20,20 +20,20 @@
 #[derive(Clone)]
 struct MachineList {
     lag: Duration,
-    changes: Rc<RefCell<Vec<Change>>>,
+    versions: Rc<RefCell<Vec<ListVersion>>>,
 }
 
 impl MachineList {
     fn visible(&self) -> Vec<Machine> {
-        let changes = self.changes.borrow();
-        let old_enough = changes
+        let versions = self.versions.borrow();
+        let old_enough = versions
             .iter()
             .rev()
-            .find(|change| change.set_at.elapsed() >= self.lag);
+            .find(|version| version.set_at.elapsed() >= self.lag);
         // The first list is visible immediately; only changes are delayed.
         old_enough
-            .or(changes.first())
-            .map(|change| change.machines.clone())
+            .or(versions.first())
+            .map(|version| version.machines.clone())
             .unwrap_or_default()
     }
 }
@@ -46,7 +46,7 @@
     serve(address, move |config: &mut ServiceConfig| {
         let list = MachineList {
             lag: Duration::from_millis(lag_ms),
-            changes: Rc::new(RefCell::new(Vec::new())),
+            versions: Rc::new(RefCell::new(Vec::new())),
         };
         Faults::default().configure(config);
         config
@@ -70,7 +70,7 @@
 async fn set_machines(list: types::State<MachineList>, body: Bytes) -> HttpResponse {
     match serde_json::from_slice::<Vec<Machine>>(&body) {
         Ok(machines) => {
-            list.changes.borrow_mut().push(Change {
+            list.versions.borrow_mut().push(ListVersion {
                 set_at: Instant::now(),
                 machines,
             });
--- a/crates/emulator/src/serve.rs
+++ b/crates/emulator/src/serve.rs
@@ -8,7 +8,7 @@
 
 /// Maximum size of a request body, in bytes.
 const BODY_LIMIT: usize = 256 << 20;
-/// Longer than any fieldhook client keeps an idle connection.
+/// How long an idle connection stays open: longer than any fieldhook client keeps it.
 const KEEP_ALIVE: Seconds = Seconds(75);
 
 /// Serves routes on one worker until the process ends. `configure` runs on the
