--- a/crates/cli/src/config.rs
+++ b/crates/cli/src/config.rs
@@ -59,8 +59,8 @@
     };
     let version = publish(connection, based_on, &options.author, document).await?;
     if options.wait {
-        wait_until_in_force(connection, version).await?;
-        println!("version {version} is in force on all live daemons");
+        wait_until_applied(connection, version).await?;
+        println!("version {version} is in use on all live daemons");
     } else {
         println!("version {version} is accepted");
     }
@@ -148,8 +148,9 @@
 /// Waits until all live daemons have applied a version.
 ///
 /// # Errors
-/// A daemon has not applied it within the time limit, or the daemon could not be queried.
-pub async fn wait_until_in_force(connection: &Connection, version: u64) -> Result<(), ClientError> {
+/// A daemon has not applied it within the time limit, or the daemon given on the command line
+/// could not be queried.
+pub async fn wait_until_applied(connection: &Connection, version: u64) -> Result<(), ClientError> {
     let started = Instant::now();
     loop {
         let behind = daemons_behind(connection, version).await?;
@@ -158,7 +159,7 @@
         }
         if started.elapsed() > POLL_TIMEOUT {
             return Err(ClientError::Unreachable(format!(
-                "version {version} is accepted, but not yet in force on {}",
+                "version {version} is accepted, but not yet in use on {}",
                 behind.join(", ")
             )));
         }
@@ -280,7 +281,7 @@
     let text = toml::to_string_pretty(&document)
         .map_err(|error| ClientError::Invalid(error.to_string()))?;
     let version = publish(connection, config.version, author, text).await?;
-    wait_until_in_force(connection, version).await?;
-    println!("version {version} is in force on all live daemons");
+    wait_until_applied(connection, version).await?;
+    println!("version {version} is in use on all live daemons");
     Ok(())
 }
--- a/crates/cli/src/connection.rs
+++ b/crates/cli/src/connection.rs
@@ -14,7 +14,7 @@
 /// Time limit of a request.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Addresses of the daemon and the log, and the output format.
+/// HTTP client with the addresses of the daemon and the log, and the output format of the results.
 pub struct Connection {
     client: HttpClient,
     daemon: String,
@@ -39,7 +39,7 @@
         self.get_from(&self.daemon, path).await
     }
 
-    /// Sends a GET request to any daemon.
+    /// Sends a GET request to the daemon with the given address.
     pub async fn get_from<T: DeserializeOwned>(
         &self,
         daemon: &str,
@@ -64,12 +64,12 @@
         Err(ClientError::Refused(response.body))
     }
 
-    /// Returns the status as known to the daemon.
+    /// Returns the status as known to the daemon given on the command line.
     pub async fn status(&self) -> Result<Status, ClientError> {
         self.get("/v1/status").await
     }
 
-    /// Returns the configuration in force at the daemon.
+    /// Returns the configuration in use at the daemon given on the command line.
     pub async fn config(&self) -> Result<ConfigStatus, ClientError> {
         self.get("/v1/config").await
     }
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -12,14 +12,14 @@
     Invalid(String),
     /// Another change was published first. Exit code 4.
     OutOfDate {
-        /// The version now in force.
+        /// The version now in use.
         version: u64,
         /// Unified diff from the version that the change was based on to the current one.
         changes: String,
     },
     /// A daemon or the log did not respond as expected in time. Exit code 5.
     Unreachable(String),
-    /// A daemon rejected the request, or no log line matches. Exit code 1.
+    /// A daemon or the log rejected the request, or no log line matches. Exit code 1.
     Refused(String),
 }
 
@@ -62,7 +62,7 @@
     fn from(error: SendError) -> Self {
         match error {
             SendError::Status { status, body } => {
-                Self::Refused(format!("the daemon answered {status}: {body}"))
+                Self::Refused(format!("the daemon or the log answered {status}: {body}"))
             }
             other => Self::Unreachable(other.to_string()),
         }
--- a/crates/cli/src/losses.rs
+++ b/crates/cli/src/losses.rs
@@ -1,5 +1,5 @@
-//! The `losses --logs FILE` command: counts requests that got no answer from a server, by time and
-//! cause.
+//! The `losses --logs FILE` command: counts lost requests, by time and cause. A request is lost if
+//! it got no complete answer from a server, or if its client left.
 
 use crate::error::ClientError;
 use crate::log_lines::{self, LogLine};
@@ -12,11 +12,11 @@
     programs: BTreeSet<String>,
 }
 
-/// Prints the losses by interval and cause, oldest first. Intervals have a length in seconds and
-/// start anew with each minute.
+/// Prints the losses by interval and cause, oldest first. Intervals are
+/// `seconds` long and aligned to the start of each minute.
 ///
 /// # Errors
-/// A file cannot be read, or the length is not between 1 and 60 seconds.
+/// A file cannot be read, or `seconds` is not between 1 and 60 seconds.
 pub fn run(files: &[String], seconds: u32) -> Result<(), ClientError> {
     if !(1..=60).contains(&seconds) {
         return Err(ClientError::Usage(
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,6 +1,9 @@
 //! `fieldhook`: command-line client for operators. It shows the state of the
 //! system and changes it by publishing configuration or cancelling programs. It
-//! sends no requests to servers.
+//! sends no requests to engines or services.
+//!
+//! `zones`, `tenants`, `losses` and `explain --logs` only read log files, which gateways (crate
+//! `fieldhook-gateway`) write. All other commands use the daemon `fieldhookd` or the platform's log.
 
 mod arguments;
 mod config;
--- a/crates/cli/src/tenants.rs
+++ b/crates/cli/src/tenants.rs
@@ -13,12 +13,12 @@
     burst: f64,
     version: f64,
     refused: u64,
-    /// Refused requests that would have begun a program.
+    /// Refused requests that were the first of their program.
     refused_at_begin: u64,
-    /// Requests that were granted after a wait.
+    /// All other requests at the limit; they were granted after a wait.
     late: u64,
     /// Requests that were admitted locally or failed because the owner of the quota could not be
-    /// asked.
+    /// reached.
     without_owner: u64,
     /// Programs with refused requests.
     programs: BTreeSet<String>,
--- a/crates/cli/src/zones.rs
+++ b/crates/cli/src/zones.rs
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Assigns each partition to the zone of its last owner.
+    /// Assigns each partition to the zone of the daemon that last logged that it owns it.
     fn assign_partitions(&mut self) {
         for (partition, owner) in std::mem::take(&mut self.owner_of_partition) {
             if let Some(zone) = self.zone_of_daemon.get(&owner).cloned() {
@@ -93,7 +93,7 @@
 }
 
 /// Prints a row for each zone: state, time and revision of its evacuation, number of daemons and
-/// servers, share of the answers, and number of partitions owned at the end of the logs.
+/// servers, share of the answers, and number of partitions whose last logged owner is in the zone.
 ///
 /// # Errors
 /// A file cannot be read.
