--- a/crates/bench/src/append_strategies.rs
+++ b/crates/bench/src/append_strategies.rs
@@ -32,7 +32,7 @@
     pub calls_per_turn: f64,
     /// Median time until a turn's record was durable, in milliseconds.
     pub p50_ms: f64,
-    /// 99th percentile of the same.
+    /// 99th percentile of that time, in milliseconds.
     pub p99_ms: f64,
 }
 
@@ -43,7 +43,7 @@
     pub turns_per_second: u64,
     /// Fenced owners with group commit.
     pub owners: StrategyResult,
-    /// Conditional appends by gateways, which read on from their last position after a conflict.
+    /// Conditional appends by gateways, which read the new records after a conflict and retry.
     pub conditional: StrategyResult,
 }
 
@@ -84,13 +84,13 @@
         let _ = self.0.borrow_mut().record(latency.as_micros() as u64);
     }
 
-    fn result(&self, calls: u64) -> StrategyResult {
+    fn result(&self, log_calls: u64) -> StrategyResult {
         let latencies = self.0.borrow();
         let turns = latencies.len();
         let milliseconds = |quantile| latencies.value_at_quantile(quantile) as f64 / 1e3;
         StrategyResult {
             turns,
-            calls_per_turn: calls as f64 / turns.max(1) as f64,
+            calls_per_turn: log_calls as f64 / turns.max(1) as f64,
             p50_ms: milliseconds(0.5),
             p99_ms: milliseconds(0.99),
         }
@@ -151,7 +151,7 @@
     Ok(latencies.result(calls))
 }
 
-/// A gateway that appends directly; `known_ends` holds the position up to which it has read
+/// A gateway that appends directly; `known_ends` holds the offset up to which it has read
 /// each partition.
 struct Gateway {
     store: Rc<MemoryLog>,
--- a/crates/bench/src/audit.rs
+++ b/crates/bench/src/audit.rs
@@ -1,4 +1,5 @@
-//! Checks of the guarantees after a run, from the outside.
+//! Checks of the guarantees after a run, by what callers and servers observed: answers are correct,
+//! budgets are kept, and requests that are not repeatable run at most once.
 
 use crate::cluster::Cluster;
 use crate::load::{LoadStats, ServerOutcome};
@@ -8,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 const POLL_INTERVAL: Millis = Millis(50);
-/// Attempts to read the executions of a server; if all fail, the audit reports a violation.
+/// Number of attempts to read the executions of a server; if all fail, the audit reports a violation.
 const MAX_READ_ATTEMPTS: usize = 20;
 
 /// Returns a description of each violated guarantee; empty if there are none.
--- a/crates/bench/src/caller.rs
+++ b/crates/bench/src/caller.rs
@@ -40,8 +40,8 @@
 /// Client of one program.
 pub struct Caller {
     client: HttpClient,
-    gateways: Vec<String>,
-    gateway: usize,
+    daemons: Vec<String>,
+    current_daemon: usize,
     /// Id of the program.
     pub program: String,
     /// Number of the last call that was made.
@@ -88,12 +88,12 @@
     /// No daemon answered in time, or the request was refused with a 4xx status.
     pub async fn open(
         client: &HttpClient,
-        gateways: &[String],
+        daemons: &[String],
         tenant: &str,
         key: &str,
         budget: i64,
     ) -> Result<Self, SendError> {
-        Self::open_with(client, gateways, &open_request(tenant, key, budget)).await
+        Self::open_with(client, daemons, &open_request(tenant, key, budget)).await
     }
 
     /// Opens a program with the given request body; retries as [`Caller::open`] does.
@@ -102,21 +102,21 @@
     /// No daemon answered in time, or the request was refused with a 4xx status.
     pub async fn open_with(
         client: &HttpClient,
-        gateways: &[String],
+        daemons: &[String],
         body: &OpenProgramRequest,
     ) -> Result<Self, SendError> {
-        let mut gateway = fastrand::usize(..gateways.len());
+        let mut current_daemon = fastrand::usize(..daemons.len());
         let started = Instant::now();
         loop {
-            let url = format!("http://{}/v1/programs", gateways[gateway]);
+            let url = format!("http://{}/v1/programs", daemons[current_daemon]);
             let opened: Result<OpenProgramResponse, SendError> =
                 client.post_json(&url, body, OPEN_TIMEOUT).await;
             match opened {
                 Ok(opened) => {
                     return Ok(Self {
                         client: client.clone(),
-                        gateways: gateways.to_vec(),
-                        gateway,
+                        daemons: daemons.to_vec(),
+                        current_daemon,
                         program: opened.program,
                         calls: 0,
                         history: Vec::new(),
@@ -130,7 +130,7 @@
                     },
                 ) => return Err(error),
                 Err(error) if started.elapsed() > CALL_TIMEOUT => return Err(error),
-                Err(_) => gateway = (gateway + 1) % gateways.len(),
+                Err(_) => current_daemon = (current_daemon + 1) % daemons.len(),
             }
             sleep(RETRY_PAUSE).await;
         }
@@ -186,7 +186,7 @@
     }
 
     /// Returns the request key of a call. All retries of the call use the same key, by which the
-    /// system recognises them.
+    /// system recognizes them.
     pub fn request_key(&self, number: u64) -> String {
         format!("call-{number}")
     }
@@ -236,7 +236,7 @@
                 AttemptOutcome::Retry(_) => {}
             }
             self.times.retries += 1;
-            self.gateway = (self.gateway + 1) % self.gateways.len();
+            self.current_daemon = (self.current_daemon + 1) % self.daemons.len();
             sleep(RETRY_PAUSE).await;
         }
     }
@@ -244,7 +244,7 @@
     fn url(&self) -> String {
         format!(
             "http://{}/v1/programs/{}/calls",
-            self.gateways[self.gateway], self.program
+            self.daemons[self.current_daemon], self.program
         )
     }
 
@@ -254,16 +254,16 @@
     /// All attempts failed.
     pub async fn view(&mut self) -> Result<ProgramView, SendError> {
         let mut last = SendError::NotSent("no daemon".to_owned());
-        for _ in 0..self.gateways.len() * 4 {
+        for _ in 0..self.daemons.len() * 4 {
             let url = format!(
                 "http://{}/v1/programs/{}",
-                self.gateways[self.gateway], self.program
+                self.daemons[self.current_daemon], self.program
             );
             match self.client.get_json(&url, OPEN_TIMEOUT).await {
                 Ok(view) => return Ok(view),
                 Err(error) => last = error,
             }
-            self.gateway = (self.gateway + 1) % self.gateways.len();
+            self.current_daemon = (self.current_daemon + 1) % self.daemons.len();
             sleep(RETRY_PAUSE).await;
         }
         Err(last)
@@ -271,10 +271,10 @@
 
     /// Ends the program; retries at the other daemons. Returns whether the end was acknowledged.
     pub async fn end_program(&mut self) -> bool {
-        for _ in 0..self.gateways.len() * 8 {
+        for _ in 0..self.daemons.len() * 8 {
             let url = format!(
                 "http://{}/v1/programs/{}",
-                self.gateways[self.gateway], self.program
+                self.daemons[self.current_daemon], self.program
             );
             let response = self
                 .client
@@ -283,7 +283,7 @@
             if response.is_ok_and(|response| response.status == 200) {
                 return true;
             }
-            self.gateway = (self.gateway + 1) % self.gateways.len();
+            self.current_daemon = (self.current_daemon + 1) % self.daemons.len();
             sleep(RETRY_PAUSE).await;
         }
         false
--- a/crates/bench/src/cluster/config.rs
+++ b/crates/bench/src/cluster/config.rs
@@ -68,6 +68,6 @@
     pub address: String,
     /// Zone of the daemon.
     pub zone: String,
-    /// The process; `None` before its start and after it was killed.
+    /// The process; `None` before its start and after it was stopped or killed.
     pub process: Option<Process>,
 }
--- a/crates/bench/src/cluster/process.rs
+++ b/crates/bench/src/cluster/process.rs
@@ -68,11 +68,11 @@
 pub enum Signal {
     /// SIGKILL: ends the process immediately.
     Kill,
-    /// SIGTERM: requests a planned shutdown.
+    /// SIGTERM: requests a planned stop.
     Terminate,
-    /// SIGSTOP: suspends the process.
+    /// SIGSTOP: pauses the process.
     Stop,
-    /// SIGCONT: resumes a suspended process.
+    /// SIGCONT: resumes a paused process.
     Continue,
 }
 
@@ -96,7 +96,7 @@
 
 /// Returns the path of one of the project's executables: next to the running executable or,
 /// from a test, in the parent of its `deps` folder.
-fn program_path(name: &str) -> Result<PathBuf, ProcessError> {
+fn executable_path(name: &str) -> Result<PathBuf, ProcessError> {
     let executable = std::env::current_exe()?;
     let folder = executable.parent().unwrap_or(Path::new("."));
     let folder = if folder.ends_with("deps") {
@@ -117,9 +117,9 @@
     ///
     /// # Errors
     /// The executable is missing or cannot be started.
-    pub fn start(program: &str, arguments: &[String], log: &Path) -> Result<Self, ProcessError> {
+    pub fn start(executable: &str, arguments: &[String], log: &Path) -> Result<Self, ProcessError> {
         let file = File::options().create(true).append(true).open(log)?;
-        let child = Command::new(program_path(program)?)
+        let child = Command::new(executable_path(executable)?)
             .args(arguments)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
--- a/crates/bench/src/cluster/query.rs
+++ b/crates/bench/src/cluster/query.rs
@@ -65,8 +65,8 @@
             };
             let status: serde_json::Value = serde_json::from_str(&response.body).ok()?;
             let shards = status["shards"].as_array()?;
-            let route = shards.iter().find(|route| route["shard"] == shard)?;
-            let owner = route["owner"].as_str()?;
+            let entry = shards.iter().find(|entry| entry["shard"] == shard)?;
+            let owner = entry["owner"].as_str()?;
             return self
                 .daemons
                 .iter()
--- a/crates/bench/src/cluster/running.rs
+++ b/crates/bench/src/cluster/running.rs
@@ -163,7 +163,7 @@
         });
     }
 
-    /// Sends the machines to the machine list, which shows them to readers after its lag.
+    /// Sends the machines to the machine list, which makes them visible after its delay.
     ///
     /// # Errors
     /// The machine list does not accept them in time.
@@ -238,7 +238,7 @@
     }
 
     /// Returns the addresses of all daemons; each of them accepts requests.
-    pub fn gateways(&self) -> Vec<String> {
+    pub fn daemon_addresses(&self) -> Vec<String> {
         self.daemons
             .iter()
             .map(|daemon| daemon.address.clone())
--- a/crates/bench/src/experiment.rs
+++ b/crates/bench/src/experiment.rs
@@ -28,12 +28,12 @@
     fastrand::seed(scenario.seed);
     let mut cluster = Cluster::start(scenario.cluster_config(), &folder.join("cluster")).await?;
     cluster.wait_shards_owned().await?;
-    let gateways = cluster.gateways();
+    let daemons = cluster.daemon_addresses();
     let started = Instant::now();
     let loads: Vec<Load> = scenario
         .workload
         .iter()
-        .map(|spec| Load::start(&cluster.client, &gateways, &spec.workload()))
+        .map(|spec| Load::start(&cluster.client, &daemons, &spec.workload()))
         .collect();
     let faults = inject_faults(&mut cluster, &scenario.fault, started).await?;
     wait_for_end(&loads, started).await;
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -25,7 +25,7 @@
     /// Number of concurrent programs.
     pub programs: usize,
     /// Number of calls of each program.
-    pub turns: u32,
+    pub calls: u32,
     /// Every n-th call goes to the service; 0 for none.
     pub service_every: u32,
     /// Minimum size of each user message.
@@ -37,7 +37,7 @@
     /// Budget of each program.
     pub budget: i64,
     /// Prefix of the request keys; distinguishes several loads on one cluster.
-    pub run: String,
+    pub key_prefix: String,
 }
 
 impl Default for Workload {
@@ -48,13 +48,13 @@
             model: "chat".to_owned(),
             service: "instalments".to_owned(),
             programs: 12,
-            turns: 8,
+            calls: 8,
             service_every: 3,
             message_bytes: 40,
             max_tokens: 20,
             pause_ms: 60,
             budget: 1_000_000,
-            run: "run".to_owned(),
+            key_prefix: "run".to_owned(),
         }
     }
 }
@@ -183,16 +183,16 @@
 
 impl Load {
     /// Starts all programs of a workload in the background.
-    pub fn start(client: &HttpClient, gateways: &[String], workload: &Workload) -> Self {
+    pub fn start(client: &HttpClient, daemons: &[String], workload: &Workload) -> Self {
         let load = Self {
             stats: Rc::default(),
             running: Rc::new(RefCell::new(workload.programs)),
         };
         for index in 0..workload.programs {
             let (load, client) = (load.clone(), client.clone());
-            let (gateways, workload) = (gateways.to_vec(), workload.clone());
+            let (daemons, workload) = (daemons.to_vec(), workload.clone());
             ntex::rt::spawn(async move {
-                load.run_program(&client, &gateways, &workload, index).await;
+                load.run_program(&client, &daemons, &workload, index).await;
                 *load.running.borrow_mut() -= 1;
             });
         }
@@ -221,7 +221,7 @@
     async fn run_program(
         &self,
         client: &HttpClient,
-        gateways: &[String],
+        daemons: &[String],
         workload: &Workload,
         index: usize,
     ) {
@@ -231,11 +231,11 @@
             labels: workload.labels.clone(),
             budget: workload.budget,
             deadline_ms: 600_000,
-            request_key: format!("{}-{index}", workload.run),
+            request_key: format!("{}-{index}", workload.key_prefix),
             max_turns: None,
             parent: None,
         };
-        let mut caller = match Caller::open_with(client, gateways, &body).await {
+        let mut caller = match Caller::open_with(client, daemons, &body).await {
             Ok(caller) => caller,
             Err(error) => {
                 self.stats
@@ -249,16 +249,17 @@
             .borrow_mut()
             .programs
             .push(caller.program.clone());
-        for turn in 1..=workload.turns {
-            self.run_turn(&mut caller, workload, turn).await;
+        for call_index in 1..=workload.calls {
+            self.make_call(&mut caller, workload, call_index).await;
             sleep(Millis(fastrand::u32(..=workload.pause_ms))).await;
         }
         self.finish_program(&mut caller, workload, started).await;
     }
 
-    async fn run_turn(&self, caller: &mut Caller, workload: &Workload, turn: u32) {
-        let to_service = workload.service_every > 0 && turn.is_multiple_of(workload.service_every);
-        if to_service {
+    async fn make_call(&self, caller: &mut Caller, workload: &Workload, call_index: u32) {
+        let is_service_call =
+            workload.service_every > 0 && call_index.is_multiple_of(workload.service_every);
+        if is_service_call {
             let number = caller.calls + 1;
             let outcome = caller.call_server(&workload.service, "create", false).await;
             let mut stats = self.stats.borrow_mut();
@@ -266,7 +267,7 @@
             stats.record_call(caller, &outcome);
             return;
         }
-        let mut content = format!("turn {turn} of {}: ", caller.program);
+        let mut content = format!("turn {call_index} of {}: ", caller.program);
         while content.len() < workload.message_bytes {
             content.push_str("lorem ");
         }
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -30,7 +30,7 @@
     /// Measure the memory of idle programs and of history.
     Memory(MemoryArguments),
     /// Compare owners with group commit to conditional appends without owners.
-    Ways(WaysArguments),
+    Ways(AppendStrategiesArguments),
 }
 
 /// Start a small cluster, hold a conversation, and stop it.
@@ -89,7 +89,7 @@
 
 /// Compare owners with group commit to conditional appends without owners.
 #[derive(Debug, Options)]
-struct WaysArguments {
+struct AppendStrategiesArguments {
     /// Show this help.
     help: bool,
     /// Turns per second.
--- a/crates/bench/src/memory.rs
+++ b/crates/bench/src/memory.rs
@@ -12,7 +12,7 @@
 const MESSAGE_BYTES: usize = 64 << 10;
 const BUDGET: i64 = 1_000_000_000;
 
-/// Results of one run; each of the three daemons holds every program.
+/// Results of one run; each of the three daemons keeps a copy of every program.
 #[derive(Clone, Debug, Serialize)]
 pub struct MemoryReport {
     /// Number of idle programs that were opened.
@@ -21,9 +21,10 @@
     pub history_bytes: usize,
     /// Memory of a daemon at the start, in kilobytes (mean of the three daemons).
     pub empty_kb: f64,
-    /// The same with the idle programs.
+    /// Memory of a daemon with the idle programs, in kilobytes (mean of the three daemons).
     pub idle_kb: f64,
-    /// The same with the idle programs and the history.
+    /// Memory of a daemon with the idle programs and the history, in kilobytes (mean of the three
+    /// daemons).
     pub history_kb: f64,
     /// Kilobytes per 1,000 idle programs.
     pub kb_per_1000_programs: f64,
@@ -42,13 +43,13 @@
 ) -> Result<MemoryReport, Box<dyn Error>> {
     let cluster = Cluster::start(ClusterConfig::default(), folder).await?;
     cluster.wait_shards_owned().await?;
-    let gateways = cluster.gateways();
+    let daemons = cluster.daemon_addresses();
     sleep(SETTLE_TIME).await;
     let empty_kb = mean_memory_kb(&cluster);
     let mut callers = Vec::new();
     for index in 0..programs {
         let key = format!("idle-{index}");
-        callers.push(Caller::open(&cluster.client, &gateways, "riga", &key, BUDGET).await?);
+        callers.push(Caller::open(&cluster.client, &daemons, "riga", &key, BUDGET).await?);
     }
     sleep(SETTLE_TIME).await;
     let idle_kb = mean_memory_kb(&cluster);
--- a/crates/bench/src/overhead.rs
+++ b/crates/bench/src/overhead.rs
@@ -1,5 +1,5 @@
-//! Measures the latency that fieldhook adds to a call's first token: sends alternate calls to
-//! the same engine through fieldhook and directly, at light load.
+//! Measures the latency that fieldhook adds to a call's first token: calls the same
+//! engine alternately through fieldhook and directly, at light load.
 
 use crate::caller::{Caller, user_message};
 use crate::cluster::{Cluster, ClusterConfig};
@@ -55,13 +55,13 @@
     .into();
     let cluster = Cluster::start(config, folder).await?;
     cluster.wait_shards_owned().await?;
-    let gateways = cluster.gateways();
+    let daemons = cluster.daemon_addresses();
     let engine = cluster.engines()[0].clone();
     let mut direct = Histogram::<u64>::new_with_bounds(1, MAX_US, 3)?;
     let mut through = direct.clone();
     for index in 0..calls + WARM_UP {
         let key = format!("overhead-{index}");
-        let mut caller = Caller::open(&cluster.client, &gateways, "tambak", &key, 100_000).await?;
+        let mut caller = Caller::open(&cluster.client, &daemons, "tambak", &key, 100_000).await?;
         sleep(PAUSE).await;
         caller.call_model("chat", "How much is it?", TOKENS).await;
         let first = caller
--- a/crates/bench/src/quickstart.rs
+++ b/crates/bench/src/quickstart.rs
@@ -82,9 +82,9 @@
 }
 
 async fn run_conversation(cluster: &Cluster) -> QuickstartResult<()> {
-    let gateways = cluster.gateways();
+    let daemons = cluster.daemon_addresses();
     let mut caller =
-        Caller::open(&cluster.client, &gateways, "tambak", "checkout-1", BUDGET).await?;
+        Caller::open(&cluster.client, &daemons, "tambak", "checkout-1", BUDGET).await?;
     println!("Program {} is open.\n", caller.program);
     run_turn(
         &mut caller,
@@ -108,7 +108,7 @@
     if let Some(violation) = caller.violations.first() {
         return Err(format!("incorrect answer: {violation}").into());
     }
-    let executions = executions(cluster, "instalments").await?;
+    let executions = execution_counts(cluster, "instalments").await?;
     println!("\nThe instalment plan was created {executions:?} time(s).");
     if executions != [1] {
         return Err("the request that is not repeatable did not run exactly once".into());
@@ -137,11 +137,11 @@
     }
 }
 
-/// Returns how often each request key was executed by the servers of a service.
+/// Returns the execution counts of all request keys at the servers of a service.
 ///
 /// # Errors
 /// A server does not respond.
-pub async fn executions(cluster: &Cluster, service: &str) -> QuickstartResult<Vec<u64>> {
+pub async fn execution_counts(cluster: &Cluster, service: &str) -> QuickstartResult<Vec<u64>> {
     let mut counts = Vec::new();
     for server in cluster.servers(service) {
         let response = cluster
--- a/crates/bench/src/report.rs
+++ b/crates/bench/src/report.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 const PLOT_SIZE: (u32, u32) = (760, 320);
-const COLOURS: [RGBColor; 4] = [
+const COLORS: [RGBColor; 4] = [
     RGBColor(31, 119, 180),
     RGBColor(214, 39, 40),
     RGBColor(44, 160, 44),
@@ -84,7 +84,7 @@
     pub first_token_ms: Percentiles,
     /// Longest pause within each stream, in milliseconds.
     pub longest_pause_ms: Percentiles,
-    /// The same, only for streams with a pause that a reader would notice (200 ms or more).
+    /// Longest pause, in milliseconds, only within streams with a pause that a reader would notice (200 ms or more).
     pub noticed_pause_ms: Percentiles,
     /// Prompt tokens of all answers.
     pub prompt_tokens: u64,
@@ -95,7 +95,7 @@
 }
 
 impl WorkloadSummary {
-    /// Summarises the results of a load.
+    /// Summarizes the results of a load.
     pub fn new(name: &str, stats: &LoadStats) -> Self {
         let mut refused = BTreeMap::new();
         for error in &stats.refused {
@@ -338,15 +338,15 @@
             .y_desc("share of calls")
             .draw()?;
         for (index, workload) in summary.workloads.iter().enumerate() {
-            let colour = COLOURS[index % COLOURS.len()];
+            let color = COLORS[index % COLORS.len()];
             let points = (0..=PLOT_POINTS).map(|step| {
                 let ms = longest_ms * f64::from(step) / f64::from(PLOT_POINTS);
                 (ms, workload.first_token.quantile_below((ms * 1e3) as u64))
             });
             chart
-                .draw_series(LineSeries::new(points, colour.stroke_width(2)))?
+                .draw_series(LineSeries::new(points, color.stroke_width(2)))?
                 .label(&workload.name)
-                .legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], colour));
+                .legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], color));
         }
         chart
             .configure_series_labels()
--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -122,13 +122,13 @@
     KillDaemon,
     /// Shuts a daemon down with SIGTERM and restarts it.
     StopDaemon,
-    /// Suspends a daemon for `for_ms`.
+    /// Pauses a daemon for `for_ms`.
     FreezeDaemon,
     /// Kills an engine and restarts it after `for_ms`.
     KillEngine,
-    /// Every request to the log fails for `for_ms`.
+    /// For `for_ms`, every request to the log fails.
     LogDown,
-    /// The log delays every request for `for_ms`.
+    /// For `for_ms`, the log delays every request by 800 ms.
     LogSlow,
     /// The next responses of every server are lost after the request took effect.
     LoseServerAnswers,
@@ -142,7 +142,7 @@
     pub at_ms: u64,
     /// Kind of the fault.
     pub kind: FaultKind,
-    /// Index of the daemon or engine.
+    /// Index of the daemon or engine; not used by the other kinds of faults.
     #[serde(default)]
     pub target: usize,
     /// Duration of the fault, in milliseconds.
@@ -267,14 +267,14 @@
             model: self.model.clone(),
             service: self.service.clone(),
             programs: self.programs,
-            turns: self.turns,
+            calls: self.turns,
             service_every: self.service_every,
             message_bytes: self.message_bytes,
             max_tokens: self.max_tokens,
             pause_ms: self.pause_ms,
             budget: self.budget,
             // A request key must not contain spaces; names may.
-            run: self.name.replace(' ', "-"),
+            key_prefix: self.name.replace(' ', "-"),
         }
     }
 }
--- a/crates/bench/tests/processes/configuration.rs
+++ b/crates/bench/tests/processes/configuration.rs
@@ -1,7 +1,7 @@
 //! Configuration changes across processes: concurrent publishes, a lost response, a restart
 //! during a log outage.
 
-use crate::input::program;
+use crate::input::executable_path;
 use crate::support::{run_exclusively, sleep_ms, start};
 use fieldhook_bench::cluster::{Cluster, ClusterConfig};
 use fieldhook_emulator::faults::FaultPlan;
@@ -22,7 +22,7 @@
 }
 
 pub fn spawn_client(cluster: &Cluster, daemon: usize, arguments: &[&str]) -> Child {
-    Command::new(program("fieldhook"))
+    Command::new(executable_path("fieldhook"))
         .args([
             "--daemon",
             &cluster.daemons[daemon].address,
--- a/crates/bench/tests/processes/evacuation.rs
+++ b/crates/bench/tests/processes/evacuation.rs
@@ -15,8 +15,8 @@
 /// may have had no requests.
 async fn busiest_engine(cluster: &Cluster) -> usize {
     let mut busiest = (0, 0);
-    for (number, engine) in cluster.engines().iter().enumerate() {
-        busiest = busiest.max((accepted_requests(cluster, engine).await, number));
+    for (index, engine) in cluster.engines().iter().enumerate() {
+        busiest = busiest.max((accepted_requests(cluster, engine).await, index));
     }
     busiest.1
 }
@@ -26,15 +26,16 @@
     run_exclusively(async {
         let cluster = start("evacuation", ClusterConfig::default()).await;
         let workload = Workload {
-            turns: 40,
+            calls: 40,
             pause_ms: 200,
             ..Workload::default()
         };
         let load = start_load(&cluster, &workload);
         sleep_ms(1_000).await;
-        let number = busiest_engine(&cluster).await;
-        let zone = cluster.config.zones[number].clone();
-        let engine = cluster.engines()[number].clone();
+        let index = busiest_engine(&cluster).await;
+        // By default there is one engine per zone, in the same order.
+        let zone = cluster.config.zones[index].clone();
+        let engine = cluster.engines()[index].clone();
         let evacuated = wait_for_exit(spawn_client(&cluster, 1, &["evacuate", &zone]));
         assert!(evacuated.status.success(), "{evacuated:?}");
         sleep_ms(SETTLE_MS).await;
--- a/crates/bench/tests/processes/faults.rs
+++ b/crates/bench/tests/processes/faults.rs
@@ -1,4 +1,4 @@
-//! Killed and suspended processes, lost responses, log outages and planned stops under load.
+//! Killed and paused processes, lost responses, log outages and planned stops under load.
 
 use crate::support::{
     accepted_requests, commands_waiting, finish_and_check, run_exclusively, sleep_ms, start,
@@ -11,12 +11,13 @@
 use fieldhook_model::error::{ErrorKind, Executed};
 use std::time::Duration;
 
+/// Kills each daemon in turn: no program and no recorded call may be lost.
 #[test]
 fn killed_daemons_lose_no_programs_or_calls() {
     run_exclusively(async {
         let mut cluster = start("kill", ClusterConfig::default()).await;
         let workload = Workload {
-            turns: 30,
+            calls: 30,
             pause_ms: 300,
             ..Workload::default()
         };
@@ -35,12 +36,13 @@
     });
 }
 
+/// A daemon that was paused must not act on its old state after it resumes.
 #[test]
 fn resumed_daemons_cause_no_violations() {
     run_exclusively(async {
         let cluster = start("freeze", ClusterConfig::default()).await;
         let workload = Workload {
-            turns: 25,
+            calls: 25,
             pause_ms: 300,
             ..Workload::default()
         };
@@ -56,13 +58,15 @@
     });
 }
 
+/// Kills and restarts each engine in turn: its streams must continue, all
+/// programs must end, and no answer may be incorrect.
 #[test]
 fn streams_continue_after_an_engine_is_killed() {
     run_exclusively(async {
         let mut cluster = start("engine", ClusterConfig::default()).await;
         let workload = Workload {
             max_tokens: 80,
-            turns: 12,
+            calls: 12,
             ..Workload::default()
         };
         let load = start_load(&cluster, &workload);
@@ -93,7 +97,7 @@
     run_exclusively(async {
         let mut cluster = start("outage", ClusterConfig::default()).await;
         let workload = Workload {
-            turns: 40,
+            calls: 40,
             pause_ms: 300,
             ..Workload::default()
         };
@@ -118,8 +122,8 @@
             .await
             .expect("every shard has an owner");
         let late = Workload {
-            run: "late".to_owned(),
-            turns: 3,
+            key_prefix: "late".to_owned(),
+            calls: 3,
             ..workload.clone()
         };
         let new_programs = start_load(&cluster, &late);
@@ -135,15 +139,16 @@
     });
 }
 
+/// Kills all daemons at once: they must restore the programs and their histories from the log.
 #[test]
 fn programs_survive_the_loss_of_all_daemons() {
     run_exclusively(async {
         let mut cluster = start("cold", ClusterConfig::default()).await;
-        let gateways = cluster.gateways();
+        let daemons = cluster.daemon_addresses();
         let mut callers = Vec::new();
         for index in 0..6 {
             let key = format!("cold-{index}");
-            let caller = Caller::open(&cluster.client, &gateways, "riga", &key, 100_000).await;
+            let caller = Caller::open(&cluster.client, &daemons, "riga", &key, 100_000).await;
             let mut caller = caller.expect("the program opens");
             let outcome = caller
                 .call_model("chat", "Who leads at half time?", 8)
@@ -175,6 +180,8 @@
     });
 }
 
+/// A request whose response was lost may have run. It must not run twice, and its outcome may only
+/// be reported as unknown if the service does not support the lookup of past requests.
 #[test]
 fn lost_responses_cause_no_second_execution() {
     run_exclusively(async {
@@ -189,7 +196,7 @@
         for service in ["instalments", "penalties"] {
             let workload = Workload {
                 service: service.to_owned(),
-                run: service.to_owned(),
+                key_prefix: service.to_owned(),
                 service_every: 2,
                 ..Workload::default()
             };
@@ -229,12 +236,14 @@
     });
 }
 
+/// Stops and restarts each daemon in turn: no open stream may be interrupted and no
+/// call refused.
 #[test]
 fn planned_stops_interrupt_no_stream() {
     run_exclusively(async {
         let mut cluster = start("stop", ClusterConfig::default()).await;
         let workload = Workload {
-            turns: 30,
+            calls: 30,
             max_tokens: 60,
             pause_ms: 100,
             ..Workload::default()
@@ -264,6 +273,7 @@
     });
 }
 
+/// An engine's own load report says that it is leaving long before the machine list does.
 #[test]
 fn leaving_engine_gets_no_new_requests_before_the_machine_list_updates() {
     run_exclusively(async {
@@ -273,7 +283,7 @@
         };
         let cluster = start("leaving", config).await;
         let workload = Workload {
-            turns: 30,
+            calls: 30,
             pause_ms: 200,
             ..Workload::default()
         };
@@ -305,8 +315,10 @@
     });
 }
 
+/// A paused engine keeps its connections open but sends nothing; its streams must continue on
+/// other engines.
 #[test]
-fn frozen_engines_do_not_stall_streams() {
+fn paused_engines_do_not_stall_streams() {
     run_exclusively(async {
         let settings = "[limits]\nstall_ms = 500\nfirst_token_ms = 1000\n".to_owned();
         let cluster = start(
@@ -319,24 +331,24 @@
         .await;
         let workload = Workload {
             max_tokens: 150,
-            turns: 4,
+            calls: 4,
             ..Workload::default()
         };
         let load = start_load(&cluster, &workload);
         sleep_ms(500).await;
-        let freeze = FaultPlan {
+        let pause = FaultPlan {
             freeze_ms: 8_000,
             ..FaultPlan::default()
         };
         for engine in &cluster.engines()[..2] {
-            cluster.set_faults(engine, &freeze).await;
+            cluster.set_faults(engine, &pause).await;
         }
         let stats = finish_and_check(&cluster, &load, &workload).await;
         assert_eq!(stats.refused, []);
         let longest_ms = stats.pauses.max() / 1_000;
         assert!(
             longest_ms < 5_000,
-            "a stream paused for {longest_ms} ms on a suspended engine"
+            "a stream paused for {longest_ms} ms on a paused engine"
         );
     });
 }
--- a/crates/bench/tests/processes/input.rs
+++ b/crates/bench/tests/processes/input.rs
@@ -35,7 +35,14 @@
             },
         )
         .await;
-        let opened = Caller::open(&cluster.client, &cluster.gateways(), "riga", "k", 500).await;
+        let opened = Caller::open(
+            &cluster.client,
+            &cluster.daemon_addresses(),
+            "riga",
+            "k",
+            500,
+        )
+        .await;
         let mut caller = opened.expect("the program opens");
         assert!(matches!(
             caller.call_model("chat", "hello", 4).await,
@@ -162,7 +169,7 @@
             "--zone",
             "a",
         ];
-        let output = Command::new(program("fieldhookd"))
+        let output = Command::new(executable_path("fieldhookd"))
             .args(platform)
             .args(&flags)
             .output()
@@ -177,7 +184,7 @@
 }
 
 /// Returns the path of one of the project's executables.
-pub fn program(name: &str) -> std::path::PathBuf {
+pub fn executable_path(name: &str) -> std::path::PathBuf {
     let executable = std::env::current_exe().expect("path of the test executable");
     executable
         .parent()
--- a/crates/bench/tests/processes/support.rs
+++ b/crates/bench/tests/processes/support.rs
@@ -33,7 +33,7 @@
 }
 
 pub fn start_load(cluster: &Cluster, workload: &Workload) -> Load {
-    Load::start(&cluster.client, &cluster.gateways(), workload)
+    Load::start(&cluster.client, &cluster.daemon_addresses(), workload)
 }
 
 /// Waits until the load has finished, then checks the guarantees and that the engines release
@@ -64,6 +64,7 @@
     sleep(Millis(ms)).await;
 }
 
+/// Returns the value of the first metric whose line starts with a name; 0 if there is none.
 pub fn metric(text: &str, name: &str) -> f64 {
     let line = text
         .lines()
@@ -72,6 +73,7 @@
         .unwrap_or(0.0)
 }
 
+/// Returns the sum of the metric `fieldhook_commands_waiting` over all daemons that respond.
 pub async fn commands_waiting(cluster: &Cluster) -> f64 {
     let mut waiting = 0.0;
     for daemon in &cluster.daemons {
