--- a/crates/daemon/src/gateway/calls.rs
+++ b/crates/daemon/src/gateway/calls.rs
@@ -115,7 +115,7 @@
             invalid_request("send at least one message and a max_tokens of at least 1"),
         ),
         CallSpec::Model(_) if !body.is_repeatable() => Err(invalid_request(
-            "omit repeatable; model calls have no side effects and are always repeatable",
+            "leave repeatable out of model calls; they change nothing outside",
         )),
         _ => Ok(()),
     }
@@ -187,6 +187,9 @@
 
 /// Error for a relay that ended without a closing event.
 fn relay_lost_error() -> CallError {
-    CallError::not_run(ErrorKind::Unavailable, "retry with the same request key")
-        .executed(Executed::Unknown)
+    CallError::not_run(
+        ErrorKind::Unavailable,
+        "ask again under the same request key",
+    )
+    .executed(Executed::Unknown)
 }
--- a/crates/daemon/src/gateway/commands.rs
+++ b/crates/daemon/src/gateway/commands.rs
@@ -60,7 +60,7 @@
     };
     Err(CallError::not_run(
         ErrorKind::Unavailable,
-        "retry; no owner of the program's shard responded in time",
+        "ask again; the program's shard has no owner now",
     )
     .executed(executed)
     .retry_after(RETRY_AFTER_MS))
--- a/crates/daemon/src/gateway/input.rs
+++ b/crates/daemon/src/gateway/input.rs
@@ -31,11 +31,9 @@
         return Ok(());
     }
     let remedy = match node.phase() {
-        Phase::Starting => "retry shortly or use another daemon; this one is starting",
-        Phase::Draining => "use another daemon; this one is stopping",
-        Phase::Serving => {
-            "use another daemon; this one has lost contact with the log and its peers"
-        }
+        Phase::Starting => "ask again shortly or ask another daemon; this one is starting",
+        Phase::Draining => "ask another daemon; this one is stopping",
+        Phase::Serving => "ask another daemon; this one is cut off from the log and its peers",
     };
     Err(CallError::not_run(ErrorKind::NotReady, remedy).retry_after(NOT_READY_RETRY_MS))
 }
--- a/crates/daemon/src/gateway/relay.rs
+++ b/crates/daemon/src/gateway/relay.rs
@@ -149,7 +149,7 @@
     fn no_owner_error(&self) -> CallError {
         let error = CallError::not_run(
             ErrorKind::Unavailable,
-            "retry with the same request key; no owner of the program's shard responded in time",
+            "ask again under the same request key; the program's shard has no owner now",
         );
         let executed = if self.may_have_arrived {
             Executed::Unknown
--- a/crates/daemon/src/sequencer/placement.rs
+++ b/crates/daemon/src/sequencer/placement.rs
@@ -94,7 +94,7 @@
         .retry_after(NO_TARGET_RETRY_MS)),
         Err(PlacementError::Overloaded(wait_ms)) => Err(CallError::not_run(
             ErrorKind::Overloaded,
-            "retry after retry_after_ms; all allowed engines have long queues",
+            "come back after retry_after_ms; all allowed engines have long queues",
         )
         .retry_after(wait_ms)),
     }
--- a/crates/gateway/src/serve/buffered.rs
+++ b/crates/gateway/src/serve/buffered.rs
@@ -52,10 +52,7 @@
         Ok(Err(response)) => context.respond(response, writer).await,
         Err(_) => {
             context
-                .respond(
-                    LocalResponse::new(504, "no response by the deadline"),
-                    writer,
-                )
+                .respond(LocalResponse::new(504, "no answer in time"), writer)
                 .await
         }
     }
--- a/crates/gateway/src/serve/connection.rs
+++ b/crates/gateway/src/serve/connection.rs
@@ -143,8 +143,7 @@
     failure: ReadFailure,
     writer: &mut ClientWriter,
 ) -> ConnectionAction {
-    let rejection =
-        |status| LocalResponse::new(status, "the request is invalid, too large or too slow");
+    let rejection = |status| LocalResponse::new(status, "the request cannot be taken");
     let response = match failure {
         ReadFailure::Ended => return ConnectionAction::Abort,
         ReadFailure::TooSlow => rejection(408),
--- a/crates/gateway/src/serve/homes.rs
+++ b/crates/gateway/src/serve/homes.rs
@@ -37,7 +37,7 @@
         version = daemon.owner.config.version()
     );
     Err(LocalResponse::not_run(
-        "no region may serve this request; allow one for both its route and its tenant",
+        "no region may serve it; allow one for its route and its tenant",
         daemon.settings.bounds.config_ms,
     ))
 }
--- a/crates/gateway/src/serve/local_response.rs
+++ b/crates/gateway/src/serve/local_response.rs
@@ -21,7 +21,7 @@
 /// Response for a request that is refused because the limit of buffer memory is reached; the
 /// request was not run.
 pub fn memory_full() -> LocalResponse {
-    LocalResponse::not_run("the daemon is out of buffer memory", RETRY_LATER_MS)
+    LocalResponse::not_run("this daemon holds too much for slow peers", RETRY_LATER_MS)
 }
 
 impl LocalResponse {
--- a/crates/gateway/src/serve/quota.rs
+++ b/crates/gateway/src/serve/quota.rs
@@ -97,7 +97,7 @@
             retry_after_ms,
         )),
         Outcome::Unknown => Err(LocalResponse::not_run(
-            "the usage of the tenant's limit is unknown",
+            "the tenant's limit cannot be told",
             context.retry_later_ms(),
         )),
     };
--- a/crates/gateway/src/serve/request.rs
+++ b/crates/gateway/src/serve/request.rs
@@ -239,16 +239,13 @@
 fn refusal_response(refusal: TurnRefusal, retry_later_ms: u64) -> LocalResponse {
     match refusal {
         TurnRefusal::BudgetSpent => LocalResponse::new(402, "the program's budget is spent"),
-        TurnRefusal::UnknownTurn => {
-            LocalResponse::new(404, "the previous turn is not stored; start a new program")
-        }
+        TurnRefusal::UnknownTurn => LocalResponse::new(404, "no such turn is kept; start anew"),
         TurnRefusal::TooLarge => {
-            LocalResponse::new(413, "the input or its names are too large to be stored")
+            LocalResponse::new(413, "the input or its names are too large to be kept")
+        }
+        TurnRefusal::HomeUnavailable => {
+            LocalResponse::not_run("no daemon of its homes keeps what it says", RETRY_LATER_MS)
         }
-        TurnRefusal::HomeUnavailable => LocalResponse::not_run(
-            "no daemon in the allowed regions can store the turn",
-            RETRY_LATER_MS,
-        ),
         TurnRefusal::Unavailable => {
             LocalResponse::not_run("the program's ledger cannot be reached", retry_later_ms)
         }
--- a/crates/gateway/src/serve/retry.rs
+++ b/crates/gateway/src/serve/retry.rs
@@ -106,10 +106,7 @@
                 self.wait(context, pause_ms).await;
                 Ok(())
             }
-            NextStep::Refuse => Err(LocalResponse::not_run(
-                "no server accepted the request",
-                RETRY_SOON_MS,
-            )),
+            NextStep::Refuse => Err(LocalResponse::not_run("no server took it", RETRY_SOON_MS)),
             NextStep::BadGateway => Err(LocalResponse::new(502, OUTCOME_UNKNOWN)),
         }
     }
@@ -180,7 +177,7 @@
                 RETRY_LATER_MS,
             ),
             _ => LocalResponse::not_run(
-                "all servers for this request are in evacuated zones",
+                "all servers for it stand in evacuated zones",
                 RETRY_EVACUATED_MS,
             ),
         }
@@ -190,7 +187,7 @@
         if self.attempts.may_have_run > 0 {
             LocalResponse::new(502, OUTCOME_UNKNOWN)
         } else {
-            LocalResponse::not_run("no server accepts work", RETRY_SOON_MS)
+            LocalResponse::not_run("no server takes work", RETRY_SOON_MS)
         }
     }
 }
--- a/crates/gateway/src/serve/stream.rs
+++ b/crates/gateway/src/serve/stream.rs
@@ -51,7 +51,7 @@
     let response = match timeout_at(context.deadline, attempts).await {
         Ok(Ok(action)) => return flush_pending(action, writer).await,
         Ok(Err(response)) => response,
-        Err(_) => LocalResponse::new(504, "the response was not complete by the deadline"),
+        Err(_) => LocalResponse::new(504, "no whole answer in time"),
     };
     if let Some(turn) = turn {
         turn.abort();
@@ -121,10 +121,7 @@
                     }
                     StreamEnd::ClientGone => return Ok(ConnectionAction::Abort),
                     StreamEnd::NotDurable => {
-                        return Err(LocalResponse::new(
-                            502,
-                            "the token reservation could not be recorded",
-                        ));
+                        return Err(LocalResponse::new(502, "its budget could not be reserved"));
                     }
                     StreamEnd::Broken(error) => {
                         attempt.fail(context, error);
@@ -150,7 +147,7 @@
     writer: &mut ClientWriter,
 ) -> Result<ConnectionAction, LocalResponse> {
     match buffered::read_complete(context, attempt).await {
-        Ok(_) if delivery.head_sent => Err(LocalResponse::new(502, "the server refused to resume")),
+        Ok(_) if delivery.head_sent => Err(LocalResponse::new(502, "the engine refused to resume")),
         Ok(response) => Ok(buffered::forward(context, response, writer).await),
         Err((attempt, error)) => {
             attempt.fail(context, error);
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -47,7 +47,7 @@
             Self::Unknown(cause) => {
                 write!(
                     formatter,
-                    "no valid response ({cause}); the request may have run"
+                    "no response ({cause}); the request may have been executed, try again"
                 )
             }
             Self::Status { status, body } => write!(formatter, "status {status}: {body}"),
--- a/crates/program/src/admission.rs
+++ b/crates/program/src/admission.rs
@@ -106,7 +106,7 @@
     if program.refused_keys.contains(key) {
         return Err(CallError::not_run(
             ErrorKind::RequestKeyRefused,
-            "this request was refused permanently; retry with a new request key",
+            "this request was refused for good; ask again under a new request key",
         ));
     }
     if program.calls.iter().any(|call| call.request_key == key) {
--- a/crates/program/src/shard_state.rs
+++ b/crates/program/src/shard_state.rs
@@ -61,7 +61,7 @@
             Ok(Admission::PreviousRunning) => {
                 let error = CallError::not_run(
                     ErrorKind::CallNumberTooEarly,
-                    "wait for the answer to the previous call",
+                    "wait for the answer to the call before",
                 );
                 return Reply::Refused(error.retry_after(RUNNING_RETRY_MS));
             }
