--- a/crates/gateway/src/serve/buffered.rs
+++ b/crates/gateway/src/serve/buffered.rs
@@ -24,7 +24,7 @@
     /// Response body.
     pub body: Bytes,
     /// Accounts for the memory of the body.
-    pub held: MemoryAccount,
+    pub memory_account: MemoryAccount,
 }
 
 /// A response that is too large to buffer.
@@ -32,7 +32,7 @@
     attempt: Attempt,
     /// Part of the body received so far.
     received: BytesMut,
-    held: MemoryAccount,
+    memory_account: MemoryAccount,
 }
 
 /// A response that was read completely or in part.
@@ -117,7 +117,7 @@
     mut attempt: Attempt,
 ) -> Result<ReadResponse, (Attempt, ExchangeError)> {
     let memory = &context.daemon.memory;
-    let held = memory.open(Purpose::Incoming);
+    let memory_account = memory.open(Purpose::Incoming);
     let mut body = BytesMut::new();
     loop {
         let next = attempt.connection.next_piece(&mut attempt.response.body);
@@ -125,12 +125,12 @@
             Ok(Piece::Data(data)) => {
                 body.extend_from_slice(&data);
                 let is_large = body.len() > memory.bounds.connection_bytes;
-                if is_large || held.grow(data.len()).is_err() {
+                if is_large || memory_account.grow(data.len()).is_err() {
                     let received = body;
                     let response = PartialResponse {
                         attempt,
                         received,
-                        held,
+                        memory_account,
                     };
                     return Ok(ReadResponse::Partial(response));
                 }
@@ -140,7 +140,7 @@
                 let response = BufferedResponse {
                     attempt,
                     body,
-                    held,
+                    memory_account,
                 };
                 return Ok(ReadResponse::Complete(response));
             }
@@ -186,7 +186,10 @@
     drop(response.body);
     record_answered(context, &response.attempt);
     response.attempt.finish(context);
-    match writer.write_held(&bytes, &response.held).await {
+    match writer
+        .write_accounted(&bytes, &response.memory_account)
+        .await
+    {
         Ok(()) => ConnectionAction::KeepOpen,
         Err(_) => ConnectionAction::Abort,
     }
@@ -202,7 +205,7 @@
     let PartialResponse {
         mut attempt,
         received,
-        held,
+        memory_account,
     } = response;
     let framing = attempt.response.body.framing();
     let body = match framing {
@@ -213,7 +216,7 @@
     let mut sent = writer.send(&forwarded_head(context, &attempt, body)).await;
     let mut data = received.freeze();
     // From here on, the connection accounts for what the client has not read.
-    drop(held);
+    drop(memory_account);
     loop {
         if sent.is_ok() {
             sent = match body {
--- a/crates/gateway/src/serve/reader.rs
+++ b/crates/gateway/src/serve/reader.rs
@@ -30,7 +30,7 @@
     /// When the first byte was received.
     pub started: Instant,
     /// Accounts for the memory of the request.
-    pub held: MemoryAccount,
+    pub memory_account: MemoryAccount,
 }
 
 /// Why no request was read.
@@ -130,11 +130,11 @@
         writer: &mut ClientWriter,
         started: Instant,
     ) -> Result<ClientRequest, ReadFailure> {
-        let held = self.memory.open(Purpose::Incoming);
+        let memory_account = self.memory.open(Purpose::Incoming);
         let head = loop {
             match decode_request_head(&mut self.buffer, limits.header_bytes) {
                 Ok(Some(head)) => break head,
-                Ok(None) => held.grow(self.fill().await?)?,
+                Ok(None) => memory_account.grow(self.fill().await?)?,
                 Err(error) => return Err(ReadFailure::Head(error)),
             }
         };
@@ -142,7 +142,7 @@
             if length > limits.body_bytes as u64 {
                 return Err(ReadFailure::BodyTooLarge);
             }
-            held.grow(length as usize * BODY_COPIES)?;
+            memory_account.grow(length as usize * BODY_COPIES)?;
         }
         if head.expects_continue {
             let _ = writer.write(b"HTTP/1.1 100 Continue\r\n\r\n").await;
@@ -153,7 +153,7 @@
             match decoder.next(&mut self.buffer) {
                 Ok(Piece::Data(data)) => {
                     if head.framing == Framing::Chunked {
-                        held.grow(data.len() * BODY_COPIES)?;
+                        memory_account.grow(data.len() * BODY_COPIES)?;
                     }
                     body.extend_from_slice(&data);
                 }
@@ -171,7 +171,7 @@
             head,
             body: body.freeze(),
             started,
-            held,
+            memory_account,
         })
     }
 
--- a/crates/gateway/src/serve/request.rs
+++ b/crates/gateway/src/serve/request.rs
@@ -72,7 +72,7 @@
     /// Server that the request was last sent to.
     pub last_server: Rc<RefCell<Option<String>>>,
     /// Accounts for the memory of the request.
-    pub held: MemoryAccount,
+    pub memory_account: MemoryAccount,
     /// When the first byte arrived.
     pub started: Instant,
     /// When the response must be complete.
@@ -222,7 +222,7 @@
     if let Some(turn) = &mut turn {
         let prompt = turn.build_prompt(&context.body);
         let chain = prompt.len().saturating_sub(context.body.len());
-        if context.held.grow(chain * BODY_COPIES).is_err() {
+        if context.memory_account.grow(chain * BODY_COPIES).is_err() {
             turn.abort();
             return context.respond(memory_full(), writer).await;
         }
@@ -323,7 +323,7 @@
         service: OnceCell::new(),
         engine: None,
         last_server: Rc::default(),
-        held: request.held,
+        memory_account: request.memory_account,
         started: request.started,
     })
 }
--- a/crates/gateway/src/serve/writer.rs
+++ b/crates/gateway/src/serve/writer.rs
@@ -19,7 +19,7 @@
     /// Data that the client has not accepted yet.
     backlog: BytesMut,
     /// Accounts for the memory of the backlog.
-    held: MemoryAccount,
+    memory_account: MemoryAccount,
     /// When the client last accepted data, or when data first became available for it.
     last_progress: Instant,
     /// Id of the request being answered, for log lines.
@@ -32,7 +32,7 @@
         Self {
             half,
             backlog: BytesMut::new(),
-            held: memory.open(Purpose::Outgoing),
+            memory_account: memory.open(Purpose::Outgoing),
             last_progress: Instant::now(),
             request: String::new(),
         }
@@ -56,8 +56,9 @@
         if unsent.is_empty() {
             return Ok(());
         }
-        let fits = self.backlog.len() + unsent.len() <= self.held.bounds().connection_bytes;
-        if fits && self.held.grow(unsent.len()).is_ok() {
+        let fits =
+            self.backlog.len() + unsent.len() <= self.memory_account.bounds().connection_bytes;
+        if fits && self.memory_account.grow(unsent.len()).is_ok() {
             if self.backlog.is_empty() {
                 self.last_progress = Instant::now();
             }
@@ -65,8 +66,8 @@
             return Ok(());
         }
         self.flush().await?;
-        let (half, held) = (&mut self.half, &self.held);
-        let written = write_all(half, unsent, held, &mut self.last_progress).await;
+        let (half, memory_account) = (&mut self.half, &self.memory_account);
+        let written = write_all(half, unsent, memory_account, &mut self.last_progress).await;
         written.inspect_err(|error| self.log_if_stalled(error))
     }
 
@@ -79,14 +80,24 @@
         self.flush().await
     }
 
-    /// Sends bytes whose memory is accounted for by `held`, and waits until they are written.
+    /// Sends bytes whose memory is accounted for by `memory_account`, and waits until they are written.
     ///
     /// # Errors
     /// The client closed the connection or does not read.
-    pub async fn write_held(&mut self, bytes: &[u8], held: &MemoryAccount) -> io::Result<()> {
+    pub async fn write_accounted(
+        &mut self,
+        bytes: &[u8],
+        memory_account: &MemoryAccount,
+    ) -> io::Result<()> {
         self.flush().await?;
-        held.start_delivery();
-        let written = write_all(&mut self.half, bytes, held, &mut self.last_progress).await;
+        memory_account.start_delivery();
+        let written = write_all(
+            &mut self.half,
+            bytes,
+            memory_account,
+            &mut self.last_progress,
+        )
+        .await;
         written.inspect_err(|error| self.log_if_stalled(error))
     }
 
@@ -133,11 +144,11 @@
 
     /// Writes a part of the backlog.
     async fn drain(&mut self) -> io::Result<()> {
-        let (half, held) = (&mut self.half, &self.held);
-        let written = write_some(half, &self.backlog, held, self.last_progress).await;
+        let (half, memory_account) = (&mut self.half, &self.memory_account);
+        let written = write_some(half, &self.backlog, memory_account, self.last_progress).await;
         let written = written.inspect_err(|error| self.log_if_stalled(error))?;
         self.backlog.advance(written);
-        self.held.shrink(written);
+        self.memory_account.shrink(written);
         self.last_progress = Instant::now();
         Ok(())
     }
@@ -160,14 +171,14 @@
 async fn write_all(
     half: &mut OwnedWriteHalf,
     mut bytes: &[u8],
-    held: &MemoryAccount,
+    memory_account: &MemoryAccount,
     last_progress: &mut Instant,
 ) -> io::Result<()> {
     *last_progress = Instant::now();
     while !bytes.is_empty() {
-        let size = write_some(half, bytes, held, *last_progress).await?;
+        let size = write_some(half, bytes, memory_account, *last_progress).await?;
         bytes.advance(size);
-        held.shrink(size);
+        memory_account.shrink(size);
         *last_progress = Instant::now();
     }
     Ok(())
@@ -178,19 +189,19 @@
 async fn write_some(
     half: &mut OwnedWriteHalf,
     bytes: &[u8],
-    held: &MemoryAccount,
+    memory_account: &MemoryAccount,
     last_progress: Instant,
 ) -> io::Result<usize> {
-    let stall = Duration::from_millis(held.bounds().stall_ms);
+    let stall = Duration::from_millis(memory_account.bounds().stall_ms);
     let cause = tokio::select! {
         biased;
         written = half.write(bytes) => match written {
             Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
             written => return written,
         },
-        () = held.evicted() => "the client reads nothing and its memory is needed for other peers",
+        () = memory_account.evicted() => "the client reads nothing and its memory is needed for other peers",
         () = sleep_until(last_progress + stall) => {
-            held.record_stall();
+            memory_account.record_stall();
             "the client has read nothing for too long"
         }
     };
