--- a/crates/bench/src/caller.rs
+++ b/crates/bench/src/caller.rs
@@ -1,11 +1,12 @@
-//! An agent program's side of the caller interface, with its own account of
-//! the conversation, by which every answer is checked.
+//! Client for the caller API. Keeps its own copy of the conversation and checks every answer
+//! against it.
 
-mod end;
-mod reading;
+mod attempt;
+mod outcome;
 
-pub use end::{CallEnd, Violation};
+pub use outcome::{CallOutcome, Violation};
 
+use attempt::StreamState;
 use fieldhook_emulator::engine::expected_answer;
 use fieldhook_http::{HttpClient, SendError};
 use fieldhook_model::api::{
@@ -15,54 +16,53 @@
 use fieldhook_model::error::Executed;
 use ntex::http::Method;
 use ntex::time::{Millis, sleep};
-use reading::Reading;
 use std::time::{Duration, Instant};
 
 const OPEN_TIMEOUT: Duration = Duration::from_secs(15);
 const CALL_TIMEOUT: Duration = Duration::from_secs(60);
-const RETRY: Millis = Millis(50);
+const RETRY_PAUSE: Millis = Millis(50);
 
-/// Times of one call as the caller saw it.
+/// Timings and retries of one call, measured by the caller.
 #[derive(Clone, Debug, Default)]
 pub struct CallTimes {
-    /// Until the first piece of text.
-    pub first: Option<Duration>,
-    /// Longest pause between two pieces.
+    /// Time to the first token of a streamed answer.
+    pub first_token: Option<Duration>,
+    /// Longest pause between two consecutive deltas of a stream.
     pub longest_pause: Duration,
-    /// Until the end.
+    /// Time until the call had a final outcome.
     pub total: Duration,
-    /// Times the caller had to ask again.
-    pub asked_again: u32,
-    /// Times an answer broke off after it had begun.
-    pub broken: u32,
+    /// Number of times that the request was sent again.
+    pub retries: u32,
+    /// Number of times that an open stream was interrupted or timed out.
+    pub interruptions: u32,
 }
 
-/// One program as its caller sees it.
+/// Client of one program.
 pub struct Caller {
     client: HttpClient,
     gateways: Vec<String>,
     gateway: usize,
-    /// Identifier of the program.
+    /// Id of the program.
     pub program: String,
-    /// Calls issued so far.
+    /// Number of the last call that was made.
     pub calls: u64,
-    /// The conversation, by the caller's own account.
+    /// The caller's own copy of the conversation.
     pub history: Vec<Message>,
-    /// What was wrong so far.
+    /// Violations found so far.
     pub violations: Vec<Violation>,
-    /// Times of the last call.
+    /// Timings of the last call.
     pub times: CallTimes,
 }
 
-/// A user's message.
-pub fn user(content: impl Into<String>) -> Message {
+/// Returns a message with the role `user`.
+pub fn user_message(content: impl Into<String>) -> Message {
     Message {
         role: "user".to_owned(),
         content: content.into(),
     }
 }
 
-fn open_body(tenant: &str, key: &str, budget: i64) -> OpenProgramRequest {
+fn open_request(tenant: &str, key: &str, budget: i64) -> OpenProgramRequest {
     OpenProgramRequest {
         tenant: tenant.to_owned(),
         labels: Default::default(),
@@ -74,16 +74,18 @@
     }
 }
 
-enum Asked {
-    End(CallEnd),
-    Again(String),
+/// Result of sending a call's request once.
+enum AttemptOutcome {
+    Final(CallOutcome),
+    /// The request has to be sent again; holds the cause.
+    Retry(String),
 }
 
 impl Caller {
-    /// Opens a program; asks again under the same key until it is answered.
+    /// Opens a program; retries with the same request key, each time at the next daemon.
     ///
     /// # Errors
-    /// No daemon answered in time, or the request is refused for good.
+    /// No daemon answered in time, or the request was refused with a 4xx status.
     pub async fn open(
         client: &HttpClient,
         gateways: &[String],
@@ -91,20 +93,20 @@
         key: &str,
         budget: i64,
     ) -> Result<Self, SendError> {
-        Self::open_with(client, gateways, &open_body(tenant, key, budget)).await
+        Self::open_with(client, gateways, &open_request(tenant, key, budget)).await
     }
 
-    /// Opens a program as described.
+    /// Opens a program with the given request body; retries as [`Caller::open`] does.
     ///
     /// # Errors
-    /// No daemon answered in time, or the request is refused for good.
+    /// No daemon answered in time, or the request was refused with a 4xx status.
     pub async fn open_with(
         client: &HttpClient,
         gateways: &[String],
         body: &OpenProgramRequest,
     ) -> Result<Self, SendError> {
         let mut gateway = fastrand::usize(..gateways.len());
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
             let url = format!("http://{}/v1/programs", gateways[gateway]);
             let opened: Result<OpenProgramResponse, SendError> =
@@ -127,23 +129,24 @@
                         status: 400..=499, ..
                     },
                 ) => return Err(error),
-                Err(error) if begun.elapsed() > CALL_TIMEOUT => return Err(error),
+                Err(error) if started.elapsed() > CALL_TIMEOUT => return Err(error),
                 Err(_) => gateway = (gateway + 1) % gateways.len(),
             }
-            sleep(RETRY).await;
+            sleep(RETRY_PAUSE).await;
         }
     }
 
-    /// Asks a model; the history is kept by the system and, apart from it, here.
-    pub async fn ask_model(&mut self, model: &str, content: &str, max_tokens: u32) -> CallEnd {
-        let messages = vec![user(content)];
+    /// Calls a model with a user message, and checks the answer against the caller's own copy of
+    /// the conversation.
+    pub async fn call_model(&mut self, model: &str, content: &str, max_tokens: u32) -> CallOutcome {
+        let messages = vec![user_message(content)];
         let call = ModelCall {
             model: model.to_owned(),
             messages: messages.clone(),
             max_tokens,
         };
-        let end = self.call(CallSpec::Model(call), None, true).await;
-        if let CallEnd::Answered(answer) = &end {
+        let outcome = self.call(CallSpec::Model(call), None, true).await;
+        if let CallOutcome::Answered(answer) = &outcome {
             self.history.extend(messages);
             self.check_answer(answer, max_tokens);
             self.history.push(Message {
@@ -151,7 +154,7 @@
                 content: answer.content.clone(),
             });
         }
-        end
+        outcome
     }
 
     fn check_answer(&mut self, answer: &Answer, max_tokens: u32) {
@@ -166,8 +169,13 @@
         }
     }
 
-    /// Asks a server.
-    pub async fn ask_server(&mut self, service: &str, path: &str, repeatable: bool) -> CallEnd {
+    /// Calls a server of a service.
+    pub async fn call_server(
+        &mut self,
+        service: &str,
+        path: &str,
+        repeatable: bool,
+    ) -> CallOutcome {
         let call = ServerCall {
             service: service.to_owned(),
             path: path.to_owned(),
@@ -177,18 +185,20 @@
             .await
     }
 
-    /// Key of a call number; stable, so that asking again is recognised.
+    /// Returns the request key of a call. All retries of the call use the same key, by which the
+    /// system recognises them.
     pub fn request_key(&self, number: u64) -> String {
         format!("call-{number}")
     }
 
-    /// Issues the next call and asks again, elsewhere, until it has an end.
+    /// Makes the next call and retries it, each time at the next daemon, until it has a final
+    /// outcome or times out.
     pub async fn call(
         &mut self,
         spec: CallSpec,
         repeatable: Option<bool>,
         stream: bool,
-    ) -> CallEnd {
+    ) -> CallOutcome {
         let number = self.calls + 1;
         let request = CallRequest {
             call_number: number,
@@ -197,37 +207,37 @@
             repeatable,
             stream,
         };
-        let end = self.ask_until_end(&request).await;
-        // A refused call that did not run leaves its number free.
-        if !matches!(&end, CallEnd::Refused(error) if error.executed == Executed::No) {
+        let outcome = self.retry_until_final(&request).await;
+        // The number of a call that was refused and did not run is used again.
+        if !matches!(&outcome, CallOutcome::Refused(error) if error.executed == Executed::No) {
             self.calls = number;
         }
-        end
+        outcome
     }
 
-    async fn ask_until_end(&mut self, request: &CallRequest) -> CallEnd {
-        let begun = Instant::now();
+    async fn retry_until_final(&mut self, request: &CallRequest) -> CallOutcome {
+        let started = Instant::now();
         self.times = CallTimes::default();
-        let mut reading = Reading::default();
+        let mut state = StreamState::default();
         loop {
-            let asked = if request.stream {
-                self.ask_stream(request, &mut reading, begun).await
+            let outcome = if request.stream {
+                self.attempt_stream(request, &mut state, started).await
             } else {
-                self.ask_whole(request).await
+                self.attempt_plain(request).await
             };
-            match asked {
-                Asked::End(end) => {
-                    self.times.total = begun.elapsed();
-                    return end;
+            match outcome {
+                AttemptOutcome::Final(outcome) => {
+                    self.times.total = started.elapsed();
+                    return outcome;
                 }
-                Asked::Again(cause) if begun.elapsed() > CALL_TIMEOUT => {
-                    return CallEnd::NoAnswer(cause);
+                AttemptOutcome::Retry(cause) if started.elapsed() > CALL_TIMEOUT => {
+                    return CallOutcome::NoAnswer(cause);
                 }
-                Asked::Again(_) => {}
+                AttemptOutcome::Retry(_) => {}
             }
-            self.times.asked_again += 1;
+            self.times.retries += 1;
             self.gateway = (self.gateway + 1) % self.gateways.len();
-            sleep(RETRY).await;
+            sleep(RETRY_PAUSE).await;
         }
     }
 
@@ -238,10 +248,10 @@
         )
     }
 
-    /// The program as the system shows it.
+    /// Reads the state of the program; retries at the other daemons.
     ///
     /// # Errors
-    /// No answer from any daemon.
+    /// All attempts failed.
     pub async fn view(&mut self) -> Result<ProgramView, SendError> {
         let mut last = SendError::NotSent("no daemon".to_owned());
         for _ in 0..self.gateways.len() * 4 {
@@ -254,27 +264,27 @@
                 Err(error) => last = error,
             }
             self.gateway = (self.gateway + 1) % self.gateways.len();
-            sleep(RETRY).await;
+            sleep(RETRY_PAUSE).await;
         }
         Err(last)
     }
 
-    /// Ends the program; asks again until it is acknowledged. False if it never was.
-    pub async fn end(&mut self) -> bool {
+    /// Ends the program; retries at the other daemons. Returns whether the end was acknowledged.
+    pub async fn end_program(&mut self) -> bool {
         for _ in 0..self.gateways.len() * 8 {
             let url = format!(
                 "http://{}/v1/programs/{}",
                 self.gateways[self.gateway], self.program
             );
-            let reply = self
+            let response = self
                 .client
                 .fetch(Method::DELETE, &url, &[], Vec::new(), OPEN_TIMEOUT)
                 .await;
-            if reply.is_ok_and(|reply| reply.status == 200) {
+            if response.is_ok_and(|response| response.status == 200) {
                 return true;
             }
             self.gateway = (self.gateway + 1) % self.gateways.len();
-            sleep(RETRY).await;
+            sleep(RETRY_PAUSE).await;
         }
         false
     }
--- a/crates/bench/tests/processes/evacuation.rs
+++ b/crates/bench/tests/processes/evacuation.rs
@@ -1,49 +1,52 @@
-//! A zone evacuated by the operators' client.
+//! Evacuation of a zone with the command-line client.
 
-use crate::configuration::{client, finish as ended};
-use crate::support::{dispatched, finish, pause, run, start, start_load};
-use fieldhook_bench::cluster::{Cluster, Shape};
+use crate::configuration::{spawn_client, wait_for_exit};
+use crate::support::{
+    accepted_requests, finish_and_check, run_exclusively, sleep_ms, start, start_load,
+};
+use fieldhook_bench::cluster::{Cluster, ClusterConfig};
 use fieldhook_bench::load::Workload;
 
-/// Work that was placed before the rule was in force has ended after this time.
-const PLACED_BEFORE_MS: u32 = 2_000;
+/// Requests that were placed before the evacuation took effect have completed after this time.
+const SETTLE_MS: u32 = 2_000;
 
-/// The engine that has taken most so far, by its number: programs stay at the engine where they
-/// began, and of idle ones the first by address is chosen, so that another one may have none.
-async fn busiest(cluster: &Cluster) -> usize {
-    let mut most = (0, 0);
+/// Returns the index of the engine with the most requests. Programs stay on the engine where
+/// they started, and among idle engines the first by address is selected, so any other engine
+/// may have had no requests.
+async fn busiest_engine(cluster: &Cluster) -> usize {
+    let mut busiest = (0, 0);
     for (number, engine) in cluster.engines().iter().enumerate() {
-        most = most.max((dispatched(cluster, engine).await, number));
+        busiest = busiest.max((accepted_requests(cluster, engine).await, number));
     }
-    most.1
+    busiest.1
 }
 
 #[test]
-fn an_evacuated_zone_gets_no_new_work_until_it_is_ended() {
-    run(async {
-        let cluster = start("evacuation", Shape::default()).await;
+fn evacuated_zone_gets_no_new_requests() {
+    run_exclusively(async {
+        let cluster = start("evacuation", ClusterConfig::default()).await;
         let workload = Workload {
             turns: 40,
             pause_ms: 200,
             ..Workload::default()
         };
         let load = start_load(&cluster, &workload);
-        pause(1_000).await;
-        let number = busiest(&cluster).await;
-        let zone = cluster.shape.zones[number].clone();
+        sleep_ms(1_000).await;
+        let number = busiest_engine(&cluster).await;
+        let zone = cluster.config.zones[number].clone();
         let engine = cluster.engines()[number].clone();
-        let begun = ended(client(&cluster, 1, &["evacuate", &zone]));
-        assert!(begun.status.success(), "{begun:?}");
-        pause(PLACED_BEFORE_MS).await;
-        let before = dispatched(&cluster, &engine).await;
-        assert!(before > 0, "the zone was used before");
-        pause(PLACED_BEFORE_MS).await;
-        assert!(!load.is_over(), "the load ended too early to show anything");
-        assert_eq!(dispatched(&cluster, &engine).await, before);
-        let over = ended(client(&cluster, 2, &["evacuate", &zone, "--end"]));
-        assert!(over.status.success(), "{over:?}");
-        finish(&cluster, &load, &workload).await;
-        let unknown = ended(client(&cluster, 0, &["evacuate", "nowhere"]));
+        let evacuated = wait_for_exit(spawn_client(&cluster, 1, &["evacuate", &zone]));
+        assert!(evacuated.status.success(), "{evacuated:?}");
+        sleep_ms(SETTLE_MS).await;
+        let before = accepted_requests(&cluster, &engine).await;
+        assert!(before > 0, "the zone got requests before the evacuation");
+        sleep_ms(SETTLE_MS).await;
+        assert!(!load.is_finished(), "the load ended before the check");
+        assert_eq!(accepted_requests(&cluster, &engine).await, before);
+        let reopened = wait_for_exit(spawn_client(&cluster, 2, &["evacuate", &zone, "--end"]));
+        assert!(reopened.status.success(), "{reopened:?}");
+        finish_and_check(&cluster, &load, &workload).await;
+        let unknown = wait_for_exit(spawn_client(&cluster, 0, &["evacuate", "nowhere"]));
         assert_eq!(unknown.status.code(), Some(2), "{unknown:?}");
     });
 }
--- a/crates/gateway/src/ledger/cold.rs
+++ b/crates/gateway/src/ledger/cold.rs
@@ -1,4 +1,5 @@
-//! Admission of requests to cold servers. The owner of the partition that a server's identity
+//! Admission of requests to cold servers, which started recently and can handle only few requests
+//! per second. The owner of the partition that a server's identity
 //! hashes to counts them, while a lease confirmed by the log guarantees that it is the only owner.
 
 use super::client::LedgerClient;
@@ -20,13 +21,13 @@
 
 /// A permit that arrives later than this is not used.
 const PERMIT_TIMEOUT: Duration = Duration::from_millis(PERMIT_VALIDITY_MS);
-/// Pause before the request is sent to an owner that this daemon just learned of.
+/// Pause before a request is sent again after the owner or the connection to it has changed.
 const RETRY_PAUSE: Duration = Duration::from_millis(1);
 /// Pause after the log did not confirm an owner, in milliseconds.
 const CONFIRM_RETRY_MS: u64 = 100;
-/// Time limit of the background search for an owner after one did not answer: an owner is
+/// Timeout of the background search for an owner after one did not answer: an owner is
 /// suspected after 250 ms, and a claim takes two log calls.
-const OWNER_SEARCH_LIMIT: Duration = Duration::from_millis(700);
+const OWNER_SEARCH_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Counters of requests to cold servers, by partition, and the leases under which they may be
 /// used.
@@ -73,7 +74,7 @@
         failed_ms.is_some_and(|failed_ms| self.now_ms() < failed_ms + CONFIRM_RETRY_MS)
     }
 
-    fn confirm(&self, partition: u32, claim: &Claim, asked_ms: u64) {
+    fn confirm(&self, partition: u32, claim: &Claim, sent_ms: u64) {
         let mut leases = self.leases.borrow_mut();
         self.failed_ms.borrow_mut().remove(&partition);
         let is_known = leases
@@ -84,7 +85,7 @@
             leases.insert(partition, lease);
         }
         if let Some(lease) = leases.get_mut(&partition) {
-            lease.confirm(asked_ms, self.now_ms());
+            lease.confirm(sent_ms, self.now_ms());
         }
     }
 }
@@ -106,10 +107,11 @@
                 if needs_renewal {
                     ntex::rt::spawn(confirm(owner.clone(), partition, claim));
                 }
-                let question = limits::cold_question(&request);
+                let admission_request = limits::cold_admission_request(&request);
                 let limits = &owner.cold_counters.limits;
-                break LedgerReply::Quota(limits.admit(partition, &claim, &question));
+                break LedgerReply::Quota(limits.admit(partition, &claim, &admission_request));
             }
+            // The lease of the previous owner may still be valid.
             State::Waiting(retry_after_ms) => {
                 break LedgerReply::Quota(QuotaReply::Refused { retry_after_ms });
             }
@@ -138,20 +140,20 @@
     if !counters.confirming.borrow_mut().insert(partition) {
         return;
     }
-    let asked_ms = counters.now_ms();
-    let limit = Duration::from_millis(TERM_MS);
+    let sent_ms = counters.now_ms();
+    let append_timeout = Duration::from_millis(TERM_MS);
     let fenced = fence(
         owner.store.as_ref(),
         owner.log_partition(partition),
         claim.epoch,
-        limit,
+        append_timeout,
     )
     .await;
     counters.confirming.borrow_mut().remove(&partition);
     match fenced {
         // The log reports a sequence error if this owner has appended records before, which also
         // shows that its epoch is current.
-        Ok(()) | Err(StoreError::Sequence(_)) => counters.confirm(partition, &claim, asked_ms),
+        Ok(()) | Err(StoreError::Sequence(_)) => counters.confirm(partition, &claim, sent_ms),
         Err(error) => {
             let now_ms = counters.now_ms();
             let previous = counters.failed_ms.borrow_mut().insert(partition, now_ms);
@@ -185,7 +187,7 @@
             let ledger = self.clone();
             ntex::rt::spawn(async move {
                 let answer = ledger
-                    .ask(&request, Instant::now() + OWNER_SEARCH_LIMIT)
+                    .request_until_answered(&request, Instant::now() + OWNER_SEARCH_TIMEOUT)
                     .await;
                 if answer.is_none() {
                     // The owner may answer but not be confirmed by the log.
--- a/crates/gateway/src/serve/buffered.rs
+++ b/crates/gateway/src/serve/buffered.rs
@@ -117,7 +117,7 @@
     mut attempt: Attempt,
 ) -> Result<ReadResponse, (Attempt, ExchangeError)> {
     let memory = &context.daemon.memory;
-    let memory_account = memory.open(Purpose::Incoming);
+    let memory_account = memory.open(Purpose::InProgress);
     let mut body = BytesMut::new();
     loop {
         let next = attempt.connection.next_piece(&mut attempt.response.body);
--- a/crates/gateway/src/serve/turn_record.rs
+++ b/crates/gateway/src/serve/turn_record.rs
@@ -12,7 +12,7 @@
     /// Records that the turn is complete. If the route retains context, the response may end only
     /// after this has returned true.
     pub async fn complete(&mut self, context: &RequestContext) -> bool {
-        if !self.request.keeps_context {
+        if !self.request.retains_context {
             return true;
         }
         let homes = homes::current(context);
@@ -25,7 +25,7 @@
             biased;
             recorded = self.record_all(context.deadline) => recorded,
             // Give up early, so that the client still has time to send the turn to another daemon.
-            () = self.ledger.wait_until_cut_off() => false,
+            () = self.ledger.wait_until_in_minority() => false,
         };
         // With a home partition and no budget, the program partition has not been informed yet;
         // dropping the turn does that.
@@ -67,7 +67,7 @@
             return true;
         }
         let close = CloseTurn {
-            awaited: true,
+            delays_response: true,
             ..self.close_request(None)
         };
         self.ledger.close(&close, deadline).await
--- a/crates/gateway/src/serve/writer.rs
+++ b/crates/gateway/src/serve/writer.rs
@@ -32,7 +32,7 @@
         Self {
             half,
             backlog: BytesMut::new(),
-            memory_account: memory.open(Purpose::Outgoing),
+            memory_account: memory.open(Purpose::Delivery),
             last_progress: Instant::now(),
             request: String::new(),
         }
--- a/crates/gateway/tests/gateway/budget_after_owner_loss.rs
+++ b/crates/gateway/tests/gateway/budget_after_owner_loss.rs
@@ -61,11 +61,11 @@
         session: None,
         previous: Some("t1".to_owned()),
         wants_chain: false,
-        keeps_context: false,
+        retains_context: false,
         supplies_chain: false,
         budget: Some(BUDGET),
         max_tokens: MAX_TOKENS,
-        placement: None,
+        assignment: None,
         home_partition: None,
     }
 }
@@ -91,7 +91,7 @@
     sleep(OWNERS_SETTLED).await;
     let fields = format!("Request: t1\r\nProgram: p\r\nBudget: {BUDGET}\r\nMost: {MAX_TOKENS}\r\n");
     let reply = b.ask("POST", "/chat/1", &fields, "said;").await;
-    assert!(reply.whole && reply.head.status == 200);
+    assert!(reply.complete && reply.head.status == 200);
     new_owner_state(&world, "p").open(&next_turn("p"), now_ms())
 }
 
--- a/crates/gateway/tests/gateway/zones.rs
+++ b/crates/gateway/tests/gateway/zones.rs
@@ -51,12 +51,12 @@
 
         let first = ntex::rt::spawn(async move {
             let fields = "Request: t1\r\nProgram: p\r\n";
-            a.ask("POST", "/chat/1", fields, "A;").await.whole
+            a.ask("POST", "/chat/1", fields, "A;").await.complete
         });
         sleep(Duration::from_millis(200)).await;
         let begun = Instant::now();
         let fields = "Request: t2\r\nProgram: p\r\n";
-        assert!(b.ask("POST", "/chat/1", fields, "B;").await.whole);
+        assert!(b.ask("POST", "/chat/1", fields, "B;").await.complete);
         let elapsed = begun.elapsed();
         assert!(
             elapsed < OWNER_TIMEOUT - Duration::from_millis(50),
@@ -127,7 +127,7 @@
         let begun = Instant::now();
         let reply = ask(&gateway, "/resume/1", "Request: t1\r\nProgram: p\r\n").await;
         assert!(begun.elapsed() > Duration::from_millis(1_600));
-        assert!(reply.whole);
+        assert!(reply.complete);
         assert_eq!(server.client_disconnects.get(), 0);
         assert_eq!(server.count(), 1);
     });
@@ -162,7 +162,7 @@
         lost.lose_power().await;
         world.list(&other).await;
         let reply = turn.await;
-        assert!(reply.whole && reply.head.status == 200);
+        assert!(reply.complete && reply.head.status == 200);
         let elapsed = begun.elapsed();
         assert!(elapsed < Duration::from_millis(1_500), "{elapsed:?}");
         assert_eq!(other.count(), 1);
@@ -263,7 +263,7 @@
         self.local_server.set(one_event());
         let fields = "Request: t3\r\nProgram: p\r\n";
         let reply = self.gateway.ask("POST", "/chat/1", fields, "A;").await;
-        assert!(reply.whole && reply.head.status == 200);
+        assert!(reply.complete && reply.head.status == 200);
     }
 }
 
--- a/crates/traffic/src/assignment.rs
+++ b/crates/traffic/src/assignment.rs
@@ -9,10 +9,10 @@
 //! A program gets an engine of its partition's group ([`crate::groups`]), whose load the owner
 //! sees, unless the group is full. Engines are ranked by a hash of the prompt prefix, so that all
 //! owners rank them identically without communication. The program is assigned to the first engine
-//! below its fair load, so that programs with a common prefix spread over as many engines as their
-//! load requires. Engines in the zone that received the program are preferred, then engines in
-//! its region, because connections and traffic to them cost less, and a distant region adds its
-//! latency to each event.
+//! below its fair load ([`AssignmentSettings`]), so that programs with a common prefix spread over
+//! as many engines as their load requires. Engines in the zone that received the program are
+//! preferred, then engines in its region, because connections and traffic to them cost less, and
+//! a distant region adds its latency to each event.
 
 use fieldhook_topology::zone::Distance;
 use std::cmp::Reverse;
@@ -20,7 +20,8 @@
 use std::rc::Rc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// How long the engine of a program is kept after its last turn started, in milliseconds.
+/// How long the engine of a program is kept after its last turn started, in milliseconds. This
+/// is independent of when [`crate::quota`] counts the program as ended.
 const PROGRAM_EXPIRY_MS: u64 = 60_000;
 /// A turn whose end is not reported counts as open for this long, in milliseconds. Its gateway
 /// has failed, or has reported the end to another owner of the partition.
@@ -30,13 +31,14 @@
 /// a few turns beyond its slots, and a queued turn is still served sooner than a turn whose prompt
 /// has to be processed again elsewhere.
 const FULL_ENGINE_LOAD: f64 = 1.5;
-/// Number of kept programs from which expired ones are removed. Below it, a sweep is not worth its
+/// When this many programs are kept, expired ones are removed. Below it, a sweep is not worth its
 /// cost.
 const SWEEP_THRESHOLD: usize = 1_024;
 
-/// Load limits of the assignment. Their unit is the fair load of an engine: the mean number of
-/// open turns over all engines of the group, or `light_load` of the engine's slots if that is
-/// more.
+/// Load limits of the assignment. The fair load of an engine is the mean number of open turns over
+/// all engines of the group, or `light_load` times the slots that the owner may fill (its fraction
+/// of the group's programs, times the engine's slots) if that is more. The other limits are
+/// multiples of the fair load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AssignmentSettings {
     /// Fraction of an engine's slots below which its load is too light to prefer another engine.
@@ -105,7 +107,7 @@
     started: VecDeque<(u64, Rc<str>)>,
     /// Number of open turns by engine.
     open: HashMap<Rc<str>, u32>,
-    /// Number of programs from which expired ones are removed again.
+    /// Number of programs at which expired ones are removed next.
     sweep_threshold: usize,
 }
 
@@ -115,7 +117,7 @@
     /// Mean number of open turns of the engines in the turn's group, including this turn.
     mean: f64,
     /// Fraction of the group's programs that the owner sees.
-    share: f64,
+    owned_fraction: f64,
 }
 
 impl AssignmentTable {
@@ -127,13 +129,13 @@
         }
     }
 
-    /// Assigns an engine to a turn and counts the turn as open there. `share` is the fraction of
-    /// the programs of the turn's group that this owner sees.
+    /// Assigns an engine to a turn and counts the turn as open there. `owned_fraction` is
+    /// the fraction of the programs of the turn's group that this owner sees.
     pub fn assign(
         &mut self,
         turn: &Turn<'_>,
         engines: &[Engine<'_>],
-        share: f64,
+        owned_fraction: f64,
         now_ms: u64,
     ) -> Option<Rc<str>> {
         self.remove_expired(now_ms);
@@ -144,7 +146,7 @@
         let choice = Choice {
             engines,
             mean: f64::from(open_turns + 1) / group_engines(engines).count().max(1) as f64,
-            share,
+            owned_fraction,
         };
         let engine = match self.keep_engine(turn.program, &choice) {
             Some(engine) => engine,
@@ -204,17 +206,18 @@
         let engines = &mut choice.engines.iter();
         let engine = engines.find(|engine| *engine.id == *program.engine)?;
         let max_load = self.max_load(engine, choice, self.settings.max_load_kept);
-        let is_available = !engine.is_cold || !self.is_cold_full(engine, choice.share);
+        let is_available = !engine.is_cold || !self.is_cold_full(engine, choice.owned_fraction);
         (is_available && f64::from(self.open_turns(engine.id)) < max_load)
             .then(|| program.engine.clone())
     }
 
     fn choose_engine<'a>(&self, turn: &Turn<'_>, choice: &Choice<'a, '_>) -> Option<&'a str> {
-        let (engines, share) = (choice.engines, choice.share);
+        let (engines, owned_fraction) = (choice.engines, choice.owned_fraction);
         let rank = |engine: &&Engine<'_>| xxh3_64_with_seed(engine.id.as_bytes(), turn.prefix);
         let is_available = |engine: &&Engine<'_>| {
             let max_load = self.max_load(engine, choice, self.settings.max_load_new);
-            f64::from(self.open_turns(engine.id)) < max_load && !self.is_full(engine, share)
+            f64::from(self.open_turns(engine.id)) < max_load
+                && !self.is_full(engine, owned_fraction)
         };
         let available = || group_engines(engines).filter(is_available);
         let preferred = available().max_by_key(|engine| (Reverse(engine.distance), rank(engine)));
@@ -223,10 +226,10 @@
         }
         let load = |engine: &&Engine<'_>| (self.open_turns(engine.id), rank(engine));
         let least_loaded = group_engines(engines).min_by_key(load);
-        match least_loaded.filter(|engine| !self.is_full(engine, share)) {
+        match least_loaded.filter(|engine| !self.is_full(engine, owned_fraction)) {
             Some(engine) => Some(engine.id),
             None => self
-                .all_groups(engines, share)
+                .all_groups(engines, owned_fraction)
                 .min_by_key(load)
                 .map(|engine| engine.id),
         }
@@ -237,10 +240,11 @@
     fn all_groups<'a, 'b>(
         &'b self,
         engines: &'b [Engine<'a>],
-        share: f64,
+        owned_fraction: f64,
     ) -> impl Iterator<Item = &'b Engine<'a>> {
-        let is_available =
-            move |engine: &&Engine<'_>| !engine.is_cold || !self.is_cold_full(engine, share);
+        let is_available = move |engine: &&Engine<'_>| {
+            !engine.is_cold || !self.is_cold_full(engine, owned_fraction)
+        };
         let all_full = !engines.iter().any(|engine| is_available(&engine));
         engines
             .iter()
@@ -248,20 +252,21 @@
     }
 
     /// Whether a cold engine has as many open turns as it can handle.
-    fn is_cold_full(&self, engine: &Engine<'_>, share: f64) -> bool {
-        f64::from(self.open_turns(engine.id)) >= f64::from(engine.slots) * share
+    fn is_cold_full(&self, engine: &Engine<'_>, owned_fraction: f64) -> bool {
+        f64::from(self.open_turns(engine.id)) >= f64::from(engine.slots) * owned_fraction
     }
 
     /// Whether an engine of the group gets no more programs.
-    fn is_full(&self, engine: &Engine<'_>, share: f64) -> bool {
+    fn is_full(&self, engine: &Engine<'_>, owned_fraction: f64) -> bool {
         if engine.is_cold {
-            return self.is_cold_full(engine, share);
+            return self.is_cold_full(engine, owned_fraction);
         }
-        f64::from(self.open_turns(engine.id)) >= f64::from(engine.slots) * share * FULL_ENGINE_LOAD
+        f64::from(self.open_turns(engine.id))
+            >= f64::from(engine.slots) * owned_fraction * FULL_ENGINE_LOAD
     }
 
     fn max_load(&self, engine: &Engine<'_>, choice: &Choice<'_, '_>, factor: f64) -> f64 {
-        let light_load = f64::from(engine.slots) * choice.share * self.settings.light_load;
+        let light_load = f64::from(engine.slots) * choice.owned_fraction * self.settings.light_load;
         factor * light_load.max(choice.mean)
     }
 
