--- a/crates/gateway/src/serve/request.rs
+++ b/crates/gateway/src/serve/request.rs
@@ -72,7 +72,7 @@
     /// Server that the request was last sent to.
     pub last_server: Rc<RefCell<Option<String>>>,
     /// Accounts for the memory of the request.
-    pub held: MemoryAccount,
+    pub memory_account: MemoryAccount,
     /// When the first byte arrived.
     pub started: Instant,
     /// When the response must be complete.
@@ -222,7 +222,7 @@
     if let Some(turn) = &mut turn {
         let prompt = turn.build_prompt(&context.body);
         let chain = prompt.len().saturating_sub(context.body.len());
-        if context.held.grow(chain * BODY_COPIES).is_err() {
+        if context.memory_account.grow(chain * BODY_COPIES).is_err() {
             turn.abort();
             return context.respond(memory_full(), writer).await;
         }
@@ -239,16 +239,13 @@
 fn refusal_response(refusal: TurnRefusal, retry_later_ms: u64) -> LocalResponse {
     match refusal {
         TurnRefusal::BudgetSpent => LocalResponse::new(402, "the program's budget is spent"),
-        TurnRefusal::UnknownTurn => {
-            LocalResponse::new(404, "the previous turn is not stored; start a new program")
-        }
+        TurnRefusal::UnknownTurn => LocalResponse::new(404, "no such turn is kept; start anew"),
         TurnRefusal::TooLarge => {
-            LocalResponse::new(413, "the input or its names are too large to be stored")
+            LocalResponse::new(413, "the input or its names are too large to be kept")
+        }
+        TurnRefusal::HomeUnavailable => {
+            LocalResponse::not_run("no daemon of its homes keeps what it says", RETRY_LATER_MS)
         }
-        TurnRefusal::HomeUnavailable => LocalResponse::not_run(
-            "no daemon in the allowed regions can store the turn",
-            RETRY_LATER_MS,
-        ),
         TurnRefusal::Unavailable => {
             LocalResponse::not_run("the program's ledger cannot be reached", retry_later_ms)
         }
@@ -323,7 +320,7 @@
         service: OnceCell::new(),
         engine: None,
         last_server: Rc::default(),
-        held: request.held,
+        memory_account: request.memory_account,
         started: request.started,
     })
 }
