--- a/crates/gateway/src/cold.rs
+++ b/crates/gateway/src/cold.rs
@@ -44,8 +44,8 @@
     /// Applies a configuration.
     pub fn set_config(&self, config: &TrafficConfig) {
         let services = config.services.iter();
-        let bounded = services.filter_map(|service| Some((service.name.clone(), service.cold?)));
-        self.services.replace(bounded.collect());
+        let limits = services.filter_map(|service| Some((service.name.clone(), service.cold?)));
+        self.services.replace(limits.collect());
         self.version.set(config.version);
     }
 
@@ -65,11 +65,12 @@
     fn cause(&self, server: &ServerEntry, cold: &ColdLimit) -> Option<(&'static str, u64)> {
         let now_ms = self.now_ms();
         if let Some((cause, left_ms)) = self.servers.borrow().cold_cause(&server.id, cold, now_ms) {
-            return Some((name(cause), left_ms));
+            return Some((cause_label(cause), left_ms));
         }
-        // Servers of an evacuated zone may have gone cold by the time the zone is reopened.
-        let opened_for_ms = self.zone_state.ms_since_reopened(&server.zone)?;
-        let left_ms = cold.duration_ms.checked_sub(opened_for_ms)?;
+        // Servers of an evacuated zone served no requests, so they count as cold for a while after
+        // the zone is reopened.
+        let reopened_for_ms = self.zone_state.ms_since_reopened(&server.zone)?;
+        let left_ms = cold.duration_ms.checked_sub(reopened_for_ms)?;
         (left_ms > 0).then_some(("zone_opened", left_ms))
     }
 
@@ -95,7 +96,7 @@
             .record_denial(id, retry_after_ms, now_ms);
     }
 
-    /// Records how much longer a server is cold by its own record.
+    /// Records how much longer a server is cold according to its own directory entry.
     pub fn record_report(&self, server: &ServerEntry) {
         let now_ms = self.now_ms();
         self.servers
@@ -183,7 +184,8 @@
     }
 }
 
-fn name(cause: ColdCause) -> &'static str {
+/// Returns the name of a cause in the log output.
+fn cause_label(cause: ColdCause) -> &'static str {
     match cause {
         ColdCause::Reported => "told",
         ColdCause::New => "new",
--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -61,7 +61,7 @@
     pub routes_changed: Notify,
     /// Zones of the deployment and which of them are evacuated.
     pub zone_state: Rc<ZoneState>,
-    /// Servers with a temporary limit on their request rate.
+    /// Cold servers, which for a time take only a limited rate of requests.
     pub cold: Rc<ColdServers>,
     /// Whether the first listing of servers is complete. Before that, most requests would find no
     /// server.
@@ -98,7 +98,7 @@
     started: Instant,
 }
 
-/// What an adapter supplies.
+/// What the adapter to a platform supplies.
 pub struct Adapter {
     /// Names and formats of header fields and documents.
     pub dialect: Rc<dyn Dialect>,
@@ -212,9 +212,9 @@
 
     /// Returns whether new clients should connect to this daemon.
     pub fn is_ready(&self) -> bool {
-        let better_elsewhere = self.ledger.reach.get().should_redirect_clients();
+        let should_redirect = self.ledger.reach.get().should_redirect_clients();
         let knows_all = self.routes.borrow().is_some() && self.servers_listed.get();
-        knows_all && !self.is_stopping() && !better_elsewhere
+        knows_all && !self.is_stopping() && !should_redirect
     }
 
     /// Returns whether a planned stop is in progress.
@@ -222,11 +222,12 @@
         *self.shutdown.borrow() != ShutdownPhase::Running
     }
 
-    /// Returns whether each response closes its connection, so that the client reconnects to a
-    /// daemon that is not stopping and reaches the log.
+    /// Returns whether each response closes its connection, so that the client reconnects to another
+    /// daemon: during a planned stop, and while this daemon reaches no or only a minority of the
+    /// other daemons or zones.
     pub fn closes_connections(&self) -> bool {
-        let is_cut_off = matches!(self.ledger.reach.get(), Reach::Minority | Reach::Isolated);
-        self.is_stopping() || is_cut_off
+        let is_separated = matches!(self.ledger.reach.get(), Reach::Minority | Reach::Isolated);
+        self.is_stopping() || is_separated
     }
 
     /// Returns whether new requests are refused.
--- a/crates/gateway/src/drain.rs
+++ b/crates/gateway/src/drain.rs
@@ -34,8 +34,8 @@
             let _ = daemon.shutdown.send(ShutdownPhase::Refusing);
         }
         let idle = daemon.in_flight.get() == 0 && daemon.client_connections.get() == 0;
-        let ends_reported = daemon.ledger.pending_closes.get() == 0;
-        if idle && ends_reported && daemon.owner.held_count() == 0 {
+        let closes_reported = daemon.ledger.pending_closes.get() == 0;
+        if idle && closes_reported && daemon.owner.held_count() == 0 {
             break;
         }
         sleep(CHECK_PERIOD).await;
--- a/crates/gateway/src/follow/config.rs
+++ b/crates/gateway/src/follow/config.rs
@@ -112,7 +112,7 @@
         // During an outage the log cannot confirm the known evacuations; answers of other daemons
         // do.
         if is_outage && !replies.is_empty() {
-            daemon.zone_state.confirm();
+            daemon.zone_state.accept_unconfirmed();
         }
         for update in replies {
             if let Some(document) = update.document {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -9,7 +9,7 @@
 //! - [`store_exchange`]: connections to the log service, for adapters.
 //! - [`follow`]: configuration, evacuations and servers, followed on the log.
 //! - [`zone_state`]: the zones of the deployment and which of them are evacuated.
-//! - [`cold`]: servers with a temporary limit on their request rate.
+//! - [`cold`]: cold servers, which for a time take only a limited rate of requests.
 //! - [`memory`]: the memory limit for data buffered for slow peers.
 //! - [`relay`]: reads of long topics of the log through a few daemons of each zone.
 //! - [`ledger`]: owners of partitions and the gateways that call them.
--- a/crates/gateway/src/memory.rs
+++ b/crates/gateway/src/memory.rs
@@ -27,7 +27,7 @@
     started: Instant,
 }
 
-/// The memory used for one peer. Dropping it releases the memory.
+/// The account of the memory that the buffer of one peer uses. Dropping it releases the memory.
 pub struct MemoryAccount {
     memory: Rc<Memory>,
     id: BufferId,
@@ -47,7 +47,7 @@
     }
 
     /// Returns the number of buffered bytes.
-    pub fn held(&self) -> u64 {
+    pub fn used_bytes(&self) -> u64 {
         self.buffers.borrow().used()
     }
 
@@ -68,7 +68,7 @@
     }
 
     fn update_gauge(&self) {
-        self.metrics.held_bytes.set(self.held() as i64);
+        self.metrics.held_bytes.set(self.used_bytes() as i64);
     }
 
     fn count_outcome(&self, outcome: &str) {
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -35,8 +35,8 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Number of servers from which daemons read through readers. It nearly fills one page of a
-/// listing, so below it readers save nothing; a fleet with this many servers has hundreds of
+/// Number of servers from which daemons read through readers. That many servers nearly fill one page
+/// of a listing, so with fewer readers save nothing; a fleet with this many servers has hundreds of
 /// daemons.
 const RELAY_MIN_SERVERS: usize = 400;
 /// End offset of the servers topic that indicates [`RELAY_MIN_SERVERS`] to a daemon that has not
@@ -51,16 +51,17 @@
 const CLAIMS_WAIT: Duration = Duration::from_millis(30);
 /// Maximum time for which a reader holds a request that it has no records for yet.
 const MAX_HOLD: Duration = Duration::from_millis(800);
-/// The time within which a change must take effect is divided by this to get the hold time of a
-/// request to a reader, and of the reader's own read of the log. Each reply confirms that the
-/// records are current; the remaining time is for detecting that replies are missing.
+/// The time within which a change must take effect is divided by this to get the maximum time for
+/// which a reader holds a request, and for which the reader's own long poll of the log waits. Each
+/// reply confirms that the records are current; the remaining time is for detecting that replies
+/// are missing.
 const HOLD_DIVISOR: u64 = 5;
 /// A reply is waited for until its hold time and this margin have passed.
 const REPLY_MARGIN: Duration = Duration::from_millis(300);
 /// Timeout for a page of a listing. A reader that has just started reads the topic itself first.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(900);
-/// Records of a reader that are older than the hold time and this margin mean that the log does not
-/// reply to the reader. Covers the margin of a read and the latency of a reply.
+/// Records of a reader that are older than the sum of the hold time and this margin mean that the log
+/// does not answer the reader. Covers the margin of a read and the latency of a reply.
 const AGE_MARGIN_MS: u64 = 800;
 
 /// How a daemon reads followed topics.
@@ -131,7 +132,8 @@
         }
     }
 
-    /// Sets the number of known servers. From `RELAY_MIN_SERVERS` on, readers are used for good.
+    /// Sets the number of known servers. Once there are `RELAY_MIN_SERVERS`, readers are
+    /// used until the process exits.
     pub fn set_server_count(&self, count: usize) {
         if count >= RELAY_MIN_SERVERS && !self.has_many_servers.get() {
             tracing::info!(event = "servers_are_many", count);
@@ -140,7 +142,7 @@
     }
 
     /// Runs `change`, which may change the role of this daemon. If it does, pending reads in the
-    /// former role end.
+    /// previous role end.
     fn change_role(&self, change: impl FnOnce()) {
         let former = self.role();
         change();
@@ -430,8 +432,8 @@
     }
 
     /// Sends a request to the readers one after another until one returns records. A reader that
-    /// started later keeps less of the history, so records that are gone there may still be kept by
-    /// another.
+    /// started later has a shorter history, so another reader may still have records that it no
+    /// longer has.
     async fn request(
         &self,
         topic: &str,
@@ -453,7 +455,7 @@
                     }
                 }
                 Err(cause) => {
-                    if cause == SILENT {
+                    if cause == NO_REPLY {
                         self.peers.discard(reader);
                     }
                     self.count(cause);
@@ -503,10 +505,10 @@
     fn candidates(&self, topic: &str) -> Vec<SocketAddr> {
         let readers = self.readers.borrow();
         let rank = |reader: &SocketAddr| prefix_hash(&format!("{} {reader}", self.address));
-        let in_order = |mut of: Vec<SocketAddr>| {
-            of.retain(|reader| *reader != self.address);
-            of.sort_by_key(rank);
-            of
+        let in_order = |mut readers: Vec<SocketAddr>| {
+            readers.retain(|reader| *reader != self.address);
+            readers.sort_by_key(rank);
+            readers
         };
         let near = in_order(readers.in_zone(&self.zone).map(|(_, at)| at).collect());
         let far = in_order(readers.outside_zone(&self.zone).collect());
@@ -523,7 +525,7 @@
 }
 
 /// Failure cause of a reader that did not reply.
-const SILENT: &str = "silent";
+const NO_REPLY: &str = "silent";
 
 /// The contents of a reply of a reader.
 enum RelayedRead {
@@ -541,7 +543,7 @@
         },
         Some(LedgerReply::TopicGone(first)) => Ok(RelayedRead::Gone(first)),
         Some(_) => Err("not_reader"),
-        None => Err(SILENT),
+        None => Err(NO_REPLY),
     }
 }
 
--- a/crates/gateway/src/relay/reader.rs
+++ b/crates/gateway/src/relay/reader.rs
@@ -50,8 +50,8 @@
 pub struct FollowedTopic {
     pub(super) mirror: RefCell<Mirror>,
     pages: RefCell<HashMap<Option<Vec<u8>>, Rc<Page>>>,
-    /// The last packed batches with their first and end offsets. Daemons that wait for the same
-    /// records get the same bytes.
+    /// The last packed batches with their first and end offsets. A batch is packed once for all
+    /// daemons that wait for the same records.
     packed_batches: RefCell<VecDeque<(u64, u64, Vec<u8>)>>,
     /// When the log last confirmed that the mirror is complete.
     confirmed: Cell<Option<Instant>>,
@@ -69,8 +69,8 @@
     }
 
     /// Applies the result of a read of the log that was started at `started` with the given wait. A
-    /// result that arrives too late may have lain unread while this process was suspended, and is
-    /// taken to be as old as the read.
+    /// result that arrives too late may have waited in the socket while this process was paused, so
+    /// the mirror then counts as confirmed only at the start of the read.
     pub fn apply_batch(&self, from: u64, batch: &ReadBatch, started: Instant, wait: Duration) {
         self.mirror.borrow_mut().apply_batch(from, batch);
         let is_late = started.elapsed() > wait + READ_MARGIN;
@@ -107,8 +107,8 @@
         Some(self.confirmed.get()? + Duration::from_millis(max_age_ms))
     }
 
-    /// Returns a packed page of a listing. A page is packed again once the mirror no longer holds
-    /// the records that were added since.
+    /// Returns a packed page of a listing. A packed page is reused while the mirror still holds all
+    /// records from the end offset of the page on, so that a receiver can read on from there.
     fn page(&self, after: Option<Vec<u8>>) -> Option<Rc<Page>> {
         let mirror = self.mirror.borrow();
         let mut pages = self.pages.borrow_mut();
@@ -146,7 +146,7 @@
         let mut batches = self.packed_batches.borrow_mut();
         let known = batches
             .iter()
-            .find(|(first, behind, _)| (*first, *behind) == (from, next));
+            .find(|(first, end, _)| (*first, *end) == (from, next));
         if let Some((_, _, packed)) = known {
             return packed.clone();
         }
--- a/crates/gateway/src/serve/connection.rs
+++ b/crates/gateway/src/serve/connection.rs
@@ -154,7 +154,7 @@
         ReadFailure::NoRoom => memory_full(),
     };
     tracing::info!(event = "request_not_taken", status = response.status, cause = ?failure,
-        held = daemon.memory.held());
+        held = daemon.memory.used_bytes());
     let response = response.with_close();
     let _ = response.write(daemon, None, writer).await;
     ConnectionAction::Close
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -4,7 +4,7 @@
 use fieldhook_topology::zone::Map;
 use std::net::SocketAddr;
 
-/// How strictly tenants' limits are enforced, from the operator's sheet.
+/// How strictly tenants' limits are enforced, from the deployment parameters of the operator.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
     /// Window over which requests are counted, in milliseconds.
@@ -25,22 +25,22 @@
     }
 }
 
-/// How far the request rate of a cold server may exceed its limit in a second, from the operator's
-/// sheet.
+/// How far the request rate of a cold server may exceed its limit in a second, from the deployment
+/// parameters of the operator.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Cold {
-    /// Factor applied to the limit.
+    /// Factor applied to the limit; 1.0 is no tolerance.
     pub overshoot: f64,
     /// Number of requests allowed in addition.
     pub slack: f64,
 }
 
-/// Time limits for following the operator's changes, and the tolerance for cold servers, from the
-/// operator's sheet.
+/// Time limits within which the operator's changes take effect, and the tolerance for cold servers,
+/// from the deployment parameters of the operator.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// These bounds apply to a daemon after its contact with the log was undisturbed for this time,
-    /// in milliseconds.
+    /// How long a daemon's connection to the log must have been undisturbed before these time limits
+    /// apply to the daemon, in milliseconds.
     pub contact_ms: u64,
     /// Time until a new configuration is applied, in milliseconds.
     pub config_ms: u64,
@@ -82,13 +82,13 @@
 
 /// The machine's memory is divided by this to get the limit on buffered data. The smallest machine
 /// has 48 MB, of which the rest of the daemon uses about half.
-const HELD_DIVISOR: u64 = 4;
+const BUFFER_MEMORY_DIVISOR: u64 = 4;
 
 impl SlowPeers {
     /// Limits for a machine with `memory_bytes` of memory.
     pub fn for_memory(memory_bytes: u64) -> Self {
         Self {
-            held_bytes: memory_bytes / HELD_DIVISOR,
+            held_bytes: memory_bytes / BUFFER_MEMORY_DIVISOR,
             ..Self::default()
         }
     }
@@ -114,7 +114,7 @@
     pub zone: String,
     /// Zones of the deployment with their regions.
     pub zones: Map,
-    /// Bounds from the operator's sheet.
+    /// Time limits on applying the operator's changes, and the tolerance for cold servers.
     pub bounds: Bounds,
     /// Listening address for clients.
     pub clients: SocketAddr,
--- a/crates/gateway/src/store_exchange.rs
+++ b/crates/gateway/src/store_exchange.rs
@@ -67,7 +67,7 @@
     /// Sends a request and waits for the response.
     ///
     /// # Errors
-    /// The call was not made, or its outcome is unknown.
+    /// The call was not made, its outcome is unknown, or the response is too large.
     pub async fn exchange(&self, request: StoreRequest) -> Result<StoreResponse, StoreError> {
         let mut connection = match self.acquire().await {
             Ok(connection) => connection,
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Records the health of the service by a response. A busy service responds with 503, which
-    /// counts as a failure.
+    /// Records whether a response shows that the service is healthy. A busy service responds with
+    /// 503, which counts as a failure.
     fn record_health(&self, response: &StoreResponse) {
         if response.status == 503 {
             self.log_health.record_failure();
--- a/crates/gateway/src/zone_state.rs
+++ b/crates/gateway/src/zone_state.rs
@@ -1,5 +1,6 @@
 //! The zones of the deployment as this daemon knows them, and which of them are evacuated.
-//! docs/design/places.md describes who decides this and what happens while the log is unreachable.
+//! The operator evacuates and reopens zones by records in the log. docs/design/places.md describes
+//! this, and what happens while the log is unreachable.
 
 use crate::settings::GatewaySettings;
 use fieldhook_ledger::layout::Layout;
@@ -110,11 +111,11 @@
     /// the end offset of the topic at the time of the listing.
     pub fn apply_listing(&self, listed: &[&str], end: u64) {
         let now_ms = self.now_ms();
-        let opened = self
+        let reopened = self
             .evacuations
             .borrow_mut()
             .apply_listing(listed, end, now_ms);
-        for zone in opened {
+        for zone in reopened {
             tracing::info!(event = "zone_evacuation", zone = &*zone, state = ?State::Open,
                 revision = end, source = "listing");
             self.log_all_evacuated();
@@ -139,8 +140,8 @@
         }
     }
 
-    /// Records that the process runs and that its state was last confirmed `age_ms` ago. Logs a
-    /// warning if the process was suspended since the last call.
+    /// Called periodically to detect that the process was paused; the log last confirmed the state
+    /// `age_ms` ago. Logs a warning if the process was paused since the last call.
     pub fn record_run(&self, age_ms: u64) {
         let now_ms = self.now_ms();
         if self.freshness.borrow_mut().record_run(now_ms, age_ms) {
@@ -154,7 +155,7 @@
 
     /// Accepts the known evacuations although the log did not confirm them: other daemons have
     /// answered and know nothing newer.
-    pub fn confirm(&self) {
+    pub fn accept_unconfirmed(&self) {
         self.freshness.borrow_mut().accept_unconfirmed();
     }
 
--- a/crates/gateway/tests/cold_bound.rs
+++ b/crates/gateway/tests/cold_bound.rs
@@ -1,6 +1,7 @@
-//! Checks the request rate of a cold server over changes of its owner against a plain count of the
-//! requests in every second. Owners may be lost, suspended, cut off from the log, or wrongly
-//! consider themselves the owner, and daemons may ask any of them.
+//! Property test: the request rate of a cold server stays within its limit while the partition whose
+//! owner grants the permits changes owners. The rate is checked by a plain count of the requests in
+//! every second. Owners may be lost, paused, cut off from the log, or wrongly consider themselves
+//! the owner, and daemons may ask any of them.
 
 use fieldhook_log::lease::{Lease, State};
 use fieldhook_traffic::cold::{PERMIT_BOUNDS, PERMIT_VALIDITY_MS, permit_request};
@@ -12,7 +13,7 @@
 
 /// A protection that is disabled, to show that the check detects its absence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Sabotage {
+enum DisabledProtection {
     None,
     /// New owners act at once, as if there had been no previous owner.
     NoHandoverDelay,
@@ -36,7 +37,7 @@
         request_ms: u64,
         reply_ms: u64,
     },
-    /// A new owner claims the partition, whatever the previous owners do.
+    /// A new owner claims the partition while previous owners may still be active.
     Claim,
     Wait(u64),
 }
@@ -61,7 +62,7 @@
     }
 }
 
-/// Mostly shorter than the lifetime of a permit, sometimes longer, as if the daemon was suspended.
+/// Mostly shorter than the validity of a permit, sometimes longer, as if the daemon was paused.
 fn reply_time(g: &mut Gen) -> u64 {
     match u8::arbitrary(g) % 4 {
         0 => u64::arbitrary(g) % 1_500,
@@ -94,7 +95,7 @@
 }
 
 struct World {
-    sabotage: Sabotage,
+    disabled: DisabledProtection,
     rate_per_s: f64,
     now_ms: u64,
     /// The highest epoch that the log has seen.
@@ -106,9 +107,9 @@
 }
 
 impl World {
-    fn new(rate_per_s: f64, sabotage: Sabotage) -> Self {
+    fn new(rate_per_s: f64, disabled: DisabledProtection) -> Self {
         let mut world = Self {
-            sabotage,
+            disabled,
             rate_per_s,
             now_ms: 1_000,
             fence: 0,
@@ -122,7 +123,7 @@
 
     fn claim(&mut self) {
         let epoch = self.owners.len() as u64 + 1;
-        let has_previous_owner = epoch > 1 && self.sabotage != Sabotage::NoHandoverDelay;
+        let has_previous_owner = epoch > 1 && self.disabled != DisabledProtection::NoHandoverDelay;
         self.owners.push(Owner {
             epoch,
             lease: Lease::new(epoch, has_previous_owner),
@@ -137,25 +138,27 @@
 
     fn ask(&mut self, owner: u8, requests: u8, takes_ms: u64) {
         let index = self.index(owner);
-        let (now_ms, sabotage) = (self.now_ms, self.sabotage);
+        let (now_ms, disabled) = (self.now_ms, self.disabled);
         let owner = &mut self.owners[index];
         let state = owner.lease.state(now_ms);
-        let was_confirmed = owner.tracker.is_some() && sabotage == Sabotage::NoLease;
+        let was_confirmed = owner.tracker.is_some() && disabled == DisabledProtection::NoLease;
         if !matches!(state, State::Held { .. }) && !was_confirmed {
             return;
         }
-        let previous_owner = match owner.epoch == 1 || sabotage == Sabotage::NoHandoverDelay {
-            true => PreviousGrants::None,
-            false => PreviousGrants::Lost,
-        };
+        let previous_owner =
+            match owner.epoch == 1 || disabled == DisabledProtection::NoHandoverDelay {
+                true => PreviousGrants::None,
+                false => PreviousGrants::Lost,
+            };
         let tracker = owner
             .tracker
             .get_or_insert_with(|| QuotaTracker::new(PERMIT_BOUNDS, previous_owner, now_ms));
-        for rank in 0..requests {
-            let request = permit_request("s", self.rate_per_s, 1, rank % 2);
-            let is_void = takes_ms >= PERMIT_VALIDITY_MS && sabotage != Sabotage::ExpiredPermits;
+        for number in 0..requests {
+            let request = permit_request("s", self.rate_per_s, 1, number % 2);
+            let is_expired =
+                takes_ms >= PERMIT_VALIDITY_MS && disabled != DisabledProtection::ExpiredPermits;
             if let QuotaDecision::Granted { .. } = tracker.decide(&request, now_ms)
-                && !is_void
+                && !is_expired
             {
                 self.sent.push(now_ms + takes_ms);
             }
@@ -225,9 +228,9 @@
 }
 
 /// Returns whether no second has more requests than the limit of the cold server.
-fn stays_within_limit(steps: &[Step], sabotage: Sabotage) -> bool {
+fn stays_within_limit(steps: &[Step], disabled: DisabledProtection) -> bool {
     RATES.into_iter().all(|rate_per_s| {
-        let mut world = World::new(rate_per_s, sabotage);
+        let mut world = World::new(rate_per_s, disabled);
         steps.iter().for_each(|step| world.step(*step));
         world.max_per_second() as f64 <= rate_per_s
     })
@@ -236,7 +239,7 @@
 #[test]
 fn rate_of_a_cold_server_stays_within_its_limit_over_owner_changes() {
     fn holds(steps: Vec<Step>) -> bool {
-        stays_within_limit(&steps, Sabotage::None)
+        stays_within_limit(&steps, DisabledProtection::None)
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(400, 23))
@@ -245,25 +248,25 @@
 }
 
 /// Runs the steps that the property test generates until one sequence exceeds the limit.
-fn is_detected(sabotage: Sabotage) -> bool {
+fn is_detected(disabled: DisabledProtection) -> bool {
     let mut gen_ = Gen::from_size_and_seed(400, 23);
-    (0..600).any(|_| !stays_within_limit(&Vec::<Step>::arbitrary(&mut gen_), sabotage))
+    (0..600).any(|_| !stays_within_limit(&Vec::<Step>::arbitrary(&mut gen_), disabled))
 }
 
 #[test]
 fn check_detects_each_disabled_protection() {
-    for sabotage in [
-        Sabotage::NoHandoverDelay,
-        Sabotage::NoLease,
-        Sabotage::ExpiredPermits,
+    for disabled in [
+        DisabledProtection::NoHandoverDelay,
+        DisabledProtection::NoLease,
+        DisabledProtection::ExpiredPermits,
     ] {
-        assert!(is_detected(sabotage), "{sabotage:?}");
+        assert!(is_detected(disabled), "{disabled:?}");
     }
 }
 
 #[test]
 fn steady_owner_grants_most_of_the_limit() {
-    let mut world = World::new(20.0, Sabotage::None);
+    let mut world = World::new(20.0, DisabledProtection::None);
     for _ in 0..100 {
         world.confirm(0, 3, 3);
         world.wait(100);
--- a/crates/gateway/tests/gateway/cold.rs
+++ b/crates/gateway/tests/gateway/cold.rs
@@ -1,4 +1,5 @@
-//! Cold servers: the request rate over all gateways together, and the responses to other requests.
+//! Cold servers: the request rate over all gateways together, and the responses to requests
+//! beyond the limit.
 
 use crate::support::{Act, CONFIG, Gateway, Reply, Server, World, config, run};
 use fieldhook_emulator::log::memory::LogFault;
@@ -10,11 +11,12 @@
 use tokio::time::{Instant, sleep};
 
 const RATE_PER_S: f64 = 20.0;
-/// With the tolerance of these tests: 1.5 times the rate, and 5.
+/// Maximum number of requests in a second with the tolerance of these tests: 1.5 times the rate plus
+/// 5 requests.
 const MAX_IN_A_SECOND: usize = 35;
 const SECOND: Duration = Duration::from_secs(1);
 const REFUSAL_LIMIT: Duration = Duration::from_millis(250);
-/// Longer than a test.
+/// A cold period that is longer than a test.
 const COLD_MS: u64 = 60_000;
 
 fn ok() -> Act {
@@ -152,7 +154,7 @@
 }
 
 #[test]
-fn stopped_owner_and_its_successor_share_the_limit() {
+fn stopped_owner_and_the_new_owner_share_the_limit() {
     run(async {
         let server = Server::start("s1", ok()).await;
         let world = world_with_cold(RATE_PER_S, COLD_MS).await;
@@ -192,7 +194,8 @@
             sleep(Duration::from_millis(700)).await;
             owner.store.set_fault(LogFault::Silent);
         });
-        // Requests through the old owner keep asking it, whatever the other gateways know.
+        // Requests through the old owner still ask that owner for permits after the other gateways
+        // know the new one.
         let outcomes = send_through_all(&gateways, 450, Duration::from_millis(10)).await;
         let max = max_in_a_second(&server);
         assert!(max <= MAX_IN_A_SECOND, "{max} in a second");
@@ -245,6 +248,7 @@
     });
 }
 
+/// A denied permit must not use up one of the attempts of a request.
 #[test]
 fn warm_servers_are_preferred_and_a_denied_permit_is_not_an_attempt() {
     run(async {
@@ -262,10 +266,10 @@
         // With the warm server full, the cold one gets requests up to its limit. A request that is
         // denied there waits for the warm server.
         full.set(Act::NotRun);
-        let refilled = full.shared_act();
+        let warm_act = full.shared_act();
         ntex::rt::spawn(async move {
             sleep(Duration::from_millis(150)).await;
-            refilled.replace(ok());
+            warm_act.replace(ok());
         });
         let outcomes = send_through_all(&gateways[..1], 10, Duration::from_millis(5)).await;
         assert_eq!(count(&outcomes, 200), 10);
--- a/crates/gateway/tests/gateway/evacuation.rs
+++ b/crates/gateway/tests/gateway/evacuation.rs
@@ -1,4 +1,5 @@
-//! Servers in evacuated zones get no new requests, also while other parts fail.
+//! Servers in evacuated zones get no new requests, also while the log, an owner or the process
+//! itself fails.
 
 use crate::support::{Act, CONFIG, Gateway, Reply, Server, World, run};
 use fieldhook_emulator::log::memory::LogFault;
@@ -113,8 +114,8 @@
     }
 }
 
-/// Sends a request to each route: a retryable and a non-retryable call, a turn and a
-/// resumable stream.
+/// Sends a request to each route: a call on the safe route (retryable) and one on the unsafe route
+/// (not retryable), a turn and a resumable stream.
 async fn request_all(gateway: &Gateway, name: &str) -> Vec<Reply> {
     let kinds = [
         ("GET", "/safe/1", ""),
@@ -328,7 +329,7 @@
         }
         assert!(zone_state.is_evacuated("z1"));
         // The log drops its history while the gateway cannot reach it; the gateway then lists
-        // all records anew.
+        // all records again.
         gateway.store.set_fault(LogFault::Down);
         zones.world.publish(0).await;
         log.borrow_mut().drop_history();
@@ -442,16 +443,16 @@
 
 /// Captures log output.
 #[derive(Clone, Default)]
-struct LogCapture(Arc<Mutex<Vec<u8>>>);
+struct LogOutput(Arc<Mutex<Vec<u8>>>);
 
-impl LogCapture {
+impl LogOutput {
     fn count(&self, word: &str) -> usize {
         let bytes = self.0.lock().expect("whole");
         String::from_utf8_lossy(&bytes).matches(word).count()
     }
 }
 
-impl Write for LogCapture {
+impl Write for LogOutput {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         self.0.lock().expect("whole").extend_from_slice(bytes);
         Ok(bytes.len())
@@ -464,7 +465,7 @@
 
 #[test]
 fn requests_are_refused_at_once_if_all_zones_are_evacuated() {
-    let log = LogCapture::default();
+    let log = LogOutput::default();
     let writer = log.clone();
     let subscriber = tracing_subscriber::fmt()
         .with_writer(move || writer.clone())
@@ -576,7 +577,8 @@
         gateway.daemon.ledger.reach.set(Reach::Isolated);
         let reply = gateway.ask("GET", "/safe/1", "Request: a\r\n", "").await;
         assert_eq!(reply.text(), "ok");
-        // A read that was started before the fault still confirms, for as long as it waits.
+        // A long poll that began before the fault still returns and confirms the state, so wait
+        // until it has ended.
         sleep(Duration::from_millis(4_600)).await;
         let reply = gateway.ask("GET", "/safe/1", "Request: b\r\n", "").await;
         assert_eq!(reply.head.status, 503);
--- a/crates/gateway/tests/gateway/homes.rs
+++ b/crates/gateway/tests/gateway/homes.rs
@@ -101,7 +101,7 @@
         let storing = self
             .gateways
             .iter()
-            .filter(|(_, gateway)| gateway.spy.has_record_with(text));
+            .filter(|(_, gateway)| gateway.recording.has_record_with(text));
         storing.map(|(zone, _)| *zone).collect()
     }
 
@@ -398,7 +398,7 @@
         let largest = deployment
             .gateways
             .iter()
-            .map(|(_, gateway)| gateway.spy.largest());
+            .map(|(_, gateway)| gateway.recording.largest());
         assert!(largest.max() < Some(RECORD_SIZE_LIMIT));
     });
 }
--- a/crates/gateway/tests/gateway/peers.rs
+++ b/crates/gateway/tests/gateway/peers.rs
@@ -1,4 +1,4 @@
-//! Connections between daemons: they are shared, and closed once nobody waits on them.
+//! Connections between daemons: they are shared, and closed when no request waits on them.
 
 use crate::support::run;
 use fieldhook_gateway::ledger::peer::Peers;
--- a/crates/gateway/tests/gateway/readers.rs
+++ b/crates/gateway/tests/gateway/readers.rs
@@ -13,13 +13,13 @@
 }
 
 #[test]
-fn read_on_a_silent_connection_is_repeated_within_the_bound() {
+fn read_on_a_stalled_connection_is_repeated_within_the_bound() {
     for contact_ms in 1_700..8_000 {
         for pause_ms in [0, 150] {
             let (contact, pause) = (ms(contact_ms), ms(pause_ms));
             let wait = long_poll::max_wait(contact, pause);
             let repeated_after = pause + wait + READ_MARGIN + RESUME_DELAY;
-            // Only if the bound leaves time for the minimum wait of a long poll.
+            // The bound can be kept only if it leaves time for the minimum wait of a long poll.
             let is_feasible = contact >= pause + ms(500) + READ_MARGIN + RESUME_DELAY;
             assert!(
                 !is_feasible || repeated_after <= contact,
@@ -32,9 +32,9 @@
     assert_eq!(long_poll::max_wait(ms(60_000), ms(0)), ms(30_000));
 }
 
-/// Silences the connections `phase` after a read began, and then changes the configuration,
+/// Stalls the connections `phase` after a read began, and then changes the configuration,
 /// evacuates a zone and drains a server.
-async fn assert_applied_when_silenced_at(phase: Duration) {
+async fn assert_applied_when_stalled_at(phase: Duration) {
     let server = Server::start("s1", Act::Answer(200, "yes".to_owned())).await;
     let world = World::new().await;
     world.bounds.set(Bounds {
@@ -45,7 +45,7 @@
     let gateway = world.ready(&[&server]).await;
     sleep(phase).await;
     gateway.store.stall_connections();
-    let silenced = Instant::now();
+    let stalled = Instant::now();
     world.publish(1).await;
     world.put(CONFIG, "closed/z9", "by the operator").await;
     let draining = format!("service {} draining", server.address);
@@ -62,20 +62,21 @@
     };
     while !all_applied() {
         sleep(ms(5)).await;
-        let is_late = silenced.elapsed() > ms(3_000);
-        assert!(!is_late, "silenced {phase:?} after a read began");
+        let is_late = stalled.elapsed() > ms(3_000);
+        assert!(!is_late, "stalled {phase:?} after a read began");
     }
 }
 
 #[test]
-fn changes_during_silent_connections_are_applied_in_time() {
+fn changes_during_stalled_connections_are_applied_in_time() {
     run(async {
         let phases = [0, 150, 600, 1_200, 1_850, 2_100];
-        join_all(phases.map(|phase| assert_applied_when_silenced_at(ms(phase)))).await;
+        join_all(phases.map(|phase| assert_applied_when_stalled_at(ms(phase)))).await;
     });
 }
 
-/// Three long polls are pending at any time, with at most the waits checked above.
+/// Three long polls are pending at any time, one for each followed topic, with at most the waits that
+/// `read_on_a_stalled_connection_is_repeated_within_the_bound` checks.
 #[test]
 fn idle_topics_cost_few_calls() {
     run(async {
@@ -90,8 +91,8 @@
         let before = gateway.store.calls.get();
         sleep(ms(6_100)).await;
         let calls = gateway.store.calls.get() - before;
-        // Two reads of 2.9 s, two of 2.75 s and a pause, one of 6 s, and one more of each that
-        // the interval may cut off.
+        // In 6.1 s: two reads of 2.9 s of one topic, two of 2.75 s with a pause of another, one of
+        // 6 s of the third, and one more of each that the interval may cut off.
         assert!(calls <= 8, "{calls} calls");
     });
 }
--- a/crates/gateway/tests/gateway/relay.rs
+++ b/crates/gateway/tests/gateway/relay.rs
@@ -6,14 +6,15 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Number of servers at which daemons read through readers from their start.
+/// Number of servers with which daemons read through readers from their start. It is above the
+/// minimum end offset of the servers topic, `RELAY_MIN_RECORDS`.
 const MANY_SERVERS: usize = 2_400;
 
 fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
 }
 
-/// Creates a log with thousands of servers, one of which works.
+/// Creates a log that lists thousands of servers, one of which is running.
 async fn large_world() -> (World, Server) {
     let world = World::new().await;
     for number in 0..MANY_SERVERS {
@@ -34,13 +35,15 @@
     }
     let until = Instant::now() + ms(10_000);
     let readers = |gateways: &[Gateway]| {
-        let readers = gateways.iter().filter(|one| one.daemon.relay.is_reader());
+        let readers = gateways
+            .iter()
+            .filter(|gateway| gateway.daemon.relay.is_reader());
         readers.count()
     };
     let all_ready = |gateways: &[Gateway]| {
         let mut all = gateways.iter();
-        all.all(|one| {
-            one.daemon.is_ready() && one.daemon.directory.borrow().len() == MANY_SERVERS + 1
+        all.all(|gateway| {
+            gateway.daemon.is_ready() && gateway.daemon.directory.borrow().len() == MANY_SERVERS + 1
         })
     };
     while readers(&gateways) < 2 || !all_ready(&gateways) {
@@ -51,7 +54,7 @@
 }
 
 fn split(gateways: Vec<Gateway>) -> (Vec<Gateway>, Vec<Gateway>) {
-    let is_reader = |one: &Gateway| one.daemon.relay.is_reader();
+    let is_reader = |gateway: &Gateway| gateway.daemon.relay.is_reader();
     gateways.into_iter().partition(is_reader)
 }
 
@@ -78,15 +81,18 @@
         let (world, server) = large_world().await;
         let (readers, others) = split(start_with_readers(&world, 6).await);
         assert_eq!((readers.len(), others.len()), (2, 4));
-        let before: Vec<u64> = others.iter().map(|one| one.store.calls.get()).collect();
+        let before: Vec<u64> = others
+            .iter()
+            .map(|gateway| gateway.store.calls.get())
+            .collect();
         world.configs.borrow_mut().push(config(2));
         world.publish(1).await;
         let draining = format!("service {} draining", server.address);
         world.put(SERVERS, "s1", &draining).await;
         wait_for("a daemon missed a change", ms(700), || {
             let mut all = readers.iter().chain(&others);
-            all.all(|one| {
-                version(one) == Some(2) && !one.daemon.directory.borrow().accepts_work("s1")
+            all.all(|gateway| {
+                version(gateway) == Some(2) && !gateway.daemon.directory.borrow().accepts_work("s1")
             })
         })
         .await;
@@ -101,7 +107,7 @@
 /// A starting daemon must read its listings from a reader. It used to read six pages of servers and
 /// the configuration from the log.
 #[test]
-fn starting_daemon_makes_two_log_calls() {
+fn starting_daemon_makes_at_most_two_log_calls() {
     run(async {
         let (world, _server) = large_world().await;
         let _gateways = start_with_readers(&world, 3).await;
@@ -129,7 +135,7 @@
         late.wait_ready(501).await;
         wait_for("no readers", ms(5_000), || {
             let all = [&gateway, &late];
-            all.iter().all(|one| one.daemon.relay.is_reader())
+            all.iter().all(|gateway| gateway.daemon.relay.is_reader())
         })
         .await;
         world.configs.borrow_mut().push(config(2));
@@ -139,7 +145,7 @@
         assert!(third.store.calls.get() <= 2, "{}", third.store.calls.get());
         wait_for("a daemon missed a change", ms(500), || {
             let all = [&gateway, &late, &third];
-            all.iter().all(|one| version(one) == Some(2))
+            all.iter().all(|gateway| version(gateway) == Some(2))
         })
         .await;
     });
@@ -167,14 +173,14 @@
     let draining = format!("service {} draining", server.address);
     world.put(SERVERS, "s1", &draining).await;
     wait_for("a daemon missed a change", limit, || {
-        others
-            .iter()
-            .all(|one| version(one) == Some(2) && !one.daemon.directory.borrow().accepts_work("s1"))
+        others.iter().all(|gateway| {
+            version(gateway) == Some(2) && !gateway.daemon.directory.borrow().accepts_work("s1")
+        })
     })
     .await;
 }
 
-/// The shortest time of any deployment within which a change must take effect.
+/// The shortest time that any deployment allows for a change to take effect.
 const CHANGE_BOUND: Duration = Duration::from_millis(2_000);
 
 #[test]
@@ -224,10 +230,10 @@
 /// Guards against a busy loop: the reader asked the other reader, got no new records, and called
 /// the log again at once.
 #[test]
-fn refused_reader_pauses_between_its_reads() {
+fn reader_refused_by_the_log_pauses_between_its_reads() {
     run(async {
         let (world, _server) = large_world().await;
-        let (readers, _askers) = split(start_with_readers(&world, 3).await);
+        let (readers, _others) = split(start_with_readers(&world, 3).await);
         readers[0].store.set_fault(LogFault::Busy);
         let before = readers[0].store.calls.get();
         sleep(ms(2_000)).await;
@@ -237,7 +243,7 @@
 }
 
 #[test]
-fn refused_daemon_still_learns_of_changes() {
+fn daemon_refused_by_the_log_still_learns_of_changes() {
     run(async {
         let (world, server) = large_world().await;
         let (_readers, others) = split(start_with_readers(&world, 4).await);
@@ -248,10 +254,10 @@
         world.put(SERVERS, "s1", &draining).await;
         wait_for("a refused daemon missed a change", ms(700), || {
             let mut all = others.iter();
-            all.all(|one| !one.daemon.directory.borrow().accepts_work("s1"))
+            all.all(|gateway| !gateway.daemon.directory.borrow().accepts_work("s1"))
         })
         .await;
-        assert!(others.iter().all(|one| one.daemon.is_ready()));
+        assert!(others.iter().all(|gateway| gateway.daemon.is_ready()));
     });
 }
 
@@ -264,7 +270,9 @@
             reader.daemon.relay.stop_serving();
         }
         wait_for("no slot was claimed", ms(9_000), || {
-            others.iter().any(|one| one.daemon.relay.is_reader())
+            others
+                .iter()
+                .any(|gateway| gateway.daemon.relay.is_reader())
         })
         .await;
         let late = world.gateway("late").await;
@@ -273,18 +281,21 @@
 }
 
 #[test]
-fn only_readers_list_a_topic_after_its_history_was_trimmed() {
+fn only_readers_list_a_topic_after_its_history_was_dropped() {
     run(async {
         let (world, server) = large_world().await;
         let (readers, others) = split(start_with_readers(&world, 4).await);
-        let before: Vec<u64> = others.iter().map(|one| one.store.calls.get()).collect();
+        let before: Vec<u64> = others
+            .iter()
+            .map(|gateway| gateway.store.calls.get())
+            .collect();
         world.log.core.borrow_mut().drop_history();
         let draining = format!("service {} draining", server.address);
         world.put(SERVERS, "s1", &draining).await;
         world.log.core.borrow_mut().drop_history();
         wait_for("a daemon missed a change", ms(2_000), || {
             let mut all = readers.iter().chain(&others);
-            all.all(|one| !one.daemon.directory.borrow().accepts_work("s1"))
+            all.all(|gateway| !gateway.daemon.directory.borrow().accepts_work("s1"))
         })
         .await;
         for (other, before) in others.iter().zip(before) {
--- a/crates/gateway/tests/gateway/slow_peers.rs
+++ b/crates/gateway/tests/gateway/slow_peers.rs
@@ -42,7 +42,7 @@
 
 async fn wait_until_memory_is_freed(gateway: &Gateway) {
     let deadline = Instant::now() + ms(3_000);
-    while gateway.daemon.memory.held() > 0 {
+    while gateway.daemon.memory.used_bytes() > 0 {
         assert!(Instant::now() < deadline, "memory was not freed");
         sleep(ms(5)).await;
     }
@@ -60,7 +60,7 @@
         client.send("GET", "/safe/1", "Request: a\r\n", "").await;
         for _ in 0..60 {
             sleep(ms(5)).await;
-            assert!(gateway.daemon.memory.held() <= 128 * KIB as u64);
+            assert!(gateway.daemon.memory.used_bytes() <= 128 * KIB as u64);
         }
         let reply = client.reply().await;
         assert!(reply.complete);
@@ -83,7 +83,7 @@
         let mut client = gateway.small_buffer_client().await;
         client.send("GET", "/safe/1", "Request: a\r\n", "").await;
         sleep(ms(100)).await;
-        assert!(gateway.daemon.memory.held() > 0);
+        assert!(gateway.daemon.memory.used_bytes() > 0);
         wait_until_memory_is_freed(&gateway).await;
         let logged = lines.with_event("client_stalled");
         assert_eq!(logged.len(), 1, "{logged:?}");
@@ -112,7 +112,7 @@
         let started = Instant::now();
         let mut served = 0;
         while started.elapsed() < ms(3_000) {
-            let held = gateway.daemon.memory.held();
+            let held = gateway.daemon.memory.used_bytes();
             assert!(held <= limit as u64, "{held} bytes");
             let reply = gateway.ask("GET", "/safe/2", "Request: b\r\n", "").await;
             assert_eq!(reply.head.status, 200);
@@ -215,6 +215,6 @@
             assert_eq!(client.reply().await.head.status, 200);
             idle.push(client);
         }
-        assert_eq!(gateway.daemon.memory.held(), 0);
+        assert_eq!(gateway.daemon.memory.used_bytes(), 0);
     });
 }
--- a/crates/gateway/tests/gateway/support/mod.rs
+++ b/crates/gateway/tests/gateway/support/mod.rs
@@ -3,8 +3,8 @@
 mod client;
 mod dialect;
 mod log_capture;
+mod recording_log;
 mod server;
-mod spy;
 mod world;
 
 pub use client::Reply;
--- a/crates/gateway/tests/gateway/support/spy.rs
+++ b/crates/gateway/tests/gateway/support/recording_log.rs
@@ -10,12 +10,12 @@
 use std::time::Duration;
 
 /// A client of the log that keeps a copy of the records that pass through it.
-pub struct Spy {
+pub struct RecordingLog {
     inner: Rc<MemoryLog>,
     records: RefCell<Vec<KeyedRecord>>,
 }
 
-impl Spy {
+impl RecordingLog {
     pub fn new(inner: Rc<MemoryLog>) -> Self {
         Self {
             inner,
@@ -41,14 +41,14 @@
         sizes.max().unwrap_or_default()
     }
 
-    fn note<'a>(&self, records: impl Iterator<Item = &'a KeyedRecord>) {
+    fn record<'a>(&self, records: impl Iterator<Item = &'a KeyedRecord>) {
         self.records.borrow_mut().extend(records.cloned());
     }
 }
 
-impl LogStore for Spy {
+impl LogStore for RecordingLog {
     fn append(&self, append: Append) -> LocalBoxFuture<'_, Result<Appended, StoreError>> {
-        self.note(append.records.iter());
+        self.record(append.records.iter());
         self.inner.append(append)
     }
 
@@ -61,7 +61,7 @@
     ) -> LocalBoxFuture<'_, Result<ReadBatch, StoreError>> {
         Box::pin(async move {
             let batch = self.inner.read(partition, from, wait, timeout).await?;
-            self.note(batch.records.iter().map(|(_, record)| record));
+            self.record(batch.records.iter().map(|(_, record)| record));
             Ok(batch)
         })
     }
@@ -74,7 +74,7 @@
     ) -> LocalBoxFuture<'_, Result<NewestPage, StoreError>> {
         Box::pin(async move {
             let page = self.inner.newest(partition, after, timeout).await?;
-            self.note(page.records.iter().map(|(_, record)| record));
+            self.record(page.records.iter().map(|(_, record)| record));
             Ok(page)
         })
     }
--- a/crates/gateway/tests/gateway/support/server.rs
+++ b/crates/gateway/tests/gateway/support/server.rs
@@ -32,8 +32,8 @@
     /// Send a stream of events with these texts, starting after the event that the request names.
     /// Break off within the event with the given number.
     Events(Vec<String>, Option<usize>),
-    /// Respond with these bytes as the complete body, whatever they are.
-    Stream(String),
+    /// Respond with these bytes as the complete body, which need not be valid events.
+    RawStream(String),
     /// Send events with these texts and a pause before each.
     Paced(Vec<String>, Duration),
     /// Reset the connection this long after reading the request.
@@ -63,13 +63,13 @@
     pub client_disconnects: Rc<Cell<u32>>,
     act: Rc<RefCell<Act>>,
     powered_off: Rc<Cell<bool>>,
-    /// Connections that fill the accept backlog while the server is off.
+    /// Connections that fill the accept backlog while the server is unreachable.
     backlog_fillers: Vec<TcpStream>,
 }
 
 /// Size of the accept backlog. Once it is full, connection attempts get no reply.
 const BACKLOG: u32 = 1;
-/// A connection attempt that takes longer than this is taken to get no reply.
+/// A connection attempt without a reply for this long counts as unanswered.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 
 impl Server {
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Accepts connections again.
+    /// Accepts connections again. The server does not respond until [`Self::set`] is called.
     pub fn regain_power(&mut self) {
         self.backlog_fillers.clear();
         self.powered_off.set(false);
@@ -279,12 +279,12 @@
                 }
                 return;
             }
-            Act::Events(events, break_after) => {
-                if !send_events(&mut stream, &id, &events, last, break_after).await {
+            Act::Events(events, break_within) => {
+                if !send_events(&mut stream, &id, &events, last, break_within).await {
                     return reset(stream);
                 }
             }
-            Act::Stream(body) => {
+            Act::RawStream(body) => {
                 let _ = stream.write_all(response(&id, 200, &body).as_bytes()).await;
             }
             Act::Silent => {
@@ -337,13 +337,13 @@
     id: &str,
     events: &[String],
     last: Option<usize>,
-    break_after: Option<usize>,
+    break_within: Option<usize>,
 ) -> bool {
     send_events_head(stream, id).await;
     let first = last.map_or(0, |last| last + 1);
     for (number, text) in events.iter().enumerate().skip(first) {
         let event = format!("id: {number}\ndata: {text}\n\n");
-        if break_after == Some(number) {
+        if break_within == Some(number) {
             // Send only part of the event.
             let part = &event[..event.len() - 3];
             let chunk = format!("{:x}\r\n{part}\r\n", part.len());
--- a/crates/gateway/tests/gateway/support/world.rs
+++ b/crates/gateway/tests/gateway/support/world.rs
@@ -3,8 +3,8 @@
 use super::LIMIT;
 use super::client::{Client, Reply};
 use super::dialect::TestDialect;
+use super::recording_log::RecordingLog;
 use super::server::Server;
-use super::spy::Spy;
 use bytes::BytesMut;
 use fieldhook_emulator::log::memory::{MemoryLog, SharedLog};
 use fieldhook_gateway::daemon::{Adapter, Daemon};
@@ -55,15 +55,15 @@
 pub struct World {
     pub log: Rc<SharedLog>,
     pub configs: Rc<RefCell<Vec<TrafficConfig>>>,
-    /// Setting of gateways that are started afterwards.
+    /// How long gateways that are started afterwards may still accept a revoked key.
     pub revocation_ms: Cell<Option<u64>>,
-    /// Setting of gateways that are started afterwards.
+    /// Zones of the deployment, for gateways that are started afterwards.
     pub zones: RefCell<Map>,
-    /// Setting of gateways that are started afterwards.
+    /// Time limits on the operator's changes, for gateways that are started afterwards.
     pub bounds: Cell<Bounds>,
-    /// Setting of gateways that are started afterwards.
+    /// Number of partitions of a topic, for gateways that are started afterwards.
     pub partitions: Cell<u32>,
-    /// Setting of gateways that are started afterwards.
+    /// Limits on buffered data, for gateways that are started afterwards.
     pub slow_peers: Cell<SlowPeers>,
     store: MemoryLog,
 }
@@ -73,7 +73,7 @@
     pub daemon: Rc<Daemon>,
     pub store: Rc<MemoryLog>,
     /// The records that the gateway appended to the log and read from it.
-    pub spy: Rc<Spy>,
+    pub recording: Rc<RecordingLog>,
     pub address: SocketAddr,
 }
 
@@ -256,12 +256,12 @@
             grace_ms: 4_000,
         };
         let address = settings.clients;
-        let spy = Rc::new(Spy::new(store.clone()));
+        let recording = Rc::new(RecordingLog::new(store.clone()));
         let adapter = Adapter {
             dialect: Rc::new(TestDialect {
                 config: self.configs.clone(),
             }),
-            store: spy.clone(),
+            store: recording.clone(),
             topics: Topics {
                 config: CONFIG.to_owned(),
                 config_key: b"config".to_vec(),
@@ -276,7 +276,7 @@
         Gateway {
             daemon,
             store,
-            spy,
+            recording,
             address,
         }
     }
--- a/crates/gateway/tests/gateway/tenants.rs
+++ b/crates/gateway/tests/gateway/tenants.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn servers_receive_the_tenant_and_its_rank_but_not_the_key() {
+fn servers_receive_the_tenant_and_its_priority_but_not_the_key() {
     run(async {
         let server = Server::start("s1", answer("yes")).await;
         let mut red = tenant("red", "k1");
@@ -238,7 +238,8 @@
             200
         );
         gateway.store.set_fault(LogFault::Silent);
-        // A read that was started before the fault still confirms, for as long as it waits.
+        // A long poll that began before the fault still returns and confirms the configuration, so
+        // wait until it has ended.
         sleep(Duration::from_millis(3_500)).await;
         let refused = gateway.ask("GET", "/safe/1", keyed, "").await;
         assert_eq!(refused.head.status, 503);
--- a/crates/gateway/tests/gateway/turns.rs
+++ b/crates/gateway/tests/gateway/turns.rs
@@ -172,7 +172,7 @@
 #[test]
 fn stream_truncated_within_an_event_is_incomplete() {
     run(async {
-        let truncated = Act::Stream("id: 0\ndata: one\n\nid: 1\nda".to_owned());
+        let truncated = Act::RawStream("id: 0\ndata: one\n\nid: 1\nda".to_owned());
         let server = Server::start("s1", truncated).await;
         let world = World::new().await;
         let gateway = world.ready(&[&server]).await;
@@ -188,7 +188,7 @@
 #[test]
 fn stream_with_a_missing_event_is_incomplete() {
     run(async {
-        let gap = Act::Stream("id: 0\ndata: one\n\nid: 2\ndata: three\n\n".to_owned());
+        let gap = Act::RawStream("id: 0\ndata: one\n\nid: 2\ndata: three\n\n".to_owned());
         let server = Server::start("s1", gap).await;
         let world = World::new().await;
         let gateway = world.ready(&[&server]).await;
--- a/crates/gateway/tests/gateway/zones.rs
+++ b/crates/gateway/tests/gateway/zones.rs
@@ -1,5 +1,5 @@
 //! Loss of a zone's power, and network partitions between zones. docs/design/zones-lost.md
-//! lists the kinds of partition.
+//! lists the kinds of network partition.
 
 use crate::support::{Act, Gateway, Reply, Server, World, run};
 use fieldhook_emulator::log::memory::LogFault;
@@ -13,7 +13,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, sleep, timeout};
 
-/// Time that an owner has to answer before it is suspected.
+/// Time after which an owner that has not replied is suspected to be lost.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// A stream of one event.
@@ -115,9 +115,9 @@
     });
 }
 
-/// The machine of the engine can be reached, so the gateway waits for the answer.
+/// The machine of the server can be reached, so the gateway waits for the response.
 #[test]
-fn a_turn_on_a_slow_engine_is_not_abandoned() {
+fn a_turn_on_a_slow_server_is_not_abandoned() {
     run(async {
         let slow = Act::Slow(Duration::from_millis(1_700), "not run".to_owned());
         let server = Server::start("s1", slow).await;
@@ -331,8 +331,8 @@
     });
 }
 
-/// An owner that answers that it is still reading its partition. Its first connection is closed
-/// after 200 ms, as happens to one that was interrupted for long.
+/// An owner that replies that it is still reading its partition. Its first connection is closed
+/// after 200 ms, as happens to a connection after a long interruption of the network.
 async fn recovering_owner() -> SocketAddr {
     let listener = silent_listener().await;
     let address = listener.local_addr().expect("an address");
@@ -362,8 +362,8 @@
     }
 }
 
-/// Otherwise gateways that were cut off would claim partitions from healthy owners as soon as
-/// the network is back.
+/// An owner is asked on a new connection before it is replaced. Otherwise gateways that were cut off
+/// would claim partitions from healthy owners as soon as the network is back.
 #[test]
 fn an_owner_whose_connection_closed_is_asked_on_a_new_one_before_it_is_replaced() {
     run(async {
