--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,7 +1,8 @@
 //! The gateway: sockets, clocks and tasks around the pure crates.
 //!
 //! Request path: client -> [`serve`] -> [`upstream`] -> server. The [`ledger`] is called before
-//! and after each turn of a program.
+//! and after each turn of a program. A turn is one request of a program; all turns of a program share
+//! its deadline and its token budget.
 //!
 //! - [`dialect`]: the trait by which an adapter reads and writes header fields and documents.
 //! - [`settings`]: the startup settings of a daemon.
--- a/crates/gateway/src/memory.rs
+++ b/crates/gateway/src/memory.rs
@@ -18,7 +18,7 @@
 /// The memory for data buffered for all peers.
 pub struct Memory {
     /// Size and time limits.
-    pub bounds: SlowPeers,
+    pub limits: SlowPeers,
     buffers: RefCell<BufferMemory>,
     /// Notified when the buffer of an account is evicted.
     evicted: RefCell<HashMap<BufferId, Rc<Notify>>>,
@@ -35,10 +35,10 @@
 
 impl Memory {
     /// Creates the memory with nothing buffered.
-    pub fn new(bounds: SlowPeers, metrics: Rc<Metrics>) -> Self {
+    pub fn new(limits: SlowPeers, metrics: Rc<Metrics>) -> Self {
         Self {
-            bounds,
-            buffers: RefCell::new(BufferMemory::new(bounds.held_bytes)),
+            limits,
+            buffers: RefCell::new(BufferMemory::new(limits.held_bytes)),
             evicted: RefCell::default(),
             metrics,
             started: Instant::now(),
@@ -99,7 +99,7 @@
             .grow(self.id, bytes as u64, now_ms);
         match result {
             GrowResult::Granted => {}
-            GrowResult::GrantedByDropping(others) => self.memory.evict(&others),
+            GrowResult::GrantedByEvicting(others) => self.memory.evict(&others),
             GrowResult::Refused => {
                 self.memory.count_outcome("refused");
                 return Err(MemoryExhausted);
@@ -138,8 +138,8 @@
     }
 
     /// Size and time limits.
-    pub fn bounds(&self) -> SlowPeers {
-        self.memory.bounds
+    pub fn limits(&self) -> SlowPeers {
+        self.memory.limits
     }
 }
 
--- a/crates/gateway/src/serve/buffered.rs
+++ b/crates/gateway/src/serve/buffered.rs
@@ -124,7 +124,7 @@
         match next.await {
             Ok(Piece::Data(data)) => {
                 body.extend_from_slice(&data);
-                let is_large = body.len() > memory.bounds.connection_bytes;
+                let is_large = body.len() > memory.limits.connection_bytes;
                 if is_large || held.grow(data.len()).is_err() {
                     let received = body;
                     let response = PartialResponse {
--- a/crates/gateway/src/serve/writer.rs
+++ b/crates/gateway/src/serve/writer.rs
@@ -56,7 +56,7 @@
         if unsent.is_empty() {
             return Ok(());
         }
-        let fits = self.backlog.len() + unsent.len() <= self.held.bounds().connection_bytes;
+        let fits = self.backlog.len() + unsent.len() <= self.held.limits().connection_bytes;
         if fits && self.held.grow(unsent.len()).is_ok() {
             if self.backlog.is_empty() {
                 self.last_progress = Instant::now();
@@ -181,7 +181,7 @@
     held: &MemoryAccount,
     last_progress: Instant,
 ) -> io::Result<usize> {
-    let stall = Duration::from_millis(held.bounds().stall_ms);
+    let stall = Duration::from_millis(held.limits().stall_ms);
     let cause = tokio::select! {
         biased;
         written = half.write(bytes) => match written {
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -95,7 +95,8 @@
 }
 
 impl Default for SlowPeers {
-    /// Limits for a large machine. No client waits longer than `stall_ms` for a response.
+    /// Limits for a large machine. `stall_ms` is the longest time for which any client waits for a
+    /// response.
     fn default() -> Self {
         Self {
             held_bytes: 128 << 20,
--- a/crates/traffic/src/buffer_memory.rs
+++ b/crates/traffic/src/buffer_memory.rs
@@ -34,7 +34,7 @@
     /// The bytes are counted.
     Granted,
     /// The bytes are counted, and these buffers have to be dropped for them.
-    GrantedByDropping(Vec<BufferId>),
+    GrantedByEvicting(Vec<BufferId>),
     /// The limit is reached, and no buffers can be dropped. Nothing is counted.
     Refused,
 }
@@ -115,7 +115,7 @@
         }
         match dropped.is_empty() {
             true => GrowResult::Granted,
-            false => GrowResult::GrantedByDropping(dropped),
+            false => GrowResult::GrantedByEvicting(dropped),
         }
     }
 
--- a/crates/traffic/tests/buffer_memory.rs
+++ b/crates/traffic/tests/buffer_memory.rs
@@ -16,7 +16,7 @@
     memory.shrink(late, 10, 200);
     let new = memory.open(Purpose::Delivery, STALLED_MS);
     let result = memory.grow(new, 500, STALLED_MS);
-    assert_eq!(result, GrowResult::GrantedByDropping(vec![early]));
+    assert_eq!(result, GrowResult::GrantedByEvicting(vec![early]));
     assert_eq!(memory.used(), 890);
 }
 
@@ -47,7 +47,7 @@
     memory.start_delivery(response, delivery_ms);
     assert_eq!(memory.grow(new, 1, delivery_ms + 1), GrowResult::Refused);
     let result = memory.grow(new, 1, delivery_ms + STALLED_MS);
-    assert_eq!(result, GrowResult::GrantedByDropping(vec![response]));
+    assert_eq!(result, GrowResult::GrantedByEvicting(vec![response]));
 }
 
 #[derive(Clone, Debug)]
@@ -155,7 +155,7 @@
             oracle.entry(id).and_modify(|known| known.1 += bytes);
             fits
         }
-        GrowResult::GrantedByDropping(others) => {
+        GrowResult::GrantedByEvicting(others) => {
             let all_stalled = others.iter().all(|other| stalled(&oracle[other]));
             for other in &others {
                 oracle.remove(other);
