--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,7 +1,8 @@
 //! The gateway: sockets, clocks and tasks around the pure crates.
 //!
 //! Request path: client -> [`serve`] -> [`upstream`] -> server. The [`ledger`] is called before
-//! and after each turn of a program.
+//! and after each turn of a program. A turn is one request of a program; all turns of a program share
+//! its deadline and its token budget.
 //!
 //! - [`dialect`]: the trait by which an adapter reads and writes header fields and documents.
 //! - [`settings`]: the startup settings of a daemon.
@@ -9,7 +10,7 @@
 //! - [`store_exchange`]: connections to the log service, for adapters.
 //! - [`follow`]: configuration, evacuations and servers, followed on the log.
 //! - [`zone_state`]: the zones of the deployment and which of them are evacuated.
-//! - [`cold`]: servers with a temporary limit on their request rate.
+//! - [`cold`]: cold servers, which for a time take only a limited rate of requests.
 //! - [`memory`]: the memory limit for data buffered for slow peers.
 //! - [`relay`]: reads of long topics of the log through a few daemons of each zone.
 //! - [`ledger`]: owners of partitions and the gateways that call them.
--- a/crates/gateway/src/memory.rs
+++ b/crates/gateway/src/memory.rs
@@ -18,7 +18,7 @@
 /// The memory for data buffered for all peers.
 pub struct Memory {
     /// Size and time limits.
-    pub bounds: SlowPeers,
+    pub limits: SlowPeers,
     buffers: RefCell<BufferMemory>,
     /// Notified when the buffer of an account is evicted.
     evicted: RefCell<HashMap<BufferId, Rc<Notify>>>,
@@ -26,7 +26,7 @@
     started: Instant,
 }
 
-/// The memory used for one peer. Dropping it releases the memory.
+/// The account of the memory that the buffer of one peer uses. Dropping it releases the memory.
 pub struct MemoryAccount {
     memory: Rc<Memory>,
     id: BufferId,
@@ -35,10 +35,10 @@
 
 impl Memory {
     /// Creates the memory with nothing buffered.
-    pub fn new(bounds: SlowPeers, metrics: Rc<Metrics>) -> Self {
+    pub fn new(limits: SlowPeers, metrics: Rc<Metrics>) -> Self {
         Self {
-            bounds,
-            buffers: RefCell::new(BufferMemory::new(bounds.held_bytes)),
+            limits,
+            buffers: RefCell::new(BufferMemory::new(limits.held_bytes)),
             evicted: RefCell::default(),
             metrics,
             started: Instant::now(),
@@ -46,7 +46,7 @@
     }
 
     /// Returns the number of buffered bytes.
-    pub fn held(&self) -> u64 {
+    pub fn used_bytes(&self) -> u64 {
         self.buffers.borrow().used()
     }
 
@@ -67,7 +67,7 @@
     }
 
     fn update_gauge(&self) {
-        self.metrics.held_bytes.set(self.held() as i64);
+        self.metrics.held_bytes.set(self.used_bytes() as i64);
     }
 
     fn count_outcome(&self, outcome: &str) {
@@ -99,7 +99,7 @@
             .grow(self.id, bytes as u64, now_ms);
         match result {
             GrowResult::Granted => {}
-            GrowResult::GrantedByDropping(others) => self.memory.evict(&others),
+            GrowResult::GrantedByEvicting(others) => self.memory.evict(&others),
             GrowResult::Refused => {
                 self.memory.count_outcome("refused");
                 return Err(MemoryExhausted);
@@ -138,8 +138,8 @@
     }
 
     /// Size and time limits.
-    pub fn bounds(&self) -> SlowPeers {
-        self.memory.bounds
+    pub fn limits(&self) -> SlowPeers {
+        self.memory.limits
     }
 }
 
--- a/crates/gateway/src/serve/writer.rs
+++ b/crates/gateway/src/serve/writer.rs
@@ -57,7 +57,7 @@
             return Ok(());
         }
         let fits =
-            self.backlog.len() + unsent.len() <= self.memory_account.bounds().connection_bytes;
+            self.backlog.len() + unsent.len() <= self.memory_account.limits().connection_bytes;
         if fits && self.memory_account.grow(unsent.len()).is_ok() {
             if self.backlog.is_empty() {
                 self.last_progress = Instant::now();
@@ -192,7 +192,7 @@
     memory_account: &MemoryAccount,
     last_progress: Instant,
 ) -> io::Result<usize> {
-    let stall = Duration::from_millis(memory_account.bounds().stall_ms);
+    let stall = Duration::from_millis(memory_account.limits().stall_ms);
     let cause = tokio::select! {
         biased;
         written = half.write(bytes) => match written {
